--- a/assigner/assigner.go
+++ b/assigner/assigner.go
@@ -5,8 +5,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Candidate is a member that things can be assigned to.
-type Candidate struct {
+// Member is a member that things can be assigned to.
+type Member struct {
 	Name       string
 	DataCentre string
 }
@@ -24,7 +24,7 @@
 // Owner returns the member that a thing in a data centre is assigned to: the
 // one of greatest weight among those in the same data centre, or among all
 // where that data centre has none. It is empty when there are no members.
-func Owner(members []Candidate, thing, dataCentre string) string {
+func Owner(members []Member, thing, dataCentre string) string {
 	best, bestWeight, bestLocal := "", uint64(0), false
 	for _, m := range members {
 		local := m.DataCentre == dataCentre
--- a/assigner/example_test.go
+++ b/assigner/example_test.go
@@ -10,7 +10,7 @@
 )
 
 func Example() {
-	members := []assigner.Candidate{{Name: "a", DataCentre: "x"}, {Name: "b", DataCentre: "x"}, {Name: "c", DataCentre: "y"}}
+	members := []assigner.Member{{Name: "a", DataCentre: "x"}, {Name: "b", DataCentre: "x"}, {Name: "c", DataCentre: "y"}}
 	fmt.Println(assigner.Owner(members, "engine-1", "y"))
 	fmt.Println(assigner.Owner(members[:2], "engine-1", "y") != "")
 	// Output:
@@ -21,9 +21,9 @@
 // The going of a member moves only what it had.
 func TestOwnerMovesLittle(t *testing.T) {
 	is := is.New(t)
-	var members []assigner.Candidate
+	var members []assigner.Member
 	for i := range 20 {
-		members = append(members, assigner.Candidate{Name: fmt.Sprint("m", i), DataCentre: "x"})
+		members = append(members, assigner.Member{Name: fmt.Sprint("m", i), DataCentre: "x"})
 	}
 	for i := range 500 {
 		thing := fmt.Sprint("engine-", i)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -56,7 +56,7 @@
 	// SinceBoot is the time since the instance booted, with the time that it was
 	// suspended; SinceBoot of this package, or a clock that tests advance.
 	SinceBoot func() time.Duration
-	Board     *dispatcher.Board
+	Board     *dispatcher.Dispatcher
 	// Quarantine is what entries tell each other of requests that crash upstreams.
 	Quarantine *quarantiner.Quarantiner
 	Dial       connector.DialFunc
@@ -244,8 +244,8 @@
 
 // runToken names one run of an entry in messages of shares: what an earlier run told says
 // nothing of a later one.
-func runToken(name string, incarnation uint64) dispatcher.Token {
-	return dispatcher.TokenOf(name + " " + strconv.FormatUint(incarnation, 10))
+func runToken(name string, incarnation uint64) dispatcher.WireID {
+	return dispatcher.WireIDOf(name + " " + strconv.FormatUint(incarnation, 10))
 }
 
 // capacity is what this entry can do.
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -33,7 +33,7 @@
 type entry struct {
 	quarantine *quarantiner.Quarantiner
 	*controller.Controller
-	board *dispatcher.Board
+	board *dispatcher.Dispatcher
 	host  netip.Addr
 	stop  context.CancelFunc
 	ended chan struct{}
@@ -199,13 +199,13 @@
 }
 
 func usable(n int) func(*entry) bool {
-	return func(e *entry) bool { return e.board.Count("app") == n }
+	return func(e *entry) bool { return e.board.UpstreamCount("app") == n }
 }
 
 // running is how many requests the entry believes to run at all upstreams.
 func (e *entry) running() int {
 	sum := 0
-	for _, row := range e.board.Rows(time.Now()) {
+	for _, row := range e.board.Upstreams(time.Now()) {
 		sum += row.Load.Running
 	}
 	return sum
@@ -221,7 +221,7 @@
 		for _, e := range f.entries {
 			f.is.True(e.Ready())
 			f.is.Equal(len(e.Addresses("dc-0")), 7)
-			f.is.Equal(e.board.Count("app"), 3)
+			f.is.Equal(e.board.UpstreamCount("app"), 3)
 		}
 	})
 }
@@ -441,7 +441,7 @@
 		f.store.Put("servers/i-1", u.BornAt(first))
 		born := func(at time.Time) func(*entry) bool {
 			return func(e *entry) bool {
-				for _, row := range e.board.Rows(time.Now()) {
+				for _, row := range e.board.Upstreams(time.Now()) {
 					if row.Instance.ID == "i-1" {
 						return row.Instance.Started.UnixMilli() == at.UnixMilli()
 					}
@@ -546,7 +546,7 @@
 		}
 		f.entries = f.entries[:15]
 		for n := 1; n <= 20; n++ {
-			d := dispatcher.Demand{Service: "lm", Prompt: 250000, Answer: 500, FirstByteTarget: 4 * time.Second, PauseTarget: time.Second, Patience: 15 * time.Second, Admitted: true}
+			d := dispatcher.Demand{Service: "lm", PromptTokens: 250000, AnswerTokens: 500, FirstByteTarget: 4 * time.Second, GapTarget: time.Second, MaxWait: 15 * time.Second, Admitted: true}
 			_, refusal := f.entries[0].board.Place(time.Now(), d)
 			f.is.True(refusal == nil)
 			f.within(20*time.Millisecond, "heavy prompt told", knowing(n))
--- a/controller/shares.go
+++ b/controller/shares.go
@@ -59,9 +59,9 @@
 		c.spread(socket, c.encodeShares(shares), c.current.Load().paths, dispatcher.RelayToAll, 1)
 		return
 	}
-	var heavy, others []dispatcher.Share
+	var heavy, others []dispatcher.RequestLoad
 	for _, s := range shares {
-		if s.Heavy {
+		if s.LongPrefill {
 			heavy = append(heavy, s)
 		} else {
 			others = append(others, s)
@@ -72,24 +72,24 @@
 	c.spread(socket, c.encodeShares(others), placing, dispatcher.RelayToPlacing, 1)
 }
 
-func (c *Controller) encodeShares(shares []dispatcher.Share) [][]byte {
+func (c *Controller) encodeShares(shares []dispatcher.RequestLoad) [][]byte {
 	if len(shares) == 0 {
 		return nil
 	}
-	return dispatcher.EncodeShares(runToken(c.config.Name, c.config.Incarnation), shares)
+	return dispatcher.EncodeLoadUpdates(runToken(c.config.Name, c.config.Incarnation), shares)
 }
 
 // spread sends messages to entries: changes to those that place requests, all of the load
 // to each. One datagram goes to each other data centre that has many entries, or as many as there are to be
 // relays, and on from there. Bytes between data centres then grow with their number and not with that of
 // entries.
-func (c *Controller) spread(socket net.PacketConn, messages [][]byte, paths sharePaths, to dispatcher.Relay, relays int) {
+func (c *Controller) spread(socket net.PacketConn, messages [][]byte, paths sharePaths, to dispatcher.RelayTarget, relays int) {
 	for _, m := range messages {
 		c.sendEach(socket, m, paths.near, &c.news.told)
 		for _, group := range paths.far {
 			first := rand.IntN(len(group))
 			for i := range min(relays, len(group)) {
-				c.send(socket, dispatcher.ForRelay(to, m), group[(first+i)%len(group)], &c.news.told)
+				c.send(socket, dispatcher.WrapForRelay(to, m), group[(first+i)%len(group)], &c.news.told)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 			continue
 		}
 		if messages == nil {
-			messages = c.encodeShares(c.config.Board.Shares(time.Now()))
+			messages = c.encodeShares(c.config.Board.RequestLoads(time.Now()))
 		}
 		for _, m := range messages {
 			c.send(socket, m, p.shares, &c.news.told)
@@ -142,8 +142,8 @@
 			continue
 		}
 		c.news.heard.add(n)
-		relay, message := dispatcher.Relayed(buffer[:n])
-		peer, shares, err := dispatcher.DecodeShares(message)
+		relay, message := dispatcher.UnwrapRelay(buffer[:n])
+		peer, shares, err := dispatcher.DecodeLoadUpdate(message)
 		if err != nil {
 			c.news.malformed.Add(1)
 			if skipped, ok := malformed.due(time.Now()); ok {
--- a/controller/status.go
+++ b/controller/status.go
@@ -11,14 +11,14 @@
 	var status api.Status
 	c.do(func(s *state) { status = s.status(time.Now()) })
 	status.Quarantined = c.config.Quarantine.Count()
-	for _, row := range c.config.Board.Rows(time.Now()) {
+	for _, row := range c.config.Board.Upstreams(time.Now()) {
 		state := api.InstanceLive
 		if row.Instance.Leaving {
 			state = api.InstanceLeaving
 		}
 		status.Engines = append(status.Engines, api.EngineStatus{
 			Name: row.Instance.ID, Service: row.Instance.Service, Address: row.Instance.Address, DataCentre: row.Instance.DataCentre,
-			State: state, PausedFor: row.PausedFor, MemoryTokens: row.MemoryTokens, UsedTokens: row.Load.Tokens, InFlight: row.Load.Running,
+			State: state, PausedFor: row.Backoff, MemoryTokens: row.MemoryTokens, UsedTokens: row.Load.MemoryTokens, InFlight: row.Load.Running,
 			Failures: row.Load.FailureRate,
 		})
 	}
--- a/controller/tellers.go
+++ b/controller/tellers.go
@@ -17,15 +17,15 @@
 type tellers struct {
 	lock sync.Mutex
 	// last is when a run of an entry was last heard.
-	last map[dispatcher.Token]time.Time
+	last map[dispatcher.WireID]time.Time
 }
 
 // heard notes that an entry told of its requests, and reports whether that is news.
-func (t *tellers) heard(now time.Time, run dispatcher.Token) bool {
+func (t *tellers) heard(now time.Time, run dispatcher.WireID) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	if t.last == nil {
-		t.last = map[dispatcher.Token]time.Time{}
+		t.last = map[dispatcher.WireID]time.Time{}
 	}
 	last, known := t.last[run]
 	t.last[run] = now
--- a/controller/view.go
+++ b/controller/view.go
@@ -107,7 +107,7 @@
 	for _, p := range peers {
 		known, ok := before[p.name]
 		if ok && known < p.incarnation {
-			c.config.Board.Forget(time.Now(), runToken(p.name, known))
+			c.config.Board.ForgetPeer(time.Now(), runToken(p.name, known))
 		}
 		met = met || !ok || known != p.incarnation
 	}
--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -26,15 +26,15 @@
 // tooCostly refuses a prompt that would lose others more than it is worth. Cost is
 // what its place would lose, its own lateness included.
 func tooCostly(d Demand, e *matcher.Engine, loads []candidate, cost float64) *Refusal {
-	if d.Admitted || !heavy(e, d.Prompt) {
+	if d.Admitted || !heavy(e, d.PromptTokens) {
 		return nil
 	}
 	backlog := meanBacklog(loads)
-	price := timePrice * backlog.Seconds() * predictor.Prefill(e, d.Prompt).Seconds()
-	if valueOf(d.Prompt)-cost-price > 0 {
+	price := timePrice * backlog.Seconds() * predictor.Prefill(e, d.PromptTokens).Seconds()
+	if valueOf(d.PromptTokens)-cost-price > 0 {
 		return nil
 	}
-	return &Refusal{Reason: "too_costly", Passing: true, RetryAfter: min(mostRetry, max(leastRetry, drainFactor*backlog))}
+	return &Refusal{Reason: "too_costly", Temporary: true, RetryAfter: min(mostRetry, max(leastRetry, drainFactor*backlog))}
 }
 
 const (
@@ -54,25 +54,25 @@
 // while it would harm others. Engines put what is new before what they have, and pauses grow with all they
 // have: a prompt that waits at its entry holds up nobody. Where the entry ends there is no time for that.
 func tooEarly(d Demand, e *matcher.Engine, g group, backlog time.Duration) *Refusal {
-	if d.Admitted || d.EndWithin > 0 || !heavy(e, d.Prompt) || d.Patience < heldPatience*g.finish {
+	if d.Admitted || d.EndWithin > 0 || !heavy(e, d.PromptTokens) || d.MaxWait < heldPatience*g.finish {
 		return nil
 	}
 	age := float64(d.Waited) / float64(d.FirstByteTarget)
 	if d.Waited+g.finish > d.FirstByteTarget {
-		age = float64(d.Waited) / float64(d.Waited+d.Patience)
+		age = float64(d.Waited) / float64(d.Waited+d.MaxWait)
 	}
 	most := calmBacklog + time.Duration(age*float64(urgentBacklog-calmBacklog))
-	if backlog < most && g.harm < mostHarm*valueOf(d.Prompt)*(1+age) {
+	if backlog < most && g.harm < mostHarm*valueOf(d.PromptTokens)*(1+age) {
 		return nil
 	}
-	return &Refusal{Reason: "too_early", Passing: true, Early: true, Expected: g.finish, RetryAfter: leastRetry}
+	return &Refusal{Reason: "too_early", Temporary: true, Deferrable: true, ExpectedFirstByte: g.finish, RetryAfter: leastRetry}
 }
 
 // meanBacklog is how long engines have yet to prefill on average.
 func meanBacklog(loads []candidate) time.Duration {
 	sum := time.Duration(0)
 	for _, o := range loads {
-		sum += o.load.Prefill
+		sum += o.load.PrefillBacklog
 	}
 	return sum / time.Duration(len(loads))
 }
@@ -81,7 +81,7 @@
 func groupBacklog(g group) time.Duration {
 	sum := time.Duration(0)
 	for _, o := range g.offers {
-		sum += o.load.Prefill
+		sum += o.load.PrefillBacklog
 	}
 	return sum / time.Duration(len(g.offers))
 }
@@ -89,7 +89,7 @@
 // ending refuses a request whose answer may not end before the entry that would relay it. When
 // another entry takes it the board does not know.
 func ending(expected time.Duration) *Refusal {
-	return &Refusal{Reason: "stopping", Ending: true, Expected: expected}
+	return &Refusal{Reason: "stopping", OutlivesEntry: true, ExpectedFirstByte: expected}
 }
 
 // endMargin is by how much a forecast of an answer's end is lengthened where the answer must not
@@ -102,7 +102,7 @@
 func (d Demand) latestEnd(now time.Time, g group) time.Duration {
 	o := g.offers[0]
 	e := o.worker.engine
-	events := d.MostAnswer/max(1, e.Stride) + 1
-	pass := float64(predictor.DecodePass(e, e.Slots, o.load.Tokens+d.Prompt)) * o.worker.health.pace(now)
+	events := d.MaxAnswerTokens/max(1, e.Stride) + 1
+	pass := float64(predictor.DecodePass(e, e.Slots, o.load.MemoryTokens+d.PromptTokens)) * o.worker.health.pace(now)
 	return time.Duration(endMargin * (float64(g.finish) + float64(events)*pass))
 }
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -11,7 +11,7 @@
 
 // loadedBoard is a board of 112 engines of 10 slots, of which each answers as many
 // requests as given: the size of the largest deployment and its load in a burst.
-func loadedBoard(b testing.TB, answers int) *Board {
+func loadedBoard(b testing.TB, answers int) *Dispatcher {
 	b.Helper()
 	engine := testEngine
 	engine.Slots, engine.Stride = 10, 80
@@ -37,7 +37,7 @@
 		if refusal != nil {
 			b.Fatal(refusal)
 		}
-		p.Began(start.Add(time.Millisecond))
+		p.FirstByteSeen(start.Add(time.Millisecond))
 	}
 	return board
 }
@@ -63,11 +63,11 @@
 // BenchmarkImport is the processor time of one message of a peer.
 func BenchmarkImport(b *testing.B) {
 	board, far := loadedBoard(b, 6), loadedBoard(b, 1)
-	messages := EncodeShares(TokenOf("far"), far.Export(start, true))
+	messages := EncodeLoadUpdates(WireIDOf("far"), far.Export(start, true))
 	b.ResetTimer()
 	for range b.N {
 		for _, m := range messages {
-			peer, shares, err := DecodeShares(m)
+			peer, shares, err := DecodeLoadUpdate(m)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/dispatcher/board.go
+++ b/dispatcher/board.go
@@ -15,18 +15,18 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Board holds what all upstreams have to do. It is safe for concurrent use.
-type Board struct {
+// Dispatcher holds what all upstreams have to do. It is safe for concurrent use.
+type Dispatcher struct {
 	dataCentre string
 	random     *rand.Rand
 
 	lock    sync.Mutex
 	workers map[string]*worker
 	// tokens holds the workers by the token of their ID.
-	tokens   map[Token]*worker
+	tokens   map[WireID]*worker
 	services map[string][]*worker
 	// own are this entry's requests; told are those of peers.
-	own  map[Token]*request
+	own  map[WireID]*request
 	told map[peerRequest]*request
 	// peers is how many other entries place, as far as known.
 	peers int
@@ -39,24 +39,24 @@
 	// changed are own requests to tell peers of, ended those that are over since
 	// the last Export, endedBefore those of the one before it that told all.
 	changed     map[*request]bool
-	ended       []Share
-	endedBefore []Token
+	ended       []RequestLoad
+	endedBefore []WireID
 	// Changed has an element while there is something to tell.
 	Changed  chan struct{}
 	forecast predictor.Forecast
 }
 
 // New returns a board without upstreams, for an entry in a data centre.
-func New(dataCentre string, random *rand.Rand) *Board {
-	return &Board{
-		dataCentre: dataCentre, random: random, workers: map[string]*worker{}, tokens: map[Token]*worker{}, services: map[string][]*worker{},
-		own: map[Token]*request{}, told: map[peerRequest]*request{}, rankSalt: sharedRank, changed: map[*request]bool{}, Changed: make(chan struct{}, 1),
+func New(dataCentre string, random *rand.Rand) *Dispatcher {
+	return &Dispatcher{
+		dataCentre: dataCentre, random: random, workers: map[string]*worker{}, tokens: map[WireID]*worker{}, services: map[string][]*worker{},
+		own: map[WireID]*request{}, told: map[peerRequest]*request{}, rankSalt: sharedRank, changed: map[*request]bool{}, Changed: make(chan struct{}, 1),
 	}
 }
 
 // NewLocal returns a board of what this entry alone sends to upstreams: nothing of it is kept for
 // peers, and Export has nothing to tell.
-func NewLocal(dataCentre string, random *rand.Rand) *Board {
+func NewLocal(dataCentre string, random *rand.Rand) *Dispatcher {
 	b := New(dataCentre, random)
 	b.local = true
 	return b
@@ -64,7 +64,7 @@
 
 // Update takes in the services of a configuration and the upstreams that may
 // be sent work.
-func (b *Board) Update(table *matcher.Table, instances []Instance) {
+func (b *Dispatcher) Update(table *matcher.Table, instances []Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
@@ -93,9 +93,9 @@
 
 // worker returns the one of an instance, a new one where its run is not known yet: a
 // run holds nothing of what an earlier one under the same ID had.
-func (b *Board) worker(i Instance) *worker {
+func (b *Dispatcher) worker(i Instance) *worker {
 	w, ok := b.workers[i.ID]
-	if ok && !w.instance.Same(i) {
+	if ok && !w.instance.SameIncarnation(i) {
 		delete(b.tokens, w.token)
 		lose(w, i.Started)
 		ok = false
@@ -110,7 +110,7 @@
 	}
 	if w.instance.Started.IsZero() {
 		delete(b.tokens, w.token)
-		w.token = i.Run()
+		w.token = i.IncarnationID()
 		b.tokens[w.token] = w
 	}
 	if i.Started.IsZero() {
@@ -144,7 +144,7 @@
 // SetPeers tells the board how many other entries place, and whether this entry
 // hears what they do. While it is blind to that, it keeps to an order of its own
 // and packs nothing: all entries would fill the same engines.
-func (b *Board) SetPeers(peers int, blind bool) {
+func (b *Dispatcher) SetPeers(peers int, blind bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.peers = peers
@@ -157,8 +157,8 @@
 	b.blind = blind
 }
 
-// Count is how many upstreams of a service may be sent work.
-func (b *Board) Count(service string) int {
+// UpstreamCount is how many upstreams of a service may be sent work.
+func (b *Dispatcher) UpstreamCount(service string) int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return len(b.services[service])
@@ -166,12 +166,12 @@
 
 // usable lists the workers of a service that take requests, without those to avoid; where
 // that leaves none, one that accepted no connections is better than nothing.
-func (b *Board) usable(now time.Time, d Demand) []*worker {
+func (b *Dispatcher) usable(now time.Time, d Demand) []*worker {
 	var fit, blocked []*worker
 	for _, w := range b.services[d.Service] {
 		switch {
 		case w.wish.refuses(now):
-		case slices.ContainsFunc(d.Avoid, w.instance.Same):
+		case slices.ContainsFunc(d.Avoid, w.instance.SameIncarnation):
 		case w.health.blocked(now):
 			blocked = append(blocked, w)
 		default:
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -112,7 +112,7 @@
 		if p.job.Decodes {
 			c.answers++
 		}
-		if p.job.Decodes && p.request.pause <= d.PauseTarget {
+		if p.job.Decodes && p.request.pause <= d.GapTarget {
 			similar++
 		}
 	}
@@ -124,27 +124,27 @@
 // answers or as a helper.
 func (c *candidate) offer(now time.Time, d Demand, k int, answers bool, forecast *predictor.Forecast) offer {
 	w, e := c.worker, c.worker.engine
-	o := offer{candidate: c, job: job(now, d, e, k, answers), decodes: k > 1 || d.Prompt+d.Answer <= e.MemoryTokens}
+	o := offer{candidate: c, job: job(now, d, e, k, answers), decodes: k > 1 || d.PromptTokens+d.AnswerTokens <= e.MemoryTokens}
 	fates := forecast.Play(now, w.queue, &o.job)
 	own := fates[len(fates)-1]
-	o.finish, o.pause = own.Done.Sub(now)+c.load.Late+transit, own.Pause
+	o.finish, o.pause = own.Done.Sub(now)+c.load.Overdue+transit, own.Pause
 	if answers {
-		o.unfinished = over(own.End.Sub(now), d.Left, endFrom, endTo)
+		o.unfinished = over(own.End.Sub(now), d.Remaining, endFrom, endTo)
 	}
 	for i, f := range fates[:len(fates)-1] {
 		o.harm += w.jobs[f.Job].loss(f, c.elsewhere[i]) - c.before[i]
 	}
 	o.harm += c.slotPrice * float64(c.answers) * o.job.Prefill.Seconds()
 	o.cost = o.harm
-	worth := valueOf(d.Prompt)
+	worth := valueOf(d.PromptTokens)
 	o.cost += worth * failedLoss * c.load.FailureRate
 	slots := e.Slots - spareSlots
 	if waiting := c.load.Running + 1 - slots; answers && waiting > 0 {
-		pass := predictor.DecodePass(e, c.load.Running, c.load.Tokens)
+		pass := predictor.DecodePass(e, c.load.Running, c.load.MemoryTokens)
 		o.finish += time.Duration(waiting) * slotTime(e, pass)
 		o.cost += worth * queuedCost * float64(waiting) / float64(max(1, e.Slots))
 	}
-	if free := e.MemoryTokens - c.load.Tokens; k == 1 && d.Prompt+d.Answer > free {
+	if free := e.MemoryTokens - c.load.MemoryTokens; k == 1 && d.PromptTokens+d.AnswerTokens > free {
 		o.cost += worth
 	}
 	return o
@@ -153,14 +153,14 @@
 // job is one of k parts of a prompt, for the engine that answers or a helper.
 func job(now time.Time, d Demand, e *matcher.Engine, k int, answers bool) predictor.Job {
 	return predictor.Job{
-		Joint: k > 1, Tokens: d.Prompt / k, Prefill: predictor.Part(e, d.Prompt, k), Decodes: answers, Context: d.Prompt / k,
-		Events: d.Answer/max(1, e.Stride) + 1, Arrived: now,
+		Joint: k > 1, Tokens: d.PromptTokens / k, Prefill: predictor.Part(e, d.PromptTokens, k), Decodes: answers, Context: d.PromptTokens / k,
+		Events: d.AnswerTokens/max(1, e.Stride) + 1, Arrived: now,
 	}
 }
 
 // light reports whether a prompt is prefilled within a pause that its kind bears.
 func light(d Demand, e *matcher.Engine) bool {
-	return float64(predictor.Prefill(e, d.Prompt)) <= lightPart*float64(d.PauseTarget)
+	return float64(predictor.Prefill(e, d.PromptTokens)) <= lightPart*float64(d.GapTarget)
 }
 
 // slotTime is how soon a slot of a full engine is free: answers are decoded in
--- a/dispatcher/group_test.go
+++ b/dispatcher/group_test.go
@@ -11,7 +11,7 @@
 // On a fleet of 112 engines that answer six requests each, with some long prompts under way,
 // a long prompt gets a group that loses hardly more than the best of all groups would: what
 // the shorter search saves in processor time is not paid by callers.
-func TestFewerGroupsLoseLittle(t *testing.T) {
+func TestShortlistLosesLittle(t *testing.T) {
 	is := is.New(t)
 	board := loadedBoard(t, 6)
 	now := start.Add(20 * time.Millisecond)
@@ -33,13 +33,13 @@
 			}
 		}
 		worst = max(worst, got.cost-best.cost)
-		is.True(got.cost-best.cost < 0.02*valueOf(d.Prompt)) // of what the prompt is worth
+		is.True(got.cost-best.cost < 0.02*valueOf(d.PromptTokens)) // of what the prompt is worth
 		place(t, board, now, d)
 	}
 	t.Logf("at most %.3f requests' worth lost", worst)
 }
 
-func TestFewSizes(t *testing.T) {
+func TestSparseSizes(t *testing.T) {
 	is := is.New(t)
 	var all []int
 	for k := 1; k <= 17; k++ {
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -13,7 +13,7 @@
 var firstRun, secondRun = time.UnixMilli(1_700_000_000_000), time.UnixMilli(1_700_000_005_000)
 
 // bornBoard is a board of two engines, of which e00 was born at a time.
-func bornBoard(t *testing.T, born time.Time) *Board {
+func bornBoard(t *testing.T, born time.Time) *Dispatcher {
 	t.Helper()
 	b := testBoard(t, 0)
 	restart(t, b, born)
@@ -21,7 +21,7 @@
 }
 
 // restart lists e00 as born at a time, beside e01.
-func restart(t *testing.T, b *Board, born time.Time) {
+func restart(t *testing.T, b *Dispatcher, born time.Time) {
 	t.Helper()
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}, {Name: "app"}}})
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 // onFirst places prompts at e00 only.
-func onFirst(t *testing.T, b *Board, d Demand) *Placement {
+func onFirst(t *testing.T, b *Dispatcher, d Demand) *Placement {
 	t.Helper()
 	d.Avoid = []Instance{{ID: "e01"}}
 	return place(t, b, start, d)
@@ -42,14 +42,14 @@
 
 // An engine that starts again under its ID holds nothing: neither work of this entry nor
 // of peers, no memory, no failures, no block, no pace.
-func TestNewRunHoldsNothing(t *testing.T) {
+func TestNewIncarnationStartsEmpty(t *testing.T) {
 	is := is.New(t)
 	b, far := bornBoard(t, firstRun), bornBoard(t, firstRun)
 	for range 5 {
-		onFirst(t, b, tower).Began(start)
+		onFirst(t, b, tower).FirstByteSeen(start)
 		onFirst(t, far, tower)
 	}
-	b.Import(start, TokenOf("far"), far.Export(start, false))
+	b.Import(start, WireIDOf("far"), far.Export(start, false))
 	w := b.workers["e00"]
 	is.Equal(w.load(start).Running, 10)
 	w.health.unreachable(start)
@@ -64,30 +64,30 @@
 
 // What was placed at a run that is over is told to its owner once, at the engine that
 // answers and at a helper; placements elsewhere go on.
-func TestOwnersHearOfALostRun(t *testing.T) {
+func TestOnRestartIsCalledOnce(t *testing.T) {
 	is := is.New(t)
 	b := bornBoard(t, firstRun)
 	calls := map[string]int{}
-	onFirst(t, b, tower).OnLost(func() { calls["alone"]++ })
+	onFirst(t, b, tower).OnRestart(func() { calls["alone"]++ })
 	late := onFirst(t, b, tower)
 	big := withPrompt(audit, 400000)
 	big.Admitted = true
 	joint := place(t, b, start, big)
 	is.Equal(len(joint.Helpers), 1)
-	joint.OnLost(func() { calls["joint"]++ })
-	other := place(t, b, start, Demand{Service: "lm", Prompt: 5000, Answer: 100, Avoid: []Instance{{ID: "e00"}}, Admitted: true, PauseTarget: time.Second})
-	other.OnLost(func() { calls["elsewhere"]++ })
+	joint.OnRestart(func() { calls["joint"]++ })
+	other := place(t, b, start, Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 100, Avoid: []Instance{{ID: "e00"}}, Admitted: true, GapTarget: time.Second})
+	other.OnRestart(func() { calls["elsewhere"]++ })
 	restart(t, b, firstRun)
 	is.Equal(len(calls), 0) // listed again, the same run
 	restart(t, b, secondRun)
 	restart(t, b, secondRun)
-	late.OnLost(func() { calls["asked after it"]++ })
+	late.OnRestart(func() { calls["asked after it"]++ })
 	is.Equal(fmt.Sprint(calls), "map[alone:1 asked after it:1 joint:1]")
 }
 
 // Events, answers and failures of an earlier run that come late change nothing of the
 // run that is there now.
-func TestLateWordOfAnEarlierRun(t *testing.T) {
+func TestLateReportsOfEarlierIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
 	b := bornBoard(t, firstRun)
 	var old []*Placement
@@ -96,32 +96,32 @@
 	}
 	restart(t, b, secondRun)
 	onFirst(t, b, tower)
-	before := b.Rows(start)
+	before := b.Upstreams(start)
 	now := start.Add(50 * time.Millisecond)
 	for i, p := range old {
-		p.Began(now)
-		p.Event(now)
+		p.FirstByteSeen(now)
+		p.EventSeen(now)
 		p.End(now, []Result{Answered, Failed, Unreachable, Full}[i])
 	}
-	b.Blame(now, old[0].First)
-	is.Equal(b.Rows(start), before)
+	b.ReportHelperFailure(now, old[0].First)
+	is.Equal(b.Upstreams(start), before)
 	is.True(!b.workers["e00"].health.blocked(now))
-	b.Blame(now, b.workers["e00"].instance)
+	b.ReportHelperFailure(now, b.workers["e00"].instance)
 	is.True(b.workers["e00"].health.rate(now) > 0)
 }
 
 // Peers tell of runs: what one that does not know of the restart yet tells counts for
 // nothing at the new run, and what one tells that knew first counts as soon as this
 // entry knows too.
-func TestPeersTellOfRuns(t *testing.T) {
+func TestLoadUpdatesCountForTheirIncarnationOnly(t *testing.T) {
 	is := is.New(t)
 	b, behind, ahead := bornBoard(t, secondRun), bornBoard(t, firstRun), bornBoard(t, firstRun)
 	onFirst(t, behind, tower)
-	b.Import(start, TokenOf("behind"), behind.Export(start, false))
+	b.Import(start, WireIDOf("behind"), behind.Export(start, false))
 	is.Equal(b.workers["e00"].load(start).Running, 0)
 	restart(t, ahead, secondRun.Add(time.Second))
 	onFirst(t, ahead, tower)
-	b.Import(start, TokenOf("ahead"), ahead.Export(start, false))
+	b.Import(start, WireIDOf("ahead"), ahead.Export(start, false))
 	is.Equal(b.workers["e00"].load(start).Running, 0)
 	restart(t, b, secondRun.Add(time.Second))
 	is.Equal(b.workers["e00"].load(start).Running, 1)
@@ -129,7 +129,7 @@
 
 // An upstream that never says when it started is one run, and one that begins to say
 // so is the run that it was.
-func TestUnsaidStartIsTheSameRun(t *testing.T) {
+func TestUnknownStartIsTheSameIncarnation(t *testing.T) {
 	is := is.New(t)
 	b := bornBoard(t, time.Time{})
 	onFirst(t, b, tower)
@@ -143,7 +143,7 @@
 }
 
 // A clock that stepped back makes a later run seem older; it is another run all the same.
-func TestRunBornEarlierIsAnotherRun(t *testing.T) {
+func TestEarlierStartIsAnotherIncarnation(t *testing.T) {
 	is := is.New(t)
 	b := bornBoard(t, secondRun)
 	onFirst(t, b, tower)
@@ -152,7 +152,7 @@
 }
 
 // An upstream that failed a request is avoided by it only as the run that it was.
-func TestAvoidedRunMayServeAfterItsRestart(t *testing.T) {
+func TestAvoidedUpstreamServesAfterRestart(t *testing.T) {
 	is := is.New(t)
 	b := bornBoard(t, firstRun)
 	d := tower
--- a/dispatcher/instance.go
+++ b/dispatcher/instance.go
@@ -23,16 +23,16 @@
 	Leaving bool
 }
 
-// Same reports whether two instances are the same run of an upstream. One that does
+// SameIncarnation reports whether two instances are the same run of an upstream. One that does
 // not say when it started is the same run as before.
-func (i Instance) Same(o Instance) bool {
+func (i Instance) SameIncarnation(o Instance) bool {
 	return i.ID == o.ID && (i.Started.IsZero() || o.Started.IsZero() || i.Started.Equal(o.Started))
 }
 
-// Run names the run in messages to other entries.
-func (i Instance) Run() Token {
+// IncarnationID names the run in messages to other entries.
+func (i Instance) IncarnationID() WireID {
 	if i.Started.IsZero() {
-		return TokenOf(i.ID)
+		return WireIDOf(i.ID)
 	}
-	return TokenOf(i.ID + " " + strconv.FormatInt(i.Started.UnixMilli(), 10))
+	return WireIDOf(i.ID + " " + strconv.FormatInt(i.Started.UnixMilli(), 10))
 }
--- a/dispatcher/loss.go
+++ b/dispatcher/loss.go
@@ -59,5 +59,5 @@
 // loss is what a request would lose by its first event and longest pause from now on, and by
 // not ending before its caller leaves, in requests.
 func (d Demand) loss(finish, pause time.Duration, unfinished float64) float64 {
-	return valueOf(d.Prompt) * streamLoss(d.Waited+finish, d.FirstByteTarget, pause, d.PauseTarget, unfinished)
+	return valueOf(d.PromptTokens) * streamLoss(d.Waited+finish, d.FirstByteTarget, pause, d.GapTarget, unfinished)
 }
--- a/dispatcher/memory.go
+++ b/dispatcher/memory.go
@@ -11,7 +11,7 @@
 
 // free is the memory of an engine that one prompt may have.
 func (c candidate) free() int {
-	return int(memoryPart * float64(max(0, c.worker.engine.MemoryTokens-c.load.Tokens)))
+	return int(memoryPart * float64(max(0, c.worker.engine.MemoryTokens-c.load.MemoryTokens)))
 }
 
 // memoryShares says how much of a prompt and its answer each of the chosen
@@ -19,7 +19,7 @@
 // the first alone; what doesn't fit is held by few of the others.
 func memoryShares(d Demand, chosen []offer) ([]int, bool) {
 	shares := make([]int, len(chosen))
-	need := d.Prompt + d.Answer
+	need := d.PromptTokens + d.AnswerTokens
 	first := chosen[0]
 	if need <= first.worker.engine.MemoryTokens && (need <= first.free() || len(chosen) == 1) {
 		shares[0] = need
@@ -36,11 +36,11 @@
 		shares[i] = min(need, chosen[i].free())
 		need -= shares[i]
 	}
-	if need > 0 && d.Prompt+d.Answer <= first.worker.engine.MemoryTokens {
+	if need > 0 && d.PromptTokens+d.AnswerTokens <= first.worker.engine.MemoryTokens {
 		// It fits one engine, whose memory is merely taken for now: the first
 		// holds all of it as soon as it has room.
 		clear(shares)
-		shares[0] = d.Prompt + d.Answer
+		shares[0] = d.PromptTokens + d.AnswerTokens
 		return shares, true
 	}
 	return shares, need == 0
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -11,14 +11,14 @@
 )
 
 // call has one entry place a call that ends after a time.
-func call(t *testing.T, boards []*Board, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
+func call(t *testing.T, boards []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
 	t.Helper()
 	p := place(t, boards[entry], now, Demand{Service: "app"})
 	took, result := end(p.First)
 	if took > tellTime {
 		tellAll(t, now, boards, false)
 	}
-	p.Began(now.Add(took))
+	p.FirstByteSeen(now.Add(took))
 	p.End(now.Add(took), result)
 	tellAll(t, now.Add(took), boards, false)
 	return result
@@ -30,7 +30,7 @@
 // One of three instances fails half of its calls at once, for seven seconds, while its health check is good. Fourteen calls a
 // second, which must not be repeated, come to fifteen entries by turns: one failed call at least at each of
 // them, if each learns by itself.
-func TestEntriesTellOfFailingUpstream(t *testing.T) {
+func TestFailuresAreReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	const entries, perSecond, seconds = 15, 14, 7
 	boards := entriesBefore(t, entries, 0)
@@ -78,10 +78,10 @@
 
 // A failure that is told again with all of the load counts once, and what an entry did not hear, or ended by
 // itself, counts at that entry alone.
-func TestOutcomeIsToldOnce(t *testing.T) {
+func TestOutcomeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	for result, want := range map[Result]float64{Failed: failureWeight, Broken: 0, Unreachable: 0, Full: 0, Abandoned: 0, Answered: 0} {
+	for result, want := range map[Result]float64{Failed: failureWeight, Incomplete: 0, Unreachable: 0, Full: 0, Abandoned: 0, Answered: 0} {
 		boards := entriesBefore(t, 2, 0)
 		p := place(t, boards[0], now, Demand{Service: "app"})
 		p.End(now, result)
@@ -94,7 +94,7 @@
 
 // An entry hears of a group before it knows the engine that answers: the answer speaks for that one, not
 // for the helper that was known first.
-func TestAnswerSpeaksForTheFirstEngine(t *testing.T) {
+func TestAnswerCountsForTheAnsweringEngine(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}}})
@@ -102,13 +102,13 @@
 	helper, first := Instance{ID: "helper", Service: "lm", Slots: 16}, Instance{ID: "first", Service: "lm", Slots: 16}
 	b := New("a", rand.New(rand.NewPCG(1, 2)))
 	b.Update(table, []Instance{helper})
-	s := Share{Request: 7, Prompt: 60000, Answer: 500, Target: time.Second, Pause: time.Second, Parts: []SharePart{{Upstream: first.Run(), Answers: true}, {Upstream: helper.Run()}}}
-	b.Import(now, 1, []Share{s})
+	s := RequestLoad{ID: 7, PromptTokens: 60000, AnswerTokens: 500, FirstByteTarget: time.Second, GapTarget: time.Second, Assignments: []AssignmentLoad{{Upstream: first.IncarnationID(), Decodes: true}, {Upstream: helper.IncarnationID()}}}
+	b.Import(now, 1, []RequestLoad{s})
 	b.Update(table, []Instance{helper, first})
 	for _, w := range b.workers {
 		w.health.failed(now)
 	}
-	b.Import(now, 1, []Share{{Request: 7, Ended: true, Outcome: OutcomeAnswered}})
+	b.Import(now, 1, []RequestLoad{{ID: 7, Ended: true, Outcome: OutcomeAnswered}})
 	is.Equal(b.workers["helper"].health.rate(now), failureWeight)
 	is.Equal(b.workers["first"].health.rate(now), failureWeight*(1-successWeight))
 }
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -8,7 +8,7 @@
 )
 
 // Place finds a place for a request and notes it on the board.
-func (b *Board) Place(now time.Time, d Demand) (*Placement, *Refusal) {
+func (b *Dispatcher) Place(now time.Time, d Demand) (*Placement, *Refusal) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	p, refusal := b.find(now, d)
@@ -23,10 +23,10 @@
 	return p, nil
 }
 
-// Takes reports whether a request would be placed, and begun without waiting for a slot. Where
+// Accepts reports whether a request would be placed, and begun without waiting for a slot. Where
 // all slots are taken a silent engine is no worse than others, and prompts that are prefilled anew
 // elsewhere would keep the fleet full.
-func (b *Board) Takes(now time.Time, d Demand) bool {
+func (b *Dispatcher) Accepts(now time.Time, d Demand) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	p, refusal := b.find(now, d)
@@ -41,12 +41,12 @@
 }
 
 // find finds a place for a request.
-func (b *Board) find(now time.Time, d Demand) (*Placement, *Refusal) {
+func (b *Dispatcher) find(now time.Time, d Demand) (*Placement, *Refusal) {
 	workers := b.usable(now, d)
 	if len(workers) == 0 {
 		return nil, b.noneUsable(now, d)
 	}
-	if workers[0].engine == nil || d.Prompt == 0 {
+	if workers[0].engine == nil || d.PromptTokens == 0 {
 		if d.EndWithin > 0 {
 			return nil, ending(0)
 		}
@@ -55,7 +55,7 @@
 	return b.placePrompt(now, d, workers)
 }
 
-func (b *Board) placePlain(now time.Time, d Demand, workers []*worker) *Placement {
+func (b *Dispatcher) placePlain(now time.Time, d Demand, workers []*worker) *Placement {
 	best, least := workers[0], 0.0
 	for i, w := range workers {
 		l := w.load(now)
@@ -75,9 +75,9 @@
 }
 
 // newPlacement returns a placement that has no place yet.
-func (b *Board) newPlacement(now time.Time, d Demand) *Placement {
-	return &Placement{board: b, Shares: map[string]int{}, request: &request{
-		token: Token(b.random.Uint32()), prompt: d.Prompt, answer: d.Answer, target: d.FirstByteTarget, pause: d.PauseTarget, value: valueOf(d.Prompt), left: d.Left, placed: now, since: now.Add(-d.Waited),
+func (b *Dispatcher) newPlacement(now time.Time, d Demand) *Placement {
+	return &Placement{board: b, HelperMemoryTokens: map[string]int{}, request: &request{
+		token: WireID(b.random.Uint32()), prompt: d.PromptTokens, answer: d.AnswerTokens, target: d.FirstByteTarget, pause: d.GapTarget, value: valueOf(d.PromptTokens), left: d.Remaining, placed: now, since: now.Add(-d.Waited),
 	}}
 }
 
@@ -101,7 +101,7 @@
 )
 
 // look lists the engines that may take a prompt, with what they have to do.
-func (b *Board) look(now time.Time, d Demand, workers []*worker) []candidate {
+func (b *Dispatcher) look(now time.Time, d Demand, workers []*worker) []candidate {
 	for _, w := range workers {
 		w.look(now, &b.forecast)
 	}
@@ -124,7 +124,7 @@
 }
 
 // cheapest finds the engines that lose least by a prompt.
-func (b *Board) cheapest(now time.Time, d Demand, loads []candidate) (group, bool) {
+func (b *Dispatcher) cheapest(now time.Time, d Demand, loads []candidate) (group, bool) {
 	s := b.newSearch(d, loads)
 	best, found := s.alone(now, d, loads)
 	sizes := groupSizes(d, loads[0].worker.engine, loads)
@@ -143,37 +143,37 @@
 	return best, found
 }
 
-func (b *Board) placePrompt(now time.Time, d Demand, workers []*worker) (*Placement, *Refusal) {
+func (b *Dispatcher) placePrompt(now time.Time, d Demand, workers []*worker) (*Placement, *Refusal) {
 	loads := b.look(now, d, workers)
 	best, found := b.cheapest(now, d, loads)
 	if !found {
 		return nil, &Refusal{Reason: "no_memory", RetryAfter: leastRetry}
 	}
-	if !d.Admitted && d.Patience > 0 && best.finish > d.Patience {
-		return nil, &Refusal{Reason: "overloaded", Passing: true, Expected: best.finish, RetryAfter: min(mostRetry, max(leastRetry, best.finish-d.Patience/2))}
+	if !d.Admitted && d.MaxWait > 0 && best.finish > d.MaxWait {
+		return nil, &Refusal{Reason: "overloaded", Temporary: true, ExpectedFirstByte: best.finish, RetryAfter: min(mostRetry, max(leastRetry, best.finish-d.MaxWait/2))}
 	}
 	held, fits := memoryShares(d, best.offers)
 	if !fits {
-		return nil, &Refusal{Reason: "no_memory", Expected: best.finish, RetryAfter: leastRetry}
+		return nil, &Refusal{Reason: "no_memory", ExpectedFirstByte: best.finish, RetryAfter: leastRetry}
 	}
-	if d.EndWithin > 0 && (d.MostAnswer <= 0 || d.latestEnd(now, best) > d.EndWithin) {
+	if d.EndWithin > 0 && (d.MaxAnswerTokens <= 0 || d.latestEnd(now, best) > d.EndWithin) {
 		return nil, ending(best.finish)
 	}
 	if r := tooCostly(d, workers[0].engine, loads, best.cost); r != nil {
-		r.Expected = best.finish
+		r.ExpectedFirstByte = best.finish
 		return nil, r
 	}
 	if r := tooEarly(d, workers[0].engine, best, groupBacklog(best)); r != nil {
 		return nil, r
 	}
 	p := b.newPlacement(now, d)
-	p.First, p.Load, p.Expected = best.offers[0].worker.instance, best.offers[0].load, best.finish
+	p.First, p.Load, p.ExpectedFirstByte = best.offers[0].worker.instance, best.offers[0].load, best.finish
 	for i, o := range best.offers {
 		if i > 0 {
 			p.Helpers = append(p.Helpers, o.worker.instance)
 		}
 		if i > 0 && held[i] > 0 {
-			p.Shares[o.worker.instance.ID] = held[i]
+			p.HelperMemoryTokens[o.worker.instance.ID] = held[i]
 		}
 		p.request.add(o.worker, o.job, held[i])
 	}
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -19,18 +19,18 @@
 		Slots: 16, MemoryTokens: 315000, Stride: 51, Step: 850 * time.Microsecond, PerSequence: 4250 * time.Nanosecond,
 		PerThousand: 2850 * time.Nanosecond, PrefillPerSecond: 177000, PerMillionPairs: 184 * time.Microsecond, Chunk: 2048,
 	}
-	tower = Demand{Service: "lm", Prompt: 5000, Answer: 1650, FirstByteTarget: 300 * time.Millisecond, PauseTarget: 250 * time.Millisecond, Patience: 2 * time.Second}
-	span  = Demand{Service: "lm", Prompt: 45000, Answer: 1000, FirstByteTarget: 1500 * time.Millisecond, PauseTarget: 600 * time.Millisecond, Patience: 6 * time.Second}
-	audit = Demand{Service: "lm", Prompt: 154000, Answer: 800, FirstByteTarget: 3 * time.Second, PauseTarget: time.Second, Patience: 12 * time.Second}
+	tower = Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 1650, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, MaxWait: 2 * time.Second}
+	span  = Demand{Service: "lm", PromptTokens: 45000, AnswerTokens: 1000, FirstByteTarget: 1500 * time.Millisecond, GapTarget: 600 * time.Millisecond, MaxWait: 6 * time.Second}
+	audit = Demand{Service: "lm", PromptTokens: 154000, AnswerTokens: 800, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, MaxWait: 12 * time.Second}
 )
 
 // withPrompt is a demand of another length.
 func withPrompt(d Demand, tokens int) Demand {
-	d.Prompt = tokens
+	d.PromptTokens = tokens
 	return d
 }
 
-func testBoard(t *testing.T, engines int) *Board {
+func testBoard(t *testing.T, engines int) *Dispatcher {
 	t.Helper()
 	table, err := matcher.New(matcher.Config{
 		Services: []matcher.Service{{Name: "lm", Engine: &testEngine}, {Name: "app"}},
@@ -50,7 +50,7 @@
 	return b
 }
 
-func place(t *testing.T, b *Board, now time.Time, d Demand) *Placement {
+func place(t *testing.T, b *Dispatcher, now time.Time, d Demand) *Placement {
 	t.Helper()
 	p, refusal := b.Place(now, d)
 	if refusal != nil {
@@ -72,12 +72,12 @@
 }
 
 // streaming places n prompts that are being answered.
-func streaming(t *testing.T, b *Board, now time.Time, d Demand, n int) []*Placement {
+func streaming(t *testing.T, b *Dispatcher, now time.Time, d Demand, n int) []*Placement {
 	t.Helper()
 	var out []*Placement
 	for range n {
 		p := place(t, b, now, d)
-		p.Began(now)
+		p.FirstByteSeen(now)
 		out = append(out, p)
 	}
 	return out
@@ -87,18 +87,18 @@
 
 // An audit alone on a free fleet is on time by a wide margin: one engine would
 // take 3.05 s of the 3 s that it has.
-func TestAuditIsPrefilledByManyEngines(t *testing.T) {
+func TestLongPromptIsPrefilledByManyEngines(t *testing.T) {
 	is := is.New(t)
 	p := place(t, testBoard(t, 14), start, audit)
 	is.True(len(p.Helpers) >= 3)
-	is.True(p.Expected < 1500*time.Millisecond)
+	is.True(p.ExpectedFirstByte < 1500*time.Millisecond)
 }
 
 // The pattern of the users' bursts: many tower queries, then many audits. Two
 // seconds of tower queries at their usual rate, 28 a second of which each
 // takes over two seconds, fit four of 14 engines; spread over all of them
 // every part of an audit would hold up some.
-func TestTowerQueriesLeaveEnginesToAudits(t *testing.T) {
+func TestShortPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 14)
 	towers := engines(streaming(t, b, start, tower, 56)...)
@@ -111,13 +111,13 @@
 
 // The same with span reviews, 14 a second, of which each is prefilled by two engines: parts of audits would stop every one
 // of them if each engine decoded one. An engine counts as packed with seven.
-func TestSpanReviewsLeaveEnginesToAudits(t *testing.T) {
+func TestMediumPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 14)
 	decoding := map[string]int{}
 	for i := range 20 {
 		p := place(t, b, start.Add(time.Duration(i)*70*time.Millisecond), span)
-		p.Began(start.Add(time.Duration(i)*70*time.Millisecond + p.Expected))
+		p.FirstByteSeen(start.Add(time.Duration(i)*70*time.Millisecond + p.ExpectedFirstByte))
 		decoding[p.First.ID]++
 	}
 	is.True(len(decoding) <= 3) // engines that decode
@@ -125,7 +125,7 @@
 
 // In a burst of 68 tower queries a second none waits for a slot while another
 // engine has one free: 150 are written at once, of 224 slots.
-func TestTowerBurstFillsNoEngineBeyondItsSlots(t *testing.T) {
+func TestBurstFillsNoEngineBeyondItsSlots(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 14)
 	for _, n := range engines(streaming(t, b, start, tower, 150)...) {
@@ -135,7 +135,7 @@
 
 // Engines prefill the newest part first. One placed later waits for nothing and delays
 // what waits at the same engines, and the board counts that.
-func TestNewestPartDelaysOthers(t *testing.T) {
+func TestNewestShardDelaysOthers(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 4)
 	first := place(t, b, start, withPrompt(audit, 250000))
@@ -156,37 +156,37 @@
 // A prompt does not go first where what it goes before would then be its pauses: with
 // 1.7 s left to prefill at all engines, one that begins at once stands still for 1.3 s after
 // its first event, and one that waits is on time.
-func TestPromptWaitsRatherThanPauses(t *testing.T) {
+func TestPromptWaitsToAvoidGaps(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 4)
 	place(t, b, start, withPrompt(audit, 250000))
 	now := start.Add(100 * time.Millisecond)
 	second := place(t, b, now, withPrompt(audit, 60000))
-	is.True(second.Expected < audit.FirstByteTarget)
+	is.True(second.ExpectedFirstByte < audit.FirstByteTarget)
 	b.look(now, audit, b.usable(now, audit))
 	for _, w := range b.workers {
 		for _, f := range w.fates {
-			is.True(f.Pause < audit.PauseTarget)
+			is.True(f.Pause < audit.GapTarget)
 		}
 	}
 }
 
 // A long prompt's part goes nowhere where it would be a pause that an answer does not bear, of
 // two seconds here, also while the answer's first event is only expected.
-func TestPartsKeepOffLongAnswers(t *testing.T) {
+func TestShardsAvoidEnginesDecodingLongAnswers(t *testing.T) {
 	is := is.New(t)
 	for _, begun := range []bool{false, true} {
 		b := testBoard(t, 8)
 		first := place(t, b, start, withPrompt(audit, 228000))
-		now := start.Add(first.Expected - 20*time.Millisecond)
+		now := start.Add(first.ExpectedFirstByte - 20*time.Millisecond)
 		if begun {
-			now = start.Add(first.Expected + 500*time.Millisecond)
-			first.Began(start.Add(first.Expected))
+			now = start.Add(first.ExpectedFirstByte + 500*time.Millisecond)
+			first.FirstByteSeen(start.Add(first.ExpectedFirstByte))
 		}
 		place(t, b, now, withPrompt(audit, 224000))
 		b.look(now, audit, b.usable(now, audit))
 		for _, f := range first.request.parts[0].worker.fates {
-			is.True(f.Pause < audit.PauseTarget)
+			is.True(f.Pause < audit.GapTarget)
 		}
 	}
 }
@@ -194,14 +194,14 @@
 // The pattern of bursts of tower queries beside what is left of one of audits: with 190 of 224 slots
 // taken, what an audit has an engine prefill keeps thirteen answers in their slots for so
 // long. Taken then, audits filled all slots, and for eight seconds nine of ten queries were late.
-func TestAuditWaitsWhileSlotsAreScarce(t *testing.T) {
+func TestLongPromptWaitsWhileSlotsAreScarce(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 14)
 	streaming(t, b, start, tower, 190)
 	now := start.Add(time.Second)
 	short := withPrompt(audit, 100000) // each of 14 engines would prefill for 106 ms
 	_, refusal := b.Place(now, short)
-	is.True(refusal != nil && refusal.Early)
+	is.True(refusal != nil && refusal.Deferrable)
 	// As many answers that bear its pauses, on as few of many engines, are no reason to wait.
 	b = testBoard(t, 40)
 	streaming(t, b, start, tower, 190)
@@ -211,33 +211,33 @@
 
 // The pattern of a burst that fills all slots: a request that waits for one at a silent engine is
 // not taken elsewhere, where it would wait as well and be prefilled again.
-func TestNobodyTakesWhileAllSlotsAreTaken(t *testing.T) {
+func TestNoRequestIsAcceptedWhileSlotsAreFull(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 4)
 	streaming(t, b, start, tower, 40)
-	is.True(b.Takes(start, tower))
+	is.True(b.Accepts(start, tower))
 	streaming(t, b, start, tower, 24)
-	is.True(!b.Takes(start, tower))
-	is.True(b.Takes(start, Demand{Service: "app"}))
+	is.True(!b.Accepts(start, tower))
+	is.True(b.Accepts(start, Demand{Service: "app"}))
 }
 
 // A heavy prompt waits at its entry while engines have much to prefill, and is placed once
 // they have less, the sooner the longer it has waited. Placed at once it would
 // leave engines full of prefill to a burst of short prompts.
-func TestHeavyPromptWaitsForItsTurn(t *testing.T) {
+func TestLongPromptWaitsWhileEnginesAreBusy(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 12)
 	place(t, b, start, withPrompt(audit, 300000))
 	now := start.Add(100 * time.Millisecond)
 	_, refusal := b.Place(now, audit)
 	is.True(refusal != nil)
-	is.True(refusal.Early)
+	is.True(refusal.Deferrable)
 	for _, s := range []struct {
 		d     Demand
 		early bool
 	}{{tower, false}, {audit, true}} {
 		_, refusal := b.find(now, s.d)
-		is.Equal(refusal != nil && refusal.Early, s.early)
+		is.Equal(refusal != nil && refusal.Deferrable, s.early)
 	}
 	waited := audit
 	for waited.Waited = 0; waited.Waited < audit.FirstByteTarget; waited.Waited += 25 * time.Millisecond {
@@ -272,7 +272,7 @@
 // After all entries were killed at once, each of them would pack its prompts
 // on the same engines, as none knows what the others place (scale-1 of
 // condor-sapphire, seed 11).
-func TestBlindEntriesSpread(t *testing.T) {
+func TestIsolatedEntriesSpreadRequests(t *testing.T) {
 	is := is.New(t)
 	used := map[string]int{}
 	for seed := range 7 {
@@ -295,7 +295,7 @@
 // through 71 entries, which hear of each other's choices 20 ms later. The four
 // that arrive in that time do not all meet at one engine: each one more there
 // is read before the others' next event, 28 ms each.
-func TestEntriesThatChooseAtOnceSpread(t *testing.T) {
+func TestSimultaneousChoicesSpread(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 54)
 	b.SetPeers(70, false)
@@ -323,11 +323,11 @@
 }
 
 // What peers say of their load counts as one's own, until it is old.
-func TestPeersLoadCounts(t *testing.T) {
+func TestPeerLoadCountsUntilItExpires(t *testing.T) {
 	is := is.New(t)
 	near, far := testBoard(t, 2), testBoard(t, 2)
 	streaming(t, far, start, tower, 14)
-	near.Import(start, TokenOf("far"), far.Export(start, false))
+	near.Import(start, WireIDOf("far"), far.Export(start, false))
 	loads := map[string]int{}
 	for id, w := range near.workers {
 		loads[id] = w.load(start).Running
@@ -340,17 +340,17 @@
 
 // What an entry is told before it knows the upstreams counts once it does: one that has just started
 // hears its peers before it has read the store.
-func TestToldRequestsJoinUpstreamsKnownLater(t *testing.T) {
+func TestPeerRequestsResolveUpstreamsListedLater(t *testing.T) {
 	is := is.New(t)
 	near, far := New("a", rand.New(rand.NewPCG(3, 4))), testBoard(t, 2)
 	now := time.Now()
 	streaming(t, far, now, tower, 9)
-	near.Import(now, TokenOf("far"), far.Export(now, false))
+	near.Import(now, WireIDOf("far"), far.Export(now, false))
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}}})
 	is.NoErr(err)
 	near.Update(table, []Instance{{ID: "e00", Service: "lm"}, {ID: "e01", Service: "lm"}})
 	sum := 0
-	for _, row := range near.Rows(now) {
+	for _, row := range near.Upstreams(now) {
 		sum += row.Load.Running
 	}
 	is.Equal(sum, 9)
@@ -389,17 +389,17 @@
 
 // A prompt longer than one engine's memory is shared out so that all of it is
 // held, and none of them more than it has.
-func TestMemoryShares(t *testing.T) {
+func TestMemoryIsSplitAmongEngines(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 14)
 	p := place(t, b, start, withPrompt(audit, 600000))
 	held := 0
-	for _, tokens := range p.Shares {
+	for _, tokens := range p.HelperMemoryTokens {
 		is.True(tokens <= testEngine.MemoryTokens)
 		held += tokens
 	}
-	is.True(held >= 600000+audit.Answer-testEngine.MemoryTokens)
-	is.True(len(p.Shares) <= 3) // orders to engines cost
+	is.True(held >= 600000+audit.AnswerTokens-testEngine.MemoryTokens)
+	is.True(len(p.HelperMemoryTokens) <= 3) // orders to engines cost
 }
 
 // A prompt that fits one engine is not refused for want of memory while all of
@@ -424,7 +424,7 @@
 }
 
 // At rest the board is empty.
-func TestBoardIsEmptyAtRest(t *testing.T) {
+func TestDispatcherIsEmptyAtRest(t *testing.T) {
 	is := is.New(t)
 	b := testBoard(t, 14)
 	var all []*Placement
@@ -433,7 +433,7 @@
 	}
 	for i, p := range all {
 		if i%3 > 0 {
-			p.Began(start)
+			p.FirstByteSeen(start)
 		}
 		p.End(start, Result(i%4))
 	}
@@ -441,12 +441,12 @@
 		is.Equal(len(w.parts), 0)
 		l := w.load(start)
 		is.Equal(l.Running, 0)
-		is.Equal(l.Prefill, time.Duration(0))
+		is.Equal(l.PrefillBacklog, time.Duration(0))
 	}
 }
 
-func BenchmarkPlaceTower(b *testing.B) { benchmarkPlace(b, tower) }
-func BenchmarkPlaceAudit(b *testing.B) { benchmarkPlace(b, audit) }
+func BenchmarkPlaceShort(b *testing.B) { benchmarkPlace(b, tower) }
+func BenchmarkPlaceLong(b *testing.B)  { benchmarkPlace(b, audit) }
 
 func benchmarkPlace(b *testing.B, d Demand) {
 	board := New("a", rand.New(rand.NewPCG(1, 2)))
@@ -484,23 +484,23 @@
 					d.Avoid = append(d.Avoid, Instance{ID: other})
 				}
 			}
-			d.Alone, d.Admitted = true, true
+			d.NoHelpers, d.Admitted = true, true
 			return place(t, b, now, d)
 		}
 		now := start.Add(2 * time.Second)
 		for _, id := range []string{"e00", "e01"} {
 			d := tower
-			d.Answer, d.Left = 51*5, 7*time.Second
+			d.AnswerTokens, d.Remaining = 51*5, 7*time.Second
 			if id == long {
-				d.Answer = 51 * 80
+				d.AnswerTokens = 51 * 80
 			}
-			only(start, d, id).Began(start.Add(40 * time.Millisecond))
+			only(start, d, id).FirstByteSeen(start.Add(40 * time.Millisecond))
 			// This has the answer pause for over a second.
 			only(start.Add(50*time.Millisecond), withPrompt(span, 80000), id)
 			b.workers[id].queue.Advance(now)
 		}
 		d := withPrompt(audit, 130000)
-		d.Alone, d.Admitted, d.Left = true, true, 15*time.Second
+		d.NoHelpers, d.Admitted, d.Remaining = true, true, 15*time.Second
 		p := place(t, b, now, d)
 		is.True(p.First.ID != long)
 	}
@@ -508,15 +508,15 @@
 
 // A call was taken from an upstream that was silent for a while, where the two others were known
 // to accept no connections; it failed, and would have been answered.
-func TestUpstreamsThatAcceptNothingTakeNothing(t *testing.T) {
+func TestUnreachableUpstreamsAcceptNothing(t *testing.T) {
 	is := is.New(t)
 	b, now := testBoard(t, 1), time.Now()
 	call := Demand{Service: "app"}
-	is.True(b.Takes(now, call))
+	is.True(b.Accepts(now, call))
 	for _, id := range []string{"s0", "s1", "s2"} {
 		b.workers[id].health.unreachable(now)
 	}
-	is.True(!b.Takes(now, call))
+	is.True(!b.Accepts(now, call))
 	place(t, b, now, call) // but who has no other is sent there
-	is.True(b.Takes(now.Add(leastBlock), call))
+	is.True(b.Accepts(now.Add(leastBlock), call))
 }
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -8,22 +8,22 @@
 
 // Placement is a request's place. Its owner reports what becomes of it.
 type Placement struct {
-	board   *Board
+	board   *Dispatcher
 	request *request
 	// First answers the request; Helpers prefill parts of the prompt.
 	First   Instance
 	Helpers []Instance
-	// Shares are the memory that helpers are to hold of a prompt that is too
+	// HelperMemoryTokens are the memory that helpers are to hold of a prompt that is too
 	// long for the first engine, by their IDs; empty for others.
-	Shares map[string]int
-	// Expected is how long the first byte is expected to take.
-	Expected time.Duration
+	HelperMemoryTokens map[string]int
+	// ExpectedFirstByte is how long the first byte is expected to take.
+	ExpectedFirstByte time.Duration
 	// Load is the first upstream's before this request, for the log.
 	Load Load
 }
 
-// Began reports that the first byte of the answer was seen.
-func (p *Placement) Began(now time.Time) {
+// FirstByteSeen reports that the first byte of the answer was seen.
+func (p *Placement) FirstByteSeen(now time.Time) {
 	b, r := p.board, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -37,14 +37,14 @@
 		b.tell(r)
 	}
 	w.health.succeeded(now)
-	if p.Expected > 0 && !joint {
-		w.health.paced(now, float64(now.Sub(r.placed))/float64(p.Expected+paceSlack))
+	if p.ExpectedFirstByte > 0 && !joint {
+		w.health.paced(now, float64(now.Sub(r.placed))/float64(p.ExpectedFirstByte+paceSlack))
 	}
 }
 
-// Event reports that one more event of the answer was seen: the engine has
+// EventSeen reports that one more event of the answer was seen: the engine has
 // just ended a pass.
-func (p *Placement) Event(now time.Time) {
+func (p *Placement) EventSeen(now time.Time) {
 	p.board.lock.Lock()
 	defer p.board.lock.Unlock()
 	if w := p.request.parts[0].worker; w.queue != nil {
@@ -66,9 +66,9 @@
 // shorter they expect to be done by the time it reaches them.
 const toldPrefill = 100 * time.Millisecond
 
-// Busy is how long the request's upstream may say nothing because of what it
+// ExpectedSilence is how long the request's upstream may say nothing because of what it
 // is expected to prefill.
-func (p *Placement) Busy() time.Duration {
+func (p *Placement) ExpectedSilence() time.Duration {
 	p.board.lock.Lock()
 	defer p.board.lock.Unlock()
 	first := p.request.parts[0].worker
@@ -77,14 +77,14 @@
 	}
 	now := time.Now()
 	l := first.load(now)
-	prefill := l.Prefill
+	prefill := l.PrefillBacklog
 	for _, o := range p.request.parts {
 		if !p.request.begun {
-			prefill = max(prefill, o.worker.load(now).Prefill)
+			prefill = max(prefill, o.worker.load(now).PrefillBacklog)
 		}
 	}
-	pass := predictor.DecodePass(first.engine, l.Running, l.Tokens)
-	return prefill + time.Duration(float64(pass)*first.health.pace(now)) + l.Late
+	pass := predictor.DecodePass(first.engine, l.Running, l.MemoryTokens)
+	return prefill + time.Duration(float64(pass)*first.health.pace(now)) + l.Overdue
 }
 
 // paceSlack is added to an expected time before a real one is measured
@@ -102,8 +102,8 @@
 	Abandoned
 	// Failed: the upstream answered that it failed.
 	Failed
-	// Broken: no whole answer came.
-	Broken
+	// Incomplete: no whole answer came.
+	Incomplete
 	// Unreachable: no connection was had.
 	Unreachable
 	// Full: the upstream said that it had no room.
@@ -130,7 +130,7 @@
 	defer b.lock.Unlock()
 	h := &r.parts[0].worker.health
 	switch result {
-	case Failed, Broken, Full:
+	case Failed, Incomplete, Full:
 		h.failed(now)
 	case Unreachable:
 		h.unreachable(now)
@@ -141,16 +141,16 @@
 }
 
 // drop takes a request's parts off their workers.
-func (b *Board) drop(now time.Time, r *request) {
+func (b *Dispatcher) drop(now time.Time, r *request) {
 	for _, p := range r.parts {
 		p.worker.remove(now, p)
 	}
 }
 
-// OnLost has a function called once, when one of the request's upstreams is known to
+// OnRestart has a function called once, when one of the request's upstreams is known to
 // have started anew: what it had of the request is gone. The function must not block
 // nor call the board.
-func (p *Placement) OnLost(call func()) {
+func (p *Placement) OnRestart(call func()) {
 	b, r := p.board, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -169,11 +169,11 @@
 	}
 }
 
-// Blame notes that a helper failed a request.
-func (b *Board) Blame(now time.Time, helper Instance) {
+// ReportHelperFailure notes that a helper failed a request.
+func (b *Dispatcher) ReportHelperFailure(now time.Time, helper Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if w, ok := b.workers[helper.ID]; ok && w.instance.Same(helper) {
+	if w, ok := b.workers[helper.ID]; ok && w.instance.SameIncarnation(helper) {
 		w.health.failed(now)
 	}
 }
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -8,7 +8,7 @@
 
 // request is what one request does at upstreams, one of this entry's or of a peer's.
 type request struct {
-	token Token
+	token WireID
 	// prompt and answer are token counts.
 	prompt, answer int
 	// target and pause are those of the route; pause is 0 for plain requests.
@@ -29,7 +29,7 @@
 	// engines is how many upstreams a peer's request has, unknown those of them that
 	// are not known here yet.
 	engines int
-	unknown []SharePart
+	unknown []AssignmentLoad
 	// heard is when a peer last told of it, and had not seen its first event.
 	heard time.Time
 	// toldAt is when a peer first told of it; zero for this entry's own.
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -22,14 +22,14 @@
 // prefilled by one, unless all engines have something to prefill: with a helper it goes first.
 func groupSizes(d Demand, e *matcher.Engine, loads []candidate) []int {
 	most := min(len(loads), mostHelpers+1)
-	if predictor.Prefill(e, d.Prompt) < d.PauseTarget/4 {
-		idle := slices.ContainsFunc(loads, func(c candidate) bool { return c.load.Prefill < d.FirstByteTarget/2 })
+	if predictor.Prefill(e, d.PromptTokens) < d.GapTarget/4 {
+		idle := slices.ContainsFunc(loads, func(c candidate) bool { return c.load.PrefillBacklog < d.FirstByteTarget/2 })
 		most = min(most, 2)
 		if idle {
 			most = 1
 		}
 	}
-	if d.Alone {
+	if d.NoHelpers {
 		most = 1
 	}
 	var sizes []int
@@ -100,8 +100,8 @@
 
 // newSearch returns a search for a prompt's place. A blind entry packs nothing: all of them would fill the
 // same engines.
-func (b *Board) newSearch(d Demand, loads []candidate) search {
-	return search{forecast: &b.forecast, packs: !b.blind && !heavy(loads[0].worker.engine, d.Prompt)}
+func (b *Dispatcher) newSearch(d Demand, loads []candidate) search {
+	return search{forecast: &b.forecast, packs: !b.blind && !heavy(loads[0].worker.engine, d.PromptTokens)}
 }
 
 // weigh ranks what each candidate would cost as a helper, with one of k parts.
@@ -153,7 +153,7 @@
 	if !s.packs {
 		return 0
 	}
-	return openCost * valueOf(d.Prompt) * (1 - c.packed)
+	return openCost * valueOf(d.PromptTokens) * (1 - c.packed)
 }
 
 // firsts lists the offers that are weighed as the one that answers: those that cost least as helpers,
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// SettleTime is how long a heavy prompt that has its place is not sent yet, so that entries
+// SettleDelay is how long a heavy prompt that has its place is not sent yet, so that entries
 // that chose the same engines at the same moment learn of each other: the time after which
 // entries tell of a change, a way between data centres and one within, with as much again
 // for the processor. It is 1% of the engines' time that the least heavy prompt takes.
-const SettleTime = 12 * time.Millisecond
+const SettleDelay = 12 * time.Millisecond
 
-// Settles reports whether the request is to wait for SettleTime before it is sent: a
+// ShouldSettle reports whether the request is to wait for SettleTime before it is sent: a
 // heavy prompt, where other entries place too.
-func (p *Placement) Settles() bool {
+func (p *Placement) ShouldSettle() bool {
 	b := p.board
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.peers > 0 && p.request.heavy()
 }
 
-// Yields reports whether the request is to give up its place, since a peer placed a heavy
+// ShouldYield reports whether the request is to give up its place, since a peer placed a heavy
 // prompt at one of its engines that was not known when this one was placed. The later
 // of the two would wait there until the other's answer ends, where the engine has no memory
 // for both, and then hold up everything that was placed there since. Of two that were
 // placed at the same moment one yields, at both entries the same.
-func (p *Placement) Yields(now time.Time) bool {
+func (p *Placement) ShouldYield(now time.Time) bool {
 	b, r := p.board, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -45,7 +45,7 @@
 
 // sent reports whether a heavy request has been sent to its engines by a time, a moment
 // for the way of what was told of it included.
-func (r *request) sent(now time.Time) bool { return now.Sub(r.placed) > 2*SettleTime }
+func (r *request) sent(now time.Time) bool { return now.Sub(r.placed) > 2*SettleDelay }
 
 // precedes orders requests that were placed at the same moment, alike at all entries: the
 // one whose caller has waited longer goes first.
--- a/dispatcher/settle_test.go
+++ b/dispatcher/settle_test.go
@@ -10,9 +10,9 @@
 )
 
 // entriesBefore returns the boards of entries before the same engines, which hear each other.
-func entriesBefore(t *testing.T, entries, engines int) []*Board {
+func entriesBefore(t *testing.T, entries, engines int) []*Dispatcher {
 	t.Helper()
-	var boards []*Board
+	var boards []*Dispatcher
 	for i := range entries {
 		b := testBoard(t, engines)
 		b.random = rand.New(rand.NewPCG(7, uint64(i)))
@@ -23,11 +23,11 @@
 }
 
 // tellAll has each board hear what changed at the others, or all that they have.
-func tellAll(t *testing.T, now time.Time, boards []*Board, all bool) {
+func tellAll(t *testing.T, now time.Time, boards []*Dispatcher, all bool) {
 	t.Helper()
 	for i, from := range boards {
-		for _, m := range EncodeShares(TokenOf(fmt.Sprint(i)), from.Export(now, all)) {
-			peer, shares, err := DecodeShares(m)
+		for _, m := range EncodeLoadUpdates(WireIDOf(fmt.Sprint(i)), from.Export(now, all)) {
+			peer, shares, err := DecodeLoadUpdate(m)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,7 +53,7 @@
 // millisecond on the same engines: on a day of bursts the second then began four seconds
 // late, and 67 short answers broke off. Of the two the one that waited longer stays, and the
 // other finds engines that are free.
-func TestOfTwoPlacedAtOnceOneYields(t *testing.T) {
+func TestOneOfTwoSimultaneousPlacementsYields(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		waited [2]time.Duration
@@ -70,25 +70,25 @@
 			for i := range boards {
 				demands[i].Waited = c.waited[i]
 				placed[i] = place(t, boards[i], start.Add(time.Duration(i)*time.Millisecond), demands[i])
-				is.True(placed[i].Settles())
+				is.True(placed[i].ShouldSettle())
 			}
 			is.True(shared(placed[0], placed[1]) > 0)
 			now := start.Add(5 * time.Millisecond)
 			tellAll(t, now, boards, false)
-			now = start.Add(SettleTime)
+			now = start.Add(SettleDelay)
 			goes := 1 - c.stays
-			is.True(!placed[c.stays].Yields(now))
-			is.True(placed[goes].Yields(now))
+			is.True(!placed[c.stays].ShouldYield(now))
+			is.True(placed[goes].ShouldYield(now))
 			placed[goes].End(now, Answered)
 			again := place(t, boards[goes], now, demands[goes])
 			is.Equal(shared(again, placed[c.stays]), 0)
-			is.True(!again.Yields(now.Add(SettleTime)))
+			is.True(!again.ShouldYield(now.Add(SettleDelay)))
 		})
 	}
 }
 
 // A whole fleet does so: whoever stays has its engines for itself, and someone stays.
-func TestOfManyPlacedAtOnceSomeStay(t *testing.T) {
+func TestSomeOfManySimultaneousPlacementsStay(t *testing.T) {
 	is := is.New(t)
 	for seed := range 40 {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -103,7 +103,7 @@
 		tellAll(t, start.Add(8*time.Millisecond), boards, false)
 		var stay []*Placement
 		for _, p := range placed {
-			if !p.Yields(start.Add(SettleTime + 5*time.Millisecond)) {
+			if !p.ShouldYield(start.Add(SettleDelay + 5*time.Millisecond)) {
 				stay = append(stay, p)
 			}
 		}
@@ -118,7 +118,7 @@
 
 // What was sent already can't yield any more: who learns of it late does, however long its
 // caller has waited.
-func TestYieldsToWhatWasSent(t *testing.T) {
+func TestYieldsToSentRequest(t *testing.T) {
 	is := is.New(t)
 	boards := entriesBefore(t, 2, 17)
 	place(t, boards[0], start, withPrompt(audit, 250_000))
@@ -126,19 +126,19 @@
 	d := withPrompt(audit, 250_000)
 	d.Waited = 2 * time.Second
 	p := place(t, boards[1], late, d)
-	boards[1].Import(late.Add(time.Millisecond), TokenOf("0"), boards[0].Export(late.Add(time.Millisecond), false))
-	is.True(p.Yields(late.Add(SettleTime)))
+	boards[1].Import(late.Add(time.Millisecond), WireIDOf("0"), boards[0].Export(late.Add(time.Millisecond), false))
+	is.True(p.ShouldYield(late.Add(SettleDelay)))
 }
 
 // A prompt that is not heavy is sent at once, and gives way to none; so is any that no
 // other entry can meet.
-func TestOnlyHeavyPromptsSettle(t *testing.T) {
+func TestOnlyLongPromptsSettle(t *testing.T) {
 	is := is.New(t)
 	boards := entriesBefore(t, 2, 2)
 	light := place(t, boards[0], start, tower)
 	place(t, boards[1], start, withPrompt(audit, 250_000))
 	tellAll(t, start.Add(5*time.Millisecond), boards, false)
-	is.True(!light.Settles())
+	is.True(!light.ShouldSettle())
 	heavy := place(t, testBoard(t, 17), start, withPrompt(audit, 250_000))
-	is.True(!heavy.Settles())
+	is.True(!heavy.ShouldSettle())
 }
--- a/dispatcher/share.go
+++ b/dispatcher/share.go
@@ -10,37 +10,37 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Token names an entry, an upstream or a request in messages of shares: a hash
+// WireID names an entry, an upstream or a request in messages of shares: a hash
 // of its name, since names would make up most of a message.
-type Token uint32
+type WireID uint32
 
-// TokenOf is the token of a name.
-func TokenOf(name string) Token { return Token(xxhash.Sum64String(name)) }
+// WireIDOf is the token of a name.
+func WireIDOf(name string) WireID { return WireID(xxhash.Sum64String(name)) }
 
-// Share is what one entry says of one of its requests.
-type Share struct {
-	// Request is drawn for each placement.
-	Request Token
+// RequestLoad is what one entry says of one of its requests.
+type RequestLoad struct {
+	// ID is drawn for each placement.
+	ID WireID
 	// Ended requests are off the board; beside that only Outcome is said of them.
 	Ended bool
 	// Outcome is what the end of a request shows of its first upstream.
 	Outcome Outcome
-	// Begun is true once the first event was seen.
-	Begun bool
+	// FirstByteSeen is true once the first event was seen.
+	FirstByteSeen bool
 	// Age is how long ago the request was placed.
 	Age time.Duration
 	// Waited is how long its caller had waited by then.
 	Waited time.Duration
-	// Left is how long after its placement the caller waits for the whole answer; 0 if unknown.
-	Left time.Duration
-	// Prompt and Answer are token counts.
-	Prompt, Answer int
-	// Target and Pause are those of the route; Pause is 0 for plain requests.
-	Target, Pause time.Duration
-	// Heavy is true of a prompt that takes an engine long and has no answer yet; it is not on the wire.
-	Heavy bool
-	// Parts has an element for each upstream, the one that answers first.
-	Parts []SharePart
+	// Remaining is how long after its placement the caller waits for the whole answer; 0 if unknown.
+	Remaining time.Duration
+	// PromptTokens and AnswerTokens are token counts.
+	PromptTokens, AnswerTokens int
+	// FirstByteTarget and GapTarget are those of the route; GapTarget is 0 for plain requests.
+	FirstByteTarget, GapTarget time.Duration
+	// LongPrefill is true of a prompt that takes an engine long and has no answer yet; it is not on the wire.
+	LongPrefill bool
+	// Assignments has an element for each upstream, the one that answers first.
+	Assignments []AssignmentLoad
 }
 
 // Outcome is what the end of a request shows of the upstream that was to answer it.
@@ -57,24 +57,24 @@
 	OutcomeFailed
 )
 
-// SharePart is what a request has at one upstream.
-type SharePart struct {
-	Upstream Token
-	// Held is its memory there, in tokens.
-	Held int
-	// Answers is true of the first part, whose upstream answers; it is not on the wire.
-	Answers bool
+// AssignmentLoad is what a request has at one upstream.
+type AssignmentLoad struct {
+	Upstream WireID
+	// MemoryTokens is its memory there, in tokens.
+	MemoryTokens int
+	// Decodes is true of the first part, whose upstream answers; it is not on the wire.
+	Decodes bool
 }
 
 // peerRequest names a request of a peer.
-type peerRequest struct{ peer, request Token }
+type peerRequest struct{ peer, request WireID }
 
 // shareLife is how long what a peer said of a request counts. Peers repeat it
 // several times in that time.
 const shareLife = 3 * time.Second
 
 // tell notes that peers are to hear of a request.
-func (b *Board) tell(r *request) {
+func (b *Dispatcher) tell(r *request) {
 	if b.local {
 		return
 	}
@@ -83,20 +83,20 @@
 }
 
 // tellEnd notes that peers are to hear of a request's end.
-func (b *Board) tellEnd(r *request, o Outcome) {
+func (b *Dispatcher) tellEnd(r *request, o Outcome) {
 	if b.local {
 		return
 	}
 	delete(b.changed, r)
-	s := Share{Request: r.token, Ended: true, Outcome: o}
+	s := RequestLoad{ID: r.token, Ended: true, Outcome: o}
 	if o == OutcomeFailed {
-		s.Parts = []SharePart{{Upstream: r.parts[0].worker.token, Answers: true}}
+		s.Assignments = []AssignmentLoad{{Upstream: r.parts[0].worker.token, Decodes: true}}
 	}
 	b.ended = append(b.ended, s)
 	b.wake()
 }
 
-func (b *Board) wake() {
+func (b *Dispatcher) wake() {
 	select {
 	case b.Changed <- struct{}{}:
 	default:
@@ -106,19 +106,19 @@
 // Export returns what changed since the last call, or all that this entry has
 // where all is true. Ends are told once more with the next of all, without their outcome: a
 // failure that is told twice would count twice.
-func (b *Board) Export(now time.Time, all bool) []Share {
+func (b *Dispatcher) Export(now time.Time, all bool) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	out := slices.Clone(b.ended)
 	if all {
 		for _, t := range b.endedBefore {
-			out = append(out, Share{Request: t, Ended: true})
+			out = append(out, RequestLoad{ID: t, Ended: true})
 		}
 		b.endedBefore = b.endedBefore[:0]
 		b.expire(now)
 	}
 	for _, s := range b.ended {
-		b.endedBefore = append(b.endedBefore, s.Request)
+		b.endedBefore = append(b.endedBefore, s.ID)
 	}
 	b.ended = b.ended[:0]
 	for _, r := range b.own {
@@ -130,30 +130,30 @@
 	return out
 }
 
-// Shares returns all that this entry has, for an entry that is new here.
-func (b *Board) Shares(now time.Time) []Share {
+// RequestLoads returns all that this entry has, for an entry that is new here.
+func (b *Dispatcher) RequestLoads(now time.Time) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	out := make([]Share, 0, len(b.own))
+	out := make([]RequestLoad, 0, len(b.own))
 	for _, r := range b.own {
 		out = append(out, r.share(now))
 	}
 	return out
 }
 
-func (r *request) share(now time.Time) Share {
-	s := Share{
-		Request: r.token, Begun: r.begun, Age: now.Sub(r.placed), Waited: r.placed.Sub(r.since), Left: r.left, Prompt: r.prompt, Answer: r.answer, Target: r.target, Pause: r.pause,
-		Heavy: !r.begun && r.heavy(), Parts: make([]SharePart, len(r.parts)),
+func (r *request) share(now time.Time) RequestLoad {
+	s := RequestLoad{
+		ID: r.token, FirstByteSeen: r.begun, Age: now.Sub(r.placed), Waited: r.placed.Sub(r.since), Remaining: r.left, PromptTokens: r.prompt, AnswerTokens: r.answer, FirstByteTarget: r.target, GapTarget: r.pause,
+		LongPrefill: !r.begun && r.heavy(), Assignments: make([]AssignmentLoad, len(r.parts)),
 	}
 	for i, p := range r.parts {
-		s.Parts[i] = SharePart{Upstream: p.worker.token, Held: p.held, Answers: i == 0}
+		s.Assignments[i] = AssignmentLoad{Upstream: p.worker.token, MemoryTokens: p.held, Decodes: i == 0}
 	}
 	return s
 }
 
 // expire drops what peers have not repeated for long.
-func (b *Board) expire(now time.Time) {
+func (b *Dispatcher) expire(now time.Time) {
 	for key, r := range b.told {
 		if now.After(r.expires) {
 			delete(b.told, key)
@@ -162,8 +162,8 @@
 	}
 }
 
-// Forget drops what a peer told that has started anew: its requests ended with it.
-func (b *Board) Forget(now time.Time, peer Token) {
+// ForgetPeer drops what a peer told that has started anew: its requests ended with it.
+func (b *Dispatcher) ForgetPeer(now time.Time, peer WireID) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	for key, r := range b.told {
@@ -175,11 +175,11 @@
 }
 
 // Import takes in a peer's shares.
-func (b *Board) Import(now time.Time, peer Token, shares []Share) {
+func (b *Dispatcher) Import(now time.Time, peer WireID, shares []RequestLoad) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	for _, s := range shares {
-		key := peerRequest{peer: peer, request: s.Request}
+		key := peerRequest{peer: peer, request: s.ID}
 		r, known := b.told[key]
 		if s.Ended {
 			b.learn(now, r, s)
@@ -195,10 +195,10 @@
 			b.join(now, r)
 		}
 		r.expires = now.Add(shareLife)
-		if s.Begun && !r.begun {
+		if s.FirstByteSeen && !r.begun {
 			r.begin(now)
 		}
-		if !s.Begun {
+		if !s.FirstByteSeen {
 			r.heard = now
 		}
 	}
@@ -206,10 +206,10 @@
 
 // learn takes in what the end of a peer's request, nil if it is not known here, shows of an upstream:
 // one that fails a part of its requests would otherwise fail one for each entry.
-func (b *Board) learn(now time.Time, r *request, s Share) {
+func (b *Dispatcher) learn(now time.Time, r *request, s RequestLoad) {
 	switch {
-	case s.Outcome == OutcomeFailed && len(s.Parts) > 0:
-		if w, ok := b.tokens[s.Parts[0].Upstream]; ok {
+	case s.Outcome == OutcomeFailed && len(s.Assignments) > 0:
+		if w, ok := b.tokens[s.Assignments[0].Upstream]; ok {
 			w.health.failed(now)
 		}
 	case s.Outcome == OutcomeAnswered && r != nil:
@@ -228,25 +228,25 @@
 }
 
 // newTold returns a peer's request that has no parts yet.
-func newTold(now time.Time, s Share) *request {
+func newTold(now time.Time, s RequestLoad) *request {
 	return &request{
-		token: s.Request, toldAt: now, prompt: s.Prompt, answer: s.Answer, target: s.Target, pause: s.Pause, value: valueOf(s.Prompt), left: s.Left, placed: now.Add(-s.Age), since: now.Add(-s.Age - s.Waited),
-		unknown: s.Parts, engines: len(s.Parts),
+		token: s.ID, toldAt: now, prompt: s.PromptTokens, answer: s.AnswerTokens, target: s.FirstByteTarget, pause: s.GapTarget, value: valueOf(s.PromptTokens), left: s.Remaining, placed: now.Add(-s.Age), since: now.Add(-s.Age - s.Waited),
+		unknown: s.Assignments, engines: len(s.Assignments),
 	}
 }
 
 // join gives a peer's request its parts at the upstreams that are known here. An entry
 // that has just started is told of requests before it knows any.
-func (b *Board) join(now time.Time, r *request) {
-	d := Demand{Prompt: r.prompt, Answer: r.answer}
-	var unknown []SharePart
+func (b *Dispatcher) join(now time.Time, r *request) {
+	d := Demand{PromptTokens: r.prompt, AnswerTokens: r.answer}
+	var unknown []AssignmentLoad
 	for _, p := range r.unknown {
 		w, ok := b.tokens[p.Upstream]
 		if !ok {
 			unknown = append(unknown, p)
 			continue
 		}
-		r.add(w, toldJob(r.placed, d, w.engine, r.engines, p.Answers), p.Held)
+		r.add(w, toldJob(r.placed, d, w.engine, r.engines, p.Decodes), p.MemoryTokens)
 		w.add(now, r.parts[len(r.parts)-1])
 	}
 	r.unknown = unknown
--- a/dispatcher/share_test.go
+++ b/dispatcher/share_test.go
@@ -13,40 +13,40 @@
 )
 
 // Shares come through a message as they were, whatever their number.
-func TestSharesRoundTrip(t *testing.T) {
+func TestLoadUpdatesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var shares []Share
+		var shares []RequestLoad
 		for range rapid.IntRange(0, 40).Draw(t, "shares") {
-			s := Share{Request: Token(rapid.Uint32().Draw(t, "request")), Ended: rapid.Bool().Draw(t, "ended")}
+			s := RequestLoad{ID: WireID(rapid.Uint32().Draw(t, "request")), Ended: rapid.Bool().Draw(t, "ended")}
 			if s.Ended {
 				s.Outcome = rapid.SampledFrom([]Outcome{OutcomeUnknown, OutcomeAnswered, OutcomeFailed}).Draw(t, "outcome")
 			}
 			if s.Outcome == OutcomeFailed {
-				s.Parts = []SharePart{{Upstream: Token(rapid.Uint32().Draw(t, "failed")), Answers: true}}
+				s.Assignments = []AssignmentLoad{{Upstream: WireID(rapid.Uint32().Draw(t, "failed")), Decodes: true}}
 			}
 			if !s.Ended {
 				s.Waited = time.Duration(rapid.IntRange(0, 60000).Draw(t, "waited")) * time.Millisecond
-				s.Left = time.Duration(rapid.IntRange(0, 60000).Draw(t, "left")) * time.Millisecond
-				s.Begun = rapid.Bool().Draw(t, "begun")
+				s.Remaining = time.Duration(rapid.IntRange(0, 60000).Draw(t, "left")) * time.Millisecond
+				s.FirstByteSeen = rapid.Bool().Draw(t, "begun")
 				s.Age = time.Duration(rapid.IntRange(0, 60000).Draw(t, "age")) * time.Millisecond
-				s.Prompt, s.Answer = rapid.IntRange(0, 1<<20).Draw(t, "prompt"), rapid.IntRange(0, 1<<16).Draw(t, "answer")
-				s.Target = time.Duration(rapid.IntRange(0, 60000).Draw(t, "target")) * time.Millisecond
-				s.Pause = time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond
+				s.PromptTokens, s.AnswerTokens = rapid.IntRange(0, 1<<20).Draw(t, "prompt"), rapid.IntRange(0, 1<<16).Draw(t, "answer")
+				s.FirstByteTarget = time.Duration(rapid.IntRange(0, 60000).Draw(t, "target")) * time.Millisecond
+				s.GapTarget = time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond
 				for range rapid.IntRange(1, 17).Draw(t, "parts") {
-					s.Parts = append(s.Parts, SharePart{
-						Upstream: TokenOf(rapid.String().Draw(t, "id")), Held: heldUnit * rapid.IntRange(0, 1<<14).Draw(t, "held"), Answers: len(s.Parts) == 0,
+					s.Assignments = append(s.Assignments, AssignmentLoad{
+						Upstream: WireIDOf(rapid.String().Draw(t, "id")), MemoryTokens: heldUnit * rapid.IntRange(0, 1<<14).Draw(t, "held"), Decodes: len(s.Assignments) == 0,
 					})
 				}
 			}
 			shares = append(shares, s)
 		}
-		var got []Share
-		for _, m := range EncodeShares(TokenOf("entry-1"), shares) {
+		var got []RequestLoad
+		for _, m := range EncodeLoadUpdates(WireIDOf("entry-1"), shares) {
 			if len(m) > maxShare {
 				t.Fatalf("message of %d bytes", len(m))
 			}
-			from, part, err := DecodeShares(m)
-			if err != nil || from != TokenOf("entry-1") {
+			from, part, err := DecodeLoadUpdate(m)
+			if err != nil || from != WireIDOf("entry-1") {
 				t.Fatalf("from %d: %v", from, err)
 			}
 			got = append(got, part...)
@@ -62,51 +62,51 @@
 	})
 }
 
-func TestMalformedShares(t *testing.T) {
+func TestMalformedLoadUpdates(t *testing.T) {
 	is := is.New(t)
 	for _, m := range [][]byte{nil, {0}, {shareFormat}, {shareFormat, 200}, {shareFormat, 1, 0, 0, 0, 9}} {
-		_, _, err := DecodeShares(m)
-		is.Equal(err, ErrShare)
+		_, _, err := DecodeLoadUpdate(m)
+		is.Equal(err, ErrLoadUpdate)
 	}
 }
 
 // In an upgrade entries hear messages of the format before: those are no relayed ones, and an
 // entry of that format takes none of ours for its own.
-func TestFormatBeforeIsNoRelay(t *testing.T) {
+func TestEarlierFormatIsNoRelay(t *testing.T) {
 	is := is.New(t)
-	message := EncodeShares(1, []Share{{Request: 2, Parts: []SharePart{{Upstream: 3}}}})[0]
+	message := EncodeLoadUpdates(1, []RequestLoad{{ID: 2, Assignments: []AssignmentLoad{{Upstream: 3}}}})[0]
 	for _, before := range []byte{6, 8} {
 		old := append([]byte{before}, message[1:]...)
-		r, rest := Relayed(old)
+		r, rest := UnwrapRelay(old)
 		is.Equal(r, RelayToNone)
-		_, _, err := DecodeShares(rest)
-		is.Equal(err, ErrShare)
-		for _, r := range []Relay{RelayToPlacing, RelayToAll} {
-			is.True(ForRelay(r, message)[0] != before)
+		_, _, err := DecodeLoadUpdate(rest)
+		is.Equal(err, ErrLoadUpdate)
+		for _, r := range []RelayTarget{RelayToPlacing, RelayToAll} {
+			is.True(WrapForRelay(r, message)[0] != before)
 		}
 	}
-	for _, r := range []Relay{RelayToPlacing, RelayToAll} {
-		got, rest := Relayed(ForRelay(r, message))
+	for _, r := range []RelayTarget{RelayToPlacing, RelayToAll} {
+		got, rest := UnwrapRelay(WrapForRelay(r, message))
 		is.Equal(got, r)
 		is.Equal(rest, message)
 	}
 }
 
-func FuzzDecodeShares(f *testing.F) {
-	f.Add(EncodeShares(1, []Share{{Request: 2, Parts: []SharePart{{Upstream: 3}}}})[0])
-	f.Add(EncodeShares(1, []Share{{Request: 2, Ended: true, Outcome: OutcomeFailed, Parts: []SharePart{{Upstream: 3}}}})[0])
-	f.Fuzz(func(_ *testing.T, m []byte) { _, _, _ = DecodeShares(m) })
+func FuzzDecodeLoadUpdate(f *testing.F) {
+	f.Add(EncodeLoadUpdates(1, []RequestLoad{{ID: 2, Assignments: []AssignmentLoad{{Upstream: 3}}}})[0])
+	f.Add(EncodeLoadUpdates(1, []RequestLoad{{ID: 2, Ended: true, Outcome: OutcomeFailed, Assignments: []AssignmentLoad{{Upstream: 3}}}})[0])
+	f.Fuzz(func(_ *testing.T, m []byte) { _, _, _ = DecodeLoadUpdate(m) })
 }
 
 // A board that tells nobody would keep what it has to tell for ever.
-func TestLocalBoardKeepsNothingForPeers(t *testing.T) {
+func TestLocalDispatcherExportsNothing(t *testing.T) {
 	is := is.New(t)
 	b := NewLocal("dc", rand.New(rand.NewPCG(1, 2)))
 	b.Update(&matcher.Table{}, []Instance{{ID: "i-1", Service: "plain", Slots: 4}})
 	for range 100 {
 		p, refusal := b.Place(time.Now(), Demand{Service: "plain"})
 		is.True(refusal == nil)
-		p.Began(time.Now())
+		p.FirstByteSeen(time.Now())
 		p.End(time.Now(), Answered)
 	}
 	is.Equal(len(b.Changed), 0)
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -9,7 +9,7 @@
 
 // Where an answer has to end before the entry that relays it, the longest that the request allows
 // counts, not the one that its caller expects: half of all answers are longer than that.
-func TestLongestAnswerEndsInTime(t *testing.T) {
+func TestLongestAnswerEndsBeforeEntryStops(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	for _, c := range []struct {
@@ -23,26 +23,26 @@
 		{0, 7 * time.Second, false},
 	} {
 		d := tower
-		d.Answer, d.MostAnswer, d.EndWithin, d.Left = 100, c.most, c.within, c.within
+		d.AnswerTokens, d.MaxAnswerTokens, d.EndWithin, d.Remaining = 100, c.most, c.within, c.within
 		_, refusal := testBoard(t, 3).Place(now, d)
 		is.Equal(refusal == nil, c.placed)
-		is.True(c.placed || refusal.Ending)
+		is.True(c.placed || refusal.OutlivesEntry)
 	}
 }
 
 // An engine that is slow ends answers later.
-func TestLongestAnswerAtASlowEngine(t *testing.T) {
+func TestSlowEngineExtendsLatestEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := testBoard(t, 1)
 	for range 20 {
 		p := place(t, b, now, tower)
-		now = now.Add(3 * (p.Expected + paceSlack))
-		p.Began(now)
+		now = now.Add(3 * (p.ExpectedFirstByte + paceSlack))
+		p.FirstByteSeen(now)
 		p.End(now, Answered)
 	}
 	d := tower
-	d.MostAnswer, d.EndWithin, d.Admitted = 4500, 7*time.Second, true
+	d.MaxAnswerTokens, d.EndWithin, d.Admitted = 4500, 7*time.Second, true
 	_, refusal := b.Place(now, d)
-	is.True(refusal != nil && refusal.Ending)
+	is.True(refusal != nil && refusal.OutlivesEntry)
 }
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -27,12 +27,12 @@
 	shareFailed
 )
 
-// ErrShare says that a message of shares can't be read.
-var ErrShare = errors.New("message of shares is malformed")
+// ErrLoadUpdate says that a message of shares can't be read.
+var ErrLoadUpdate = errors.New("message of shares is malformed")
 
-// EncodeShares writes shares as messages that fit a datagram each, from the
+// EncodeLoadUpdates writes shares as messages that fit a datagram each, from the
 // named entry.
-func EncodeShares(from Token, shares []Share) [][]byte {
+func EncodeLoadUpdates(from WireID, shares []RequestLoad) [][]byte {
 	var messages [][]byte
 	head := binary.LittleEndian.AppendUint32([]byte{shareFormat}, uint32(from))
 	message := slices.Clone(head)
@@ -50,60 +50,60 @@
 	return messages
 }
 
-func appendShare(to []byte, s Share) []byte {
-	to = binary.LittleEndian.AppendUint32(to, uint32(s.Request))
+func appendShare(to []byte, s RequestLoad) []byte {
+	to = binary.LittleEndian.AppendUint32(to, uint32(s.ID))
 	switch {
 	case s.Ended && s.Outcome == OutcomeFailed:
-		return binary.LittleEndian.AppendUint32(append(to, shareFailed), uint32(s.Parts[0].Upstream))
+		return binary.LittleEndian.AppendUint32(append(to, shareFailed), uint32(s.Assignments[0].Upstream))
 	case s.Ended && s.Outcome == OutcomeAnswered:
 		return append(to, shareAnswered)
 	case s.Ended:
 		return append(to, shareEnded)
-	case s.Begun:
+	case s.FirstByteSeen:
 		to = append(to, shareBegun)
 	default:
 		to = append(to, sharePlaced)
 	}
 	to = binary.AppendUvarint(to, uint64(max(0, s.Age/time.Millisecond)))
 	to = binary.AppendUvarint(to, uint64(max(0, s.Waited/time.Millisecond)))
-	to = binary.AppendUvarint(to, uint64(max(0, s.Left/time.Millisecond)))
-	to = binary.AppendUvarint(to, uint64(s.Prompt))
-	to = binary.AppendUvarint(to, uint64(s.Answer))
-	to = binary.AppendUvarint(to, uint64(s.Target/time.Millisecond))
-	to = binary.AppendUvarint(to, uint64(s.Pause/time.Millisecond))
-	to = binary.AppendUvarint(to, uint64(len(s.Parts)))
-	for _, p := range s.Parts {
+	to = binary.AppendUvarint(to, uint64(max(0, s.Remaining/time.Millisecond)))
+	to = binary.AppendUvarint(to, uint64(s.PromptTokens))
+	to = binary.AppendUvarint(to, uint64(s.AnswerTokens))
+	to = binary.AppendUvarint(to, uint64(s.FirstByteTarget/time.Millisecond))
+	to = binary.AppendUvarint(to, uint64(s.GapTarget/time.Millisecond))
+	to = binary.AppendUvarint(to, uint64(len(s.Assignments)))
+	for _, p := range s.Assignments {
 		to = binary.LittleEndian.AppendUint32(to, uint32(p.Upstream))
-		to = binary.AppendUvarint(to, uint64((p.Held+heldUnit-1)/heldUnit))
+		to = binary.AppendUvarint(to, uint64((p.MemoryTokens+heldUnit-1)/heldUnit))
 	}
 	return to
 }
 
-// Relay says to whom in its data centre the receiver of a datagram passes its message on.
+// RelayTarget says to whom in its data centre the receiver of a datagram passes its message on.
 // It is the first byte of the datagram; a whole message of shares follows.
-type Relay byte
+type RelayTarget byte
 
 // Relays on the wire. The zero value is no byte there: the message is the receiver's alone.
 // The others are no format of messages, past ones included: in an upgrade an entry would
 // now and then take one for the other.
 const (
-	RelayToNone    Relay = 0
-	RelayToAll     Relay = 7
-	RelayToPlacing Relay = 9
+	RelayToNone    RelayTarget = 0
+	RelayToAll     RelayTarget = 7
+	RelayToPlacing RelayTarget = 9
 )
 
-// ForRelay returns a message of shares as it is sent to an entry that is to pass it on.
-func ForRelay(r Relay, message []byte) []byte {
+// WrapForRelay returns a message of shares as it is sent to an entry that is to pass it on.
+func WrapForRelay(r RelayTarget, message []byte) []byte {
 	return append([]byte{byte(r)}, message...)
 }
 
-// Relayed returns the message of shares in a datagram, and to whom its receiver is to
+// UnwrapRelay returns the message of shares in a datagram, and to whom its receiver is to
 // pass it on. The message shares memory with the argument.
-func Relayed(datagram []byte) (Relay, []byte) {
+func UnwrapRelay(datagram []byte) (RelayTarget, []byte) {
 	if len(datagram) == 0 {
 		return RelayToNone, datagram
 	}
-	switch r := Relay(datagram[0]); r {
+	switch r := RelayTarget(datagram[0]); r {
 	case RelayToPlacing, RelayToAll:
 		return r, datagram[1:]
 	default:
@@ -141,23 +141,23 @@
 	return k
 }
 
-func (r *shareReader) token() Token {
+func (r *shareReader) token() WireID {
 	if len(r.rest) < tokenSize {
 		r.fault, r.rest = true, nil
 		return 0
 	}
-	t := Token(binary.LittleEndian.Uint32(r.rest))
+	t := WireID(binary.LittleEndian.Uint32(r.rest))
 	r.rest = r.rest[tokenSize:]
 	return t
 }
 
 // share reads one share.
-func (r *shareReader) share() Share {
-	s := Share{Request: r.token()}
+func (r *shareReader) share() RequestLoad {
+	s := RequestLoad{ID: r.token()}
 	kind := r.kind()
 	switch kind {
 	case shareFailed:
-		s.Ended, s.Outcome, s.Parts = true, OutcomeFailed, []SharePart{{Upstream: r.token(), Answers: true}}
+		s.Ended, s.Outcome, s.Assignments = true, OutcomeFailed, []AssignmentLoad{{Upstream: r.token(), Decodes: true}}
 		return s
 	case shareAnswered:
 		s.Ended, s.Outcome = true, OutcomeAnswered
@@ -166,29 +166,29 @@
 		s.Ended = true
 		return s
 	}
-	s.Begun = kind == shareBegun
-	s.Age, s.Waited, s.Left = r.milliseconds(), r.milliseconds(), r.milliseconds()
-	s.Prompt, s.Answer = r.number(), r.number()
-	s.Target, s.Pause = r.milliseconds(), r.milliseconds()
+	s.FirstByteSeen = kind == shareBegun
+	s.Age, s.Waited, s.Remaining = r.milliseconds(), r.milliseconds(), r.milliseconds()
+	s.PromptTokens, s.AnswerTokens = r.number(), r.number()
+	s.FirstByteTarget, s.GapTarget = r.milliseconds(), r.milliseconds()
 	for range min(r.number(), len(r.rest)) {
-		s.Parts = append(s.Parts, SharePart{Upstream: r.token(), Held: r.number() * heldUnit, Answers: len(s.Parts) == 0})
+		s.Assignments = append(s.Assignments, AssignmentLoad{Upstream: r.token(), MemoryTokens: r.number() * heldUnit, Decodes: len(s.Assignments) == 0})
 	}
 	return s
 }
 
-// DecodeShares reads a message.
-func DecodeShares(message []byte) (Token, []Share, error) {
+// DecodeLoadUpdate reads a message.
+func DecodeLoadUpdate(message []byte) (WireID, []RequestLoad, error) {
 	if len(message) == 0 || message[0] != shareFormat {
-		return 0, nil, ErrShare
+		return 0, nil, ErrLoadUpdate
 	}
 	r := shareReader{rest: message[1:]}
 	from := r.token()
-	var shares []Share
+	var shares []RequestLoad
 	for len(r.rest) > 0 {
 		shares = append(shares, r.share())
 	}
 	if r.fault {
-		return 0, nil, ErrShare
+		return 0, nil, ErrLoadUpdate
 	}
 	return from, shares, nil
 }
--- a/dispatcher/wish.go
+++ b/dispatcher/wish.go
@@ -25,8 +25,8 @@
 	return w.leaving && now.Sub(w.listedAt) < leavingKept || w.pausedTo.After(now)
 }
 
-// Leaves notes that a run of an upstream said that it leaves, and reports whether that is news.
-func (b *Board) Leaves(i Instance) bool {
+// MarkLeaving notes that a run of an upstream said that it leaves, and reports whether that is news.
+func (b *Dispatcher) MarkLeaving(i Instance) bool {
 	return b.note(i, func(w *wish) bool {
 		news := !w.leaving
 		w.leaving = true
@@ -34,9 +34,9 @@
 	})
 }
 
-// Pause notes that a run of an upstream wants nothing from this entry until a time, and
+// SetBackoff notes that a run of an upstream wants nothing from this entry until a time, and
 // reports whether that is news.
-func (b *Board) Pause(i Instance, until time.Time) bool {
+func (b *Dispatcher) SetBackoff(i Instance, until time.Time) bool {
 	return b.note(i, func(w *wish) bool {
 		news := until.After(w.pausedTo)
 		if news {
@@ -47,11 +47,11 @@
 }
 
 // note changes the wish of a run, where the board still knows that run.
-func (b *Board) note(i Instance, change func(*wish) bool) bool {
+func (b *Dispatcher) note(i Instance, change func(*wish) bool) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	w, ok := b.workers[i.ID]
-	if !ok || !w.instance.Same(i) {
+	if !ok || !w.instance.SameIncarnation(i) {
 		return false
 	}
 	w.wish.saidAt = time.Now()
@@ -69,7 +69,7 @@
 
 // noneUsable is the refusal where no upstream may be sent a request: it is taken when the
 // first of those that pause takes requests again.
-func (b *Board) noneUsable(now time.Time, d Demand) *Refusal {
+func (b *Dispatcher) noneUsable(now time.Time, d Demand) *Refusal {
 	var first time.Time
 	for _, w := range b.services[d.Service] {
 		to := w.wish.pausedTo
--- a/dispatcher/worker.go
+++ b/dispatcher/worker.go
@@ -11,7 +11,7 @@
 type worker struct {
 	instance Instance
 	// token names the run in messages of shares.
-	token Token
+	token WireID
 	// engine is nil where the upstream is not a model engine; queue too.
 	engine *matcher.Engine
 	queue  *predictor.Queue
@@ -88,13 +88,13 @@
 type Load struct {
 	// Running is how many requests the upstream answers.
 	Running int
-	// Prefill is how long the upstream has yet to prefill.
-	Prefill time.Duration
-	// Late is how long the most overdue request waits beyond what was expected.
+	// PrefillBacklog is how long the upstream has yet to prefill.
+	PrefillBacklog time.Duration
+	// Overdue is how long the most overdue request waits beyond what was expected.
 	// An engine that is that late has at least as much to do that nobody told.
-	Late time.Duration
-	// Tokens is the memory used.
-	Tokens int
+	Overdue time.Duration
+	// MemoryTokens is the memory used.
+	MemoryTokens int
 	// FailureRate is the part of requests that is expected to fail.
 	FailureRate float64
 }
@@ -103,15 +103,15 @@
 func (w *worker) load(now time.Time) Load {
 	l := Load{FailureRate: w.health.rate(now)}
 	for p := range w.parts {
-		l.Tokens += p.held
+		l.MemoryTokens += p.held
 		if p.job.Decodes {
 			l.Running++
-			l.Late = max(l.Late, p.overdue(now))
+			l.Overdue = max(l.Overdue, p.overdue(now))
 		}
 	}
 	if w.queue != nil {
 		w.queue.Advance(now)
-		l.Prefill = w.queue.Left(now)
+		l.PrefillBacklog = w.queue.Left(now)
 	}
 	return l
 }
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	a := &attempt{placement: p, cancel: cancel, sentAt: time.Now()}
 	a.watchdog = f.watch(x, p, func() { cancel(errSilent) })
-	p.OnLost(func() { a.restarted(x.route.PauseTarget) })
+	p.OnRestart(func() { a.restarted(x.route.PauseTarget) })
 	var err error
 	a.group, err = f.reserve(ctx, x, p, cancel)
 	if err != nil {
@@ -201,7 +201,7 @@
 func (f *Forwarder) blame(x *exchange, a *attempt, at netip.AddrPort) {
 	for _, h := range a.placement.Helpers {
 		if h.Address == at {
-			f.board.Blame(time.Now(), h)
+			f.board.ReportHelperFailure(time.Now(), h)
 			x.avoid = append(x.avoid, h)
 			a.helperAtFault = true
 		}
@@ -281,7 +281,7 @@
 	case a.verdict == verdictNotRun:
 		return dispatcher.Full
 	case a.verdict == verdictBroken:
-		return dispatcher.Broken
+		return dispatcher.Incomplete
 	case a.verdict == verdictFailed:
 		return dispatcher.Failed
 	}
--- a/forwarder/ended.go
+++ b/forwarder/ended.go
@@ -40,7 +40,7 @@
 		}
 		f.log.Warn("upstream_ended", zap.String("request", x.call.ID), zap.Stringer("content", x.content), zap.String("upstream", first.ID),
 			zap.Stringer("address", first.Address), zap.Duration("ran_ms", broke.Sub(a.sentAt)))
-		f.quarantine.Struck(time.Now(), quarantiner.Strike{Content: x.content, Run: quarantiner.Run(first.Run()), Sent: a.sentAt, Ended: broke})
+		f.quarantine.Struck(time.Now(), quarantiner.Strike{Content: x.content, Run: quarantiner.Run(first.IncarnationID()), Sent: a.sentAt, Ended: broke})
 	}()
 }
 
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -128,7 +128,7 @@
 		return nil
 	}
 	a.watchdog.stop()
-	a.placement.Began(time.Now())
+	a.placement.FirstByteSeen(time.Now())
 	if len(body) > maxBuffered {
 		return &plainAnswer{body: body, rest: a.response.Body}
 	}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -43,7 +43,7 @@
 	// MaxIdle is how long reserved memory may be unused by a request.
 	MaxIdle time.Duration
 	View    func() *View
-	Board   *dispatcher.Board
+	Board   *dispatcher.Dispatcher
 	Budget  *budgeter.Budgeter
 	// Quarantine says which requests are refused, since they crash upstreams.
 	Quarantine *quarantiner.Quarantiner
@@ -60,7 +60,7 @@
 	holdTime   time.Duration
 	maxIdle    time.Duration
 	view       func() *View
-	board      *dispatcher.Board
+	board      *dispatcher.Dispatcher
 	budget     *budgeter.Budgeter
 	quarantine *quarantiner.Quarantiner
 	upstreams  *http.Transport
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -39,7 +39,7 @@
 	is         *is.I
 	net        *network.Network
 	view       atomic.Pointer[forwarder.View]
-	board      *dispatcher.Board
+	board      *dispatcher.Dispatcher
 	table      *matcher.Table
 	quarantine *quarantiner.Quarantiner
 	// instances are the workers, plain ones first.
@@ -447,7 +447,7 @@
 		f.board.Update(f.table, f.instances[:4]) // two engines
 		block := func(id string) {
 			_, refusal := f.board.Place(time.Now(), dispatcher.Demand{
-				Service: "lm", Prompt: 250000, Avoid: []dispatcher.Instance{{ID: id}}, FirstByteTarget: time.Hour, PauseTarget: time.Hour, Alone: true, Admitted: true,
+				Service: "lm", PromptTokens: 250000, Avoid: []dispatcher.Instance{{ID: id}}, FirstByteTarget: time.Hour, GapTarget: time.Hour, NoHelpers: true, Admitted: true,
 			})
 			f.is.True(refusal == nil)
 		}
@@ -553,7 +553,7 @@
 		a := f.ask(long)
 		f.is.Equal(a.status, 200)
 		f.is.Equal(runs(f.engines[first:first+1], "s2"), 1)
-		for _, row := range f.board.Rows(time.Now()) {
+		for _, row := range f.board.Upstreams(time.Now()) {
 			f.is.Equal(row.Load.FailureRate > 0, row.Instance.ID == f.instances[2+helper].ID)
 		}
 	})
--- a/forwarder/group.go
+++ b/forwarder/group.go
@@ -76,12 +76,12 @@
 // reserve sets aside the memory that an attempt needs at its helpers: all of
 // it or none.
 func (f *Forwarder) reserve(ctx context.Context, x *exchange, p *dispatcher.Placement, giveUp context.CancelCauseFunc) (*group, error) {
-	if len(p.Shares) == 0 {
+	if len(p.HelperMemoryTokens) == 0 {
 		return nil, nil
 	}
 	g := &group{request: x.call.ID, since: time.Now(), giveUp: giveUp}
 	for _, h := range p.Helpers {
-		if tokens := p.Shares[h.ID]; tokens > 0 {
+		if tokens := p.HelperMemoryTokens[h.ID]; tokens > 0 {
 			g.shares = append(g.shares, share{engine: h.Address, ticket: uuid.NewString(), tokens: tokens})
 		}
 	}
--- a/forwarder/heed.go
+++ b/forwarder/heed.go
@@ -14,10 +14,10 @@
 		return // by another upstream that has the address now
 	}
 	first := a.placement.First
-	if r.Leaving && f.board.Leaves(first) {
+	if r.Leaving && f.board.MarkLeaving(first) {
 		f.log.Info("upstream_leaving", zap.String("request", x.call.ID), zap.String("upstream", first.ID), zap.Stringer("address", first.Address))
 	}
-	if r.PauseFor > 0 && f.board.Pause(first, time.Now().Add(r.PauseFor)) {
+	if r.PauseFor > 0 && f.board.SetBackoff(first, time.Now().Add(r.PauseFor)) {
 		f.log.Info("upstream_pauses", zap.String("request", x.call.ID), zap.String("upstream", first.ID), zap.Stringer("address", first.Address),
 			zap.Duration("pause_ms", r.PauseFor))
 	}
--- a/forwarder/place.go
+++ b/forwarder/place.go
@@ -31,27 +31,27 @@
 	if x.demand.EndWithin > 0 {
 		return false
 	}
-	return r.Passing && (r.Early || time.Since(x.arrived) < x.route.FirstByteTarget/waitPart)
+	return r.Temporary && (r.Deferrable || time.Since(x.arrived) < x.route.FirstByteTarget/waitPart)
 }
 
 // place finds the next upstream for a request.
 func (f *Forwarder) place(x *exchange, d dispatcher.Demand) (*dispatcher.Placement, *failure) {
-	d.Service, d.Avoid, d.Alone = x.service, x.avoid, x.alone
-	d.FirstByteTarget, d.PauseTarget = x.route.FirstByteTarget, x.route.PauseTarget
+	d.Service, d.Avoid, d.NoHelpers = x.service, x.avoid, x.alone
+	d.FirstByteTarget, d.GapTarget = x.route.FirstByteTarget, x.route.PauseTarget
 	d.Admitted = x.sent > 0
 	p, refusal := f.find(x, d)
 	for yields := 0; refusal == nil && yields < mostYields && f.yields(x, p); yields++ {
 		p, refusal = f.find(x, d)
 	}
-	if refusal != nil && refusal.Ending {
+	if refusal != nil && refusal.OutlivesEntry {
 		return nil, refuseStopping(f.view(), refusal)
 	}
 	if refusal != nil {
 		return nil, notRun(refusal.Reason, refusal.RetryAfter, refusal)
 	}
 	f.log.Info("place", zap.String("request", x.call.ID), zap.String("service", x.service), zap.String("upstream", p.First.ID),
-		zap.String("data_centre", p.First.DataCentre), zap.Int("helpers", len(p.Helpers)), zap.String("helper_ids", ids(p.Helpers)), zap.Duration("expected_ms", p.Expected),
-		zap.Int("running", p.Load.Running), zap.Duration("prefill_ms", p.Load.Prefill), zap.Int("memory_used", p.Load.Tokens), zap.Float64("failure_rate", p.Load.FailureRate), zap.Int("attempt", x.sent+1),
+		zap.String("data_centre", p.First.DataCentre), zap.Int("helpers", len(p.Helpers)), zap.String("helper_ids", ids(p.Helpers)), zap.Duration("expected_ms", p.ExpectedFirstByte),
+		zap.Int("running", p.Load.Running), zap.Duration("prefill_ms", p.Load.PrefillBacklog), zap.Int("memory_used", p.Load.MemoryTokens), zap.Float64("failure_rate", p.Load.FailureRate), zap.Int("attempt", x.sent+1),
 		zap.Int64("config_revision", x.view.ConfigRevision), zap.Duration("list_age_ms", time.Since(x.view.ConfirmedAt)))
 	return p, nil
 }
@@ -62,7 +62,7 @@
 	p, refusal, took := f.look(x)
 	if refusal != nil && f.waits(x, refusal) {
 		f.log.Info("wait", zap.String("request", x.call.ID), zap.String("service", x.service), zap.String("reason", refusal.Reason),
-			zap.Duration("expected_ms", refusal.Expected), zap.Duration("patience_ms", x.demand.Patience))
+			zap.Duration("expected_ms", refusal.ExpectedFirstByte), zap.Duration("patience_ms", x.demand.MaxWait))
 	}
 	for refusal != nil && f.waits(x, refusal) && sleeper.Sleep(x.ctx, pollAfter(took)) {
 		x.demand = f.asOfNow(x, d)
@@ -73,9 +73,9 @@
 
 // asOfNow returns a demand with its times as they are now.
 func (f *Forwarder) asOfNow(x *exchange, d dispatcher.Demand) dispatcher.Demand {
-	d.Left = time.Until(x.deadline)
+	d.Remaining = time.Until(x.deadline)
 	if x.isStream() {
-		d.Waited, d.Patience = waited(x), firstEventPatience(x)
+		d.Waited, d.MaxWait = waited(x), firstEventPatience(x)
 	}
 	return x.withStop(f.view(), d)
 }
@@ -84,11 +84,11 @@
 // where one of them took it at the same moment and goes first: the second of two on the same engines begins seconds late,
 // and its passes stop all answers there.
 func (f *Forwarder) yields(x *exchange, p *dispatcher.Placement) bool {
-	if !p.Settles() || !sleeper.Sleep(x.ctx, dispatcher.SettleTime) || !p.Yields(time.Now()) {
+	if !p.ShouldSettle() || !sleeper.Sleep(x.ctx, dispatcher.SettleDelay) || !p.ShouldYield(time.Now()) {
 		return false
 	}
 	f.log.Info("yield", zap.String("request", x.call.ID), zap.String("service", x.service), zap.String("upstream", p.First.ID),
-		zap.Int("helpers", len(p.Helpers)), zap.Duration("expected_ms", p.Expected))
+		zap.Int("helpers", len(p.Helpers)), zap.Duration("expected_ms", p.ExpectedFirstByte))
 	p.End(time.Now(), dispatcher.Abandoned)
 	return true
 }
--- a/forwarder/stop.go
+++ b/forwarder/stop.go
@@ -61,8 +61,8 @@
 // boundByStop bounds a demand by the end of a stopping entry. All entries are told of that end as
 // they are of the caller's, so that long prompts are kept from the answer's engine.
 func (x *exchange) boundByStop(v *View, d dispatcher.Demand) dispatcher.Demand {
-	d.MostAnswer, d.EndWithin = x.call.Answer, max(1, time.Until(v.StopBy))
-	d.Left = min(d.Left, d.EndWithin)
+	d.MaxAnswerTokens, d.EndWithin = x.call.Answer, max(1, time.Until(v.StopBy))
+	d.Remaining = min(d.Remaining, d.EndWithin)
 	return d
 }
 
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -51,7 +51,7 @@
 		withForwarder(t, func(f *fixture) {
 			for range 2 {
 				_, refusal := f.board.Place(time.Now(), dispatcher.Demand{
-					Service: "lm", Prompt: 150000, FirstByteTarget: time.Hour, PauseTarget: time.Hour, Admitted: true,
+					Service: "lm", PromptTokens: 150000, FirstByteTarget: time.Hour, GapTarget: time.Hour, Admitted: true,
 				})
 				f.is.True(refusal == nil)
 			}
@@ -181,9 +181,9 @@
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
 		time.Sleep(100 * time.Millisecond)
-		shares := f.board.Shares(time.Now())
+		shares := f.board.RequestLoads(time.Now())
 		f.is.Equal(len(shares), 1)
-		f.is.True(shares[0].Left > 7*time.Second && shares[0].Left <= 7300*time.Millisecond)
+		f.is.True(shares[0].Remaining > 7*time.Second && shares[0].Remaining <= 7300*time.Millisecond)
 		f.is.Equal((<-done).status, 200)
 	})
 }
@@ -250,7 +250,7 @@
 		withForwarder(t, func(f *fixture) {
 			for range 6 {
 				_, refusal := f.board.Place(time.Now(), dispatcher.Demand{
-					Service: "lm", Prompt: 300_000, Answer: 100, FirstByteTarget: 3 * time.Second, PauseTarget: time.Second, Admitted: true,
+					Service: "lm", PromptTokens: 300_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Admitted: true,
 				})
 				f.is.True(refusal == nil)
 			}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -27,7 +27,7 @@
 	events := splitter.New(x.call.LastEvent)
 	unsent := 0
 	for {
-		p, fail := f.place(x, dispatcher.Demand{Prompt: x.call.Prompt, Answer: expectedAnswer(x)})
+		p, fail := f.place(x, dispatcher.Demand{PromptTokens: x.call.Prompt, AnswerTokens: expectedAnswer(x)})
 		if fail != nil && x.pending > 0 {
 			return unknown(reasonFailed, fail.cause)
 		}
@@ -72,7 +72,7 @@
 // failedAsGroup reports whether a group of engines has failed a prompt that one of them
 // could have served alone. One that needs the memory of several is tried with others.
 func failedAsGroup(p *dispatcher.Placement, a *attempt) bool {
-	return len(p.Helpers) > 0 && len(p.Shares) == 0 && a.verdict != verdictUnsent && !a.lost()
+	return len(p.Helpers) > 0 && len(p.HelperMemoryTokens) == 0 && a.verdict != verdictUnsent && !a.lost()
 }
 
 // expectedAnswer is how many tokens the answer is expected to have.
@@ -112,9 +112,9 @@
 		whole, gap := events.Feed(buffer[:n])
 		for _, e := range whole {
 			if any {
-				a.placement.Event(time.Now())
+				a.placement.EventSeen(time.Now())
 			} else {
-				a.placement.Began(time.Now())
+				a.placement.FirstByteSeen(time.Now())
 				a.group.begin()
 				any = true
 			}
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -62,7 +62,7 @@
 		abandon := float64(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.PauseTarget))
 		w.limit = time.Duration(silentPart * abandon)
 		w.most = time.Duration(busyPart * abandon)
-		w.busy = p.Busy
+		w.busy = p.ExpectedSilence
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -98,7 +98,7 @@
 		// its caller leaves an engine that stays silent anyway.
 		d = x.boundByStop(v, d)
 	}
-	return f.board.Takes(now, d) && f.budget.Left(now, x.service, v.Entries)
+	return f.board.Accepts(now, d) && f.budget.Left(now, x.service, v.Entries)
 }
 
 // hear notes that the upstream said something.
--- a/forwarder/yield_test.go
+++ b/forwarder/yield_test.go
@@ -19,10 +19,10 @@
 		go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "110000,100"}) }()
 		time.Sleep(2 * time.Millisecond)
 		p, refusal := other.Place(time.Now(), dispatcher.Demand{
-			Service: "lm", Prompt: 100_000, Answer: 100, FirstByteTarget: 3 * time.Second, PauseTarget: time.Second, Waited: time.Second, Patience: 9 * time.Second,
+			Service: "lm", PromptTokens: 100_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Waited: time.Second, MaxWait: 9 * time.Second,
 		})
 		f.is.True(refusal == nil)
-		tell := func() { f.board.Import(time.Now(), dispatcher.TokenOf("other"), other.Export(time.Now(), false)) }
+		tell := func() { f.board.Import(time.Now(), dispatcher.WireIDOf("other"), other.Export(time.Now(), false)) }
 		tell()
 		time.Sleep(100 * time.Millisecond)
 		f.is.Equal(runs(f.engines, "s1"), 0)
--- a/server/call.go
+++ b/server/call.go
@@ -65,7 +65,7 @@
 const callSlots = 16
 
 // newCallBoard returns the board of an entry's calls to services.
-func newCallBoard(dataCentre string) *dispatcher.Board {
+func newCallBoard(dataCentre string) *dispatcher.Dispatcher {
 	return dispatcher.NewLocal(dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
@@ -136,7 +136,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		return dispatcher.Failed, nil
 	}
-	p.Began(time.Now())
+	p.FirstByteSeen(time.Now())
 	return dispatcher.Answered, nil
 }
 
@@ -145,7 +145,7 @@
 	if errors.Is(x.ctx.Err(), context.Canceled) {
 		return dispatcher.Abandoned
 	}
-	return dispatcher.Broken
+	return dispatcher.Incomplete
 }
 
 // callRequest makes the request to a service. The bool is set once a
--- a/server/server.go
+++ b/server/server.go
@@ -66,7 +66,7 @@
 	sealKeys []ed25519.PublicKey
 
 	// calls places calls at instances of services.
-	calls *dispatcher.Board
+	calls *dispatcher.Dispatcher
 	// quarantine holds the requests that are refused as they crash upstreams, presence finds out
 	// whether an upstream has ended.
 	quarantine *quarantiner.Quarantiner
--- a/server/view.go
+++ b/server/view.go
@@ -75,11 +75,11 @@
 }
 
 // members fills in the members and returns those that can keep engines.
-func (c *control) members(v *view) []assigner.Candidate {
+func (c *control) members(v *view) []assigner.Member {
 	settings := c.server.settings
-	var candidates []assigner.Candidate
+	var candidates []assigner.Member
 	if !c.stopping {
-		candidates = append(candidates, assigner.Candidate{Name: settings.Name, DataCentre: settings.DataCentre})
+		candidates = append(candidates, assigner.Member{Name: settings.Name, DataCentre: settings.DataCentre})
 	}
 	if v.ready && !c.stopping {
 		v.takers = append(v.takers, api.EntryAddress{Name: settings.Name, Address: settings.Address, DataCentre: settings.DataCentre})
@@ -87,7 +87,7 @@
 	for _, m := range c.prober.Members() {
 		v.members[m.Name] = m
 		if m.State == prober.Live || m.State == prober.Listed {
-			candidates = append(candidates, assigner.Candidate{Name: m.Name, DataCentre: m.DataCentre})
+			candidates = append(candidates, assigner.Member{Name: m.Name, DataCentre: m.DataCentre})
 		}
 		if m.State == prober.Live && m.Ready {
 			v.takers = append(v.takers, api.EntryAddress{Name: m.Name, Address: m.Address, DataCentre: m.DataCentre})
@@ -109,7 +109,7 @@
 	return upstream{Name: name, Address: address, DataCentre: i.DataCentre, Usable: c.drainer.Usable(name)}, true
 }
 
-func (c *control) placeEngines(v *view, candidates []assigner.Candidate) {
+func (c *control) placeEngines(v *view, candidates []assigner.Member) {
 	var engines []*router.Engine
 	for _, e := range v.accepted.Document.Engines {
 		u, ok := c.upstream(e.Name)
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -136,9 +136,9 @@
 		deployment: d, options: o, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0),
 		byName: map[string]*simEngine{}, filler: strings.Repeat("abc ", 1_000_001),
 	}
-	var members []assigner.Candidate
+	var members []assigner.Member
 	for i := range d.Entries {
-		members = append(members, assigner.Candidate{Name: fmt.Sprintf("entry-%d", i), DataCentre: f.centre(i)})
+		members = append(members, assigner.Member{Name: fmt.Sprintf("entry-%d", i), DataCentre: f.centre(i)})
 	}
 	for i := range d.Engines {
 		f.addEngine(i, members)
@@ -151,7 +151,7 @@
 
 func (f *fleet) centre(i int) string { return fmt.Sprintf("dc-%d", i%f.deployment.Centres) }
 
-func (f *fleet) addEngine(i int, members []assigner.Candidate) {
+func (f *fleet) addEngine(i int, members []assigner.Member) {
 	d := f.deployment
 	e := &simEngine{name: fmt.Sprintf("engine-%d", i), centre: f.centre(i), running: map[*request]*engine.Running{}}
 	lag := pollTime
