--- a/assigner/assigner.go
+++ b/assigner/assigner.go
@@ -12,28 +12,28 @@
 }
 
 // Weight is the rendezvous weight of a member for a thing.
-func Weight(member, thing string) uint64 {
+func Weight(member, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(member)
 	_, _ = d.Write([]byte{0})
-	_, _ = d.WriteString(thing)
+	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
 
 // Owner returns the member that a thing in a data centre is assigned to: the
 // one of greatest weight among those in the same data centre, or among all
 // where that data centre has none. It is empty when there are no members.
-func Owner(members []Member, thing, dataCentre string) string {
-	best, bestWeight, bestLocal := "", uint64(0), false
+func Owner(members []Member, key, dataCentre string) string {
+	best, bestWeight, bestIsLocal := "", uint64(0), false
 	for _, m := range members {
-		local := m.DataCentre == dataCentre
-		if bestLocal && !local {
+		isLocal := m.DataCentre == dataCentre
+		if bestIsLocal && !isLocal {
 			continue
 		}
-		w := Weight(m.Name, thing)
-		if best == "" || (local && !bestLocal) || w > bestWeight || (w == bestWeight && m.Name < best) {
-			best, bestWeight, bestLocal = m.Name, w, local
+		weight := Weight(m.Name, key)
+		if best == "" || (isLocal && !bestIsLocal) || weight > bestWeight || (weight == bestWeight && m.Name < best) {
+			best, bestWeight, bestIsLocal = m.Name, weight, isLocal
 		}
 	}
 	return best
