--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -8,88 +8,90 @@
 )
 
 const (
-	// timePrice is what a second of an engine's time is worth to other callers
+	// prefillTimePrice is what a second of an engine's time is worth to other callers
 	// for each second that engines have yet to prefill on average, in requests a
 	// second squared: the longer the backlog, the shorter the prompts that displace more than
 	// their worth of others.
-	timePrice = 4.0
-	// heavyPrefill is the time to prefill from which a prompt is heavy enough to be
+	prefillTimePrice = 4.0
+	// longPrefill is the time to prefill from which a prompt is heavy enough to be
 	// refused for what it costs others, or to wait for its turn.
-	heavyPrefill = time.Second
-	// drainFactor is in how many backlogs a refused caller is asked to return.
-	drainFactor = 4
+	longPrefill = time.Second
+	// backlogRetryFactor is in how many backlogs a refused caller is asked to return.
+	backlogRetryFactor = 4
 )
 
-// heavy reports whether a prompt takes an engine that long.
-func heavy(e *matcher.Engine, prompt int) bool { return predictor.Prefill(e, prompt) >= heavyPrefill }
+// hasLongPrefill reports whether a prompt takes an engine that long.
+func hasLongPrefill(e *matcher.Engine, promptTokens int) bool {
+	return predictor.Prefill(e, promptTokens) >= longPrefill
+}
 
-// tooCostly refuses a prompt that would lose others more than it is worth. Cost is
+// refuseTooCostly refuses a prompt that would lose others more than it is worth. Cost is
 // what its place would lose, its own lateness included.
-func tooCostly(d Demand, e *matcher.Engine, loads []candidate, cost float64) *Refusal {
-	if d.Admitted || !heavy(e, d.PromptTokens) {
+func refuseTooCostly(d Demand, e *matcher.Engine, candidates []candidate, totalCost float64) *Refusal {
+	if d.Admitted || !hasLongPrefill(e, d.PromptTokens) {
 		return nil
 	}
-	backlog := meanBacklog(loads)
-	price := timePrice * backlog.Seconds() * predictor.Prefill(e, d.PromptTokens).Seconds()
-	if valueOf(d.PromptTokens)-cost-price > 0 {
+	backlog := meanBacklog(candidates)
+	price := prefillTimePrice * backlog.Seconds() * predictor.Prefill(e, d.PromptTokens).Seconds()
+	if promptValue(d.PromptTokens)-totalCost-price > 0 {
 		return nil
 	}
-	return &Refusal{Reason: "too_costly", Temporary: true, RetryAfter: min(mostRetry, max(leastRetry, drainFactor*backlog))}
+	return &Refusal{Reason: "too_costly", Temporary: true, RetryAfter: min(maxRetryAfter, max(minRetryAfter, backlogRetryFactor*backlog))}
 }
 
 const (
-	// mostHarm is the part of its own worth that a prompt may cost others while it
+	// maxDisplacementFraction is the part of its own worth that a prompt may cost others while it
 	// has time to wait.
-	mostHarm = 0.3
-	// calmBacklog is the mean time that the engines it would use have yet to prefill up to which a
+	maxDisplacementFraction = 0.3
+	// minBacklogLimit is the mean time that the engines it would use have yet to prefill up to which a
 	// heavy prompt is placed at once, urgentBacklog that up to which one is whose time is over: the longer one has
 	// waited, the sooner it is taken, at whichever entry it waits.
-	calmBacklog, urgentBacklog = 100 * time.Millisecond, 1500 * time.Millisecond
-	// heldPatience is how many times what it takes a prompt must have of its caller's
+	minBacklogLimit, maxBacklogLimit = 100 * time.Millisecond, 1500 * time.Millisecond
+	// deferralWaitFactor is how many times what it takes a prompt must have of its caller's
 	// patience left to be held.
-	heldPatience = 3
+	deferralWaitFactor = 3
 )
 
-// tooEarly has a heavy prompt wait at its entry while engines have much to do, or
+// refuseTooEarly has a heavy prompt wait at its entry while engines have much to do, or
 // while it would harm others. Engines put what is new before what they have, and pauses grow with all they
 // have: a prompt that waits at its entry holds up nobody. Where the entry ends there is no time for that.
-func tooEarly(d Demand, e *matcher.Engine, g group, backlog time.Duration) *Refusal {
-	if d.Admitted || d.EndWithin > 0 || !heavy(e, d.PromptTokens) || d.MaxWait < heldPatience*g.finish {
+func refuseTooEarly(d Demand, e *matcher.Engine, g group, backlog time.Duration) *Refusal {
+	if d.Admitted || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
 		return nil
 	}
-	age := float64(d.Waited) / float64(d.FirstByteTarget)
-	if d.Waited+g.finish > d.FirstByteTarget {
-		age = float64(d.Waited) / float64(d.Waited+d.MaxWait)
+	urgency := float64(d.Waited) / float64(d.FirstByteTarget)
+	if d.Waited+g.prefillDelay > d.FirstByteTarget {
+		urgency = float64(d.Waited) / float64(d.Waited+d.MaxWait)
 	}
-	most := calmBacklog + time.Duration(age*float64(urgentBacklog-calmBacklog))
-	if backlog < most && g.harm < mostHarm*valueOf(d.PromptTokens)*(1+age) {
+	backlogLimit := minBacklogLimit + time.Duration(urgency*float64(maxBacklogLimit-minBacklogLimit))
+	if backlog < backlogLimit && g.displacementCost < maxDisplacementFraction*promptValue(d.PromptTokens)*(1+urgency) {
 		return nil
 	}
-	return &Refusal{Reason: "too_early", Temporary: true, Deferrable: true, ExpectedFirstByte: g.finish, RetryAfter: leastRetry}
+	return &Refusal{Reason: "too_early", Temporary: true, Deferrable: true, ExpectedFirstByte: g.prefillDelay, RetryAfter: minRetryAfter}
 }
 
 // meanBacklog is how long engines have yet to prefill on average.
-func meanBacklog(loads []candidate) time.Duration {
+func meanBacklog(candidates []candidate) time.Duration {
 	sum := time.Duration(0)
-	for _, o := range loads {
-		sum += o.load.PrefillBacklog
+	for _, c := range candidates {
+		sum += c.load.PrefillBacklog
 	}
-	return sum / time.Duration(len(loads))
+	return sum / time.Duration(len(candidates))
 }
 
 // groupBacklog is how long the engines of a group have yet to prefill on average.
 func groupBacklog(g group) time.Duration {
 	sum := time.Duration(0)
-	for _, o := range g.offers {
-		sum += o.load.PrefillBacklog
+	for _, e := range g.estimates {
+		sum += e.load.PrefillBacklog
 	}
-	return sum / time.Duration(len(g.offers))
+	return sum / time.Duration(len(g.estimates))
 }
 
-// ending refuses a request whose answer may not end before the entry that would relay it. When
+// refuseOutlivesEntry refuses a request whose answer may not end before the entry that would relay it. When
 // another entry takes it the board does not know.
-func ending(expected time.Duration) *Refusal {
-	return &Refusal{Reason: "stopping", OutlivesEntry: true, ExpectedFirstByte: expected}
+func refuseOutlivesEntry(expectedFirstByte time.Duration) *Refusal {
+	return &Refusal{Reason: "stopping", OutlivesEntry: true, ExpectedFirstByte: expectedFirstByte}
 }
 
 // endMargin is by how much a forecast of an answer's end is lengthened where the answer must not
@@ -100,9 +102,9 @@
 // request allows, as estimates of an answer's length are right at the median only, with
 // all slots of the engine taken, and a part more for long prompts that come to it meanwhile.
 func (d Demand) latestEnd(now time.Time, g group) time.Duration {
-	o := g.offers[0]
-	e := o.worker.engine
-	events := d.MaxAnswerTokens/max(1, e.Stride) + 1
-	pass := float64(predictor.DecodePass(e, e.Slots, o.load.MemoryTokens+d.PromptTokens)) * o.worker.health.pace(now)
-	return time.Duration(endMargin * (float64(g.finish) + float64(events)*pass))
+	answering := g.estimates[0]
+	engine := answering.upstream.engine
+	events := d.MaxAnswerTokens/max(1, engine.Stride) + 1
+	pass := float64(predictor.DecodePass(engine, engine.Slots, answering.load.MemoryTokens+d.PromptTokens)) * answering.upstream.health.pace(now)
+	return time.Duration(endMargin * (float64(g.prefillDelay) + float64(events)*pass))
 }
--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -53,7 +53,7 @@
 }
 
 const (
-	// leastRetry and mostRetry bound what a refused caller is told.
-	leastRetry = 200 * time.Millisecond
-	mostRetry  = 3 * time.Second
+	// minRetryAfter and mostRetry bound what a refused caller is told.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -14,71 +14,71 @@
 	// failureHalfLife is in what time a failure rate halves by itself, so that
 	// an upstream that was avoided is tried again.
 	failureHalfLife = 4 * time.Second
-	// leastBlock and mostBlock bound how long an upstream that accepts no
+	// minBlock and mostBlock bound how long an upstream that accepts no
 	// connection is left alone. The first is several round trips, the second
 	// the time after which a crashed upstream is usually off the list.
-	leastBlock = 250 * time.Millisecond
-	mostBlock  = 4 * time.Second
+	minBlock = 250 * time.Millisecond
+	maxBlock = 4 * time.Second
 	// paceWeight is what one sight of a pace counts, paceHalfLife in what time
 	// a pace goes half the way back to 1.
 	paceWeight   = 0.4
 	paceHalfLife = 3 * time.Second
-	// mostPace bounds one sight of a pace: beyond, a stall is likelier than
+	// maxPace bounds one sight of a pace: beyond, a stall is likelier than
 	// slow work.
-	mostPace = 8
+	maxPace = 8
 )
 
 // health is what an entry has seen of an upstream's failures and speed.
 type health struct {
-	failures  float64
-	failedAt  time.Time
-	blocks    int
-	blockedTo time.Time
-	// slow is how many times longer than expected work takes, less 1.
-	slow   float64
-	slowAt time.Time
+	lastFailureRate   float64
+	lastFailureRateAt time.Time
+	blockCount        int
+	blockedUntil      time.Time
+	// slowdown is how many times longer than expected work takes, less 1.
+	slowdown   float64
+	slowdownAt time.Time
 }
 
-func halved(v float64, age, halfLife time.Duration) float64 {
-	return v * math.Exp2(-float64(age)/float64(halfLife))
+func decayed(value float64, age, halfLife time.Duration) float64 {
+	return value * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// rate is the part of requests that is expected to fail.
-func (h *health) rate(now time.Time) float64 {
-	return halved(h.failures, now.Sub(h.failedAt), failureHalfLife)
+// failureRate is the part of requests that is expected to fail.
+func (h *health) failureRate(now time.Time) float64 {
+	return decayed(h.lastFailureRate, now.Sub(h.lastFailureRateAt), failureHalfLife)
 }
 
-func (h *health) failed(now time.Time) {
-	r := h.rate(now)
-	h.failures, h.failedAt = r+failureWeight*(1-r), now
+func (h *health) recordFailure(now time.Time) {
+	r := h.failureRate(now)
+	h.lastFailureRate, h.lastFailureRateAt = r+failureWeight*(1-r), now
 }
 
-// answered notes an answer, whichever entry had it: it says nothing of this entry's connections.
-func (h *health) answered(now time.Time) {
-	h.failures, h.failedAt = h.rate(now)*(1-successWeight), now
+// recordAnswer notes an answer, whichever entry had it: it says nothing of this entry's connections.
+func (h *health) recordAnswer(now time.Time) {
+	h.lastFailureRate, h.lastFailureRateAt = h.failureRate(now)*(1-successWeight), now
 }
 
-func (h *health) succeeded(now time.Time) {
-	h.answered(now)
-	h.blocks, h.blockedTo = 0, time.Time{}
+func (h *health) recordSuccess(now time.Time) {
+	h.recordAnswer(now)
+	h.blockCount, h.blockedUntil = 0, time.Time{}
 }
 
-// unreachable notes that no connection was had.
-func (h *health) unreachable(now time.Time) {
-	h.failed(now)
-	h.blockedTo = now.Add(min(mostBlock, leastBlock<<min(h.blocks, 10)))
-	h.blocks++
+// recordUnreachable notes that no connection was had.
+func (h *health) recordUnreachable(now time.Time) {
+	h.recordFailure(now)
+	h.blockedUntil = now.Add(min(maxBlock, minBlock<<min(h.blockCount, 10)))
+	h.blockCount++
 }
 
-func (h *health) blocked(now time.Time) bool { return now.Before(h.blockedTo) }
+func (h *health) isBlocked(now time.Time) bool { return now.Before(h.blockedUntil) }
 
 // pace is how many times longer than expected work takes.
 func (h *health) pace(now time.Time) float64 {
-	return 1 + halved(h.slow, now.Sub(h.slowAt), paceHalfLife)
+	return 1 + decayed(h.slowdown, now.Sub(h.slowdownAt), paceHalfLife)
 }
 
-func (h *health) paced(now time.Time, ratio float64) {
+func (h *health) recordPace(now time.Time, ratio float64) {
 	before := h.pace(now) - 1
-	seen := min(mostPace, max(1, ratio)) - 1
-	h.slow, h.slowAt = before+paceWeight*(seen-before), now
+	seen := min(maxPace, max(1, ratio)) - 1
+	h.slowdown, h.slowdownAt = before+paceWeight*(seen-before), now
 }
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -10,22 +10,22 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// call has one entry place a call that ends after a time.
-func call(t *testing.T, boards []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
+// placeCall has one entry place a call that ends after a time.
+func placeCall(t *testing.T, dispatchers []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
 	t.Helper()
-	p := place(t, boards[entry], now, Demand{Service: "app"})
+	p := place(t, dispatchers[entry], now, Demand{Service: "app"})
 	took, result := end(p.First)
-	if took > tellTime {
-		tellAll(t, now, boards, false)
+	if took > updateDelay {
+		exchangeUpdates(t, now, dispatchers, false)
 	}
 	p.FirstByteSeen(now.Add(took))
 	p.End(now.Add(took), result)
-	tellAll(t, now.Add(took), boards, false)
+	exchangeUpdates(t, now.Add(took), dispatchers, false)
 	return result
 }
 
-// tellTime is how soon entries tell of a change.
-const tellTime = 5 * time.Millisecond
+// updateDelay is how soon entries tell of a change.
+const updateDelay = 5 * time.Millisecond
 
 // One of three instances fails half of its calls at once, for seven seconds, while its health check is good. Fourteen calls a
 // second, which must not be repeated, come to fifteen entries by turns: one failed call at least at each of
@@ -33,13 +33,13 @@
 func TestFailuresAreReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	const entries, perSecond, seconds = 15, 14, 7
-	boards := entriesBefore(t, entries, 0)
+	dispatchers := newPeers(t, entries, 0)
 	random := rand.New(rand.NewPCG(3, 4))
-	now, failed, elsewhere := time.Now(), 0, map[string]int{}
+	now, failed, counts := time.Now(), 0, map[string]int{}
 	for i := range perSecond * seconds {
 		now = now.Add(time.Second / perSecond)
-		result := call(t, boards, now, i%entries, func(at Instance) (time.Duration, Result) {
-			elsewhere[at.ID]++
+		result := placeCall(t, dispatchers, now, i%entries, func(at Instance) (time.Duration, Result) {
+			counts[at.ID]++
 			if at.ID == "s0" && random.IntN(2) == 0 {
 				return time.Millisecond, Failed
 			}
@@ -50,7 +50,7 @@
 		}
 	}
 	is.True(failed <= 4)
-	is.True(elsewhere["s1"] > 2*elsewhere["s0"] && elsewhere["s2"] > 2*elsewhere["s0"])
+	is.True(counts["s1"] > 2*counts["s0"] && counts["s2"] > 2*counts["s0"])
 }
 
 // Calls of one kind fail one time in seven wherever they run, as they are at fault themselves. All
@@ -58,13 +58,13 @@
 func TestCallsThatFailEverywhereKeepAllInUse(t *testing.T) {
 	is := is.New(t)
 	const entries, calls = 15, 2000
-	boards := entriesBefore(t, entries, 0)
+	dispatchers := newPeers(t, entries, 0)
 	random := rand.New(rand.NewPCG(3, 4))
-	now, taken := time.Now(), map[string]int{}
+	now, counts := time.Now(), map[string]int{}
 	for i := range calls {
 		now = now.Add(20 * time.Millisecond)
-		call(t, boards, now, i%entries, func(at Instance) (time.Duration, Result) {
-			taken[at.ID]++
+		placeCall(t, dispatchers, now, i%entries, func(at Instance) (time.Duration, Result) {
+			counts[at.ID]++
 			if random.IntN(7) == 0 {
 				return 17 * time.Millisecond, Failed
 			}
@@ -72,7 +72,7 @@
 		})
 	}
 	for _, id := range []string{"s0", "s1", "s2"} {
-		is.True(taken[id] > calls/5)
+		is.True(counts[id] > calls/5)
 	}
 }
 
@@ -82,13 +82,13 @@
 	is := is.New(t)
 	now := time.Now()
 	for result, want := range map[Result]float64{Failed: failureWeight, Incomplete: 0, Unreachable: 0, Full: 0, Abandoned: 0, Answered: 0} {
-		boards := entriesBefore(t, 2, 0)
-		p := place(t, boards[0], now, Demand{Service: "app"})
+		dispatchers := newPeers(t, 2, 0)
+		p := place(t, dispatchers[0], now, Demand{Service: "app"})
 		p.End(now, result)
-		tellAll(t, now, boards, false)
-		tellAll(t, now, boards, true)
-		tellAll(t, now, boards, true)
-		is.Equal(boards[1].workers[p.First.ID].health.rate(now), want)
+		exchangeUpdates(t, now, dispatchers, false)
+		exchangeUpdates(t, now, dispatchers, true)
+		exchangeUpdates(t, now, dispatchers, true)
+		is.Equal(dispatchers[1].upstreams[p.First.ID].health.failureRate(now), want)
 	}
 }
 
@@ -105,10 +105,10 @@
 	s := RequestLoad{ID: 7, PromptTokens: 60000, AnswerTokens: 500, FirstByteTarget: time.Second, GapTarget: time.Second, Assignments: []AssignmentLoad{{Upstream: first.IncarnationID(), Decodes: true}, {Upstream: helper.IncarnationID()}}}
 	b.Import(now, 1, []RequestLoad{s})
 	b.Update(table, []Instance{helper, first})
-	for _, w := range b.workers {
-		w.health.failed(now)
+	for _, u := range b.upstreams {
+		u.health.recordFailure(now)
 	}
 	b.Import(now, 1, []RequestLoad{{ID: 7, Ended: true, Outcome: OutcomeAnswered}})
-	is.Equal(b.workers["helper"].health.rate(now), failureWeight)
-	is.Equal(b.workers["first"].health.rate(now), failureWeight*(1-successWeight))
+	is.Equal(b.upstreams["helper"].health.failureRate(now), failureWeight)
+	is.Equal(b.upstreams["first"].health.failureRate(now), failureWeight*(1-successWeight))
 }
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -11,15 +11,15 @@
 func (b *Dispatcher) Place(now time.Time, d Demand) (*Placement, *Refusal) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	p, refusal := b.find(now, d)
+	p, refusal := b.choose(now, d)
 	if refusal != nil {
 		return nil, refusal
 	}
-	b.own[p.request.token] = p.request
-	for _, t := range p.request.parts {
-		t.worker.add(now, t)
+	b.ownRequests[p.request.wireID] = p.request
+	for _, a := range p.request.assignments {
+		a.upstream.add(now, a)
 	}
-	b.tell(p.request)
+	b.queueUpdate(p.request)
 	return p, nil
 }
 
@@ -29,153 +29,153 @@
 func (b *Dispatcher) Accepts(now time.Time, d Demand) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	p, refusal := b.find(now, d)
+	p, refusal := b.choose(now, d)
 	if refusal != nil {
 		return false
 	}
-	w := p.request.parts[0].worker
-	if w.health.blocked(now) {
+	u := p.request.assignments[0].upstream
+	if u.health.isBlocked(now) {
 		return false // it is chosen only where there is no other
 	}
-	return w.engine == nil || p.Load.Running+spareSlots < w.engine.Slots
+	return u.engine == nil || p.Load.Running+spareSlots < u.engine.Slots
 }
 
-// find finds a place for a request.
-func (b *Dispatcher) find(now time.Time, d Demand) (*Placement, *Refusal) {
-	workers := b.usable(now, d)
-	if len(workers) == 0 {
-		return nil, b.noneUsable(now, d)
+// choose finds a place for a request.
+func (b *Dispatcher) choose(now time.Time, d Demand) (*Placement, *Refusal) {
+	upstreams := b.usableUpstreams(now, d)
+	if len(upstreams) == 0 {
+		return nil, b.refuseNoneUsable(now, d)
 	}
-	if workers[0].engine == nil || d.PromptTokens == 0 {
+	if upstreams[0].engine == nil || d.PromptTokens == 0 {
 		if d.EndWithin > 0 {
-			return nil, ending(0)
+			return nil, refuseOutlivesEntry(0)
 		}
-		return b.placePlain(now, d, workers), nil
+		return b.placePlain(now, d, upstreams), nil
 	}
-	return b.placePrompt(now, d, workers)
+	return b.placePrompt(now, d, upstreams)
 }
 
-func (b *Dispatcher) placePlain(now time.Time, d Demand, workers []*worker) *Placement {
-	best, least := workers[0], 0.0
-	for i, w := range workers {
-		l := w.load(now)
-		cost := float64(l.Running)/float64(max(1, w.instance.Slots)) + failingCost*l.FailureRate + slowCost*(w.health.pace(now)-1)
-		cost += spread * b.random.Float64()
-		if w.instance.DataCentre != b.dataCentre {
-			cost += farCost
+func (b *Dispatcher) placePlain(now time.Time, d Demand, upstreams []*upstream) *Placement {
+	best, lowestCost := upstreams[0], 0.0
+	for i, u := range upstreams {
+		l := u.load(now)
+		cost := float64(l.Running)/float64(max(1, u.instance.Slots)) + failingCost*l.FailureRate + slowCost*(u.health.pace(now)-1)
+		cost += plainJitter * b.random.Float64()
+		if u.instance.DataCentre != b.dataCentre {
+			cost += remoteCost
 		}
-		if i == 0 || cost < least {
-			best, least = w, cost
+		if i == 0 || cost < lowestCost {
+			best, lowestCost = u, cost
 		}
 	}
 	p := b.newPlacement(now, d)
 	p.First, p.Load = best.instance, best.load(now)
-	p.request.add(best, predictor.Job{Decodes: true, Arrived: now}, 0)
+	p.request.assign(best, predictor.Job{Decodes: true, Arrived: now}, 0)
 	return p
 }
 
 // newPlacement returns a placement that has no place yet.
 func (b *Dispatcher) newPlacement(now time.Time, d Demand) *Placement {
-	return &Placement{board: b, HelperMemoryTokens: map[string]int{}, request: &request{
-		token: WireID(b.random.Uint32()), prompt: d.PromptTokens, answer: d.AnswerTokens, target: d.FirstByteTarget, pause: d.GapTarget, value: valueOf(d.PromptTokens), left: d.Remaining, placed: now, since: now.Add(-d.Waited),
+	return &Placement{dispatcher: b, HelperMemoryTokens: map[string]int{}, request: &request{
+		wireID: WireID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
 	}}
 }
 
-// add gives a request a part at a worker.
-func (r *request) add(w *worker, j predictor.Job, held int) {
-	r.parts = append(r.parts, &part{worker: w, request: r, job: j, held: held})
+// assign gives a request a part at a worker.
+func (r *request) assign(u *upstream, j predictor.Job, memoryTokens int) {
+	r.assignments = append(r.assignments, &assignment{upstream: u, request: r, job: j, memoryTokens: memoryTokens})
 }
 
 // What weighs on the choice of a plain upstream, in loads of a full one.
 const (
-	// farCost is of another data centre: a round trip there is a tenth of the
+	// remoteCost is of another data centre: a round trip there is a tenth of the
 	// usual work.
-	farCost = 0.1
+	remoteCost = 0.1
 	// failingCost is of an upstream that fails every request: it is asked last,
 	// also where all others are full and have as much waiting again.
 	failingCost = 4
 	// slowCost is of one that works twice as long.
 	slowCost = 0.5
-	// spread keeps entries with the same picture from choosing alike.
-	spread = 0.1
+	// plainJitter keeps entries with the same picture from choosing alike.
+	plainJitter = 0.1
 )
 
-// look lists the engines that may take a prompt, with what they have to do.
-func (b *Dispatcher) look(now time.Time, d Demand, workers []*worker) []candidate {
-	for _, w := range workers {
-		w.look(now, &b.forecast)
+// newCandidates lists the engines that may take a prompt, with what they have to do.
+func (b *Dispatcher) newCandidates(now time.Time, d Demand, upstreams []*upstream) []candidate {
+	for _, u := range upstreams {
+		u.project(now, &b.forecast)
 	}
 	// Where a joint answer begins depends on all engines of its prompt.
-	for _, w := range workers {
-		if w.meet() {
-			w.look(now, &b.forecast)
+	for _, u := range upstreams {
+		if u.updateJointJobs() {
+			u.project(now, &b.forecast)
 		}
 	}
-	loads := make([]candidate, len(workers))
-	for i, w := range workers {
-		loads[i] = candidate{worker: w, load: w.load(now), rank: assigner.Weight(b.rankSalt, w.instance.ID), jitter: jitter(b.peers) * b.random.Float64()}
-		loads[i].note(d)
+	candidates := make([]candidate, len(upstreams))
+	for i, u := range upstreams {
+		candidates[i] = candidate{upstream: u, load: u.load(now), rank: assigner.Weight(b.rankSalt, u.instance.ID), jitter: jitterRange(b.peerCount) * b.random.Float64()}
+		candidates[i].computeBaseline(d)
 	}
-	price := slotPrice(loads)
-	for i := range loads {
-		loads[i].slotPrice = price
+	price := slotPrice(candidates)
+	for i := range candidates {
+		candidates[i].slotPrice = price
 	}
-	return loads
+	return candidates
 }
 
-// cheapest finds the engines that lose least by a prompt.
-func (b *Dispatcher) cheapest(now time.Time, d Demand, loads []candidate) (group, bool) {
-	s := b.newSearch(d, loads)
-	best, found := s.alone(now, d, loads)
-	sizes := groupSizes(d, loads[0].worker.engine, loads)
-	if len(loads) > mostWeighed && len(sizes) > 1 {
-		loads = s.foremost(now, d, loads, sizes[len(sizes)-1])
-		sizes = fewSizes(sizes)
-	}
-	for _, k := range sizes {
-		if k == 1 {
+// cheapestGroup finds the engines that lose least by a prompt.
+func (b *Dispatcher) cheapestGroup(now time.Time, d Demand, candidates []candidate) (group, bool) {
+	s := b.newSearch(d, candidates)
+	best, found := s.bestSingle(now, d, candidates)
+	sizes := groupSizes(d, candidates[0].upstream.engine, candidates)
+	if len(candidates) > maxWeighed && len(sizes) > 1 {
+		candidates = s.shortlist(now, d, candidates, sizes[len(sizes)-1])
+		sizes = sparseSizes(sizes)
+	}
+	for _, size := range sizes {
+		if size == 1 {
 			continue
 		}
-		if g := s.joint(now, d, loads, k); !found || g.cost < best.cost {
+		if g := s.bestJoint(now, d, candidates, size); !found || g.cost < best.cost {
 			best, found = g, true
 		}
 	}
 	return best, found
 }
 
-func (b *Dispatcher) placePrompt(now time.Time, d Demand, workers []*worker) (*Placement, *Refusal) {
-	loads := b.look(now, d, workers)
-	best, found := b.cheapest(now, d, loads)
+func (b *Dispatcher) placePrompt(now time.Time, d Demand, upstreams []*upstream) (*Placement, *Refusal) {
+	candidates := b.newCandidates(now, d, upstreams)
+	best, found := b.cheapestGroup(now, d, candidates)
 	if !found {
-		return nil, &Refusal{Reason: "no_memory", RetryAfter: leastRetry}
+		return nil, &Refusal{Reason: "no_memory", RetryAfter: minRetryAfter}
 	}
-	if !d.Admitted && d.MaxWait > 0 && best.finish > d.MaxWait {
-		return nil, &Refusal{Reason: "overloaded", Temporary: true, ExpectedFirstByte: best.finish, RetryAfter: min(mostRetry, max(leastRetry, best.finish-d.MaxWait/2))}
+	if !d.Admitted && d.MaxWait > 0 && best.prefillDelay > d.MaxWait {
+		return nil, &Refusal{Reason: "overloaded", Temporary: true, ExpectedFirstByte: best.prefillDelay, RetryAfter: min(maxRetryAfter, max(minRetryAfter, best.prefillDelay-d.MaxWait/2))}
 	}
-	held, fits := memoryShares(d, best.offers)
+	memoryTokens, fits := splitMemory(d, best.estimates)
 	if !fits {
-		return nil, &Refusal{Reason: "no_memory", ExpectedFirstByte: best.finish, RetryAfter: leastRetry}
+		return nil, &Refusal{Reason: "no_memory", ExpectedFirstByte: best.prefillDelay, RetryAfter: minRetryAfter}
 	}
 	if d.EndWithin > 0 && (d.MaxAnswerTokens <= 0 || d.latestEnd(now, best) > d.EndWithin) {
-		return nil, ending(best.finish)
+		return nil, refuseOutlivesEntry(best.prefillDelay)
 	}
-	if r := tooCostly(d, workers[0].engine, loads, best.cost); r != nil {
-		r.ExpectedFirstByte = best.finish
+	if r := refuseTooCostly(d, upstreams[0].engine, candidates, best.cost); r != nil {
+		r.ExpectedFirstByte = best.prefillDelay
 		return nil, r
 	}
-	if r := tooEarly(d, workers[0].engine, best, groupBacklog(best)); r != nil {
+	if r := refuseTooEarly(d, upstreams[0].engine, best, groupBacklog(best)); r != nil {
 		return nil, r
 	}
 	p := b.newPlacement(now, d)
-	p.First, p.Load, p.ExpectedFirstByte = best.offers[0].worker.instance, best.offers[0].load, best.finish
-	for i, o := range best.offers {
+	p.First, p.Load, p.ExpectedFirstByte = best.estimates[0].upstream.instance, best.estimates[0].load, best.prefillDelay
+	for i, o := range best.estimates {
 		if i > 0 {
-			p.Helpers = append(p.Helpers, o.worker.instance)
+			p.Helpers = append(p.Helpers, o.upstream.instance)
 		}
-		if i > 0 && held[i] > 0 {
-			p.HelperMemoryTokens[o.worker.instance.ID] = held[i]
+		if i > 0 && memoryTokens[i] > 0 {
+			p.HelperMemoryTokens[o.upstream.instance.ID] = memoryTokens[i]
 		}
-		p.request.add(o.worker, o.job, held[i])
+		p.request.assign(o.upstream, o.job, memoryTokens[i])
 	}
 	return p, nil
 }
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -19,9 +19,9 @@
 		Slots: 16, MemoryTokens: 315000, Stride: 51, Step: 850 * time.Microsecond, PerSequence: 4250 * time.Nanosecond,
 		PerThousand: 2850 * time.Nanosecond, PrefillPerSecond: 177000, PerMillionPairs: 184 * time.Microsecond, Chunk: 2048,
 	}
-	tower = Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 1650, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, MaxWait: 2 * time.Second}
-	span  = Demand{Service: "lm", PromptTokens: 45000, AnswerTokens: 1000, FirstByteTarget: 1500 * time.Millisecond, GapTarget: 600 * time.Millisecond, MaxWait: 6 * time.Second}
-	audit = Demand{Service: "lm", PromptTokens: 154000, AnswerTokens: 800, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, MaxWait: 12 * time.Second}
+	shortDemand  = Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 1650, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, MaxWait: 2 * time.Second}
+	mediumDemand = Demand{Service: "lm", PromptTokens: 45000, AnswerTokens: 1000, FirstByteTarget: 1500 * time.Millisecond, GapTarget: 600 * time.Millisecond, MaxWait: 6 * time.Second}
+	longDemand   = Demand{Service: "lm", PromptTokens: 154000, AnswerTokens: 800, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, MaxWait: 12 * time.Second}
 )
 
 // withPrompt is a demand of another length.
@@ -30,7 +30,7 @@
 	return d
 }
 
-func testBoard(t *testing.T, engines int) *Dispatcher {
+func testDispatcher(t *testing.T, engines int) *Dispatcher {
 	t.Helper()
 	table, err := matcher.New(matcher.Config{
 		Services: []matcher.Service{{Name: "lm", Engine: &testEngine}, {Name: "app"}},
@@ -59,8 +59,8 @@
 	return p
 }
 
-// engines is the set of engines that placements use.
-func engines(placements ...*Placement) map[string]int {
+// enginesUsed is the set of engines that placements use.
+func enginesUsed(placements ...*Placement) map[string]int {
 	used := map[string]int{}
 	for _, p := range placements {
 		used[p.First.ID]++
@@ -71,8 +71,8 @@
 	return used
 }
 
-// streaming places n prompts that are being answered.
-func streaming(t *testing.T, b *Dispatcher, now time.Time, d Demand, n int) []*Placement {
+// placeStreaming places n prompts that are being answered.
+func placeStreaming(t *testing.T, b *Dispatcher, now time.Time, d Demand, n int) []*Placement {
 	t.Helper()
 	var out []*Placement
 	for range n {
@@ -83,13 +83,13 @@
 	return out
 }
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 // An audit alone on a free fleet is on time by a wide margin: one engine would
 // take 3.05 s of the 3 s that it has.
 func TestLongPromptIsPrefilledByManyEngines(t *testing.T) {
 	is := is.New(t)
-	p := place(t, testBoard(t, 14), start, audit)
+	p := place(t, testDispatcher(t, 14), startTime, longDemand)
 	is.True(len(p.Helpers) >= 3)
 	is.True(p.ExpectedFirstByte < 1500*time.Millisecond)
 }
@@ -100,12 +100,12 @@
 // every part of an audit would hold up some.
 func TestShortPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 14)
-	towers := engines(streaming(t, b, start, tower, 56)...)
-	is.True(len(towers) <= 6)
-	p := place(t, b, start, audit)
-	for id := range engines(p) {
-		is.Equal(towers[id], 0) // an audit keeps off the engines that write for others
+	b := testDispatcher(t, 14)
+	shortCounts := enginesUsed(placeStreaming(t, b, startTime, shortDemand, 56)...)
+	is.True(len(shortCounts) <= 6)
+	p := place(t, b, startTime, longDemand)
+	for id := range enginesUsed(p) {
+		is.Equal(shortCounts[id], 0) // an audit keeps off the engines that write for others
 	}
 }
 
@@ -113,11 +113,11 @@
 // of them if each engine decoded one. An engine counts as packed with seven.
 func TestMediumPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 14)
+	b := testDispatcher(t, 14)
 	decoding := map[string]int{}
 	for i := range 20 {
-		p := place(t, b, start.Add(time.Duration(i)*70*time.Millisecond), span)
-		p.FirstByteSeen(start.Add(time.Duration(i)*70*time.Millisecond + p.ExpectedFirstByte))
+		p := place(t, b, startTime.Add(time.Duration(i)*70*time.Millisecond), mediumDemand)
+		p.FirstByteSeen(startTime.Add(time.Duration(i)*70*time.Millisecond + p.ExpectedFirstByte))
 		decoding[p.First.ID]++
 	}
 	is.True(len(decoding) <= 3) // engines that decode
@@ -127,8 +127,8 @@
 // engine has one free: 150 are written at once, of 224 slots.
 func TestBurstFillsNoEngineBeyondItsSlots(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 14)
-	for _, n := range engines(streaming(t, b, start, tower, 150)...) {
+	b := testDispatcher(t, 14)
+	for _, n := range enginesUsed(placeStreaming(t, b, startTime, shortDemand, 150)...) {
 		is.True(n <= testEngine.Slots) // slots of each engine
 	}
 }
@@ -137,20 +137,20 @@
 // what waits at the same engines, and the board counts that.
 func TestNewestShardDelaysOthers(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 4)
-	first := place(t, b, start, withPrompt(audit, 250000))
+	b := testDispatcher(t, 4)
+	first := place(t, b, startTime, withPrompt(longDemand, 250000))
 	is.Equal(len(first.Helpers), 3)
-	before := first.request.finish()
-	now, d := start.Add(100*time.Millisecond), withPrompt(audit, 60000)
-	loads := b.look(now, d, b.usable(now, d))
+	before := first.request.prefilledAt()
+	now, d := startTime.Add(100*time.Millisecond), withPrompt(longDemand, 60000)
+	candidates := b.newCandidates(now, d, b.usableUpstreams(now, d))
 	s := search{forecast: &b.forecast}
-	joint := s.joint(now, d, loads, 2)
-	is.True(joint.finish < time.Second)
-	for _, o := range joint.offers {
-		o.worker.add(now, &part{worker: o.worker, request: first.request, job: o.job})
+	joint := s.bestJoint(now, d, candidates, 2)
+	is.True(joint.prefillDelay < time.Second)
+	for _, o := range joint.estimates {
+		o.upstream.add(now, &assignment{upstream: o.upstream, request: first.request, job: o.job})
 	}
-	b.look(now, d, b.usable(now, d))
-	is.True(first.request.finish().After(before.Add(150 * time.Millisecond))) // half of it takes 0.3 s
+	b.newCandidates(now, d, b.usableUpstreams(now, d))
+	is.True(first.request.prefilledAt().After(before.Add(150 * time.Millisecond))) // half of it takes 0.3 s
 }
 
 // A prompt does not go first where what it goes before would then be its pauses: with
@@ -158,15 +158,15 @@
 // its first event, and one that waits is on time.
 func TestPromptWaitsToAvoidGaps(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 4)
-	place(t, b, start, withPrompt(audit, 250000))
-	now := start.Add(100 * time.Millisecond)
-	second := place(t, b, now, withPrompt(audit, 60000))
-	is.True(second.ExpectedFirstByte < audit.FirstByteTarget)
-	b.look(now, audit, b.usable(now, audit))
-	for _, w := range b.workers {
-		for _, f := range w.fates {
-			is.True(f.Pause < audit.GapTarget)
+	b := testDispatcher(t, 4)
+	place(t, b, startTime, withPrompt(longDemand, 250000))
+	now := startTime.Add(100 * time.Millisecond)
+	second := place(t, b, now, withPrompt(longDemand, 60000))
+	is.True(second.ExpectedFirstByte < longDemand.FirstByteTarget)
+	b.newCandidates(now, longDemand, b.usableUpstreams(now, longDemand))
+	for _, u := range b.upstreams {
+		for _, f := range u.projections {
+			is.True(f.Pause < longDemand.GapTarget)
 		}
 	}
 }
@@ -176,17 +176,17 @@
 func TestShardsAvoidEnginesDecodingLongAnswers(t *testing.T) {
 	is := is.New(t)
 	for _, begun := range []bool{false, true} {
-		b := testBoard(t, 8)
-		first := place(t, b, start, withPrompt(audit, 228000))
-		now := start.Add(first.ExpectedFirstByte - 20*time.Millisecond)
+		b := testDispatcher(t, 8)
+		first := place(t, b, startTime, withPrompt(longDemand, 228000))
+		now := startTime.Add(first.ExpectedFirstByte - 20*time.Millisecond)
 		if begun {
-			now = start.Add(first.ExpectedFirstByte + 500*time.Millisecond)
-			first.FirstByteSeen(start.Add(first.ExpectedFirstByte))
+			now = startTime.Add(first.ExpectedFirstByte + 500*time.Millisecond)
+			first.FirstByteSeen(startTime.Add(first.ExpectedFirstByte))
 		}
-		place(t, b, now, withPrompt(audit, 224000))
-		b.look(now, audit, b.usable(now, audit))
-		for _, f := range first.request.parts[0].worker.fates {
-			is.True(f.Pause < audit.GapTarget)
+		place(t, b, now, withPrompt(longDemand, 224000))
+		b.newCandidates(now, longDemand, b.usableUpstreams(now, longDemand))
+		for _, f := range first.request.assignments[0].upstream.projections {
+			is.True(f.Pause < longDemand.GapTarget)
 		}
 	}
 }
@@ -196,15 +196,15 @@
 // long. Taken then, audits filled all slots, and for eight seconds nine of ten queries were late.
 func TestLongPromptWaitsWhileSlotsAreScarce(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 14)
-	streaming(t, b, start, tower, 190)
-	now := start.Add(time.Second)
-	short := withPrompt(audit, 100000) // each of 14 engines would prefill for 106 ms
+	b := testDispatcher(t, 14)
+	placeStreaming(t, b, startTime, shortDemand, 190)
+	now := startTime.Add(time.Second)
+	short := withPrompt(longDemand, 100000) // each of 14 engines would prefill for 106 ms
 	_, refusal := b.Place(now, short)
 	is.True(refusal != nil && refusal.Deferrable)
 	// As many answers that bear its pauses, on as few of many engines, are no reason to wait.
-	b = testBoard(t, 40)
-	streaming(t, b, start, tower, 190)
+	b = testDispatcher(t, 40)
+	placeStreaming(t, b, startTime, shortDemand, 190)
 	_, refusal = b.Place(now, short)
 	is.True(refusal == nil)
 }
@@ -213,12 +213,12 @@
 // not taken elsewhere, where it would wait as well and be prefilled again.
 func TestNoRequestIsAcceptedWhileSlotsAreFull(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 4)
-	streaming(t, b, start, tower, 40)
-	is.True(b.Accepts(start, tower))
-	streaming(t, b, start, tower, 24)
-	is.True(!b.Accepts(start, tower))
-	is.True(b.Accepts(start, Demand{Service: "app"}))
+	b := testDispatcher(t, 4)
+	placeStreaming(t, b, startTime, shortDemand, 40)
+	is.True(b.Accepts(startTime, shortDemand))
+	placeStreaming(t, b, startTime, shortDemand, 24)
+	is.True(!b.Accepts(startTime, shortDemand))
+	is.True(b.Accepts(startTime, Demand{Service: "app"}))
 }
 
 // A heavy prompt waits at its entry while engines have much to prefill, and is placed once
@@ -226,22 +226,22 @@
 // leave engines full of prefill to a burst of short prompts.
 func TestLongPromptWaitsWhileEnginesAreBusy(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 12)
-	place(t, b, start, withPrompt(audit, 300000))
-	now := start.Add(100 * time.Millisecond)
-	_, refusal := b.Place(now, audit)
+	b := testDispatcher(t, 12)
+	place(t, b, startTime, withPrompt(longDemand, 300000))
+	now := startTime.Add(100 * time.Millisecond)
+	_, refusal := b.Place(now, longDemand)
 	is.True(refusal != nil)
 	is.True(refusal.Deferrable)
 	for _, s := range []struct {
 		d     Demand
 		early bool
-	}{{tower, false}, {audit, true}} {
-		_, refusal := b.find(now, s.d)
+	}{{shortDemand, false}, {longDemand, true}} {
+		_, refusal := b.choose(now, s.d)
 		is.Equal(refusal != nil && refusal.Deferrable, s.early)
 	}
-	waited := audit
-	for waited.Waited = 0; waited.Waited < audit.FirstByteTarget; waited.Waited += 25 * time.Millisecond {
-		if _, refusal := b.find(now.Add(waited.Waited), waited); refusal == nil {
+	waited := longDemand
+	for waited.Waited = 0; waited.Waited < longDemand.FirstByteTarget; waited.Waited += 25 * time.Millisecond {
+		if _, refusal := b.choose(now.Add(waited.Waited), waited); refusal == nil {
 			break
 		}
 	}
@@ -254,18 +254,18 @@
 // to the burst of tower queries that followed.
 func TestCostlyPromptIsRefusedUnderBacklog(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 4)
+	b := testDispatcher(t, 4)
 	refused := (*Refusal)(nil)
 	for range 10 {
-		_, refused = b.Place(start, withPrompt(audit, 280000))
+		_, refused = b.Place(startTime, withPrompt(longDemand, 280000))
 		if refused != nil {
 			break
 		}
 	}
 	is.True(refused != nil)
 	is.Equal(refused.Reason, "too_costly")
-	is.True(refused.RetryAfter >= leastRetry && refused.RetryAfter <= mostRetry)
-	_, refused = b.Place(start, tower)
+	is.True(refused.RetryAfter >= minRetryAfter && refused.RetryAfter <= maxRetryAfter)
+	_, refused = b.Place(startTime, shortDemand)
 	is.True(refused == nil) // short questions are still taken
 }
 
@@ -276,10 +276,10 @@
 	is := is.New(t)
 	used := map[string]int{}
 	for seed := range 7 {
-		b := testBoard(t, 14)
+		b := testDispatcher(t, 14)
 		b.random = rand.New(rand.NewPCG(uint64(seed), 9))
 		b.SetPeers(6, true)
-		for id, n := range engines(streaming(t, b, start, tower, 10)...) {
+		for id, n := range enginesUsed(placeStreaming(t, b, startTime, shortDemand, 10)...) {
 			used[id] += n
 		}
 	}
@@ -297,60 +297,60 @@
 // is read before the others' next event, 28 ms each.
 func TestSimultaneousChoicesSpread(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 54)
+	b := testDispatcher(t, 54)
 	b.SetPeers(70, false)
 	random := rand.New(rand.NewPCG(3, 4))
-	for _, p := range streaming(t, b, start, tower, 400) {
+	for _, p := range placeStreaming(t, b, startTime, shortDemand, 400) {
 		if random.Float64() < 0.2 {
-			p.End(start, Answered)
+			p.End(startTime, Answered)
 		}
 	}
-	meetings, most := 0, 0
+	collisions, maxSame := 0, 0
 	for range 50 {
 		used := map[string]int{}
 		for range 4 {
-			p, refusal := b.find(start, tower)
+			p, refusal := b.choose(startTime, shortDemand)
 			is.True(refusal == nil)
 			used[p.First.ID]++
 		}
 		for _, n := range used {
-			meetings += n - 1
-			most = max(most, n)
+			collisions += n - 1
+			maxSame = max(maxSame, n)
 		}
 	}
-	is.True(most <= 3)
-	is.True(meetings <= 50*4/4) // prompts that meet another: a quarter at most
+	is.True(maxSame <= 3)
+	is.True(collisions <= 50*4/4) // prompts that meet another: a quarter at most
 }
 
 // What peers say of their load counts as one's own, until it is old.
 func TestPeerLoadCountsUntilItExpires(t *testing.T) {
 	is := is.New(t)
-	near, far := testBoard(t, 2), testBoard(t, 2)
-	streaming(t, far, start, tower, 14)
-	near.Import(start, WireIDOf("far"), far.Export(start, false))
+	local, peer := testDispatcher(t, 2), testDispatcher(t, 2)
+	placeStreaming(t, peer, startTime, shortDemand, 14)
+	local.Import(startTime, WireIDOf("far"), peer.Export(startTime, false))
 	loads := map[string]int{}
-	for id, w := range near.workers {
-		loads[id] = w.load(start).Running
+	for id, u := range local.upstreams {
+		loads[id] = u.load(startTime).Running
 	}
 	is.Equal(loads["e00"]+loads["e01"], 14)
-	late := start.Add(shareLife + time.Second)
-	near.Export(late, true)
-	is.Equal(near.workers["e00"].load(late).Running+near.workers["e01"].load(late).Running, 0)
+	late := startTime.Add(requestLoadTTL + time.Second)
+	local.Export(late, true)
+	is.Equal(local.upstreams["e00"].load(late).Running+local.upstreams["e01"].load(late).Running, 0)
 }
 
 // What an entry is told before it knows the upstreams counts once it does: one that has just started
 // hears its peers before it has read the store.
 func TestPeerRequestsResolveUpstreamsListedLater(t *testing.T) {
 	is := is.New(t)
-	near, far := New("a", rand.New(rand.NewPCG(3, 4))), testBoard(t, 2)
+	local, peer := New("a", rand.New(rand.NewPCG(3, 4))), testDispatcher(t, 2)
 	now := time.Now()
-	streaming(t, far, now, tower, 9)
-	near.Import(now, WireIDOf("far"), far.Export(now, false))
+	placeStreaming(t, peer, now, shortDemand, 9)
+	local.Import(now, WireIDOf("far"), peer.Export(now, false))
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}}})
 	is.NoErr(err)
-	near.Update(table, []Instance{{ID: "e00", Service: "lm"}, {ID: "e01", Service: "lm"}})
+	local.Update(table, []Instance{{ID: "e00", Service: "lm"}, {ID: "e01", Service: "lm"}})
 	sum := 0
-	for _, row := range near.Upstreams(now) {
+	for _, row := range local.Upstreams(now) {
 		sum += row.Load.Running
 	}
 	is.Equal(sum, 9)
@@ -360,28 +360,28 @@
 // fails is the last choice until it has been sound again.
 func TestFailingUpstreamsAreAvoided(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 2)
+	b := testDispatcher(t, 2)
 	d := Demand{Service: "app"}
-	down := place(t, b, start, d)
-	down.End(start, Unreachable)
+	down := place(t, b, startTime, d)
+	down.End(startTime, Unreachable)
 	for range 20 {
-		p := place(t, b, start.Add(100*time.Millisecond), d)
+		p := place(t, b, startTime.Add(100*time.Millisecond), d)
 		is.True(p.First.ID != down.First.ID)
-		p.End(start, Answered)
+		p.End(startTime, Answered)
 	}
-	failing := place(t, b, start, d)
+	failing := place(t, b, startTime, d)
 	for range 4 {
-		b.workers[failing.First.ID].health.failed(start)
+		b.upstreams[failing.First.ID].health.recordFailure(startTime)
 	}
-	failing.End(start, Failed)
+	failing.End(startTime, Failed)
 	for range 20 {
-		p := place(t, b, start, d)
+		p := place(t, b, startTime, d)
 		is.True(p.First.ID != failing.First.ID)
-		p.End(start, Answered)
+		p.End(startTime, Answered)
 	}
 	tried := false
 	for range 50 { // half a minute on it is tried again
-		p := place(t, b, start.Add(30*time.Second), d)
+		p := place(t, b, startTime.Add(30*time.Second), d)
 		tried = tried || p.First.ID == failing.First.ID
 	}
 	is.True(tried)
@@ -391,14 +391,14 @@
 // held, and none of them more than it has.
 func TestMemoryIsSplitAmongEngines(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 14)
-	p := place(t, b, start, withPrompt(audit, 600000))
-	held := 0
+	b := testDispatcher(t, 14)
+	p := place(t, b, startTime, withPrompt(longDemand, 600000))
+	total := 0
 	for _, tokens := range p.HelperMemoryTokens {
 		is.True(tokens <= testEngine.MemoryTokens)
-		held += tokens
+		total += tokens
 	}
-	is.True(held >= 600000+audit.AnswerTokens-testEngine.MemoryTokens)
+	is.True(total >= 600000+longDemand.AnswerTokens-testEngine.MemoryTokens)
 	is.True(len(p.HelperMemoryTokens) <= 3) // orders to engines cost
 }
 
@@ -407,49 +407,49 @@
 // (incident inc-230e refused five such prompts).
 func TestPromptThatFitsIsNotRefusedForMemory(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 2)
-	for _, w := range b.workers {
-		if w.engine != nil {
-			w.parts[&part{worker: w, held: testEngine.MemoryTokens, request: &request{begun: true}, job: predictor.Job{Decodes: true}}] = true
+	b := testDispatcher(t, 2)
+	for _, u := range b.upstreams {
+		if u.engine != nil {
+			u.assignments[&assignment{upstream: u, memoryTokens: testEngine.MemoryTokens, request: &request{firstByteSeen: true}, job: predictor.Job{Decodes: true}}] = true
 		}
 	}
 	for _, tokens := range []int{5000, 15000, 45000} {
-		_, refusal := b.Place(start, withPrompt(tower, tokens))
+		_, refusal := b.Place(startTime, withPrompt(shortDemand, tokens))
 		if refusal != nil {
 			t.Errorf("%d tokens: %v", tokens, refusal)
 		}
 	}
-	_, refusal := b.Place(start, withPrompt(audit, 400000))
+	_, refusal := b.Place(startTime, withPrompt(longDemand, 400000))
 	is.True(refusal != nil) // this one has nowhere to go
 }
 
 // At rest the board is empty.
 func TestDispatcherIsEmptyAtRest(t *testing.T) {
 	is := is.New(t)
-	b := testBoard(t, 14)
+	b := testDispatcher(t, 14)
 	var all []*Placement
 	for i := range 60 {
-		all = append(all, place(t, b, start, []Demand{tower, span}[i%2]))
+		all = append(all, place(t, b, startTime, []Demand{shortDemand, mediumDemand}[i%2]))
 	}
 	for i, p := range all {
 		if i%3 > 0 {
-			p.FirstByteSeen(start)
+			p.FirstByteSeen(startTime)
 		}
-		p.End(start, Result(i%4))
+		p.End(startTime, Result(i%4))
 	}
-	for _, w := range b.workers {
-		is.Equal(len(w.parts), 0)
-		l := w.load(start)
+	for _, u := range b.upstreams {
+		is.Equal(len(u.assignments), 0)
+		l := u.load(startTime)
 		is.Equal(l.Running, 0)
 		is.Equal(l.PrefillBacklog, time.Duration(0))
 	}
 }
 
-func BenchmarkPlaceShort(b *testing.B) { benchmarkPlace(b, tower) }
-func BenchmarkPlaceLong(b *testing.B)  { benchmarkPlace(b, audit) }
+func BenchmarkPlaceShort(b *testing.B) { benchmarkPlace(b, shortDemand) }
+func BenchmarkPlaceLong(b *testing.B)  { benchmarkPlace(b, longDemand) }
 
 func benchmarkPlace(b *testing.B, d Demand) {
-	board := New("a", rand.New(rand.NewPCG(1, 2)))
+	dispatcher := New("a", rand.New(rand.NewPCG(1, 2)))
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}}})
 	if err != nil {
 		b.Fatal(err)
@@ -458,14 +458,14 @@
 	for i := range 54 {
 		instances = append(instances, Instance{ID: fmt.Sprintf("e%02d", i), Service: "lm", Slots: 16})
 	}
-	board.Update(table, instances)
+	dispatcher.Update(table, instances)
 	b.ReportAllocs()
 	for b.Loop() {
-		p, refusal := board.Place(start, d)
+		p, refusal := dispatcher.Place(startTime, d)
 		if refusal != nil {
 			b.Fatal(refusal)
 		}
-		p.End(start, Answered)
+		p.End(startTime, Answered)
 	}
 }
 
@@ -477,9 +477,9 @@
 func TestLongPromptLeavesAnswersTimeToEnd(t *testing.T) {
 	for _, long := range []string{"e00", "e01"} {
 		is := is.New(t)
-		b := testBoard(t, 2)
+		b := testDispatcher(t, 2)
 		only := func(now time.Time, d Demand, id string) *Placement {
-			for other := range b.workers {
+			for other := range b.upstreams {
 				if other != id {
 					d.Avoid = append(d.Avoid, Instance{ID: other})
 				}
@@ -487,19 +487,19 @@
 			d.NoHelpers, d.Admitted = true, true
 			return place(t, b, now, d)
 		}
-		now := start.Add(2 * time.Second)
+		now := startTime.Add(2 * time.Second)
 		for _, id := range []string{"e00", "e01"} {
-			d := tower
+			d := shortDemand
 			d.AnswerTokens, d.Remaining = 51*5, 7*time.Second
 			if id == long {
 				d.AnswerTokens = 51 * 80
 			}
-			only(start, d, id).FirstByteSeen(start.Add(40 * time.Millisecond))
+			only(startTime, d, id).FirstByteSeen(startTime.Add(40 * time.Millisecond))
 			// This has the answer pause for over a second.
-			only(start.Add(50*time.Millisecond), withPrompt(span, 80000), id)
-			b.workers[id].queue.Advance(now)
+			only(startTime.Add(50*time.Millisecond), withPrompt(mediumDemand, 80000), id)
+			b.upstreams[id].queue.Advance(now)
 		}
-		d := withPrompt(audit, 130000)
+		d := withPrompt(longDemand, 130000)
 		d.NoHelpers, d.Admitted, d.Remaining = true, true, 15*time.Second
 		p := place(t, b, now, d)
 		is.True(p.First.ID != long)
@@ -510,13 +510,13 @@
 // to accept no connections; it failed, and would have been answered.
 func TestUnreachableUpstreamsAcceptNothing(t *testing.T) {
 	is := is.New(t)
-	b, now := testBoard(t, 1), time.Now()
+	b, now := testDispatcher(t, 1), time.Now()
 	call := Demand{Service: "app"}
 	is.True(b.Accepts(now, call))
 	for _, id := range []string{"s0", "s1", "s2"} {
-		b.workers[id].health.unreachable(now)
+		b.upstreams[id].health.recordUnreachable(now)
 	}
 	is.True(!b.Accepts(now, call))
 	place(t, b, now, call) // but who has no other is sent there
-	is.True(b.Accepts(now.Add(leastBlock), call))
+	is.True(b.Accepts(now.Add(minBlock), call))
 }
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -8,8 +8,8 @@
 
 // Placement is a request's place. Its owner reports what becomes of it.
 type Placement struct {
-	board   *Dispatcher
-	request *request
+	dispatcher *Dispatcher
+	request    *request
 	// First answers the request; Helpers prefill parts of the prompt.
 	First   Instance
 	Helpers []Instance
@@ -24,63 +24,63 @@
 
 // FirstByteSeen reports that the first byte of the answer was seen.
 func (p *Placement) FirstByteSeen(now time.Time) {
-	b, r := p.board, p.request
+	b, r := p.dispatcher, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	joint := len(r.parts) > 1
-	w := r.parts[0].worker
-	if w.queue != nil && !joint {
-		w.queue.PassSeen(now)
+	isJoint := len(r.assignments) > 1
+	u := r.assignments[0].upstream
+	if u.queue != nil && !isJoint {
+		u.queue.PassSeen(now)
 	}
-	r.begin(now)
-	if joint || r.parts[0].job.Prefill > toldPrefill {
-		b.tell(r)
+	r.recordFirstByte(now)
+	if isJoint || r.assignments[0].job.Prefill > minReportedPrefill {
+		b.queueUpdate(r)
 	}
-	w.health.succeeded(now)
-	if p.ExpectedFirstByte > 0 && !joint {
-		w.health.paced(now, float64(now.Sub(r.placed))/float64(p.ExpectedFirstByte+paceSlack))
+	u.health.recordSuccess(now)
+	if p.ExpectedFirstByte > 0 && !isJoint {
+		u.health.recordPace(now, float64(now.Sub(r.placedAt))/float64(p.ExpectedFirstByte+paceSlack))
 	}
 }
 
 // EventSeen reports that one more event of the answer was seen: the engine has
 // just ended a pass.
 func (p *Placement) EventSeen(now time.Time) {
-	p.board.lock.Lock()
-	defer p.board.lock.Unlock()
-	if w := p.request.parts[0].worker; w.queue != nil {
-		w.queue.PassSeen(now)
+	p.dispatcher.lock.Lock()
+	defer p.dispatcher.lock.Unlock()
+	if u := p.request.assignments[0].upstream; u.queue != nil {
+		u.queue.PassSeen(now)
 	}
 }
 
-// begin notes that the first event of the answer was seen.
-func (r *request) begin(now time.Time) {
-	r.begun = true
-	for _, p := range r.parts {
-		if p.worker.queue != nil {
-			p.worker.queue.Begun(now, &p.job)
+// recordFirstByte notes that the first event of the answer was seen.
+func (r *request) recordFirstByte(now time.Time) {
+	r.firstByteSeen = true
+	for _, a := range r.assignments {
+		if a.upstream.queue != nil {
+			a.upstream.queue.Begun(now, &a.job)
 		}
 	}
 }
 
-// toldPrefill is the prefill whose end is worth a message to peers: what is
+// minReportedPrefill is the prefill whose end is worth a message to peers: what is
 // shorter they expect to be done by the time it reaches them.
-const toldPrefill = 100 * time.Millisecond
+const minReportedPrefill = 100 * time.Millisecond
 
 // ExpectedSilence is how long the request's upstream may say nothing because of what it
 // is expected to prefill.
 func (p *Placement) ExpectedSilence() time.Duration {
-	p.board.lock.Lock()
-	defer p.board.lock.Unlock()
-	first := p.request.parts[0].worker
+	p.dispatcher.lock.Lock()
+	defer p.dispatcher.lock.Unlock()
+	first := p.request.assignments[0].upstream
 	if first.engine == nil {
 		return 0
 	}
 	now := time.Now()
 	l := first.load(now)
 	prefill := l.PrefillBacklog
-	for _, o := range p.request.parts {
-		if !p.request.begun {
-			prefill = max(prefill, o.worker.load(now).PrefillBacklog)
+	for _, a := range p.request.assignments {
+		if !p.request.firstByteSeen {
+			prefill = max(prefill, a.upstream.load(now).PrefillBacklog)
 		}
 	}
 	pass := predictor.DecodePass(first.engine, l.Running, l.MemoryTokens)
@@ -125,25 +125,25 @@
 
 // End takes the request off the board.
 func (p *Placement) End(now time.Time, result Result) {
-	b, r := p.board, p.request
+	b, r := p.dispatcher, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	h := &r.parts[0].worker.health
+	h := &r.assignments[0].upstream.health
 	switch result {
 	case Failed, Incomplete, Full:
-		h.failed(now)
+		h.recordFailure(now)
 	case Unreachable:
-		h.unreachable(now)
+		h.recordUnreachable(now)
 	}
-	delete(b.own, r.token)
-	b.drop(now, r)
-	b.tellEnd(r, result.outcome())
+	delete(b.ownRequests, r.wireID)
+	b.unassign(now, r)
+	b.queueEnd(r, result.outcome())
 }
 
-// drop takes a request's parts off their workers.
-func (b *Dispatcher) drop(now time.Time, r *request) {
-	for _, p := range r.parts {
-		p.worker.remove(now, p)
+// unassign takes a request's parts off their workers.
+func (b *Dispatcher) unassign(now time.Time, r *request) {
+	for _, a := range r.assignments {
+		a.upstream.remove(now, a)
 	}
 }
 
@@ -151,21 +151,21 @@
 // have started anew: what it had of the request is gone. The function must not block
 // nor call the board.
 func (p *Placement) OnRestart(call func()) {
-	b, r := p.board, p.request
+	b, r := p.dispatcher, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	r.onLost = call
-	if r.lost {
-		r.lose()
+	r.onRestart = call
+	if r.upstreamRestarted {
+		r.notifyRestart()
 	}
 }
 
-// lose notes that an upstream of the request has started anew.
-func (r *request) lose() {
-	r.lost = true
-	if r.onLost != nil {
-		r.onLost()
-		r.onLost = nil
+// notifyRestart notes that an upstream of the request has started anew.
+func (r *request) notifyRestart() {
+	r.upstreamRestarted = true
+	if r.onRestart != nil {
+		r.onRestart()
+		r.onRestart = nil
 	}
 }
 
@@ -173,7 +173,7 @@
 func (b *Dispatcher) ReportHelperFailure(now time.Time, helper Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if w, ok := b.workers[helper.ID]; ok && w.instance.SameIncarnation(helper) {
-		w.health.failed(now)
+	if u, ok := b.upstreams[helper.ID]; ok && u.instance.SameIncarnation(helper) {
+		u.health.recordFailure(now)
 	}
 }
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -8,99 +8,99 @@
 
 // request is what one request does at upstreams, one of this entry's or of a peer's.
 type request struct {
-	token WireID
-	// prompt and answer are token counts.
-	prompt, answer int
-	// target and pause are those of the route; pause is 0 for plain requests.
-	target, pause time.Duration
-	value         float64
-	// placed is when it was sent, since when its caller waits from.
-	placed, since time.Time
-	// left is how long after that its caller waits for the whole answer; 0 if unknown.
-	left time.Duration
-	// begun is true once the first event of the answer was seen.
-	begun bool
-	// parts are what each upstream does for it, the one that answers first.
-	parts []*part
-	// lost is true once one of the upstreams has started anew; onLost is then called
+	wireID WireID
+	// promptTokens and answer are token counts.
+	promptTokens, answerTokens int
+	// firstByteTarget and pause are those of the route; pause is 0 for plain requests.
+	firstByteTarget, gapTarget time.Duration
+	value                      float64
+	// placedAt is when it was sent, since when its caller waits from.
+	placedAt, waitingSince time.Time
+	// remaining is how long after that its caller waits for the whole answer; 0 if unknown.
+	remaining time.Duration
+	// firstByteSeen is true once the first event of the answer was seen.
+	firstByteSeen bool
+	// assignments are what each upstream does for it, the one that answers first.
+	assignments []*assignment
+	// upstreamRestarted is true once one of the upstreams has started anew; onLost is then called
 	// once, nil where nobody asked.
-	lost   bool
-	onLost func()
-	// engines is how many upstreams a peer's request has, unknown those of them that
+	upstreamRestarted bool
+	onRestart         func()
+	// upstreamCount is how many upstreams a peer's request has, unknown those of them that
 	// are not known here yet.
-	engines int
-	unknown []AssignmentLoad
-	// heard is when a peer last told of it, and had not seen its first event.
-	heard time.Time
-	// toldAt is when a peer first told of it; zero for this entry's own.
-	toldAt time.Time
-	// expires is until when what a peer told counts.
-	expires time.Time
+	upstreamCount    int
+	unknownUpstreams []AssignmentLoad
+	// lastPendingAt is when a peer last told of it, and had not seen its first event.
+	lastPendingAt time.Time
+	// firstReportedAt is when a peer first told of it; zero for this entry's own.
+	firstReportedAt time.Time
+	// expiresAt is until when what a peer told counts.
+	expiresAt time.Time
 }
 
-// part is what one request does at one upstream.
-type part struct {
-	worker  *worker
-	request *request
-	job     predictor.Job
-	// held is the memory it has there, in tokens.
-	held int
-	// done is when its prefill is expected to end there.
-	done time.Time
+// assignment is what one request does at one upstream.
+type assignment struct {
+	upstream *upstream
+	request  *request
+	job      predictor.Job
+	// memoryTokens is the memory it has there, in tokens.
+	memoryTokens int
+	// prefilledAt is when its prefill is expected to end there.
+	prefilledAt time.Time
 }
 
-// finish is when the last part is expected to be prefilled.
-func (r *request) finish() time.Time {
-	last := r.placed
-	for _, p := range r.parts {
-		if p.done.After(last) {
-			last = p.done
+// prefilledAt is when the last part is expected to be prefilled.
+func (r *request) prefilledAt() time.Time {
+	latest := r.placedAt
+	for _, a := range r.assignments {
+		if a.prefilledAt.After(latest) {
+			latest = a.prefilledAt
 		}
 	}
-	return last
+	return latest
 }
 
-// elsewhere is when the other parts of the request are expected to be prefilled.
-func (p *part) elsewhere() time.Time {
-	last := p.request.placed
-	for _, o := range p.request.parts {
-		if o != p && o.done.After(last) {
-			last = o.done
+// othersPrefilledAt is when the other parts of the request are expected to be prefilled.
+func (a *assignment) othersPrefilledAt() time.Time {
+	latest := a.request.placedAt
+	for _, o := range a.request.assignments {
+		if o != a && o.prefilledAt.After(latest) {
+			latest = o.prefilledAt
 		}
 	}
-	return last
+	return latest
 }
 
 // overdue is how long a first event has been late beyond what was expected.
 // What a peer told late counts up to when it told.
-func (p *part) overdue(now time.Time) time.Duration {
-	r := p.request
-	if r.begun || r.pause == 0 {
+func (a *assignment) overdue(now time.Time) time.Duration {
+	r := a.request
+	if r.firstByteSeen || r.gapTarget == 0 {
 		return 0
 	}
-	if !r.expires.IsZero() {
-		now = r.heard
+	if !r.expiresAt.IsZero() {
+		now = r.lastPendingAt
 	}
-	return max(0, now.Sub(r.finish())-paceSlack)
+	return max(0, now.Sub(r.prefilledAt())-paceSlack)
 }
 
 // loss is what a request loses by what becomes of one of its parts.
-func (p *part) loss(f predictor.Fate, elsewhere time.Time) float64 {
-	r := p.request
-	if r.pause == 0 {
+func (a *assignment) loss(projection predictor.Fate, othersPrefilledAt time.Time) float64 {
+	r := a.request
+	if r.gapTarget == 0 {
 		return 0
 	}
-	finish := f.Done
-	if elsewhere.After(finish) {
-		finish = elsewhere
+	prefilledAt := projection.Done
+	if othersPrefilledAt.After(prefilledAt) {
+		prefilledAt = othersPrefilledAt
 	}
-	pause := time.Duration(0)
-	if p.job.Decodes {
-		pause = f.Pause
+	longestGap := time.Duration(0)
+	if a.job.Decodes {
+		longestGap = projection.Pause
 	}
-	unfinished := 0.0
-	if p.job.Decodes {
-		unfinished = over(f.End.Sub(r.placed), r.left, endFrom, endTo)
+	unfinishedRisk := 0.0
+	if a.job.Decodes {
+		unfinishedRisk = overProbability(projection.End.Sub(r.placedAt), r.remaining, endFrom, endTo)
 	}
-	return r.value * streamLoss(finish.Sub(r.since), r.target, pause, r.pause, unfinished)
+	return r.value * lossFraction(prefilledAt.Sub(r.waitingSince), r.firstByteTarget, longestGap, r.gapTarget, unfinishedRisk)
 }
--- a/dispatcher/share_test.go
+++ b/dispatcher/requestload_test.go
@@ -15,7 +15,7 @@
 // Shares come through a message as they were, whatever their number.
 func TestLoadUpdatesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var shares []RequestLoad
+		var loads []RequestLoad
 		for range rapid.IntRange(0, 40).Draw(t, "shares") {
 			s := RequestLoad{ID: WireID(rapid.Uint32().Draw(t, "request")), Ended: rapid.Bool().Draw(t, "ended")}
 			if s.Ended {
@@ -34,27 +34,27 @@
 				s.GapTarget = time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond
 				for range rapid.IntRange(1, 17).Draw(t, "parts") {
 					s.Assignments = append(s.Assignments, AssignmentLoad{
-						Upstream: WireIDOf(rapid.String().Draw(t, "id")), MemoryTokens: heldUnit * rapid.IntRange(0, 1<<14).Draw(t, "held"), Decodes: len(s.Assignments) == 0,
+						Upstream: WireIDOf(rapid.String().Draw(t, "id")), MemoryTokens: memoryUnit * rapid.IntRange(0, 1<<14).Draw(t, "held"), Decodes: len(s.Assignments) == 0,
 					})
 				}
 			}
-			shares = append(shares, s)
+			loads = append(loads, s)
 		}
 		var got []RequestLoad
-		for _, m := range EncodeLoadUpdates(WireIDOf("entry-1"), shares) {
-			if len(m) > maxShare {
+		for _, m := range EncodeLoadUpdates(WireIDOf("entry-1"), loads) {
+			if len(m) > maxLoadUpdate {
 				t.Fatalf("message of %d bytes", len(m))
 			}
-			from, part, err := DecodeLoadUpdate(m)
+			from, decoded, err := DecodeLoadUpdate(m)
 			if err != nil || from != WireIDOf("entry-1") {
 				t.Fatalf("from %d: %v", from, err)
 			}
-			got = append(got, part...)
+			got = append(got, decoded...)
 		}
-		if len(got) != len(shares) {
-			t.Fatalf("%d shares of %d", len(got), len(shares))
+		if len(got) != len(loads) {
+			t.Fatalf("%d loads of %d", len(got), len(loads))
 		}
-		for i, s := range shares {
+		for i, s := range loads {
 			if !reflect.DeepEqual(got[i], s) {
 				t.Fatalf("got %+v, want %+v", got[i], s)
 			}
@@ -64,7 +64,7 @@
 
 func TestMalformedLoadUpdates(t *testing.T) {
 	is := is.New(t)
-	for _, m := range [][]byte{nil, {0}, {shareFormat}, {shareFormat, 200}, {shareFormat, 1, 0, 0, 0, 9}} {
+	for _, m := range [][]byte{nil, {0}, {loadUpdateFormat}, {loadUpdateFormat, 200}, {loadUpdateFormat, 1, 0, 0, 0, 9}} {
 		_, _, err := DecodeLoadUpdate(m)
 		is.Equal(err, ErrLoadUpdate)
 	}
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -11,10 +11,10 @@
 // ShouldSettle reports whether the request is to wait for SettleTime before it is sent: a
 // heavy prompt, where other entries place too.
 func (p *Placement) ShouldSettle() bool {
-	b := p.board
+	b := p.dispatcher
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return b.peers > 0 && p.request.heavy()
+	return b.peerCount > 0 && p.request.hasLongPrefill()
 }
 
 // ShouldYield reports whether the request is to give up its place, since a peer placed a heavy
@@ -23,13 +23,13 @@
 // for both, and then hold up everything that was placed there since. Of two that were
 // placed at the same moment one yields, at both entries the same.
 func (p *Placement) ShouldYield(now time.Time) bool {
-	b, r := p.board, p.request
+	b, r := p.dispatcher, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	for _, own := range r.parts {
-		for other := range own.worker.parts {
+	for _, a := range r.assignments {
+		for other := range a.upstream.assignments {
 			rival := other.request
-			if rival.toldAt.After(r.placed) && rival.heavy() && (rival.sent(now) || rival.precedes(r)) {
+			if rival.firstReportedAt.After(r.placedAt) && rival.hasLongPrefill() && (rival.isSent(now) || rival.precedes(r)) {
 				return true
 			}
 		}
@@ -37,22 +37,22 @@
 	return false
 }
 
-// heavy reports whether the request's prompt is.
-func (r *request) heavy() bool {
-	e := r.parts[0].worker.engine
-	return e != nil && heavy(e, r.prompt)
+// hasLongPrefill reports whether the request's prompt is.
+func (r *request) hasLongPrefill() bool {
+	e := r.assignments[0].upstream.engine
+	return e != nil && hasLongPrefill(e, r.promptTokens)
 }
 
-// sent reports whether a heavy request has been sent to its engines by a time, a moment
+// isSent reports whether a heavy request has been sent to its engines by a time, a moment
 // for the way of what was told of it included.
-func (r *request) sent(now time.Time) bool { return now.Sub(r.placed) > 2*SettleDelay }
+func (r *request) isSent(now time.Time) bool { return now.Sub(r.placedAt) > 2*SettleDelay }
 
 // precedes orders requests that were placed at the same moment, alike at all entries: the
 // one whose caller has waited longer goes first.
 func (r *request) precedes(o *request) bool {
-	a, b := r.placed.Sub(r.since).Milliseconds(), o.placed.Sub(o.since).Milliseconds()
+	a, b := r.placedAt.Sub(r.waitingSince).Milliseconds(), o.placedAt.Sub(o.waitingSince).Milliseconds()
 	if a != b {
 		return a > b
 	}
-	return r.token < o.token
+	return r.wireID < o.wireID
 }
--- a/dispatcher/settle_test.go
+++ b/dispatcher/settle_test.go
@@ -9,41 +9,41 @@
 	"github.com/matryer/is"
 )
 
-// entriesBefore returns the boards of entries before the same engines, which hear each other.
-func entriesBefore(t *testing.T, entries, engines int) []*Dispatcher {
+// newPeers returns the boards of entries before the same engines, which hear each other.
+func newPeers(t *testing.T, count, engines int) []*Dispatcher {
 	t.Helper()
-	var boards []*Dispatcher
-	for i := range entries {
-		b := testBoard(t, engines)
+	var dispatchers []*Dispatcher
+	for i := range count {
+		b := testDispatcher(t, engines)
 		b.random = rand.New(rand.NewPCG(7, uint64(i)))
-		b.SetPeers(entries-1, false)
-		boards = append(boards, b)
+		b.SetPeers(count-1, false)
+		dispatchers = append(dispatchers, b)
 	}
-	return boards
+	return dispatchers
 }
 
-// tellAll has each board hear what changed at the others, or all that they have.
-func tellAll(t *testing.T, now time.Time, boards []*Dispatcher, all bool) {
+// exchangeUpdates has each board hear what changed at the others, or all that they have.
+func exchangeUpdates(t *testing.T, now time.Time, dispatchers []*Dispatcher, all bool) {
 	t.Helper()
-	for i, from := range boards {
+	for i, from := range dispatchers {
 		for _, m := range EncodeLoadUpdates(WireIDOf(fmt.Sprint(i)), from.Export(now, all)) {
-			peer, shares, err := DecodeLoadUpdate(m)
+			peer, loads, err := DecodeLoadUpdate(m)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for j, to := range boards {
+			for j, to := range dispatchers {
 				if j != i {
-					to.Import(now, peer, shares)
+					to.Import(now, peer, loads)
 				}
 			}
 		}
 	}
 }
 
-// shared is how many engines two placements have in common.
-func shared(a, b *Placement) int {
+// commonEngines is how many engines two placements have in common.
+func commonEngines(a, b *Placement) int {
 	n := 0
-	for _, used := range engines(a, b) {
+	for _, used := range enginesUsed(a, b) {
 		n += used - 1
 	}
 	return n
@@ -64,24 +64,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			boards := entriesBefore(t, 2, 34)
+			dispatchers := newPeers(t, 2, 34)
 			var placed [2]*Placement
-			demands := [2]Demand{withPrompt(audit, 250_000), withPrompt(audit, 300_000)}
-			for i := range boards {
+			demands := [2]Demand{withPrompt(longDemand, 250_000), withPrompt(longDemand, 300_000)}
+			for i := range dispatchers {
 				demands[i].Waited = c.waited[i]
-				placed[i] = place(t, boards[i], start.Add(time.Duration(i)*time.Millisecond), demands[i])
+				placed[i] = place(t, dispatchers[i], startTime.Add(time.Duration(i)*time.Millisecond), demands[i])
 				is.True(placed[i].ShouldSettle())
 			}
-			is.True(shared(placed[0], placed[1]) > 0)
-			now := start.Add(5 * time.Millisecond)
-			tellAll(t, now, boards, false)
-			now = start.Add(SettleDelay)
-			goes := 1 - c.stays
+			is.True(commonEngines(placed[0], placed[1]) > 0)
+			now := startTime.Add(5 * time.Millisecond)
+			exchangeUpdates(t, now, dispatchers, false)
+			now = startTime.Add(SettleDelay)
+			yields := 1 - c.stays
 			is.True(!placed[c.stays].ShouldYield(now))
-			is.True(placed[goes].ShouldYield(now))
-			placed[goes].End(now, Answered)
-			again := place(t, boards[goes], now, demands[goes])
-			is.Equal(shared(again, placed[c.stays]), 0)
+			is.True(placed[yields].ShouldYield(now))
+			placed[yields].End(now, Answered)
+			again := place(t, dispatchers[yields], now, demands[yields])
+			is.Equal(commonEngines(again, placed[c.stays]), 0)
 			is.True(!again.ShouldYield(now.Add(SettleDelay)))
 		})
 	}
@@ -92,25 +92,25 @@
 	is := is.New(t)
 	for seed := range 40 {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
-		boards := entriesBefore(t, 2+random.IntN(14), 20+random.IntN(30))
-		placed := make([]*Placement, len(boards))
-		for i, b := range boards {
-			d := withPrompt(audit, 180_000+random.IntN(300_000))
+		dispatchers := newPeers(t, 2+random.IntN(14), 20+random.IntN(30))
+		placed := make([]*Placement, len(dispatchers))
+		for i, b := range dispatchers {
+			d := withPrompt(longDemand, 180_000+random.IntN(300_000))
 			d.Waited = time.Duration(random.IntN(4)) * time.Second
 			d.Admitted = true
-			placed[i] = place(t, b, start.Add(time.Duration(random.IntN(5000))*time.Microsecond), d)
+			placed[i] = place(t, b, startTime.Add(time.Duration(random.IntN(5000))*time.Microsecond), d)
 		}
-		tellAll(t, start.Add(8*time.Millisecond), boards, false)
+		exchangeUpdates(t, startTime.Add(8*time.Millisecond), dispatchers, false)
 		var stay []*Placement
 		for _, p := range placed {
-			if !p.ShouldYield(start.Add(SettleDelay + 5*time.Millisecond)) {
+			if !p.ShouldYield(startTime.Add(SettleDelay + 5*time.Millisecond)) {
 				stay = append(stay, p)
 			}
 		}
 		is.True(len(stay) > 0)
 		for i, p := range stay {
 			for _, o := range stay[:i] {
-				is.Equal(shared(p, o), 0)
+				is.Equal(commonEngines(p, o), 0)
 			}
 		}
 	}
@@ -120,13 +120,13 @@
 // caller has waited.
 func TestYieldsToSentRequest(t *testing.T) {
 	is := is.New(t)
-	boards := entriesBefore(t, 2, 17)
-	place(t, boards[0], start, withPrompt(audit, 250_000))
-	late := start.Add(40 * time.Millisecond)
-	d := withPrompt(audit, 250_000)
+	dispatchers := newPeers(t, 2, 17)
+	place(t, dispatchers[0], startTime, withPrompt(longDemand, 250_000))
+	late := startTime.Add(40 * time.Millisecond)
+	d := withPrompt(longDemand, 250_000)
 	d.Waited = 2 * time.Second
-	p := place(t, boards[1], late, d)
-	boards[1].Import(late.Add(time.Millisecond), WireIDOf("0"), boards[0].Export(late.Add(time.Millisecond), false))
+	p := place(t, dispatchers[1], late, d)
+	dispatchers[1].Import(late.Add(time.Millisecond), WireIDOf("0"), dispatchers[0].Export(late.Add(time.Millisecond), false))
 	is.True(p.ShouldYield(late.Add(SettleDelay)))
 }
 
@@ -134,11 +134,11 @@
 // other entry can meet.
 func TestOnlyLongPromptsSettle(t *testing.T) {
 	is := is.New(t)
-	boards := entriesBefore(t, 2, 2)
-	light := place(t, boards[0], start, tower)
-	place(t, boards[1], start, withPrompt(audit, 250_000))
-	tellAll(t, start.Add(5*time.Millisecond), boards, false)
-	is.True(!light.ShouldSettle())
-	heavy := place(t, testBoard(t, 17), start, withPrompt(audit, 250_000))
-	is.True(!heavy.ShouldSettle())
+	dispatchers := newPeers(t, 2, 2)
+	short := place(t, dispatchers[0], startTime, shortDemand)
+	place(t, dispatchers[1], startTime, withPrompt(longDemand, 250_000))
+	exchangeUpdates(t, startTime.Add(5*time.Millisecond), dispatchers, false)
+	is.True(!short.ShouldSettle())
+	long := place(t, testDispatcher(t, 17), startTime, withPrompt(longDemand, 250_000))
+	is.True(!long.ShouldSettle())
 }
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -21,23 +21,23 @@
 func (b *Dispatcher) Upstreams(now time.Time) []UpstreamStatus {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	var rows []UpstreamStatus
-	for _, workers := range b.services {
-		for _, w := range workers {
-			row := UpstreamStatus{Instance: w.instance, Load: w.load(now)}
-			row.Instance.Leaving = row.Instance.Leaving || w.wish.leaving
-			row.Backoff = max(0, w.wish.pausedTo.Sub(now))
-			if w.engine != nil {
-				row.MemoryTokens = w.engine.MemoryTokens
+	var statuses []UpstreamStatus
+	for _, upstreams := range b.services {
+		for _, u := range upstreams {
+			status := UpstreamStatus{Instance: u.instance, Load: u.load(now)}
+			status.Instance.Leaving = status.Instance.Leaving || u.backpressure.leaving
+			status.Backoff = max(0, u.backpressure.backoffUntil.Sub(now))
+			if u.engine != nil {
+				status.MemoryTokens = u.engine.MemoryTokens
 			}
-			rows = append(rows, row)
+			statuses = append(statuses, status)
 		}
 	}
-	slices.SortFunc(rows, func(x, y UpstreamStatus) int {
+	slices.SortFunc(statuses, func(x, y UpstreamStatus) int {
 		if c := strings.Compare(x.Instance.Service, y.Instance.Service); c != 0 {
 			return c
 		}
 		return strings.Compare(x.Instance.ID, y.Instance.ID)
 	})
-	return rows
+	return statuses
 }
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -13,18 +13,18 @@
 	is := is.New(t)
 	now := time.Now()
 	for _, c := range []struct {
-		most   int
-		within time.Duration
-		placed bool
+		maxAnswer int
+		within    time.Duration
+		placed    bool
 	}{
 		{4500, 7 * time.Second, true},
 		{4500, 3 * time.Second, false},
 		{400, 3 * time.Second, true},
 		{0, 7 * time.Second, false},
 	} {
-		d := tower
-		d.AnswerTokens, d.MaxAnswerTokens, d.EndWithin, d.Remaining = 100, c.most, c.within, c.within
-		_, refusal := testBoard(t, 3).Place(now, d)
+		d := shortDemand
+		d.AnswerTokens, d.MaxAnswerTokens, d.EndWithin, d.Remaining = 100, c.maxAnswer, c.within, c.within
+		_, refusal := testDispatcher(t, 3).Place(now, d)
 		is.Equal(refusal == nil, c.placed)
 		is.True(c.placed || refusal.OutlivesEntry)
 	}
@@ -34,14 +34,14 @@
 func TestSlowEngineExtendsLatestEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := testBoard(t, 1)
+	b := testDispatcher(t, 1)
 	for range 20 {
-		p := place(t, b, now, tower)
+		p := place(t, b, now, shortDemand)
 		now = now.Add(3 * (p.ExpectedFirstByte + paceSlack))
 		p.FirstByteSeen(now)
 		p.End(now, Answered)
 	}
-	d := tower
+	d := shortDemand
 	d.MaxAnswerTokens, d.EndWithin, d.Admitted = 4500, 7*time.Second, true
 	_, refusal := b.Place(now, d)
 	is.True(refusal != nil && refusal.OutlivesEntry)
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// shareFormat is the first byte of a message of shares.
-	shareFormat = 10
-	// maxShare bounds a message, so that it fits one datagram of a usual link.
-	maxShare = 1300
-	// tokenSize is the size of a token in bytes.
-	tokenSize = 4
-	// heldUnit is what memory is rounded up to on the wire, in tokens.
-	heldUnit = 64
+	// loadUpdateFormat is the first byte of a message of shares.
+	loadUpdateFormat = 10
+	// maxLoadUpdate bounds a message, so that it fits one datagram of a usual link.
+	maxLoadUpdate = 1300
+	// wireIDSize is the size of a token in bytes.
+	wireIDSize = 4
+	// memoryUnit is what memory is rounded up to on the wire, in tokens.
+	memoryUnit = 64
 )
 
 // What a share says in its first byte.
 const (
-	sharePlaced = iota
-	shareBegun
-	shareEnded
-	shareAnswered
-	shareFailed
+	kindPlaced = iota
+	kindFirstByteSeen
+	kindEnded
+	kindAnswered
+	kindFailed
 )
 
 // ErrLoadUpdate says that a message of shares can't be read.
@@ -32,17 +32,17 @@
 
 // EncodeLoadUpdates writes shares as messages that fit a datagram each, from the
 // named entry.
-func EncodeLoadUpdates(from WireID, shares []RequestLoad) [][]byte {
+func EncodeLoadUpdates(from WireID, loads []RequestLoad) [][]byte {
 	var messages [][]byte
-	head := binary.LittleEndian.AppendUint32([]byte{shareFormat}, uint32(from))
+	head := binary.LittleEndian.AppendUint32([]byte{loadUpdateFormat}, uint32(from))
 	message := slices.Clone(head)
-	for _, s := range shares {
-		one := appendShare(nil, s)
-		if len(message)+len(one) > maxShare && len(message) > len(head) {
+	for _, load := range loads {
+		encoded := appendLoad(nil, load)
+		if len(message)+len(encoded) > maxLoadUpdate && len(message) > len(head) {
 			messages = append(messages, message)
 			message = slices.Clone(head)
 		}
-		message = append(message, one...)
+		message = append(message, encoded...)
 	}
 	if len(message) > len(head) {
 		messages = append(messages, message)
@@ -50,31 +50,31 @@
 	return messages
 }
 
-func appendShare(to []byte, s RequestLoad) []byte {
-	to = binary.LittleEndian.AppendUint32(to, uint32(s.ID))
+func appendLoad(to []byte, load RequestLoad) []byte {
+	to = binary.LittleEndian.AppendUint32(to, uint32(load.ID))
 	switch {
-	case s.Ended && s.Outcome == OutcomeFailed:
-		return binary.LittleEndian.AppendUint32(append(to, shareFailed), uint32(s.Assignments[0].Upstream))
-	case s.Ended && s.Outcome == OutcomeAnswered:
-		return append(to, shareAnswered)
-	case s.Ended:
-		return append(to, shareEnded)
-	case s.FirstByteSeen:
-		to = append(to, shareBegun)
+	case load.Ended && load.Outcome == OutcomeFailed:
+		return binary.LittleEndian.AppendUint32(append(to, kindFailed), uint32(load.Assignments[0].Upstream))
+	case load.Ended && load.Outcome == OutcomeAnswered:
+		return append(to, kindAnswered)
+	case load.Ended:
+		return append(to, kindEnded)
+	case load.FirstByteSeen:
+		to = append(to, kindFirstByteSeen)
 	default:
-		to = append(to, sharePlaced)
+		to = append(to, kindPlaced)
 	}
-	to = binary.AppendUvarint(to, uint64(max(0, s.Age/time.Millisecond)))
-	to = binary.AppendUvarint(to, uint64(max(0, s.Waited/time.Millisecond)))
-	to = binary.AppendUvarint(to, uint64(max(0, s.Remaining/time.Millisecond)))
-	to = binary.AppendUvarint(to, uint64(s.PromptTokens))
-	to = binary.AppendUvarint(to, uint64(s.AnswerTokens))
-	to = binary.AppendUvarint(to, uint64(s.FirstByteTarget/time.Millisecond))
-	to = binary.AppendUvarint(to, uint64(s.GapTarget/time.Millisecond))
-	to = binary.AppendUvarint(to, uint64(len(s.Assignments)))
-	for _, p := range s.Assignments {
-		to = binary.LittleEndian.AppendUint32(to, uint32(p.Upstream))
-		to = binary.AppendUvarint(to, uint64((p.MemoryTokens+heldUnit-1)/heldUnit))
+	to = binary.AppendUvarint(to, uint64(max(0, load.Age/time.Millisecond)))
+	to = binary.AppendUvarint(to, uint64(max(0, load.Waited/time.Millisecond)))
+	to = binary.AppendUvarint(to, uint64(max(0, load.Remaining/time.Millisecond)))
+	to = binary.AppendUvarint(to, uint64(load.PromptTokens))
+	to = binary.AppendUvarint(to, uint64(load.AnswerTokens))
+	to = binary.AppendUvarint(to, uint64(load.FirstByteTarget/time.Millisecond))
+	to = binary.AppendUvarint(to, uint64(load.GapTarget/time.Millisecond))
+	to = binary.AppendUvarint(to, uint64(len(load.Assignments)))
+	for _, a := range load.Assignments {
+		to = binary.LittleEndian.AppendUint32(to, uint32(a.Upstream))
+		to = binary.AppendUvarint(to, uint64((a.MemoryTokens+memoryUnit-1)/memoryUnit))
 	}
 	return to
 }
@@ -111,84 +111,84 @@
 	}
 }
 
-// shareReader reads a message; after the first fault it reads only zeros.
-type shareReader struct {
-	rest  []byte
-	fault bool
+// loadReader reads a message; after the first fault it reads only zeros.
+type loadReader struct {
+	rest   []byte
+	failed bool
 }
 
-func (r *shareReader) number() int {
+func (r *loadReader) number() int {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > 1<<40 {
-		r.fault, r.rest = true, nil
+		r.failed, r.rest = true, nil
 		return 0
 	}
 	r.rest = r.rest[size:]
 	return int(n)
 }
 
-func (r *shareReader) milliseconds() time.Duration {
+func (r *loadReader) milliseconds() time.Duration {
 	return time.Duration(r.number()) * time.Millisecond
 }
 
-func (r *shareReader) kind() byte {
-	if len(r.rest) == 0 || r.rest[0] > shareFailed {
-		r.fault, r.rest = true, nil
-		return shareEnded
+func (r *loadReader) kind() byte {
+	if len(r.rest) == 0 || r.rest[0] > kindFailed {
+		r.failed, r.rest = true, nil
+		return kindEnded
 	}
 	k := r.rest[0]
 	r.rest = r.rest[1:]
 	return k
 }
 
-func (r *shareReader) token() WireID {
-	if len(r.rest) < tokenSize {
-		r.fault, r.rest = true, nil
+func (r *loadReader) wireID() WireID {
+	if len(r.rest) < wireIDSize {
+		r.failed, r.rest = true, nil
 		return 0
 	}
-	t := WireID(binary.LittleEndian.Uint32(r.rest))
-	r.rest = r.rest[tokenSize:]
-	return t
+	id := WireID(binary.LittleEndian.Uint32(r.rest))
+	r.rest = r.rest[wireIDSize:]
+	return id
 }
 
-// share reads one share.
-func (r *shareReader) share() RequestLoad {
-	s := RequestLoad{ID: r.token()}
+// load reads one share.
+func (r *loadReader) load() RequestLoad {
+	load := RequestLoad{ID: r.wireID()}
 	kind := r.kind()
 	switch kind {
-	case shareFailed:
-		s.Ended, s.Outcome, s.Assignments = true, OutcomeFailed, []AssignmentLoad{{Upstream: r.token(), Decodes: true}}
-		return s
-	case shareAnswered:
-		s.Ended, s.Outcome = true, OutcomeAnswered
-		return s
-	case shareEnded:
-		s.Ended = true
-		return s
+	case kindFailed:
+		load.Ended, load.Outcome, load.Assignments = true, OutcomeFailed, []AssignmentLoad{{Upstream: r.wireID(), Decodes: true}}
+		return load
+	case kindAnswered:
+		load.Ended, load.Outcome = true, OutcomeAnswered
+		return load
+	case kindEnded:
+		load.Ended = true
+		return load
 	}
-	s.FirstByteSeen = kind == shareBegun
-	s.Age, s.Waited, s.Remaining = r.milliseconds(), r.milliseconds(), r.milliseconds()
-	s.PromptTokens, s.AnswerTokens = r.number(), r.number()
-	s.FirstByteTarget, s.GapTarget = r.milliseconds(), r.milliseconds()
+	load.FirstByteSeen = kind == kindFirstByteSeen
+	load.Age, load.Waited, load.Remaining = r.milliseconds(), r.milliseconds(), r.milliseconds()
+	load.PromptTokens, load.AnswerTokens = r.number(), r.number()
+	load.FirstByteTarget, load.GapTarget = r.milliseconds(), r.milliseconds()
 	for range min(r.number(), len(r.rest)) {
-		s.Assignments = append(s.Assignments, AssignmentLoad{Upstream: r.token(), MemoryTokens: r.number() * heldUnit, Decodes: len(s.Assignments) == 0})
+		load.Assignments = append(load.Assignments, AssignmentLoad{Upstream: r.wireID(), MemoryTokens: r.number() * memoryUnit, Decodes: len(load.Assignments) == 0})
 	}
-	return s
+	return load
 }
 
 // DecodeLoadUpdate reads a message.
 func DecodeLoadUpdate(message []byte) (WireID, []RequestLoad, error) {
-	if len(message) == 0 || message[0] != shareFormat {
+	if len(message) == 0 || message[0] != loadUpdateFormat {
 		return 0, nil, ErrLoadUpdate
 	}
-	r := shareReader{rest: message[1:]}
-	from := r.token()
-	var shares []RequestLoad
+	r := loadReader{rest: message[1:]}
+	from := r.wireID()
+	var loads []RequestLoad
 	for len(r.rest) > 0 {
-		shares = append(shares, r.share())
+		loads = append(loads, r.load())
 	}
-	if r.fault {
+	if r.failed {
 		return 0, nil, ErrLoadUpdate
 	}
-	return from, shares, nil
+	return from, loads, nil
 }
