--- a/assigner/assigner.go
+++ b/assigner/assigner.go
@@ -1,17 +1,18 @@
-// Package assigner divides things among members by rendezvous hashing, so
-// that members who believe the same members to be live agree on the division
-// without a word, and a member's going moves only what it had.
+// Package assigner distributes keys among members by rendezvous hashing. Members with the same view
+// of the live members agree on each key's owner without communicating, and the departure of a
+// member moves only the keys that it owned.
 package assigner
 
 import "github.com/cespare/xxhash/v2"
 
-// Member is a member that things can be assigned to.
+// Member is a process that keys can be assigned to. Name is unique among the members of a call.
 type Member struct {
 	Name       string
 	DataCentre string
 }
 
-// Weight is the rendezvous weight of a member for a thing.
+// Weight returns the rendezvous weight of a member for a key: a hash of both, equal in all
+// processes.
 func Weight(member, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -21,9 +22,9 @@
 	return d.Sum64()
 }
 
-// Owner returns the member that a thing in a data centre is assigned to: the
-// one of greatest weight among those in the same data centre, or among all
-// where that data centre has none. It is empty when there are no members.
+// Owner returns the name of the member that owns a key of a data centre: the member with the
+// greatest weight in that data centre, or among all members where the data centre has none. Equal
+// weights go to the lower name. Owner returns an empty string when there are no members.
 func Owner(members []Member, key, dataCentre string) string {
 	best, bestWeight, bestIsLocal := "", uint64(0), false
 	for _, m := range members {
--- a/assigner/example_test.go
+++ b/assigner/example_test.go
@@ -18,7 +18,7 @@
 	// true
 }
 
-// The going of a member moves only what it had.
+// The departure of a member moves only the keys that it owned.
 func TestOwnerMovesLittle(t *testing.T) {
 	is := is.New(t)
 	var members []assigner.Member
