--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// prefillTimePrice is what a second of an engine's time is worth to other callers
-	// for each second that engines have yet to prefill on average, in requests a
-	// second squared: the longer the backlog, the shorter the prompts that displace more than
-	// their worth of others.
+	// prefillTimePrice is the price of a second of prefill for each second of mean prefill backlog,
+	// in requests per second squared. As the price grows with the backlog, ever shorter prompts
+	// displace more than their own value.
 	prefillTimePrice = 4.0
-	// longPrefill is the time to prefill from which a prompt is heavy enough to be
-	// refused for what it costs others, or to wait for its turn.
+	// longPrefill is the prefill time on one engine from which a prompt counts as long. Only long
+	// prompts are refused for their cost to other requests or deferred.
 	longPrefill = time.Second
-	// backlogRetryFactor is in how many backlogs a refused caller is asked to return.
+	// backlogRetryFactor is the retry delay of a refused caller in multiples of the mean prefill
+	// backlog.
 	backlogRetryFactor = 4
 )
 
-// hasLongPrefill reports whether a prompt takes an engine that long.
+// hasLongPrefill reports whether one engine needs longPrefill or more for a prompt.
 func hasLongPrefill(e *matcher.Engine, promptTokens int) bool {
 	return predictor.Prefill(e, promptTokens) >= longPrefill
 }
 
-// refuseTooCostly refuses a prompt that would lose others more than it is worth. Cost is
-// what its place would lose, its own lateness included.
+// refuseTooCostly returns a refusal for a long prompt whose placement would cost more than the
+// prompt's value, and nil for others. The argument totalCost is the cost of its best placement in
+// requests, the prompt's own lateness included.
 func refuseTooCostly(d Demand, e *matcher.Engine, candidates []candidate, totalCost float64) *Refusal {
 	if d.Admitted || !hasLongPrefill(e, d.PromptTokens) {
 		return nil
@@ -40,21 +41,25 @@
 }
 
 const (
-	// maxDisplacementFraction is the part of its own worth that a prompt may cost others while it
-	// has time to wait.
+	// maxDisplacementFraction is the displacement cost, as a fraction of a prompt's own value, from
+	// which a prompt that can still wait is deferred. The limit doubles as its waiting time runs
+	// out.
 	maxDisplacementFraction = 0.3
-	// minBacklogLimit is the mean time that the engines it would use have yet to prefill up to which a
-	// heavy prompt is placed at once, urgentBacklog that up to which one is whose time is over: the longer one has
-	// waited, the sooner it is taken, at whichever entry it waits.
+	// minBacklogLimit and maxBacklogLimit bound the mean prefill backlog, at the engines that a
+	// long prompt would use, up to which the prompt is placed. The limit rises from the first on
+	// arrival to the second when its waiting time has run out, so that the prompt that has waited
+	// longest is placed first, whichever entry holds it.
 	minBacklogLimit, maxBacklogLimit = 100 * time.Millisecond, 1500 * time.Millisecond
-	// deferralWaitFactor is how many times what it takes a prompt must have of its caller's
-	// patience left to be held.
+	// deferralWaitFactor is the caller's remaining wait, in multiples of the predicted prefill
+	// delay, below which a prompt is not deferred.
 	deferralWaitFactor = 3
 )
 
-// refuseTooEarly has a heavy prompt wait at its entry while engines have much to do, or
-// while it would harm others. Engines put what is new before what they have, and pauses grow with all they
-// have: a prompt that waits at its entry holds up nobody. Where the entry ends there is no time for that.
+// refuseTooEarly returns a refusal that defers a long prompt while the engines it would use have a
+// long backlog, or while it would delay other requests too much, and nil otherwise. Engines prefill
+// new shards before older ones, and the gaps between events grow with the queue, whereas a prompt
+// that waits at its entry delays no other. An entry that is shutting down has no time for that and
+// defers nothing.
 func refuseTooEarly(d Demand, e *matcher.Engine, g group, backlog time.Duration) *Refusal {
 	if d.Admitted || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
 		return nil
@@ -70,7 +75,7 @@
 	return &Refusal{Reason: "too_early", Temporary: true, Deferrable: true, ExpectedFirstByte: g.prefillDelay, RetryAfter: minRetryAfter}
 }
 
-// meanBacklog is how long engines have yet to prefill on average.
+// meanBacklog returns the mean prefill backlog of the candidates.
 func meanBacklog(candidates []candidate) time.Duration {
 	sum := time.Duration(0)
 	for _, c := range candidates {
@@ -79,7 +84,7 @@
 	return sum / time.Duration(len(candidates))
 }
 
-// groupBacklog is how long the engines of a group have yet to prefill on average.
+// groupBacklog returns the mean prefill backlog of the engines of a group.
 func groupBacklog(g group) time.Duration {
 	sum := time.Duration(0)
 	for _, e := range g.estimates {
@@ -88,19 +93,21 @@
 	return sum / time.Duration(len(g.estimates))
 }
 
-// refuseOutlivesEntry refuses a request whose answer may not end before the entry that would relay it. When
-// another entry takes it the board does not know.
+// refuseOutlivesEntry returns the refusal of a request whose answer may end later than the entry
+// that would relay it. RetryAfter is zero, as the dispatcher does not know when another entry
+// accepts the request.
 func refuseOutlivesEntry(expectedFirstByte time.Duration) *Refusal {
 	return &Refusal{Reason: "stopping", OutlivesEntry: true, ExpectedFirstByte: expectedFirstByte}
 }
 
-// endMargin is by how much a forecast of an answer's end is lengthened where the answer must not
-// take longer: long prompts that come to its engine later stop it for a second or two.
+// endMargin is the safety factor on the predicted end of an answer that must end in time. Long
+// prompts that arrive at its engine later stop it for a second or two.
 const endMargin = 1.3
 
-// latestEnd is how long the whole answer may take, as far as can be foreseen: all events that the
-// request allows, as estimates of an answer's length are right at the median only, with
-// all slots of the engine taken, and a part more for long prompts that come to it meanwhile.
+// latestEnd returns an upper estimate of the time from now until the last event of the answer. It
+// assumes the maximum number of events, since estimates of an answer's length are right at the
+// median only, all slots of the engine taken, and a margin for long prompts that arrive there
+// meanwhile.
 func (d Demand) latestEnd(now time.Time, g group) time.Duration {
 	answering := g.estimates[0]
 	engine := answering.upstream.engine
--- a/dispatcher/backpressure.go
+++ b/dispatcher/backpressure.go
@@ -2,30 +2,34 @@
 
 import "time"
 
-// leavingTTL is how long a run that said that it leaves is remembered when it is no longer
-// listed: an upstream may be listed again after an outage of the store, as it was before.
+// leavingTTL is the time for which a leaving incarnation is remembered after it was last listed. An
+// outage of the store can restore an older list that contains it again.
 const leavingTTL = 5 * time.Minute
 
-// backpressure is what one run of an upstream said in its answers of what it takes. It goes before
-// what the store says, which may be away, and before any need.
+// backpressure is what an incarnation of an upstream has reported in its responses about accepting
+// requests. It takes precedence over the store, which may be unavailable, and over any need for the
+// upstream.
 type backpressure struct {
-	// leaving runs take nothing more.
+	// leaving is true where the incarnation accepts no more requests.
 	leaving bool
-	// backoffUntil is until when the run wants nothing from this entry.
+	// backoffUntil is the time until which the incarnation asks this entry to send nothing.
 	backoffUntil time.Time
-	// reportedAt is when the run last said something of it, listedAt when it was last listed.
+	// reportedAt is the time of the last such report, listedAt the time at which the incarnation
+	// was last listed.
 	reportedAt, listedAt time.Time
 }
 
-// isRefusing reports whether the run takes nothing now.
+// isRefusing reports whether the incarnation accepts no requests now.
 func (p *backpressure) isRefusing(now time.Time) bool { return p.leaving || p.backoffUntil.After(now) }
 
-// isRetained reports whether the wish is remembered though the run is not listed.
+// isRetained reports whether the backpressure must be remembered although the incarnation is no
+// longer listed.
 func (p *backpressure) isRetained(now time.Time) bool {
 	return p.leaving && now.Sub(p.listedAt) < leavingTTL || p.backoffUntil.After(now)
 }
 
-// MarkLeaving notes that a run of an upstream said that it leaves, and reports whether that is news.
+// MarkLeaving records that an incarnation of an upstream reported that it is leaving. It returns
+// true if that was not known before.
 func (b *Dispatcher) MarkLeaving(i Instance) bool {
 	return b.updateBackpressure(i, func(p *backpressure) bool {
 		isNew := !p.leaving
@@ -34,8 +38,8 @@
 	})
 }
 
-// SetBackoff notes that a run of an upstream wants nothing from this entry until a time, and
-// reports whether that is news.
+// SetBackoff records that an incarnation of an upstream asked this entry to send nothing until a
+// time. It returns true if that extends a known backoff.
 func (b *Dispatcher) SetBackoff(i Instance, until time.Time) bool {
 	return b.updateBackpressure(i, func(p *backpressure) bool {
 		isNew := until.After(p.backoffUntil)
@@ -46,7 +50,8 @@
 	})
 }
 
-// updateBackpressure changes the wish of a run, where the board still knows that run.
+// updateBackpressure applies a change to the backpressure of an incarnation, and returns the result
+// of the change. It returns false where the incarnation is unknown or has ended.
 func (b *Dispatcher) updateBackpressure(i Instance, change func(*backpressure) bool) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -58,8 +63,9 @@
 	return change(&u.backpressure)
 }
 
-// afterRestart returns what is left of a wish where another run has begun at a time: what was said
-// since was said by that one, of which this entry heard late.
+// afterRestart returns the backpressure that still applies when another incarnation has started at
+// restartedAt. A report after that time came from the new incarnation, whose listing this entry
+// received late.
 func (p backpressure) afterRestart(restartedAt time.Time) backpressure {
 	if p.reportedAt.After(restartedAt) {
 		return p
@@ -67,8 +73,8 @@
 	return backpressure{}
 }
 
-// refuseNoneUsable is the refusal where no upstream may be sent a request: it is taken when the
-// first of those that pause takes requests again.
+// refuseNoneUsable returns the refusal of a request whose service has no usable upstream.
+// RetryAfter is the time until the first backoff ends, where any upstream asked for one.
 func (b *Dispatcher) refuseNoneUsable(now time.Time, d Demand) *Refusal {
 	var first time.Time
 	for _, u := range b.services[d.Service] {
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// loadedDispatcher is a board of 112 engines of 10 slots, of which each answers as many
-// requests as given: the size of the largest deployment and its load in a burst.
+// loadedDispatcher returns a dispatcher with 112 engines of 10 slots, each of which answers the
+// given number of requests: the size of the largest deployment and its load in a burst.
 func loadedDispatcher(b testing.TB, answers int) *Dispatcher {
 	b.Helper()
 	engine := testEngine
@@ -42,8 +42,8 @@
 	return dispatcher
 }
 
-// BenchmarkPlace is the processor time of a choice, for a short and a long prompt and for a
-// long one that is told to wait.
+// BenchmarkPlace measures the choice of engines for a short prompt and for a long one, which may
+// also be deferred.
 func BenchmarkPlace(b *testing.B) {
 	for _, answers := range []int{1, 6} {
 		dispatcher := loadedDispatcher(b, answers)
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkImport is the processor time of one message of a peer.
+// BenchmarkImport measures the decoding and import of a full export of a peer.
 func BenchmarkImport(b *testing.B) {
 	dispatcher, peer := loadedDispatcher(b, 6), loadedDispatcher(b, 1)
 	messages := EncodeLoadUpdates(WireIDOf("far"), peer.Export(startTime, true))
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -8,49 +8,52 @@
 )
 
 const (
-	// failureLoss is the part of an answer's worth that an upstream's failure
-	// loses: all of it, and half as much again for the time until it is known.
+	// failureLoss is the fraction of an answer's value lost when its upstream fails: the whole
+	// value, and half as much again for the time until the failure is noticed.
 	failureLoss = 1.5
-	// unpackedCost is the part of its worth that it costs to place a prompt where no answer with
-	// as short a pause is decoded, and the less the more there are: prompts that are not heavy
-	// are packed on few engines, since a part of a heavy one stops all answers of its engine.
+	// unpackedCost is the cost, as a fraction of a prompt's value, of placing the prompt on an
+	// engine that decodes no answer with as short a gap target. The cost falls to 0 as the engine
+	// is packed with such answers. Prompts that are not long are packed onto few engines, since a
+	// shard of a long prompt stops all answers of its engine.
 	unpackedCost = 0.2
-	// packedFraction is the part of its slots from which an engine counts as packed:
-	// more answers there make it no better, so that what arrives everywhere at
-	// the same moment finds several engines that are as good.
+	// packedFraction is the fraction of an engine's slots from which the engine counts as fully
+	// packed. Further answers make it no cheaper, so that requests that arrive at all entries at
+	// the same moment find several engines equally good.
 	packedFraction = 0.5
-	// shortPromptJitter is how much costs of light prompts are drawn apart where many
-	// entries choose: by as much as four answers more or less on an engine that is
-	// not yet packed. Entries hear of each other's choice only milliseconds later,
-	// and would meet at the one best engine.
+	// shortPromptJitter is the maximum random cost of a short prompt where many entries place
+	// requests, in requests: as much as four answers more or less on an engine that is not yet
+	// packed. Entries receive each other's choices only milliseconds later, and would all choose
+	// the one best engine.
 	shortPromptJitter = 0.2
-	// halfJitterPeers is the number of other entries with which half of that is drawn: few
-	// entries seldom choose at the same moment.
+	// halfJitterPeers is the number of other entries at which half of shortPromptJitter applies.
+	// Few entries seldom choose at the same moment.
 	halfJitterPeers = 20
-	// shortPrefillFraction is the part of its own longest pause up to which the prefill
-	// of a prompt counts as light.
+	// shortPrefillFraction is the fraction of a prompt's own gap target up to which its prefill
+	// counts as short.
 	shortPrefillFraction = 0.5
-	// spareSlots are kept free of what other entries may not have told yet.
+	// spareSlots is the number of slots of an engine that are kept free for requests that other
+	// entries have not reported yet.
 	spareSlots = 2
-	// slotWaitCost is the part of a request's worth lost by each request that
-	// waits for a slot before it, in engines' slots.
+	// slotWaitCost is the cost of waiting for a slot, as a multiple of a request's value, when as
+	// many requests wait as the engine has slots. The cost is proportional for fewer.
 	slotWaitCost = 4
-	// transitTime is what an answer takes beside the engine's work: the connection, both
-	// ways, and two entries' processor time.
+	// transitTime is the time of an answer beside the engine's work: the connection, the network in
+	// both directions, and the processor time of two entries.
 	transitTime = 5 * time.Millisecond
 )
 
 const (
-	// slotPriceFrom and scarceTo are the parts of all slots taken between which the time of a slot goes
-	// from worth nothing to worth all of fullSlotPrice.
+	// slotPriceFrom and slotPriceTo are the fractions of all slots taken between which the price of
+	// slot time rises from 0 to maxSlotPrice.
 	slotPriceFrom, slotPriceTo = 0.6, 0.9
-	// maxSlotPrice is what a second of a slot is worth where all are taken, in requests: an answer
-	// has one for two seconds, and what waits for it is late.
+	// maxSlotPrice is the price of a second of one slot where all slots are taken, in requests: an
+	// answer occupies a slot for two seconds, and a request that waits for the slot is late.
 	maxSlotPrice = 0.8
 )
 
-// slotPrice is what a second of a slot is worth. What an engine prefills holds up all of
-// its answers, which keep their slots for so much longer. Once all are taken, everybody waits.
+// slotPrice returns the price of a second of one slot, in requests. Prefill stops all answers of
+// its engine, which keep their slots for as much longer; once all slots are taken, every request
+// waits for them.
 func slotPrice(candidates []candidate) float64 {
 	running, slots := 0, 0
 	for _, c := range candidates {
@@ -61,49 +64,54 @@
 	return maxSlotPrice * min(1, max(0, (takenFraction-slotPriceFrom)/(slotPriceTo-slotPriceFrom)))
 }
 
-// candidate is one engine that is weighed for a prompt.
+// candidate is an engine that is considered for a prompt, with its load before the prompt.
 type candidate struct {
 	upstream *upstream
 	load     Load
-	// rank orders engines where costs are equal.
+	// rank orders engines with equal costs, the lowest first.
 	rank uint64
-	// jitter is added to the cost for light prompts.
+	// jitter is the random cost added for short prompts, in requests.
 	jitter float64
-	// packed is how far the engine is packed with answers like the prompt's, from 0 to 1.
+	// packed is the degree, from 0 to 1, to which the engine is packed with answers whose gap
+	// target is as short as the prompt's or shorter.
 	packed float64
-	// othersPrefilledAt is when the other parts of each request here are expected to be
-	// prefilled, before the losses that it has anyway, in the order of the
-	// worker's fates.
+	// othersPrefilledAt and baselineLoss have an element for each of the upstream's projections:
+	// the time at which the other shards of that request are expected to be prefilled, and what the
+	// request loses if the prompt is placed elsewhere.
 	othersPrefilledAt []time.Time
 	baselineLoss      []float64
-	// decoding are decoded here or are about to be, slotPrice is what the time of a slot is worth.
+	// decoding is the number of answers that the engine decodes or is about to decode, slotPrice
+	// the price of a second of one slot in requests.
 	decoding  int
 	slotPrice float64
 }
 
-// estimate is what a candidate makes of a part of a prompt.
+// estimate is the predicted effect of placing a prompt, or one shard of it, on a candidate.
 type estimate struct {
 	*candidate
 	job predictor.Job
-	// displacementCost is what others would lose there, cost that and what the request would
-	// by failures.
+	// displacementCost is the predicted loss of other requests on the engine, cost the same with
+	// the prompt's own loss by failures, slot wait and missing memory. Both are in requests.
 	displacementCost, cost float64
-	// prefillDelay is when the part would be prefilled, pause the longest between
-	// events, both from now on.
+	// prefillDelay is the time from now until the shard is prefilled, longestGap the longest time
+	// between two events of the answer.
 	prefillDelay, longestGap time.Duration
-	// unfinishedRisk is how likely the answer does not end before its caller leaves.
+	// unfinishedRisk is the probability that the answer does not end before its caller leaves; 0
+	// for helpers.
 	unfinishedRisk float64
-	// canDecode is false where the engine could only help.
+	// canDecode is false where the prompt is not split and the engine's whole memory is too small
+	// for it and its answer, so that the engine can only help.
 	canDecode bool
 }
 
-// jitterRange is how much costs of light prompts are drawn apart beside a number of
-// other entries.
+// jitterRange returns the upper bound of the random cost of a short prompt, in requests, for a
+// number of other entries.
 func jitterRange(peers int) float64 {
 	return shortPromptJitter * float64(peers) / float64(peers+halfJitterPeers)
 }
 
-// computeBaseline works out what the requests here lose anyway.
+// computeBaseline computes what the requests on the engine lose without the prompt, and how far the
+// engine is packed.
 func (c *candidate) computeBaseline(d Demand) {
 	similar := 0
 	for _, projection := range c.upstream.projections {
@@ -122,8 +130,9 @@
 	c.packed = float64(min(similar, full)) / float64(full)
 }
 
-// estimate works out what the engine would make of one of k parts, as the one that
-// answers or as a helper.
+// estimate predicts the effect of placing one of a number of shards on the engine. With decodes the
+// engine also answers; otherwise it is a helper. The call overwrites the projections that an
+// earlier call left in forecast.
 func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, forecast *predictor.Forecast) estimate {
 	u, engine := c.upstream, c.upstream.engine
 	est := estimate{candidate: c, job: newJob(now, d, engine, shards, decodes), canDecode: shards > 1 || d.PromptTokens+d.AnswerTokens <= engine.MemoryTokens}
@@ -152,7 +161,8 @@
 	return est
 }
 
-// newJob is one of k parts of a prompt, for the engine that answers or a helper.
+// newJob returns the engine's job for one of a number of shards of a prompt. With decodes the
+// engine also decodes the answer.
 func newJob(now time.Time, d Demand, e *matcher.Engine, shards int, decodes bool) predictor.Job {
 	return predictor.Job{
 		Joint: shards > 1, Tokens: d.PromptTokens / shards, Prefill: predictor.Part(e, d.PromptTokens, shards), Decodes: decodes, Context: d.PromptTokens / shards,
@@ -160,13 +170,14 @@
 	}
 }
 
-// hasShortPrefill reports whether a prompt is prefilled within a pause that its kind bears.
+// hasShortPrefill reports whether the prefill of a prompt fits into shortPrefillFraction of its gap
+// target.
 func hasShortPrefill(d Demand, e *matcher.Engine) bool {
 	return float64(predictor.Prefill(e, d.PromptTokens)) <= shortPrefillFraction*float64(d.GapTarget)
 }
 
-// slotWait is how soon a slot of a full engine is free: answers are decoded in
-// UsualAnswer / Stride passes, and end evenly.
+// slotWait returns the mean time until a slot of a full engine is free. An answer is decoded in
+// UsualAnswer / Stride passes, and answers are taken to end evenly over time.
 func slotWait(e *matcher.Engine, pass time.Duration) time.Duration {
 	passes := float64(e.UsualAnswer) / float64(max(1, e.Stride))
 	return time.Duration(passes * float64(pass) / float64(max(1, e.Slots)))
--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -5,55 +5,60 @@
 	"time"
 )
 
-// Demand is what a request needs.
+// Demand describes a request to be placed: its size, its latency targets and how long its caller
+// still waits.
 type Demand struct {
+	// Service is the name of the service whose upstreams may serve the request.
 	Service string
-	// PromptTokens and AnswerTokens are token counts; PromptTokens is 0 for plain services.
+	// PromptTokens is the length of the prompt, AnswerTokens the expected length of the answer.
+	// PromptTokens is 0 for plain services.
 	PromptTokens, AnswerTokens int
-	// FirstByteTarget and GapTarget are those of the route.
+	// FirstByteTarget and GapTarget are the latency targets of the request's route.
 	FirstByteTarget, GapTarget time.Duration
-	// Waited is how long the caller has waited for its first byte, or next event, already.
+	// Waited is the time for which the caller has already waited for its first byte or next event.
 	Waited time.Duration
-	// MaxWait is how long the caller waits for the first byte yet.
+	// MaxWait is the time for which the caller still waits for the first byte; 0 if unknown.
 	MaxWait time.Duration
-	// Remaining is how long the caller waits for the whole answer yet; 0 where it does not say.
+	// Remaining is the time until the caller's deadline for the whole answer; 0 if it gives none.
 	Remaining time.Duration
-	// Avoid lists the upstreams that failed the request.
+	// Avoid lists the upstreams that have failed the request.
 	Avoid []Instance
-	// Admitted requests were placed before and are not refused for what they
-	// cost or how long they wait.
+	// Admitted is true for a request that was placed before. It is not refused for its cost or its
+	// waiting time.
 	Admitted bool
-	// NoHelpers forbids helpers: a group has failed the request before.
+	// NoHelpers forbids a group of engines, as a group has failed the request before.
 	NoHelpers bool
-	// EndWithin is how long the entry that relays the answer is there yet: where the answer may
-	// take longer, the request is refused. 0 where the entry does not stop.
+	// EndWithin is the time until the entry that relays the answer exits. The request is refused
+	// where its answer may take longer. EndWithin is 0 where the entry is not shutting down.
 	EndWithin time.Duration
-	// MaxAnswerTokens is how many tokens the answer may have at most, where EndWithin is set, 0 where
-	// nobody knows; Answer is what is expected.
+	// MaxAnswerTokens is the maximum length of the answer, set where EndWithin is; 0 if unknown.
 	MaxAnswerTokens int
 }
 
-// Refusal says that no upstream can serve a request now.
+// Refusal explains why no upstream can be sent a request now. It implements error.
 type Refusal struct {
+	// Reason is a constant of the API, such as "overloaded" or "no_memory".
 	Reason string
-	// RetryAfter is when one is expected to.
+	// RetryAfter is the time after which an upstream is expected to accept the request; 0 if
+	// unknown.
 	RetryAfter time.Duration
-	// ExpectedFirstByte is how long the first byte would have taken, 0 if unknown.
+	// ExpectedFirstByte is the predicted time to the first byte on the best upstream; 0 if unknown.
 	ExpectedFirstByte time.Duration
-	// Temporary refusals may be other in a moment, as engines work on.
+	// Temporary is true where the answer may be different in a moment, as engines make progress.
 	Temporary bool
-	// Deferrable says that the prompt has time to wait until engines have less to do.
+	// Deferrable is true where the prompt has time to wait until engines have less to do.
 	Deferrable bool
-	// OutlivesEntry says that the answer may not end before the entry that would relay it does.
+	// OutlivesEntry is true where the answer may end later than the entry that would relay it.
 	OutlivesEntry bool
 }
 
+// Error implements error.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("%s, expected %s, retry after %s", r.Reason, r.ExpectedFirstByte, r.RetryAfter)
+	return fmt.Sprintf("placement refused: %s, first byte expected after %s, retry after %s", r.Reason, r.ExpectedFirstByte, r.RetryAfter)
 }
 
 const (
-	// minRetryAfter and mostRetry bound what a refused caller is told.
+	// minRetryAfter and maxRetryAfter bound RetryAfter where it is computed from a backlog.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,7 +1,11 @@
-// Package dispatcher decides which upstream takes a request, and which engines
-// help to prefill a long prompt. Its board holds the requests of all entries, as
-// far as they are known here, and each engine's work, kept as the engine does
-// it. It does no I/O.
+// Package dispatcher decides which upstream serves a request and which engines help to prefill a
+// long prompt. A Dispatcher keeps the requests of this entry, those that other entries report, and
+// a model of each engine's queue. The package does no I/O.
+//
+// The engines chosen for one prompt are a group. Each prefills a shard of the prompt; the first
+// also decodes the answer, the others are helpers. Upstreams of plain services are not model
+// engines and get no prompts. Values, losses and costs are in requests: 1 is the value of answering
+// a request without a prompt.
 package dispatcher
 
 import (
@@ -15,38 +19,42 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Dispatcher holds what all upstreams have to do. It is safe for concurrent use.
+// Dispatcher tracks the load of all upstreams and places requests on them. It is safe for
+// concurrent use.
 type Dispatcher struct {
 	dataCentre string
 	random     *rand.Rand
 
 	lock      sync.Mutex
 	upstreams map[string]*upstream
-	// byWireID holds the workers by the token of their ID.
+	// byWireID holds the upstreams by the wire ID of their incarnation.
 	byWireID map[WireID]*upstream
 	services map[string][]*upstream
-	// ownRequests are this entry's requests; told are those of peers.
+	// ownRequests holds the requests placed by this entry, peerRequests those that peers report.
 	ownRequests  map[WireID]*request
 	peerRequests map[peerRequestKey]*request
-	// peerCount is how many other entries place, as far as known.
+	// peerCount is the number of other entries that place requests, as far as known.
 	peerCount int
-	// isolated is true while this entry does not hear what others place.
+	// isolated is true while this entry receives no load updates from its peers.
 	isolated bool
-	// rankSalt orders engines alike at all entries, but for blind ones.
+	// rankSalt determines the order of engines with equal costs. All entries share one salt, except
+	// isolated ones, which use a random salt each.
 	rankSalt string
-	// isLocal boards tell nobody.
+	// isLocal is true where the dispatcher reports nothing to peers.
 	isLocal bool
-	// changed are own requests to tell peers of, ended those that are over since
-	// the last Export, endedBefore those of the one before it that told all.
+	// changed holds own requests to report with the next Export, endedLoads the ends since the last
+	// Export. previouslyEnded holds the IDs of requests whose end was exported since the last full
+	// Export, which repeats them.
 	changed         map[*request]bool
 	endedLoads      []RequestLoad
 	previouslyEnded []WireID
-	// Changed has an element while there is something to tell.
+	// Changed holds an element while Export has something new to return.
 	Changed  chan struct{}
 	forecast predictor.Forecast
 }
 
-// New returns a board without upstreams, for an entry in a data centre.
+// New returns a dispatcher without upstreams, for an entry in a data centre. It uses random, which
+// need not be safe for concurrent use, for request IDs and jitter.
 func New(dataCentre string, random *rand.Rand) *Dispatcher {
 	return &Dispatcher{
 		dataCentre: dataCentre, random: random, upstreams: map[string]*upstream{}, byWireID: map[WireID]*upstream{}, services: map[string][]*upstream{},
@@ -54,16 +62,17 @@
 	}
 }
 
-// NewLocal returns a board of what this entry alone sends to upstreams: nothing of it is kept for
-// peers, and Export has nothing to tell.
+// NewLocal returns a dispatcher for requests that this entry does not report to its peers: it keeps
+// nothing to export, and Export returns nothing.
 func NewLocal(dataCentre string, random *rand.Rand) *Dispatcher {
 	b := New(dataCentre, random)
 	b.isLocal = true
 	return b
 }
 
-// Update takes in the services of a configuration and the upstreams that may
-// be sent work.
+// Update replaces the services and the list of upstreams that may be sent requests. An upstream
+// that is no longer listed is kept until its last request ends, and longer while its backpressure
+// must be remembered.
 func (b *Dispatcher) Update(table *matcher.Table, instances []Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -91,8 +100,8 @@
 	}
 }
 
-// upstreamFor returns the one of an instance, a new one where its run is not known yet: a
-// run holds nothing of what an earlier one under the same ID had.
+// upstreamFor returns the upstream of an instance, and creates one for an incarnation that is not
+// known yet. A new incarnation inherits no work from an earlier one with the same ID.
 func (b *Dispatcher) upstreamFor(i Instance) *upstream {
 	u, ok := b.upstreams[i.ID]
 	if ok && !u.instance.SameIncarnation(i) {
@@ -120,13 +129,15 @@
 	return u
 }
 
-// maxClockSkew is by how much the clocks of an upstream and of this entry may differ.
+// maxClockSkew is the assumed maximum difference between the clocks of an upstream and of this
+// entry.
 const maxClockSkew = 3 * time.Second
 
-// dropAssignmentsBefore ends what all requests have at a worker whose run is over, as another began at a time: those
-// of this entry hear of it at once, and nobody waits for an answer that can't come. What was placed
-// long after the new run began has reached that one: this entry heard of it late.
-// What comes late for them finds a worker without a queue, off the board.
+// dropAssignmentsBefore removes all assignments of an upstream whose incarnation has ended because
+// another started at restartedAt. Own requests are notified at once, since their answer can no
+// longer come. A request placed more than maxClockSkew after the restart is not notified: it has
+// reached the new incarnation, whose listing this entry received late. Later reports for the
+// removed assignments find an upstream without a queue that is no longer tracked.
 func dropAssignmentsBefore(u *upstream, restartedAt time.Time) {
 	for a := range u.assignments {
 		if restartedAt.IsZero() || !a.request.placedAt.After(restartedAt.Add(maxClockSkew)) {
@@ -138,12 +149,14 @@
 	u.queue = nil
 }
 
-// sharedRankSalt is the order in which entries that hear each other fill engines.
+// sharedRankSalt is the rank salt of all entries that receive load updates, so that they fill
+// engines in the same order.
 const sharedRankSalt = "placement"
 
-// SetPeers tells the board how many other entries place, and whether this entry
-// hears what they do. While it is blind to that, it keeps to an order of its own
-// and packs nothing: all entries would fill the same engines.
+// SetPeers sets the number of other entries that place requests, and whether this entry is
+// isolated, that is, receives no load updates from them. An isolated entry ranks engines in an
+// order of its own and does not pack requests onto few engines, as all isolated entries would fill
+// the same ones.
 func (b *Dispatcher) SetPeers(count int, isolated bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -157,15 +170,16 @@
 	b.isolated = isolated
 }
 
-// UpstreamCount is how many upstreams of a service may be sent work.
+// UpstreamCount returns the number of upstreams of a service that may be sent requests.
 func (b *Dispatcher) UpstreamCount(service string) int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return len(b.services[service])
 }
 
-// usableUpstreams lists the workers of a service that take requests, without those to avoid; where
-// that leaves none, one that accepted no connections is better than nothing.
+// usableUpstreams returns the upstreams of a service that accept requests, without those in
+// d.Avoid. Upstreams that recently accepted no connections are returned only where there are no
+// others.
 func (b *Dispatcher) usableUpstreams(now time.Time, d Demand) []*upstream {
 	var usable, blocked []*upstream
 	for _, u := range b.services[d.Service] {
--- a/dispatcher/group_test.go
+++ b/dispatcher/group_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// On a fleet of 112 engines that answer six requests each, with some long prompts under way,
-// a long prompt gets a group that loses hardly more than the best of all groups would: what
-// the shorter search saves in processor time is not paid by callers.
+// With 112 engines that answer six requests each, and some long prompts in progress, the group
+// chosen for a long prompt costs hardly more than the best of all groups. The shorter search saves
+// processor time and must not cost callers more.
 func TestShortlistLosesLittle(t *testing.T) {
 	is := is.New(t)
 	dispatcher := loadedDispatcher(t, 6)
@@ -33,10 +33,10 @@
 			}
 		}
 		worst = max(worst, got.cost-best.cost)
-		is.True(got.cost-best.cost < 0.02*promptValue(d.PromptTokens)) // of what the prompt is worth
+		is.True(got.cost-best.cost < 0.02*promptValue(d.PromptTokens)) // a fraction of the prompt's value
 		place(t, dispatcher, now, d)
 	}
-	t.Logf("at most %.3f requests' worth lost", worst)
+	t.Logf("at most %.3f of a request's value lost", worst)
 }
 
 func TestSparseSizes(t *testing.T) {
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -6,77 +6,86 @@
 )
 
 const (
-	// failureWeight is how far one failure moves the failure rate towards 1,
-	// successWeight one success towards 0: a few failures in a row make an
-	// upstream the last choice, and about ten successes clear it.
+	// failureWeight is the step of one failure towards a failure rate of 1, successWeight the step
+	// of one success towards 0. A few failures in a row make an upstream the last choice, and about
+	// ten successes clear it.
 	failureWeight = 0.3
 	successWeight = 0.15
-	// failureHalfLife is in what time a failure rate halves by itself, so that
-	// an upstream that was avoided is tried again.
+	// failureHalfLife is the time in which a failure rate halves without new requests, so that an
+	// avoided upstream is tried again.
 	failureHalfLife = 4 * time.Second
-	// minBlock and mostBlock bound how long an upstream that accepts no
-	// connection is left alone. The first is several round trips, the second
-	// the time after which a crashed upstream is usually off the list.
+	// minBlock and maxBlock bound the time for which an upstream that accepts no connection is
+	// avoided. The first is several round trips, the second the time after which a crashed upstream
+	// is usually no longer listed.
 	minBlock = 250 * time.Millisecond
 	maxBlock = 4 * time.Second
-	// paceWeight is what one sight of a pace counts, paceHalfLife in what time
-	// a pace goes half the way back to 1.
+	// paceWeight is the weight of one observed pace, paceHalfLife the time in which the excess of a
+	// pace over 1 halves.
 	paceWeight   = 0.4
 	paceHalfLife = 3 * time.Second
-	// maxPace bounds one sight of a pace: beyond, a stall is likelier than
-	// slow work.
+	// maxPace bounds an observed pace: beyond it, a stall is likelier than slow work.
 	maxPace = 8
 )
 
-// health is what an entry has seen of an upstream's failures and speed.
+// health holds the failures and the speed that this entry has observed of an upstream, and failures
+// and answers that peers report.
 type health struct {
+	// lastFailureRate is the failure rate as of lastFailureRateAt, from which it decays.
 	lastFailureRate   float64
 	lastFailureRateAt time.Time
-	blockCount        int
-	blockedUntil      time.Time
-	// slowdown is how many times longer than expected work takes, less 1.
+	// blockCount is the number of failed connections in a row, blockedUntil the end of the last block.
+	blockCount   int
+	blockedUntil time.Time
+	// slowdown is the pace less 1, as of slowdownAt.
 	slowdown   float64
 	slowdownAt time.Time
 }
 
+// decayed returns a value that has halved once per halfLife for its age.
 func decayed(value float64, age, halfLife time.Duration) float64 {
 	return value * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// failureRate is the part of requests that is expected to fail.
+// failureRate returns the fraction of requests that is expected to fail.
 func (h *health) failureRate(now time.Time) float64 {
 	return decayed(h.lastFailureRate, now.Sub(h.lastFailureRateAt), failureHalfLife)
 }
 
+// recordFailure records a failed request of any entry.
 func (h *health) recordFailure(now time.Time) {
 	r := h.failureRate(now)
 	h.lastFailureRate, h.lastFailureRateAt = r+failureWeight*(1-r), now
 }
 
-// recordAnswer notes an answer, whichever entry had it: it says nothing of this entry's connections.
+// recordAnswer records an answer to a request of any entry. It leaves the block as it is, as an
+// answer to a peer shows nothing about this entry's connections.
 func (h *health) recordAnswer(now time.Time) {
 	h.lastFailureRate, h.lastFailureRateAt = h.failureRate(now)*(1-successWeight), now
 }
 
+// recordSuccess records an answer to a request of this entry, which also ends a block.
 func (h *health) recordSuccess(now time.Time) {
 	h.recordAnswer(now)
 	h.blockCount, h.blockedUntil = 0, time.Time{}
 }
 
-// recordUnreachable notes that no connection was had.
+// recordUnreachable records that no connection could be opened, and blocks the upstream for a time
+// that doubles with each such failure in a row.
 func (h *health) recordUnreachable(now time.Time) {
 	h.recordFailure(now)
 	h.blockedUntil = now.Add(min(maxBlock, minBlock<<min(h.blockCount, 10)))
 	h.blockCount++
 }
 
+// isBlocked reports whether the upstream is avoided because it accepted no connection.
 func (h *health) isBlocked(now time.Time) bool { return now.Before(h.blockedUntil) }
 
-// pace is how many times longer than expected work takes.
+// pace returns the ratio of actual to predicted work time, at least 1.
 func (h *health) pace(now time.Time) float64 {
 	return 1 + decayed(h.slowdown, now.Sub(h.slowdownAt), paceHalfLife)
 }
 
+// recordPace records an observed ratio of actual to predicted time.
 func (h *health) recordPace(now time.Time, ratio float64) {
 	before := h.pace(now) - 1
 	seen := min(maxPace, max(1, ratio)) - 1
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -12,7 +12,8 @@
 
 var firstIncarnation, secondIncarnation = time.UnixMilli(1_700_000_000_000), time.UnixMilli(1_700_000_005_000)
 
-// dispatcherWithIncarnation is a board of two engines, of which e00 was born at a time.
+// dispatcherWithIncarnation returns a dispatcher with two engines, of which e00 started at the
+// given time.
 func dispatcherWithIncarnation(t *testing.T, started time.Time) *Dispatcher {
 	t.Helper()
 	b := testDispatcher(t, 0)
@@ -20,7 +21,7 @@
 	return b
 }
 
-// listIncarnation lists e00 as born at a time, beside e01.
+// listIncarnation lists e00 with the given start time, beside e01.
 func listIncarnation(t *testing.T, b *Dispatcher, started time.Time) {
 	t.Helper()
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}, {Name: "app"}}})
@@ -33,15 +34,15 @@
 	})
 }
 
-// placeOnFirst places prompts at e00 only.
+// placeOnFirst places a request on e00 only.
 func placeOnFirst(t *testing.T, b *Dispatcher, d Demand) *Placement {
 	t.Helper()
 	d.Avoid = []Instance{{ID: "e01"}}
 	return place(t, b, startTime, d)
 }
 
-// An engine that starts again under its ID holds nothing: neither work of this entry nor
-// of peers, no memory, no failures, no block, no pace.
+// An engine that restarts under the same ID keeps nothing: no work of this entry or of peers, no
+// memory, no failures, no block and no pace.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
 	is := is.New(t)
 	b, peer := dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
@@ -62,8 +63,8 @@
 	is.Equal(u.health.pace(startTime), 1.0)
 }
 
-// What was placed at a run that is over is told to its owner once, at the engine that
-// answers and at a helper; placements elsewhere go on.
+// The owner of a placement is notified once when an engine of it restarts, whether the engine
+// answers or helps. Placements on other engines are not affected.
 func TestOnRestartIsCalledOnce(t *testing.T) {
 	is := is.New(t)
 	b := dispatcherWithIncarnation(t, firstIncarnation)
@@ -78,15 +79,14 @@
 	other := place(t, b, startTime, Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 100, Avoid: []Instance{{ID: "e00"}}, Admitted: true, GapTarget: time.Second})
 	other.OnRestart(func() { calls["elsewhere"]++ })
 	listIncarnation(t, b, firstIncarnation)
-	is.Equal(len(calls), 0) // listed again, the same run
+	is.Equal(len(calls), 0) // listed again, the same incarnation
 	listIncarnation(t, b, secondIncarnation)
 	listIncarnation(t, b, secondIncarnation)
 	late.OnRestart(func() { calls["asked after it"]++ })
 	is.Equal(fmt.Sprint(calls), "map[alone:1 asked after it:1 joint:1]")
 }
 
-// Events, answers and failures of an earlier run that come late change nothing of the
-// run that is there now.
+// Late events, answers and failures of an earlier incarnation change nothing for the current one.
 func TestLateReportsOfEarlierIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
 	b := dispatcherWithIncarnation(t, firstIncarnation)
@@ -110,9 +110,9 @@
 	is.True(b.upstreams["e00"].health.failureRate(now) > 0)
 }
 
-// Peers tell of runs: what one that does not know of the restart yet tells counts for
-// nothing at the new run, and what one tells that knew first counts as soon as this
-// entry knows too.
+// Load updates refer to incarnations. A report of a peer that has not noticed the restart yet does
+// not count for the new incarnation. A report of a peer that noticed the restart first counts as
+// soon as this entry lists the new incarnation too.
 func TestLoadUpdatesCountForTheirIncarnationOnly(t *testing.T) {
 	is := is.New(t)
 	b, behind, ahead := dispatcherWithIncarnation(t, secondIncarnation), dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
@@ -127,8 +127,8 @@
 	is.Equal(b.upstreams["e00"].load(startTime).Running, 1)
 }
 
-// An upstream that never says when it started is one run, and one that begins to say
-// so is the run that it was.
+// An upstream that never reports its start time is one incarnation. One that begins to report it is
+// still the same incarnation.
 func TestUnknownStartIsTheSameIncarnation(t *testing.T) {
 	is := is.New(t)
 	b := dispatcherWithIncarnation(t, time.Time{})
@@ -142,7 +142,7 @@
 	is.Equal(b.upstreams["e00"].load(startTime).Running, 0)
 }
 
-// A clock that stepped back makes a later run seem older; it is another run all the same.
+// A clock that stepped back makes a later incarnation seem older, but it is still another one.
 func TestEarlierStartIsAnotherIncarnation(t *testing.T) {
 	is := is.New(t)
 	b := dispatcherWithIncarnation(t, secondIncarnation)
@@ -151,7 +151,7 @@
 	is.Equal(b.upstreams["e00"].load(startTime).Running, 0)
 }
 
-// An upstream that failed a request is avoided by it only as the run that it was.
+// A request avoids the incarnation of an upstream that failed it, but not a later one.
 func TestAvoidedUpstreamServesAfterRestart(t *testing.T) {
 	is := is.New(t)
 	b := dispatcherWithIncarnation(t, firstIncarnation)
--- a/dispatcher/instance.go
+++ b/dispatcher/instance.go
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// Instance is one run of an upstream, as the platform lists it.
+// Instance is one incarnation of an upstream, as the platform lists it.
 type Instance struct {
-	// ID is that of the upstream. One that starts again may have the ID that it had.
+	// ID identifies the upstream. It may be the same after a restart.
 	ID string
-	// Started is when this run did, by the upstream's clock and in whole
-	// milliseconds; zero where the upstream does not say. With the ID it names the
-	// run. Only equality counts: clocks step, so that a later run may seem the older.
-	Started    time.Time
+	// Started is the start time of the incarnation by the upstream's clock, in whole milliseconds;
+	// zero where the upstream does not report it. ID and Started together identify the incarnation.
+	// Start times are compared for equality only: clocks step, so that a later incarnation may seem
+	// older.
+	Started time.Time
+	// Service is the name of the service that the upstream belongs to.
 	Service    string
 	Address    netip.AddrPort
 	DataCentre string
-	// Slots is how many requests the upstream works on at once.
+	// Slots is the number of requests that the upstream runs at the same time.
 	Slots int
-	// Leaving upstreams take no new requests.
+	// Leaving is true where the upstream accepts no new requests.
 	Leaving bool
 }
 
-// SameIncarnation reports whether two instances are the same run of an upstream. One that does
-// not say when it started is the same run as before.
+// SameIncarnation reports whether two instances are the same incarnation of an upstream. An unknown
+// start time matches any other.
 func (i Instance) SameIncarnation(o Instance) bool {
 	return i.ID == o.ID && (i.Started.IsZero() || o.Started.IsZero() || i.Started.Equal(o.Started))
 }
 
-// IncarnationID names the run in messages to other entries.
+// IncarnationID returns the ID of the incarnation in load updates.
 func (i Instance) IncarnationID() WireID {
 	if i.Started.IsZero() {
 		return WireIDOf(i.ID)
--- a/dispatcher/loss.go
+++ b/dispatcher/loss.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// tokensPerValue is the prompt that is worth as much as a request by itself:
-	// what a caller loses with a late answer grows with what it asked for.
+	// tokensPerValue is the prompt length that adds as much value as a request has without a
+	// prompt. A caller loses more by a late answer the longer its prompt was.
 	tokensPerValue = 8000
-	// lateLoss is the part of an answer's worth that lateness loses.
+	// lateLoss is the fraction of an answer's value that lateness loses.
 	lateLoss = 0.75
-	// lateFrom and lateTo are the parts of a target between which an expected
-	// time goes from surely on time to surely late, as predictions are not exact.
+	// lateFrom and lateTo are the multiples of a first-byte target between which the probability
+	// that a predicted time is late rises from 0 to 1, as predictions are inexact.
 	lateFrom, lateTo = 0.75, 1.25
-	// gapFrom and pauseTo are those of pauses.
+	// gapFrom and gapTo are the same limits in multiples of a gap target.
 	gapFrom, gapTo = 0.8, 1.0
-	// endFrom and endTo are those of the end of an answer, in parts of the time that its
-	// caller has for it: how long an answer gets is an estimate, more often too long here.
+	// endFrom and endTo are the same limits in multiples of the time until the caller's deadline.
+	// The length of an answer is an estimate that is more often too long than too short here.
 	endFrom, endTo = 1.0, 1.3
-	// waitSlope makes an earlier answer better among those that are on time.
+	// waitSlope is the loss by a wait of one target, as a fraction of an answer's value. It makes
+	// the earlier of two answers better that are both on time.
 	waitSlope = 0.05
-	// abandonLoss is the part of an answer's worth that is lost beside its lateness
-	// where the caller leaves: what late answers are paid, and as much again for an
-	// answer not had at all.
+	// abandonLoss is the fraction of an answer's value lost in addition to lateLoss where the
+	// caller leaves: what a late answer still earns, and as much again since the caller gets no
+	// answer.
 	abandonLoss = 0.5
 )
 
-// promptValue is what a caller loses with the answer to a prompt, in requests.
+// promptValue returns the value of the answer to a prompt, in requests without a prompt.
 func promptValue(tokens int) float64 { return 1 + float64(tokens)/tokensPerValue }
 
-// lateProbability is how likely a time is to be over its target.
+// lateProbability returns the probability that a predicted time exceeds a first-byte target.
 func lateProbability(expected, target time.Duration) float64 {
 	return overProbability(expected, target, lateFrom, lateTo)
 }
 
-// overProbability is how likely a time is to be over its target, surely not below one part of it and
-// surely above another.
+// overProbability returns the probability that a predicted time exceeds its target. It is 0 up to
+// from times the target, 1 beyond to times the target, and linear between; 0 without a target.
 func overProbability(expected, target time.Duration, from, to float64) float64 {
 	if target <= 0 {
 		return 0
@@ -46,18 +47,19 @@
 	return min(1, max(0, x))
 }
 
-// lossFraction is the part of an answer's worth that is lost by a wait for its first
-// event and its longest pause, and by not ending before its caller leaves, which is as
-// likely as unfinished says. What is late by one of them loses no more by the
-// other, but for the caller's patience.
+// lossFraction returns the fraction of an answer's value that is lost by the wait for its first
+// event, by its longest gap, and by not ending before its caller leaves, which unfinishedRisk gives
+// the probability of. The wait and the gap are not added up: an answer that is late by one loses
+// nothing more by the other, unless the caller leaves.
 func lossFraction(wait, target, gap, gapTarget time.Duration, unfinishedRisk float64) float64 {
 	late := max(lateProbability(wait, target), overProbability(gap, gapTarget, gapFrom, gapTo))
 	abandoned := max(unfinishedRisk, lateProbability(wait, matcher.AbandonAfter(target, gapTarget)), lateProbability(gap, matcher.AbandonAfter(0, gapTarget)))
 	return lateLoss*late + abandonLoss*abandoned + waitSlope*float64(wait)/float64(max(1, target))
 }
 
-// loss is what a request would lose by its first event and longest pause from now on, and by
-// not ending before its caller leaves, in requests.
+// loss returns the predicted loss of the request, in requests without a prompt. The arguments are
+// the time from now until the first event, the longest gap after it, and the probability that the
+// answer does not end before its caller leaves.
 func (d Demand) loss(prefillDelay, longestGap time.Duration, unfinishedRisk float64) float64 {
 	return promptValue(d.PromptTokens) * lossFraction(d.Waited+prefillDelay, d.FirstByteTarget, longestGap, d.GapTarget, unfinishedRisk)
 }
--- a/dispatcher/memory.go
+++ b/dispatcher/memory.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// usableMemoryFraction is the part of an engine's free memory that one prompt is given:
-// the rest is for what other entries have not told yet.
+// usableMemoryFraction is the fraction of an engine's free memory that one prompt may use. The rest
+// is kept for requests that other entries have not reported yet.
 const usableMemoryFraction = 0.85
 
-// freeTokens is the memory of an engine that one prompt may have.
+// freeTokens returns the memory of an engine that one prompt may use, in tokens.
 func (c candidate) freeTokens() int {
 	return int(usableMemoryFraction * float64(max(0, c.upstream.engine.MemoryTokens-c.load.MemoryTokens)))
 }
 
-// splitMemory says how much of a prompt and its answer each of the chosen
-// engines holds, the first of them first. A prompt that fits there is held by
-// the first alone; what doesn't fit is held by few of the others.
+// splitMemory returns the memory that each of the chosen engines holds of a prompt and its answer,
+// in tokens and in the order of the engines, of which the first answers. It reports false where
+// they do not fit. The answering engine holds everything where it has room; otherwise the rest goes
+// to as few of the others as possible.
 func splitMemory(d Demand, chosen []estimate) ([]int, bool) {
 	tokens := make([]int, len(chosen))
 	remaining := d.PromptTokens + d.AnswerTokens
@@ -37,8 +38,8 @@
 		remaining -= tokens[i]
 	}
 	if remaining > 0 && d.PromptTokens+d.AnswerTokens <= first.upstream.engine.MemoryTokens {
-		// It fits one engine, whose memory is merely taken for now: the first
-		// holds all of it as soon as it has room.
+		// The prompt fits into one engine whose memory is only taken at the moment: the answering
+		// engine holds all of it as soon as it has room.
 		clear(tokens)
 		tokens[0] = d.PromptTokens + d.AnswerTokens
 		return tokens, true
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -10,7 +10,7 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// placeCall has one entry place a call that ends after a time.
+// placeCall places a plain request at one entry, ends it after a time, and exchanges load updates.
 func placeCall(t *testing.T, dispatchers []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
 	t.Helper()
 	p := place(t, dispatchers[entry], now, Demand{Service: "app"})
@@ -24,12 +24,12 @@
 	return result
 }
 
-// updateDelay is how soon entries tell of a change.
+// updateDelay is the time after which entries report a change.
 const updateDelay = 5 * time.Millisecond
 
-// One of three instances fails half of its calls at once, for seven seconds, while its health check is good. Fourteen calls a
-// second, which must not be repeated, come to fifteen entries by turns: one failed call at least at each of
-// them, if each learns by itself.
+// One of three instances fails half of its requests at once for seven seconds, while its health
+// check passes. Fourteen requests a second, which must not be repeated, reach fifteen entries in
+// turn. At least one request would fail at each entry if each observed the failures only by itself.
 func TestFailuresAreReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	const entries, perSecond, seconds = 15, 14, 7
@@ -53,8 +53,8 @@
 	is.True(counts["s1"] > 2*counts["s0"] && counts["s2"] > 2*counts["s0"])
 }
 
-// Calls of one kind fail one time in seven wherever they run, as they are at fault themselves. All
-// instances go on being used.
+// One in seven requests fails on any instance, because the request itself is faulty. All instances
+// stay in use.
 func TestCallsThatFailEverywhereKeepAllInUse(t *testing.T) {
 	is := is.New(t)
 	const entries, calls = 15, 2000
@@ -76,8 +76,8 @@
 	}
 }
 
-// A failure that is told again with all of the load counts once, and what an entry did not hear, or ended by
-// itself, counts at that entry alone.
+// A failure counts once at a peer, although full exports repeat the end of its request. An answer
+// that an entry did not receive, or a request that it ended itself, does not count at peers.
 func TestOutcomeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -92,8 +92,8 @@
 	}
 }
 
-// An entry hears of a group before it knows the engine that answers: the answer speaks for that one, not
-// for the helper that was known first.
+// An entry receives the report of a group before the engine that answers is listed here. The answer
+// counts for that engine, and not for the helper that was listed first.
 func TestAnswerCountsForTheAnsweringEngine(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -7,7 +7,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Place finds a place for a request and notes it on the board.
+// Place chooses upstreams for a request and records the request there. It returns a refusal where
+// no upstream can be sent the request now. The caller must end each placement with End.
 func (b *Dispatcher) Place(now time.Time, d Demand) (*Placement, *Refusal) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -23,9 +24,10 @@
 	return p, nil
 }
 
-// Accepts reports whether a request would be placed, and begun without waiting for a slot. Where
-// all slots are taken a silent engine is no worse than others, and prompts that are prefilled anew
-// elsewhere would keep the fleet full.
+// Accepts reports whether a request would be placed and would start without waiting for a slot. It
+// records nothing. It returns false where all slots are taken: the request would gain nothing by
+// moving away from a silent engine, and prompts that are prefilled again elsewhere would keep the
+// fleet full.
 func (b *Dispatcher) Accepts(now time.Time, d Demand) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -35,12 +37,12 @@
 	}
 	u := p.request.assignments[0].upstream
 	if u.health.isBlocked(now) {
-		return false // it is chosen only where there is no other
+		return false // chosen only where there is no other
 	}
 	return u.engine == nil || p.Load.Running+spareSlots < u.engine.Slots
 }
 
-// choose finds a place for a request.
+// choose chooses upstreams for a request without recording the placement.
 func (b *Dispatcher) choose(now time.Time, d Demand) (*Placement, *Refusal) {
 	upstreams := b.usableUpstreams(now, d)
 	if len(upstreams) == 0 {
@@ -55,6 +57,8 @@
 	return b.placePrompt(now, d, upstreams)
 }
 
+// placePlain chooses the upstream of a plain service with the lowest cost, which depends on load,
+// failures, pace and distance.
 func (b *Dispatcher) placePlain(now time.Time, d Demand, upstreams []*upstream) *Placement {
 	best, lowestCost := upstreams[0], 0.0
 	for i, u := range upstreams {
@@ -74,38 +78,41 @@
 	return p
 }
 
-// newPlacement returns a placement that has no place yet.
+// newPlacement returns a placement of a request without assignments.
 func (b *Dispatcher) newPlacement(now time.Time, d Demand) *Placement {
 	return &Placement{dispatcher: b, HelperMemoryTokens: map[string]int{}, request: &request{
 		wireID: WireID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
 	}}
 }
 
-// assign gives a request a part at a worker.
+// assign adds an assignment at an upstream to the request. The upstream does not record it yet.
 func (r *request) assign(u *upstream, j predictor.Job, memoryTokens int) {
 	r.assignments = append(r.assignments, &assignment{upstream: u, request: r, job: j, memoryTokens: memoryTokens})
 }
 
-// What weighs on the choice of a plain upstream, in loads of a full one.
+// Costs in the choice of a plain upstream, in units of the load of a full one.
 const (
-	// remoteCost is of another data centre: a round trip there is a tenth of the
-	// usual work.
+	// remoteCost is the cost of an upstream in another data centre: a round trip there takes a
+	// tenth of the usual work.
 	remoteCost = 0.1
-	// failingCost is of an upstream that fails every request: it is asked last,
-	// also where all others are full and have as much waiting again.
+	// failingCost is the cost of an upstream that fails every request. It is chosen last, even
+	// where all others are full and as many requests again wait there.
 	failingCost = 4
-	// slowCost is of one that works twice as long.
+	// slowCost is the cost of an upstream that works at half of the expected speed.
 	slowCost = 0.5
-	// plainJitter keeps entries with the same picture from choosing alike.
+	// plainJitter is the maximum random cost, which keeps entries with the same view from choosing
+	// alike.
 	plainJitter = 0.1
 )
 
-// newCandidates lists the engines that may take a prompt, with what they have to do.
+// newCandidates returns the engines that a prompt may be placed on, with their load and the
+// projections of their requests.
 func (b *Dispatcher) newCandidates(now time.Time, d Demand, upstreams []*upstream) []candidate {
 	for _, u := range upstreams {
 		u.project(now, &b.forecast)
 	}
-	// Where a joint answer begins depends on all engines of its prompt.
+	// An answer of a group starts only when all of its engines have prefilled their shards, which
+	// the first round predicts.
 	for _, u := range upstreams {
 		if u.updateJointJobs() {
 			u.project(now, &b.forecast)
@@ -123,7 +130,8 @@
 	return candidates
 }
 
-// cheapestGroup finds the engines that lose least by a prompt.
+// cheapestGroup returns the engine or the group of engines with the lowest cost for a prompt. It
+// reports false where none can hold the prompt.
 func (b *Dispatcher) cheapestGroup(now time.Time, d Demand, candidates []candidate) (group, bool) {
 	s := b.newSearch(d, candidates)
 	best, found := s.bestSingle(now, d, candidates)
@@ -143,6 +151,7 @@
 	return best, found
 }
 
+// placePrompt chooses the engines for a prompt, or returns the reason why it is refused.
 func (b *Dispatcher) placePrompt(now time.Time, d Demand, upstreams []*upstream) (*Placement, *Refusal) {
 	candidates := b.newCandidates(now, d, upstreams)
 	best, found := b.cheapestGroup(now, d, candidates)
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -12,8 +12,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// The figures of the first deployments' engines, and their three kinds of
-// prompt: tower queries, span reviews and corridor audits.
+// The engine figures of the first deployments, and three demands after their kinds of prompt:
+// 5,000, 45,000 and 154,000 tokens.
 var (
 	testEngine = matcher.Engine{
 		Slots: 16, MemoryTokens: 315000, Stride: 51, Step: 850 * time.Microsecond, PerSequence: 4250 * time.Nanosecond,
@@ -24,7 +24,7 @@
 	longDemand   = Demand{Service: "lm", PromptTokens: 154000, AnswerTokens: 800, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, MaxWait: 12 * time.Second}
 )
 
-// withPrompt is a demand of another length.
+// withPrompt returns the demand with another prompt length.
 func withPrompt(d Demand, tokens int) Demand {
 	d.PromptTokens = tokens
 	return d
@@ -59,7 +59,7 @@
 	return p
 }
 
-// enginesUsed is the set of engines that placements use.
+// enginesUsed returns the number of placements that use each engine.
 func enginesUsed(placements ...*Placement) map[string]int {
 	used := map[string]int{}
 	for _, p := range placements {
@@ -71,7 +71,7 @@
 	return used
 }
 
-// placeStreaming places n prompts that are being answered.
+// placeStreaming places n requests whose first byte has arrived.
 func placeStreaming(t *testing.T, b *Dispatcher, now time.Time, d Demand, n int) []*Placement {
 	t.Helper()
 	var out []*Placement
@@ -85,8 +85,8 @@
 
 var startTime = time.Unix(1000, 0)
 
-// An audit alone on a free fleet is on time by a wide margin: one engine would
-// take 3.05 s of the 3 s that it has.
+// A long prompt on an idle fleet is on time by a wide margin. One engine alone would need 3.05 s of
+// its 3 s target.
 func TestLongPromptIsPrefilledByManyEngines(t *testing.T) {
 	is := is.New(t)
 	p := place(t, testDispatcher(t, 14), startTime, longDemand)
@@ -94,10 +94,9 @@
 	is.True(p.ExpectedFirstByte < 1500*time.Millisecond)
 }
 
-// The pattern of the users' bursts: many tower queries, then many audits. Two
-// seconds of tower queries at their usual rate, 28 a second of which each
-// takes over two seconds, fit four of 14 engines; spread over all of them
-// every part of an audit would hold up some.
+// Bursts of callers bring many short prompts, then many long ones. Two seconds of short prompts, at
+// 28 a second and over two seconds each, fit on four of 14 engines. Spread over all engines, some
+// of them would be stopped by every shard of a long prompt.
 func TestShortPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -105,12 +104,13 @@
 	is.True(len(shortCounts) <= 6)
 	p := place(t, b, startTime, longDemand)
 	for id := range enginesUsed(p) {
-		is.Equal(shortCounts[id], 0) // an audit keeps off the engines that write for others
+		is.Equal(shortCounts[id], 0) // a long prompt avoids engines that decode other answers
 	}
 }
 
-// The same with span reviews, 14 a second, of which each is prefilled by two engines: parts of audits would stop every one
-// of them if each engine decoded one. An engine counts as packed with seven.
+// The same with medium prompts, 14 a second, each prefilled by two engines. If each engine decoded
+// one of their answers, shards of long prompts would stop every answer. An engine counts as packed
+// with seven.
 func TestMediumPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -123,8 +123,8 @@
 	is.True(len(decoding) <= 3) // engines that decode
 }
 
-// In a burst of 68 tower queries a second none waits for a slot while another
-// engine has one free: 150 are written at once, of 224 slots.
+// In a burst of 68 short prompts a second none waits for a slot while another engine has a free
+// one: 150 of 224 slots are taken.
 func TestBurstFillsNoEngineBeyondItsSlots(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -133,8 +133,8 @@
 	}
 }
 
-// Engines prefill the newest part first. One placed later waits for nothing and delays
-// what waits at the same engines, and the board counts that.
+// Engines prefill the newest shard first. A shard placed later does not wait, but delays those
+// already on the same engines, and the dispatcher accounts for the delay.
 func TestNewestShardDelaysOthers(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 4)
@@ -150,12 +150,12 @@
 		o.upstream.add(now, &assignment{upstream: o.upstream, request: first.request, job: o.job})
 	}
 	b.newCandidates(now, d, b.usableUpstreams(now, d))
-	is.True(first.request.prefilledAt().After(before.Add(150 * time.Millisecond))) // half of it takes 0.3 s
+	is.True(first.request.prefilledAt().After(before.Add(150 * time.Millisecond))) // half of the prompt takes 0.3 s
 }
 
-// A prompt does not go first where what it goes before would then be its pauses: with
-// 1.7 s left to prefill at all engines, one that begins at once stands still for 1.3 s after
-// its first event, and one that waits is on time.
+// A prompt is not prefilled first where the work that it overtakes would become a gap in its own
+// answer. With 1.7 s of prefill left on all engines, a prompt that begins at once has a gap of 1.3
+// s after its first event, whereas one that waits is on time.
 func TestPromptWaitsToAvoidGaps(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 4)
@@ -171,8 +171,8 @@
 	}
 }
 
-// A long prompt's part goes nowhere where it would be a pause that an answer does not bear, of
-// two seconds here, also while the answer's first event is only expected.
+// A shard of a long prompt is not placed where it would cause a gap of two seconds, beyond the gap
+// target of an answer. That holds both before and after the first event of the answer.
 func TestShardsAvoidEnginesDecodingLongAnswers(t *testing.T) {
 	is := is.New(t)
 	for _, begun := range []bool{false, true} {
@@ -191,9 +191,9 @@
 	}
 }
 
-// The pattern of bursts of tower queries beside what is left of one of audits: with 190 of 224 slots
-// taken, what an audit has an engine prefill keeps thirteen answers in their slots for so
-// long. Taken then, audits filled all slots, and for eight seconds nine of ten queries were late.
+// Bursts of short prompts meet the rest of a burst of long ones. With 190 of 224 slots taken, each
+// shard of a long prompt keeps thirteen answers in their slots for longer. Long prompts that were
+// placed then filled all slots, and nine of ten short prompts were late for eight seconds.
 func TestLongPromptWaitsWhileSlotsAreScarce(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -202,15 +202,15 @@
 	short := withPrompt(longDemand, 100000) // each of 14 engines would prefill for 106 ms
 	_, refusal := b.Place(now, short)
 	is.True(refusal != nil && refusal.Deferrable)
-	// As many answers that bear its pauses, on as few of many engines, are no reason to wait.
+	// As many answers on a few of many engines are no reason to defer the prompt.
 	b = testDispatcher(t, 40)
 	placeStreaming(t, b, startTime, shortDemand, 190)
 	_, refusal = b.Place(now, short)
 	is.True(refusal == nil)
 }
 
-// The pattern of a burst that fills all slots: a request that waits for one at a silent engine is
-// not taken elsewhere, where it would wait as well and be prefilled again.
+// In a burst that fills all slots, a request that waits for a slot at a silent engine is not
+// accepted elsewhere, where it would wait as well and be prefilled again.
 func TestNoRequestIsAcceptedWhileSlotsAreFull(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 4)
@@ -221,9 +221,9 @@
 	is.True(b.Accepts(startTime, Demand{Service: "app"}))
 }
 
-// A heavy prompt waits at its entry while engines have much to prefill, and is placed once
-// they have less, the sooner the longer it has waited. Placed at once it would
-// leave engines full of prefill to a burst of short prompts.
+// A long prompt is deferred while engines have much to prefill, and placed once they have less, the
+// sooner the longer it has waited. Placed at once, it would leave engines busy with prefill to a
+// burst of short prompts.
 func TestLongPromptWaitsWhileEnginesAreBusy(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 12)
@@ -248,10 +248,9 @@
 	is.True(waited.Waited > 200*time.Millisecond && waited.Waited < 700*time.Millisecond) // 0.75 s of prefill were left
 }
 
-// A prompt that would be late by others' work, and would delay theirs, is
-// refused at once with a time at which it may be taken: on scale days of
-// condor-sapphire long prompts taken at any cost left seven seconds of reading
-// to the burst of tower queries that followed.
+// A prompt that would be late because of other requests, and would delay them, is refused at once
+// with a retry time. In the scale scenarios of condor-sapphire, long prompts that were placed at
+// any cost left seven seconds of prefill to the burst of short prompts that followed.
 func TestCostlyPromptIsRefusedUnderBacklog(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 4)
@@ -266,12 +265,11 @@
 	is.Equal(refused.Reason, "too_costly")
 	is.True(refused.RetryAfter >= minRetryAfter && refused.RetryAfter <= maxRetryAfter)
 	_, refused = b.Place(startTime, shortDemand)
-	is.True(refused == nil) // short questions are still taken
+	is.True(refused == nil) // short prompts are still accepted
 }
 
-// After all entries were killed at once, each of them would pack its prompts
-// on the same engines, as none knows what the others place (scale-1 of
-// condor-sapphire, seed 11).
+// After all entries were killed at once, each packed its prompts onto the same engines, since none
+// knew what the others placed (scenario scale-1 of condor-sapphire, seed 11).
 func TestIsolatedEntriesSpreadRequests(t *testing.T) {
 	is := is.New(t)
 	used := map[string]int{}
@@ -291,10 +289,10 @@
 	is.True(len(used) >= 10)
 }
 
-// The pattern of the grown deployments' bursts: 217 clause queries a second
-// through 71 entries, which hear of each other's choices 20 ms later. The four
-// that arrive in that time do not all meet at one engine: each one more there
-// is read before the others' next event, 28 ms each.
+// Larger deployments have bursts of 217 short prompts a second through 71 entries, which receive
+// each other's choices 20 ms later. The four prompts that arrive in that time must not all be
+// placed on one engine: each further one there is prefilled before the others' next event, for 28
+// ms.
 func TestSimultaneousChoicesSpread(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 54)
@@ -319,10 +317,10 @@
 		}
 	}
 	is.True(maxSame <= 3)
-	is.True(collisions <= 50*4/4) // prompts that meet another: a quarter at most
+	is.True(collisions <= 50*4/4) // prompts that meet another on an engine: at most a quarter
 }
 
-// What peers say of their load counts as one's own, until it is old.
+// The load that peers report counts like own load until it expires.
 func TestPeerLoadCountsUntilItExpires(t *testing.T) {
 	is := is.New(t)
 	local, peer := testDispatcher(t, 2), testDispatcher(t, 2)
@@ -338,8 +336,8 @@
 	is.Equal(local.upstreams["e00"].load(late).Running+local.upstreams["e01"].load(late).Running, 0)
 }
 
-// What an entry is told before it knows the upstreams counts once it does: one that has just started
-// hears its peers before it has read the store.
+// A load update that arrives before its upstreams are listed counts once they are. An entry that
+// has just started receives updates before it has read the store.
 func TestPeerRequestsResolveUpstreamsListedLater(t *testing.T) {
 	is := is.New(t)
 	local, peer := New("a", rand.New(rand.NewPCG(3, 4))), testDispatcher(t, 2)
@@ -356,8 +354,8 @@
 	is.Equal(sum, 9)
 }
 
-// An upstream that takes no connection is left alone for a while, and one that
-// fails is the last choice until it has been sound again.
+// An upstream that accepts no connection is avoided for a while. One that fails requests is the
+// last choice until it has answered again.
 func TestFailingUpstreamsAreAvoided(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 2)
@@ -380,15 +378,15 @@
 		p.End(startTime, Answered)
 	}
 	tried := false
-	for range 50 { // half a minute on it is tried again
+	for range 50 { // after half a minute it is tried again
 		p := place(t, b, startTime.Add(30*time.Second), d)
 		tried = tried || p.First.ID == failing.First.ID
 	}
 	is.True(tried)
 }
 
-// A prompt longer than one engine's memory is shared out so that all of it is
-// held, and none of them more than it has.
+// The memory for a prompt that is longer than one engine's memory is split so that all of it is
+// held, and no engine holds more than it has.
 func TestMemoryIsSplitAmongEngines(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -399,12 +397,12 @@
 		total += tokens
 	}
 	is.True(total >= 600000+longDemand.AnswerTokens-testEngine.MemoryTokens)
-	is.True(len(p.HelperMemoryTokens) <= 3) // orders to engines cost
+	is.True(len(p.HelperMemoryTokens) <= 3) // each engine that holds memory costs an order to it
 }
 
-// A prompt that fits one engine is not refused for want of memory while all of
-// them are full for a moment: engines give memory back within a second or two
-// (incident inc-230e refused five such prompts).
+// A prompt that fits on one engine is not refused for lack of memory while all engines are full for
+// a moment: engines free memory within a second or two. Five such prompts were refused in an
+// incident.
 func TestPromptThatFitsIsNotRefusedForMemory(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 2)
@@ -420,10 +418,10 @@
 		}
 	}
 	_, refusal := b.Place(startTime, withPrompt(longDemand, 400000))
-	is.True(refusal != nil) // this one has nowhere to go
+	is.True(refusal != nil) // this prompt fits on no engine
 }
 
-// At rest the board is empty.
+// A dispatcher whose requests have all ended has no load left.
 func TestDispatcherIsEmptyAtRest(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -469,11 +467,11 @@
 	}
 }
 
-// An answer that is late already still has to end before its caller leaves: a long prompt goes
-// where that is not at stake. The load is that of a turn to long prompts on the largest
-// deployment: 21 of 40 short answers that were never finished had been late by a pause of 1.3
-// to 2.5 s for seconds, on engines that took one long prompt after the other, as nothing more
-// could be lost by lateness.
+// An answer that is already late must still end before its caller leaves, so a long prompt goes
+// where no such answer is at risk. On the largest deployment, after the load had turned to long
+// prompts, 21 of 40 short answers that never ended had been late for seconds, by gaps of 1.3 to 2.5
+// s. Their engines received one long prompt after the other, since lateness could cost nothing more
+// there.
 func TestLongPromptLeavesAnswersTimeToEnd(t *testing.T) {
 	for _, long := range []string{"e00", "e01"} {
 		is := is.New(t)
@@ -495,7 +493,7 @@
 				d.AnswerTokens = 51 * 80
 			}
 			only(startTime, d, id).FirstByteSeen(startTime.Add(40 * time.Millisecond))
-			// This has the answer pause for over a second.
+			// This prompt causes a gap of over a second in the answer.
 			only(startTime.Add(50*time.Millisecond), withPrompt(mediumDemand, 80000), id)
 			b.upstreams[id].queue.Advance(now)
 		}
@@ -506,8 +504,8 @@
 	}
 }
 
-// A call was taken from an upstream that was silent for a while, where the two others were known
-// to accept no connections; it failed, and would have been answered.
+// A request was moved away from an upstream that was silent for a while, although the other two
+// were known to accept no connections. It failed, and would have been answered.
 func TestUnreachableUpstreamsAcceptNothing(t *testing.T) {
 	is := is.New(t)
 	b, now := testDispatcher(t, 1), time.Now()
@@ -517,6 +515,6 @@
 		b.upstreams[id].health.recordUnreachable(now)
 	}
 	is.True(!b.Accepts(now, call))
-	place(t, b, now, call) // but who has no other is sent there
+	place(t, b, now, call) // a request without another upstream is sent there all the same
 	is.True(b.Accepts(now.Add(minBlock), call))
 }
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -6,23 +6,25 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Placement is a request's place. Its owner reports what becomes of it.
+// Placement is the set of upstreams chosen for a request. Its owner reports the progress of the
+// request to it, and finally calls End.
 type Placement struct {
 	dispatcher *Dispatcher
 	request    *request
-	// First answers the request; Helpers prefill parts of the prompt.
+	// First is the upstream that answers the request; Helpers are engines that prefill shards of
+	// the prompt for it.
 	First   Instance
 	Helpers []Instance
-	// HelperMemoryTokens are the memory that helpers are to hold of a prompt that is too
-	// long for the first engine, by their IDs; empty for others.
+	// HelperMemoryTokens is the memory that helpers must hold for a prompt that is too long for the
+	// first engine, in tokens and by instance ID. It is empty for other prompts.
 	HelperMemoryTokens map[string]int
-	// ExpectedFirstByte is how long the first byte is expected to take.
+	// ExpectedFirstByte is the predicted time to the first byte; 0 for plain services.
 	ExpectedFirstByte time.Duration
-	// Load is the first upstream's before this request, for the log.
+	// Load is the load of the first upstream before this request, for the log.
 	Load Load
 }
 
-// FirstByteSeen reports that the first byte of the answer was seen.
+// FirstByteSeen reports that the first byte of the answer has arrived.
 func (p *Placement) FirstByteSeen(now time.Time) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -42,7 +44,7 @@
 	}
 }
 
-// EventSeen reports that one more event of the answer was seen: the engine has
+// EventSeen reports that a further event of the answer has arrived, which shows that the engine has
 // just ended a pass.
 func (p *Placement) EventSeen(now time.Time) {
 	p.dispatcher.lock.Lock()
@@ -52,7 +54,8 @@
 	}
 }
 
-// recordFirstByte notes that the first event of the answer was seen.
+// recordFirstByte records that the first event of the answer has arrived, so that the prefill on
+// all of its engines is complete.
 func (r *request) recordFirstByte(now time.Time) {
 	r.firstByteSeen = true
 	for _, a := range r.assignments {
@@ -62,12 +65,12 @@
 	}
 }
 
-// minReportedPrefill is the prefill whose end is worth a message to peers: what is
-// shorter they expect to be done by the time it reaches them.
+// minReportedPrefill is the prefill time from which peers are sent an update at its end. They
+// expect a shorter prefill to have ended by the time the update reaches them.
 const minReportedPrefill = 100 * time.Millisecond
 
-// ExpectedSilence is how long the request's upstream may say nothing because of what it
-// is expected to prefill.
+// ExpectedSilence returns the time for which the request's upstream may send nothing because it is
+// expected to be busy with prefill; 0 for plain services.
 func (p *Placement) ExpectedSilence() time.Duration {
 	p.dispatcher.lock.Lock()
 	defer p.dispatcher.lock.Unlock()
@@ -87,31 +90,33 @@
 	return prefill + time.Duration(float64(pass)*first.health.pace(now)) + l.Overdue
 }
 
-// paceSlack is added to an expected time before a real one is measured
-// against it: network, scheduling and half a pass.
+// paceSlack is added to a predicted time before a measured one is compared with it. It covers the
+// network, scheduling and half a pass.
 const paceSlack = 60 * time.Millisecond
 
-// Result is what became of a placement at its first upstream.
+// Result is the result of a placement at its first upstream.
 type Result int
 
-// The results.
+// Results of a placement.
 const (
-	// Answered: a whole answer came.
+	// Answered means that a complete answer came.
 	Answered Result = iota
-	// Abandoned: the request ended for a reason that shows nothing of the upstream, as its caller left.
+	// Abandoned means that the request ended for a reason that says nothing about the upstream,
+	// such as its caller leaving.
 	Abandoned
-	// Failed: the upstream answered that it failed.
+	// Failed means that the upstream answered with a failure.
 	Failed
-	// Incomplete: no whole answer came.
+	// Incomplete means that no complete answer came.
 	Incomplete
-	// Unreachable: no connection was had.
+	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Full: the upstream said that it had no room.
+	// Full means that the upstream refused the request for lack of capacity.
 	Full
 )
 
-// outcome is what peers are told of a result. What this entry did not hear may have been lost on
-// links of its own, and what is full for one is told by the load.
+// outcome returns what peers are sent of a result. An answer that this entry did not receive may
+// have been lost on its own links, and an upstream without capacity for one request shows in its
+// load.
 func (r Result) outcome() Outcome {
 	switch r {
 	case Answered:
@@ -123,7 +128,7 @@
 	}
 }
 
-// End takes the request off the board.
+// End removes the request from the dispatcher and reports its end to the peers.
 func (p *Placement) End(now time.Time, result Result) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -140,16 +145,16 @@
 	b.queueEnd(r, result.outcome())
 }
 
-// unassign takes a request's parts off their workers.
+// unassign removes a request's assignments from their upstreams.
 func (b *Dispatcher) unassign(now time.Time, r *request) {
 	for _, a := range r.assignments {
 		a.upstream.remove(now, a)
 	}
 }
 
-// OnRestart has a function called once, when one of the request's upstreams is known to
-// have started anew: what it had of the request is gone. The function must not block
-// nor call the board.
+// OnRestart sets a function that is called once, when one of the request's upstreams is found to
+// have restarted and so to have lost the request. The call comes at once if that has happened
+// already. The function must not block or call the dispatcher.
 func (p *Placement) OnRestart(call func()) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -160,7 +165,8 @@
 	}
 }
 
-// notifyRestart notes that an upstream of the request has started anew.
+// notifyRestart records that an upstream of the request has restarted, and calls the function set
+// by OnRestart.
 func (r *request) notifyRestart() {
 	r.upstreamRestarted = true
 	if r.onRestart != nil {
@@ -169,7 +175,8 @@
 	}
 }
 
-// ReportHelperFailure notes that a helper failed a request.
+// ReportHelperFailure records that a helper failed a request. It does nothing if the helper has
+// restarted since.
 func (b *Dispatcher) ReportHelperFailure(now time.Time, helper Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -6,50 +6,56 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// request is what one request does at upstreams, one of this entry's or of a peer's.
+// request is a request of this entry or of a peer, with its work at each upstream.
 type request struct {
 	wireID WireID
-	// promptTokens and answer are token counts.
+	// promptTokens is the length of the prompt, answerTokens the expected length of the answer.
 	promptTokens, answerTokens int
-	// firstByteTarget and pause are those of the route; pause is 0 for plain requests.
+	// firstByteTarget and gapTarget are the latency targets of the route; gapTarget is 0 for plain
+	// requests.
 	firstByteTarget, gapTarget time.Duration
-	value                      float64
-	// placedAt is when it was sent, since when its caller waits from.
+	// value is the value of the answer, in requests without a prompt.
+	value float64
+	// placedAt is the time of the placement, waitingSince the time at which the caller began to
+	// wait.
 	placedAt, waitingSince time.Time
-	// remaining is how long after that its caller waits for the whole answer; 0 if unknown.
+	// remaining is the time from placedAt to the caller's deadline for the whole answer; 0 if
+	// unknown.
 	remaining time.Duration
-	// firstByteSeen is true once the first event of the answer was seen.
+	// firstByteSeen is true once the first byte of the answer has arrived.
 	firstByteSeen bool
-	// assignments are what each upstream does for it, the one that answers first.
+	// assignments has an element for each upstream. For own requests the first is the upstream that
+	// answers; for those of peers the order is that in which the upstreams became known.
 	assignments []*assignment
-	// upstreamRestarted is true once one of the upstreams has started anew; onLost is then called
-	// once, nil where nobody asked.
+	// upstreamRestarted is true once one of the upstreams has restarted; onRestart is then called
+	// once. It is nil where no function is set.
 	upstreamRestarted bool
 	onRestart         func()
-	// upstreamCount is how many upstreams a peer's request has, unknown those of them that
-	// are not known here yet.
+	// upstreamCount is the number of upstreams of a peer's request, unknownUpstreams the work at
+	// those of them that are not listed here yet.
 	upstreamCount    int
 	unknownUpstreams []AssignmentLoad
-	// lastPendingAt is when a peer last told of it, and had not seen its first event.
+	// lastPendingAt is the time at which a peer last reported the request as without a first byte.
 	lastPendingAt time.Time
-	// firstReportedAt is when a peer first told of it; zero for this entry's own.
+	// firstReportedAt is the time at which a peer first reported the request; zero for own
+	// requests.
 	firstReportedAt time.Time
-	// expiresAt is until when what a peer told counts.
+	// expiresAt is the time at which the last report of a peer expires; zero for own requests.
 	expiresAt time.Time
 }
 
-// assignment is what one request does at one upstream.
+// assignment is the work of one request at one upstream.
 type assignment struct {
 	upstream *upstream
 	request  *request
 	job      predictor.Job
-	// memoryTokens is the memory it has there, in tokens.
+	// memoryTokens is the memory that the request uses there, in tokens.
 	memoryTokens int
-	// prefilledAt is when its prefill is expected to end there.
+	// prefilledAt is the predicted end of the prefill there; zero until the first projection.
 	prefilledAt time.Time
 }
 
-// prefilledAt is when the last part is expected to be prefilled.
+// prefilledAt returns the time at which the last shard of the request is predicted to be prefilled.
 func (r *request) prefilledAt() time.Time {
 	latest := r.placedAt
 	for _, a := range r.assignments {
@@ -60,7 +66,8 @@
 	return latest
 }
 
-// othersPrefilledAt is when the other parts of the request are expected to be prefilled.
+// othersPrefilledAt returns the time at which the other shards of the request are predicted to be
+// prefilled.
 func (a *assignment) othersPrefilledAt() time.Time {
 	latest := a.request.placedAt
 	for _, o := range a.request.assignments {
@@ -71,8 +78,9 @@
 	return latest
 }
 
-// overdue is how long a first event has been late beyond what was expected.
-// What a peer told late counts up to when it told.
+// overdue returns the time by which the first event is late against its prediction; 0 where it has
+// arrived. For a peer's request the time counts up to the peer's last report only, since the event
+// may have arrived after it.
 func (a *assignment) overdue(now time.Time) time.Duration {
 	r := a.request
 	if r.firstByteSeen || r.gapTarget == 0 {
@@ -84,7 +92,8 @@
 	return max(0, now.Sub(r.prefilledAt())-paceSlack)
 }
 
-// loss is what a request loses by what becomes of one of its parts.
+// loss returns the predicted loss of the request, in requests, if its job on this upstream proceeds
+// as projected and its other shards are prefilled by othersPrefilledAt. It is 0 for plain requests.
 func (a *assignment) loss(projection predictor.Fate, othersPrefilledAt time.Time) float64 {
 	r := a.request
 	if r.gapTarget == 0 {
--- a/dispatcher/requestload.go
+++ b/dispatcher/requestload.go
@@ -10,70 +10,76 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// WireID names an entry, an upstream or a request in messages of shares: a hash
-// of its name, since names would make up most of a message.
+// WireID identifies a request, or an incarnation of an entry or an upstream, in load updates. For
+// incarnations it is a hash of their name, as names would make up most of a message.
 type WireID uint32
 
-// WireIDOf is the token of a name.
+// WireIDOf returns the wire ID of a name.
 func WireIDOf(name string) WireID { return WireID(xxhash.Sum64String(name)) }
 
-// RequestLoad is what one entry says of one of its requests.
+// RequestLoad is the load of one request of an entry, as the entry reports it to its peers.
 type RequestLoad struct {
-	// ID is drawn for each placement.
+	// ID is random for each placement.
 	ID WireID
-	// Ended requests are off the board; beside that only Outcome is said of them.
+	// Ended is true where the request has ended. Then only ID, Outcome and, for OutcomeFailed,
+	// Assignments are set.
 	Ended bool
-	// Outcome is what the end of a request shows of its first upstream.
+	// Outcome is what the end of the request shows about its first upstream.
 	Outcome Outcome
-	// FirstByteSeen is true once the first event was seen.
+	// FirstByteSeen is true once the first byte of the answer has arrived.
 	FirstByteSeen bool
-	// Age is how long ago the request was placed.
+	// Age is the time since the placement.
 	Age time.Duration
-	// Waited is how long its caller had waited by then.
+	// Waited is the time for which the caller had waited at the placement.
 	Waited time.Duration
-	// Remaining is how long after its placement the caller waits for the whole answer; 0 if unknown.
+	// Remaining is the time from the placement to the caller's deadline for the whole answer; 0 if
+	// unknown.
 	Remaining time.Duration
-	// PromptTokens and AnswerTokens are token counts.
+	// PromptTokens is the length of the prompt, AnswerTokens the expected length of the answer.
 	PromptTokens, AnswerTokens int
-	// FirstByteTarget and GapTarget are those of the route; GapTarget is 0 for plain requests.
+	// FirstByteTarget and GapTarget are the latency targets of the route; GapTarget is 0 for plain
+	// requests.
 	FirstByteTarget, GapTarget time.Duration
-	// LongPrefill is true of a prompt that takes an engine long and has no answer yet; it is not on the wire.
+	// LongPrefill is true where the prompt is long and the first byte has not arrived. It is not
+	// encoded.
 	LongPrefill bool
-	// Assignments has an element for each upstream, the one that answers first.
+	// Assignments has an element for each upstream; the first upstream answers.
 	Assignments []AssignmentLoad
 }
 
-// Outcome is what the end of a request shows of the upstream that was to answer it.
+// Outcome is what the end of a request shows about the upstream that was to answer it.
 type Outcome byte
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	// OutcomeUnknown: nothing, as what an entry did not hear may have been lost on its own links.
+	// OutcomeUnknown means that the end shows nothing: an answer that an entry did not receive may
+	// have been lost on its own links.
 	OutcomeUnknown Outcome = iota
-	// OutcomeAnswered: the upstream answered.
+	// OutcomeAnswered means that the upstream sent a complete answer.
 	OutcomeAnswered
-	// OutcomeFailed: the upstream answered that it failed. Parts names it, since a request that
-	// fails at once is told of by its end alone.
+	// OutcomeFailed means that the upstream answered with a failure. The first assignment names the
+	// upstream, as a request that fails at once is reported only by its end.
 	OutcomeFailed
 )
 
-// AssignmentLoad is what a request has at one upstream.
+// AssignmentLoad is the load of a request at one upstream.
 type AssignmentLoad struct {
+	// Upstream identifies the incarnation of the upstream.
 	Upstream WireID
-	// MemoryTokens is its memory there, in tokens.
+	// MemoryTokens is the memory that the request uses there, in tokens.
 	MemoryTokens int
-	// Decodes is true of the first part, whose upstream answers; it is not on the wire.
+	// Decodes is true for the first assignment, whose upstream answers. It is not encoded.
 	Decodes bool
 }
 
-// peerRequestKey names a request of a peer.
+// peerRequestKey identifies a request of a peer. IDs are unique within one peer only.
 type peerRequestKey struct{ peer, id WireID }
 
-// requestLoadTTL is how long what a peer said of a request counts. Peers repeat it
-// several times in that time.
+// requestLoadTTL is the time for which a peer's report of a request is valid. Peers repeat reports
+// several times within it.
 const requestLoadTTL = 3 * time.Second
 
-// queueUpdate notes that peers are to hear of a request.
+// queueUpdate marks a request to be reported to peers with the next Export.
 func (b *Dispatcher) queueUpdate(r *request) {
 	if b.isLocal {
 		return
@@ -82,7 +88,7 @@
 	b.signalChange()
 }
 
-// queueEnd notes that peers are to hear of a request's end.
+// queueEnd marks the end of a request to be reported to peers with the next Export.
 func (b *Dispatcher) queueEnd(r *request, outcome Outcome) {
 	if b.isLocal {
 		return
@@ -96,6 +102,7 @@
 	b.signalChange()
 }
 
+// signalChange puts an element into Changed unless there is one.
 func (b *Dispatcher) signalChange() {
 	select {
 	case b.Changed <- struct{}{}:
@@ -103,9 +110,9 @@
 	}
 }
 
-// Export returns what changed since the last call, or all that this entry has
-// where all is true. Ends are told once more with the next of all, without their outcome: a
-// failure that is told twice would count twice.
+// Export returns the requests of this entry that changed or ended since the last call, or all of
+// them with all set. A full export also repeats the ends exported since the last full one, without
+// their outcome, since a failure that is reported twice would count twice.
 func (b *Dispatcher) Export(now time.Time, all bool) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -130,7 +137,7 @@
 	return out
 }
 
-// RequestLoads returns all that this entry has, for an entry that is new here.
+// RequestLoads returns the load of all requests of this entry, for a peer that has just joined.
 func (b *Dispatcher) RequestLoads(now time.Time) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -141,6 +148,7 @@
 	return out
 }
 
+// load returns the load of the request as it is reported to peers.
 func (r *request) load(now time.Time) RequestLoad {
 	load := RequestLoad{
 		ID: r.wireID, FirstByteSeen: r.firstByteSeen, Age: now.Sub(r.placedAt), Waited: r.placedAt.Sub(r.waitingSince), Remaining: r.remaining, PromptTokens: r.promptTokens, AnswerTokens: r.answerTokens, FirstByteTarget: r.firstByteTarget, GapTarget: r.gapTarget,
@@ -152,7 +160,7 @@
 	return load
 }
 
-// expirePeerRequests drops what peers have not repeated for long.
+// expirePeerRequests removes the requests that peers have not reported within requestLoadTTL.
 func (b *Dispatcher) expirePeerRequests(now time.Time) {
 	for key, r := range b.peerRequests {
 		if now.After(r.expiresAt) {
@@ -162,7 +170,7 @@
 	}
 }
 
-// ForgetPeer drops what a peer told that has started anew: its requests ended with it.
+// ForgetPeer removes all requests of a peer that has restarted, as they ended with its incarnation.
 func (b *Dispatcher) ForgetPeer(now time.Time, peer WireID) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -174,7 +182,7 @@
 	}
 }
 
-// Import takes in a peer's shares.
+// Import applies a load update of a peer.
 func (b *Dispatcher) Import(now time.Time, peer WireID, loads []RequestLoad) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -204,8 +212,9 @@
 	}
 }
 
-// recordOutcome takes in what the end of a peer's request, nil if it is not known here, shows of an upstream:
-// one that fails a part of its requests would otherwise fail one for each entry.
+// recordOutcome records what the end of a peer's request shows about an upstream. Without these
+// reports, an upstream that fails a fraction of its requests would have to fail one of each entry
+// before all avoid it. The request is nil where its peer has not reported it before.
 func (b *Dispatcher) recordOutcome(now time.Time, r *request, load RequestLoad) {
 	switch {
 	case load.Outcome == OutcomeFailed && len(load.Assignments) > 0:
@@ -217,8 +226,8 @@
 	}
 }
 
-// recordAnswer notes that a peer's request was answered. Its parts are in the order in which their upstreams
-// became known here.
+// recordAnswer records that a peer's request was answered. It searches for the assignment that
+// decodes, because the order of a peer's assignments is that in which their upstreams became known.
 func (r *request) recordAnswer(now time.Time) {
 	for _, a := range r.assignments {
 		if a.job.Decodes {
@@ -227,7 +236,8 @@
 	}
 }
 
-// newPeerRequest returns a peer's request that has no parts yet.
+// newPeerRequest returns a peer's request without assignments; all of its upstreams are still
+// unknown.
 func newPeerRequest(now time.Time, load RequestLoad) *request {
 	return &request{
 		wireID: load.ID, firstReportedAt: now, promptTokens: load.PromptTokens, answerTokens: load.AnswerTokens, firstByteTarget: load.FirstByteTarget, gapTarget: load.GapTarget, value: promptValue(load.PromptTokens), remaining: load.Remaining, placedAt: now.Add(-load.Age), waitingSince: now.Add(-load.Age - load.Waited),
@@ -235,8 +245,8 @@
 	}
 }
 
-// resolveUpstreams gives a peer's request its parts at the upstreams that are known here. An entry
-// that has just started is told of requests before it knows any.
+// resolveUpstreams adds the assignments of a peer's request at the upstreams that are now listed.
+// An entry that has just started receives load updates before it has a list of upstreams.
 func (b *Dispatcher) resolveUpstreams(now time.Time, r *request) {
 	d := Demand{PromptTokens: r.promptTokens, AnswerTokens: r.answerTokens}
 	var unknown []AssignmentLoad
@@ -255,7 +265,8 @@
 	}
 }
 
-// newPeerJob is what a peer's request does at an upstream.
+// newPeerJob returns the job of a peer's request at an upstream. The engine is nil for plain
+// services.
 func newPeerJob(placed time.Time, d Demand, e *matcher.Engine, shards int, decodes bool) predictor.Job {
 	if e == nil {
 		return predictor.Job{Decodes: decodes, Arrived: placed}
--- a/dispatcher/requestload_test.go
+++ b/dispatcher/requestload_test.go
@@ -12,11 +12,11 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Shares come through a message as they were, whatever their number.
+// Any number of request loads is the same after encoding and decoding.
 func TestLoadUpdatesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var loads []RequestLoad
-		for range rapid.IntRange(0, 40).Draw(t, "shares") {
+		for range rapid.IntRange(0, 40).Draw(t, "loads") {
 			s := RequestLoad{ID: WireID(rapid.Uint32().Draw(t, "request")), Ended: rapid.Bool().Draw(t, "ended")}
 			if s.Ended {
 				s.Outcome = rapid.SampledFrom([]Outcome{OutcomeUnknown, OutcomeAnswered, OutcomeFailed}).Draw(t, "outcome")
@@ -26,15 +26,15 @@
 			}
 			if !s.Ended {
 				s.Waited = time.Duration(rapid.IntRange(0, 60000).Draw(t, "waited")) * time.Millisecond
-				s.Remaining = time.Duration(rapid.IntRange(0, 60000).Draw(t, "left")) * time.Millisecond
+				s.Remaining = time.Duration(rapid.IntRange(0, 60000).Draw(t, "remaining")) * time.Millisecond
 				s.FirstByteSeen = rapid.Bool().Draw(t, "begun")
 				s.Age = time.Duration(rapid.IntRange(0, 60000).Draw(t, "age")) * time.Millisecond
 				s.PromptTokens, s.AnswerTokens = rapid.IntRange(0, 1<<20).Draw(t, "prompt"), rapid.IntRange(0, 1<<16).Draw(t, "answer")
-				s.FirstByteTarget = time.Duration(rapid.IntRange(0, 60000).Draw(t, "target")) * time.Millisecond
-				s.GapTarget = time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond
-				for range rapid.IntRange(1, 17).Draw(t, "parts") {
+				s.FirstByteTarget = time.Duration(rapid.IntRange(0, 60000).Draw(t, "first-byte target")) * time.Millisecond
+				s.GapTarget = time.Duration(rapid.IntRange(0, 5000).Draw(t, "gap target")) * time.Millisecond
+				for range rapid.IntRange(1, 17).Draw(t, "assignments") {
 					s.Assignments = append(s.Assignments, AssignmentLoad{
-						Upstream: WireIDOf(rapid.String().Draw(t, "id")), MemoryTokens: memoryUnit * rapid.IntRange(0, 1<<14).Draw(t, "held"), Decodes: len(s.Assignments) == 0,
+						Upstream: WireIDOf(rapid.String().Draw(t, "id")), MemoryTokens: memoryUnit * rapid.IntRange(0, 1<<14).Draw(t, "memory"), Decodes: len(s.Assignments) == 0,
 					})
 				}
 			}
@@ -43,7 +43,7 @@
 		var got []RequestLoad
 		for _, m := range EncodeLoadUpdates(WireIDOf("entry-1"), loads) {
 			if len(m) > maxLoadUpdate {
-				t.Fatalf("message of %d bytes", len(m))
+				t.Fatalf("load update of %d bytes", len(m))
 			}
 			from, decoded, err := DecodeLoadUpdate(m)
 			if err != nil || from != WireIDOf("entry-1") {
@@ -70,8 +70,8 @@
 	}
 }
 
-// In an upgrade entries hear messages of the format before: those are no relayed ones, and an
-// entry of that format takes none of ours for its own.
+// During an upgrade, entries receive messages of the previous format. These are not mistaken for
+// relayed load updates, and entries of that format do not mistake relayed ones for their own.
 func TestEarlierFormatIsNoRelay(t *testing.T) {
 	is := is.New(t)
 	message := EncodeLoadUpdates(1, []RequestLoad{{ID: 2, Assignments: []AssignmentLoad{{Upstream: 3}}}})[0]
@@ -98,7 +98,7 @@
 	f.Fuzz(func(_ *testing.T, m []byte) { _, _, _ = DecodeLoadUpdate(m) })
 }
 
-// A board that tells nobody would keep what it has to tell for ever.
+// A dispatcher that nothing is exported from must not collect updates for ever.
 func TestLocalDispatcherExportsNothing(t *testing.T) {
 	is := is.New(t)
 	b := NewLocal("dc", rand.New(rand.NewPCG(1, 2)))
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -10,16 +10,18 @@
 )
 
 const (
-	// helperRiskCost is what each helper adds to the risk that one is gone.
+	// helperRiskCost is the cost of each helper, in requests, for the risk that the helper is gone.
 	helperRiskCost = 0.02
-	// maxHelpers is how many engines the first may list.
+	// maxHelpers is the maximum number of helpers that a request to the first engine may list.
 	maxHelpers = 16
-	// maxAnswering is how many engines are weighed as the one that answers.
+	// maxAnswering is the number of engines that are considered as the one that answers.
 	maxAnswering = 4
 )
 
-// groupSizes lists how many engines may prefill a prompt. A short one is
-// prefilled by one, unless all engines have something to prefill: with a helper it goes first.
+// groupSizes returns the numbers of engines to consider for a prompt. A prompt whose prefill takes
+// less than a quarter of its gap target gets one engine. Two are considered for it only where every
+// engine has a prefill backlog of half the first-byte target or more, since the shards of a group
+// are prefilled before other work.
 func groupSizes(d Demand, e *matcher.Engine, candidates []candidate) []int {
 	maxSize := min(len(candidates), maxHelpers+1)
 	if predictor.Prefill(e, d.PromptTokens) < d.GapTarget/4 {
@@ -39,14 +41,14 @@
 	return sizes
 }
 
-// maxWeighed is how many engines are weighed for each size of a group: twice the most that
-// one may have. In a larger fleet the others are left out that would cost most with the
-// smallest part, and sizes are not tried one by one: for a long prompt before 112 engines
-// that takes 0.9 ms of a core, 3.3 ms with all (BenchmarkPlace).
+// maxWeighed is the number of engines that are considered for each size of a group: twice the
+// largest group. In a larger fleet the engines are left out that would cost most with the smallest
+// shard, and only some sizes are tried. For a long prompt and 112 engines that takes 0.9 ms of
+// processor time, instead of 3.3 ms (BenchmarkPlace).
 const maxWeighed = 2 * (maxHelpers + 1)
 
-// shortlist returns the candidates that would cost least with one of k parts, in the order
-// of the cost.
+// shortlist returns the candidates that cost least with one of a number of shards, in the order of
+// the cost, and those that would answer.
 func (s *search) shortlist(now time.Time, d Demand, candidates []candidate, shards int) []candidate {
 	s.estimateShards(now, d, candidates, shards)
 	chosen := slices.Clone(s.order[:maxWeighed])
@@ -62,8 +64,8 @@
 	return out
 }
 
-// sparseSizes returns about half of the sizes of a group: each up to six, then in steps of
-// three eighths, and the largest.
+// sparseSizes returns about half of the given group sizes: each up to six, then in steps of three
+// eighths, and the largest.
 func sparseSizes(sizes []int) []int {
 	var sparse []int
 	next := 1
@@ -77,34 +79,36 @@
 	return sparse
 }
 
-// group is a number of engines for a prompt, the one that answers first.
+// group is a set of engines for a prompt, the one that answers first.
 type group struct {
 	estimates []estimate
-	// cost is what all lose by it, the request too; harm what others lose.
+	// cost is the predicted loss of all requests, the placed one included; displacementCost is that
+	// of the others alone. Both are in requests. prefillDelay is the time from now until the last
+	// shard is prefilled.
 	cost, displacementCost float64
 	prefillDelay           time.Duration
 }
 
-// search holds what is worked out for one number of engines, to be used again
-// for the next.
+// search holds buffers that are reused for each size of a group.
 type search struct {
 	forecast *predictor.Forecast
-	// packs is true where the prompt is to be packed with others.
+	// packs is true where the prompt is packed onto few engines together with similar ones.
 	packs     bool
 	estimates []estimate
-	// costs is what each offer would cost by itself, order the offers from
-	// the cheapest on.
+	// costs holds the cost of each estimate by itself, with the prompt's own loss; order holds the
+	// indexes of the estimates, the cheapest first.
 	costs []float64
 	order []int
 }
 
-// newSearch returns a search for a prompt's place. A blind entry packs nothing: all of them would fill the
-// same engines.
+// newSearch returns a search for the engines of a prompt. An isolated entry packs nothing, as all
+// isolated entries would fill the same engines.
 func (b *Dispatcher) newSearch(d Demand, candidates []candidate) search {
 	return search{forecast: &b.forecast, packs: !b.isolated && !hasLongPrefill(candidates[0].upstream.engine, d.PromptTokens)}
 }
 
-// estimateShards ranks what each candidate would cost as a helper, with one of k parts.
+// estimateShards estimates each candidate as a helper with one of a number of shards, and sorts the
+// estimates by cost.
 func (s *search) estimateShards(now time.Time, d Demand, candidates []candidate, shards int) {
 	s.estimates = s.estimates[:0]
 	for i := range candidates {
@@ -113,7 +117,7 @@
 	s.sortByCost(d)
 }
 
-// sortByCost orders offers from the one that costs least on.
+// sortByCost computes the costs of the estimates and their order.
 func (s *search) sortByCost(d Demand) {
 	s.costs, s.order = s.costs[:0], s.order[:0]
 	for i, est := range s.estimates {
@@ -125,7 +129,8 @@
 	})
 }
 
-// bestSingle finds the engine that loses least by taking a prompt alone.
+// bestSingle returns the engine with the lowest cost for a whole prompt. It reports false where no
+// engine has enough memory in total.
 func (s *search) bestSingle(now time.Time, d Demand, candidates []candidate) (group, bool) {
 	s.estimates = s.estimates[:0]
 	addsJitter := s.packs && hasShortPrefill(d, candidates[0].upstream.engine)
@@ -148,7 +153,8 @@
 	return group{estimates: []estimate{best}, cost: s.costs[s.order[0]], displacementCost: best.displacementCost, prefillDelay: best.prefillDelay}, true
 }
 
-// packingCost is what it costs to have an engine decode an answer where it has none like it.
+// packingCost returns the cost of decoding an answer on an engine that decodes few similar ones, in
+// requests.
 func (s *search) packingCost(d Demand, c *candidate) float64 {
 	if !s.packs {
 		return 0
@@ -156,8 +162,8 @@
 	return unpackedCost * promptValue(d.PromptTokens) * (1 - c.packed)
 }
 
-// answeringCandidates lists the offers that are weighed as the one that answers: those that cost least as helpers,
-// with what it costs to open their engines.
+// answeringCandidates returns the indexes of the estimates that are considered as the engine that
+// answers: those with the lowest cost as helpers, the packing cost included.
 func (s *search) answeringCandidates(d Demand) []int {
 	n := min(len(s.order), maxAnswering)
 	if !s.packs {
@@ -169,7 +175,7 @@
 	return slices.SortedStableFunc(slices.Values(s.order), byTotalCost)[:n]
 }
 
-// bestJoint finds the k engines that lose least by prefilling a prompt together.
+// bestJoint returns the group of a given size with the lowest cost for a prompt.
 func (s *search) bestJoint(now time.Time, d Demand, candidates []candidate, size int) group {
 	s.estimateShards(now, d, candidates, size)
 	first, answering := -1, estimate{}
--- a/dispatcher/settle_test.go
+++ b/dispatcher/settle_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// newPeers returns the boards of entries before the same engines, which hear each other.
+// newPeers returns the dispatchers of entries that use the same engines and exchange load updates.
 func newPeers(t *testing.T, count, engines int) []*Dispatcher {
 	t.Helper()
 	var dispatchers []*Dispatcher
@@ -22,7 +22,8 @@
 	return dispatchers
 }
 
-// exchangeUpdates has each board hear what changed at the others, or all that they have.
+// exchangeUpdates imports the changes of each dispatcher at all others, or its whole load with all
+// set.
 func exchangeUpdates(t *testing.T, now time.Time, dispatchers []*Dispatcher, all bool) {
 	t.Helper()
 	for i, from := range dispatchers {
@@ -40,7 +41,7 @@
 	}
 }
 
-// commonEngines is how many engines two placements have in common.
+// commonEngines returns the number of engines that two placements have in common.
 func commonEngines(a, b *Placement) int {
 	n := 0
 	for _, used := range enginesUsed(a, b) {
@@ -49,10 +50,10 @@
 	return n
 }
 
-// Engines get less to do, and two entries that each hold a long prompt place it within a
-// millisecond on the same engines: on a day of bursts the second then began four seconds
-// late, and 67 short answers broke off. Of the two the one that waited longer stays, and the
-// other finds engines that are free.
+// When engines become less busy, two entries that each hold a long prompt can place them on the
+// same engines within a millisecond. In a scenario with bursts the second prompt then began four
+// seconds late, and 67 short answers broke off. The request that waited longer must keep its
+// placement, and the other must find free engines.
 func TestOneOfTwoSimultaneousPlacementsYields(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -87,7 +88,8 @@
 	}
 }
 
-// A whole fleet does so: whoever stays has its engines for itself, and someone stays.
+// Of many entries that place long prompts at once, at least one keeps its placement, and no two of
+// those that do have an engine in common.
 func TestSomeOfManySimultaneousPlacementsStay(t *testing.T) {
 	is := is.New(t)
 	for seed := range 40 {
@@ -116,8 +118,8 @@
 	}
 }
 
-// What was sent already can't yield any more: who learns of it late does, however long its
-// caller has waited.
+// A request that has been sent can no longer yield. An entry that receives its report late yields
+// instead, however long its own caller has waited.
 func TestYieldsToSentRequest(t *testing.T) {
 	is := is.New(t)
 	dispatchers := newPeers(t, 2, 17)
@@ -130,8 +132,8 @@
 	is.True(p.ShouldYield(late.Add(SettleDelay)))
 }
 
-// A prompt that is not heavy is sent at once, and gives way to none; so is any that no
-// other entry can meet.
+// A prompt that is not long is sent at once and never yields. Neither does a long prompt settle
+// where no other entry places requests.
 func TestOnlyLongPromptsSettle(t *testing.T) {
 	is := is.New(t)
 	dispatchers := newPeers(t, 2, 2)
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// UpstreamStatus is what the board holds of one upstream.
+// UpstreamStatus is a snapshot of one upstream.
 type UpstreamStatus struct {
 	Instance Instance
-	// Load is that of all entries, as far as this one knows.
+	// Load is the load by the requests of all entries, as far as known here.
 	Load Load
-	// MemoryTokens is an engine's memory; 0 for plain services.
+	// MemoryTokens is the total memory of the engine in tokens; 0 for plain services.
 	MemoryTokens int
-	// Backoff is how long yet it wants nothing from this entry.
+	// Backoff is the time for which the upstream still asks this entry to send nothing; 0 if it
+	// does not.
 	Backoff time.Duration
 }
 
-// Upstreams returns all upstreams that may get work, by service and ID.
+// Upstreams returns the status of all listed upstreams, sorted by service and ID.
 func (b *Dispatcher) Upstreams(now time.Time) []UpstreamStatus {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Where an answer has to end before the entry that relays it, the longest that the request allows
-// counts, not the one that its caller expects: half of all answers are longer than that.
+// Where an answer must end before the entry that relays it, its maximum length counts and not the
+// expected one, which half of all answers exceed.
 func TestLongestAnswerEndsBeforeEntryStops(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -30,7 +30,7 @@
 	}
 }
 
-// An engine that is slow ends answers later.
+// The latest end of an answer is later on an engine with a slow pace.
 func TestSlowEngineExtendsLatestEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -7,27 +7,27 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// upstream is one upstream on the board.
+// upstream is one incarnation of an upstream, with the work of all entries there.
 type upstream struct {
 	instance Instance
-	// wireID names the run in messages of shares.
+	// wireID identifies the incarnation in load updates.
 	wireID WireID
-	// engine is nil where the upstream is not a model engine; queue too.
+	// engine and queue are nil where the upstream is not a model engine.
 	engine *matcher.Engine
 	queue  *predictor.Queue
-	// assignments are what requests do here, those of peers too.
+	// assignments is the work of requests there, of this entry and of peers.
 	assignments map[*assignment]bool
-	// assignmentOf holds the parts by what the queue has of them.
+	// assignmentOf holds the assignments by their job in the queue.
 	assignmentOf map[*predictor.Job]*assignment
 	health       health
-	// backpressure is what the run said that it takes.
+	// backpressure is what the incarnation has reported about accepting requests.
 	backpressure backpressure
-	// projections are what becomes of the jobs if nothing more is placed here, as of
-	// the last look.
+	// projections are the predicted courses of the jobs if nothing more is placed there, as of the
+	// last call of project.
 	projections []predictor.Fate
 }
 
-// setEngine takes in how the upstream works by its service's configuration.
+// setEngine sets the engine figures from the configuration of the service, which is nil if unknown.
 func (u *upstream) setEngine(s *matcher.Service) {
 	u.engine = nil
 	if s != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// add notes a part that arrived now or a little earlier.
+// add records an assignment that began now or a little earlier.
 func (u *upstream) add(now time.Time, a *assignment) {
 	u.assignments[a] = true
 	if u.queue != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// remove notes that a part is over.
+// remove removes an assignment that has ended.
 func (u *upstream) remove(now time.Time, a *assignment) {
 	delete(u.assignments, a)
 	delete(u.assignmentOf, &a.job)
@@ -61,7 +61,7 @@
 	}
 }
 
-// project foresees what becomes of the parts here, if nothing more is placed.
+// project predicts the course of the assignments if nothing more is placed there.
 func (u *upstream) project(now time.Time, forecast *predictor.Forecast) {
 	u.queue.SetPace(u.health.pace(now))
 	u.queue.Advance(now)
@@ -71,8 +71,9 @@
 	}
 }
 
-// updateJointJobs tells the queue when the answers that it is to decode are prefilled
-// elsewhere, as of the last look at all workers. It reports whether there are any.
+// updateJointJobs sets, for each answer of a group that the engine will decode, the time at which
+// the group's other engines are predicted to have prefilled their shards. It uses the last
+// projection of all upstreams and reports whether there was any such answer.
 func (u *upstream) updateJointJobs() bool {
 	found := false
 	for a := range u.assignments {
@@ -84,22 +85,22 @@
 	return found
 }
 
-// Load is the work at one upstream, as far as known.
+// Load is the work of all entries at one upstream, as far as known here.
 type Load struct {
-	// Running is how many requests the upstream answers.
+	// Running is the number of requests that the upstream answers, waiting ones included.
 	Running int
-	// PrefillBacklog is how long the upstream has yet to prefill.
+	// PrefillBacklog is the time that the engine needs to prefill what it has.
 	PrefillBacklog time.Duration
-	// Overdue is how long the most overdue request waits beyond what was expected.
-	// An engine that is that late has at least as much to do that nobody told.
+	// Overdue is the time by which the most overdue first event is late against its prediction. The
+	// engine has at least as much work that no entry has reported.
 	Overdue time.Duration
-	// MemoryTokens is the memory used.
+	// MemoryTokens is the memory in use, in tokens.
 	MemoryTokens int
-	// FailureRate is the part of requests that is expected to fail.
+	// FailureRate is the fraction of requests that is expected to fail.
 	FailureRate float64
 }
 
-// load is the load that the requests of all entries make, as far as known.
+// load returns the current load by the requests of all entries.
 func (u *upstream) load(now time.Time) Load {
 	l := Load{FailureRate: u.health.failureRate(now)}
 	for a := range u.assignments {
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// loadUpdateFormat is the first byte of a message of shares.
+	// loadUpdateFormat is the first byte of a load update and changes with its layout.
 	loadUpdateFormat = 10
-	// maxLoadUpdate bounds a message, so that it fits one datagram of a usual link.
+	// maxLoadUpdate is the maximum size of a load update in bytes, so that it fits into one
+	// datagram of a common link.
 	maxLoadUpdate = 1300
-	// wireIDSize is the size of a token in bytes.
+	// wireIDSize is the encoded size of a wire ID in bytes.
 	wireIDSize = 4
-	// memoryUnit is what memory is rounded up to on the wire, in tokens.
+	// memoryUnit is the unit that memory is rounded up to on the wire, in tokens.
 	memoryUnit = 64
 )
 
-// What a share says in its first byte.
+// Kinds of an encoded request load, in the byte after its ID.
 const (
 	kindPlaced = iota
 	kindFirstByteSeen
@@ -27,11 +28,11 @@
 	kindFailed
 )
 
-// ErrLoadUpdate says that a message of shares can't be read.
-var ErrLoadUpdate = errors.New("message of shares is malformed")
+// ErrLoadUpdate is returned for a message that is no valid load update.
+var ErrLoadUpdate = errors.New("load update is malformed")
 
-// EncodeLoadUpdates writes shares as messages that fit a datagram each, from the
-// named entry.
+// EncodeLoadUpdates encodes request loads of an entry as load updates that fit into one datagram
+// each.
 func EncodeLoadUpdates(from WireID, loads []RequestLoad) [][]byte {
 	var messages [][]byte
 	head := binary.LittleEndian.AppendUint32([]byte{loadUpdateFormat}, uint32(from))
@@ -50,6 +51,7 @@
 	return messages
 }
 
+// appendLoad appends the encoding of a request load to a message.
 func appendLoad(to []byte, load RequestLoad) []byte {
 	to = binary.LittleEndian.AppendUint32(to, uint32(load.ID))
 	switch {
@@ -79,26 +81,28 @@
 	return to
 }
 
-// RelayTarget says to whom in its data centre the receiver of a datagram passes its message on.
-// It is the first byte of the datagram; a whole message of shares follows.
+// RelayTarget selects the entries to which the receiver of a datagram relays the load update in it,
+// within the receiver's data centre. It is the first byte of such a datagram, before the complete
+// load update.
 type RelayTarget byte
 
-// Relays on the wire. The zero value is no byte there: the message is the receiver's alone.
-// The others are no format of messages, past ones included: in an upgrade an entry would
-// now and then take one for the other.
+// Relay targets. RelayToNone is not encoded: the load update is for the receiver alone.
+// RelayToPlacing selects the entries that place requests. The encoded values differ from all past
+// and present values of loadUpdateFormat, as entries of different versions would otherwise confuse
+// the two during an upgrade.
 const (
 	RelayToNone    RelayTarget = 0
 	RelayToAll     RelayTarget = 7
 	RelayToPlacing RelayTarget = 9
 )
 
-// WrapForRelay returns a message of shares as it is sent to an entry that is to pass it on.
+// WrapForRelay returns the datagram that asks an entry to relay a load update.
 func WrapForRelay(r RelayTarget, message []byte) []byte {
 	return append([]byte{byte(r)}, message...)
 }
 
-// UnwrapRelay returns the message of shares in a datagram, and to whom its receiver is to
-// pass it on. The message shares memory with the argument.
+// UnwrapRelay returns the load update in a datagram, and the entries to which its receiver must
+// relay it. The result shares memory with the argument.
 func UnwrapRelay(datagram []byte) (RelayTarget, []byte) {
 	if len(datagram) == 0 {
 		return RelayToNone, datagram
@@ -111,12 +115,13 @@
 	}
 }
 
-// loadReader reads a message; after the first fault it reads only zeros.
+// loadReader decodes a load update. After the first error it returns only zeros.
 type loadReader struct {
 	rest   []byte
 	failed bool
 }
 
+// number decodes an unsigned varint. Values above 2^40 are errors.
 func (r *loadReader) number() int {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > 1<<40 {
@@ -127,10 +132,12 @@
 	return int(n)
 }
 
+// milliseconds decodes a duration in whole milliseconds.
 func (r *loadReader) milliseconds() time.Duration {
 	return time.Duration(r.number()) * time.Millisecond
 }
 
+// kind decodes the kind of a request load; kindEnded after an error.
 func (r *loadReader) kind() byte {
 	if len(r.rest) == 0 || r.rest[0] > kindFailed {
 		r.failed, r.rest = true, nil
@@ -141,6 +148,7 @@
 	return k
 }
 
+// wireID decodes a wire ID.
 func (r *loadReader) wireID() WireID {
 	if len(r.rest) < wireIDSize {
 		r.failed, r.rest = true, nil
@@ -151,7 +159,7 @@
 	return id
 }
 
-// load reads one share.
+// load decodes one request load.
 func (r *loadReader) load() RequestLoad {
 	load := RequestLoad{ID: r.wireID()}
 	kind := r.kind()
@@ -176,7 +184,8 @@
 	return load
 }
 
-// DecodeLoadUpdate reads a message.
+// DecodeLoadUpdate decodes a load update and returns the wire ID of the entry that sent it. The
+// error is ErrLoadUpdate for any malformed message.
 func DecodeLoadUpdate(message []byte) (WireID, []RequestLoad, error) {
 	if len(message) == 0 || message[0] != loadUpdateFormat {
 		return 0, nil, ErrLoadUpdate
