--- a/controller/changes.go
+++ b/controller/changes.go
@@ -12,9 +12,9 @@
 )
 
 // logQuarantined logs requests that are refused from now on, as they crash what runs them.
-func (s *state) logQuarantined(now time.Time, verdicts []quarantiner.Verdict, source string) {
+func (s *state) logQuarantined(now time.Time, verdicts []quarantiner.Decision, source string) {
 	for _, v := range verdicts {
-		s.controller.config.Log.Warn("quarantined", v.Fields(now, source)...)
+		s.controller.config.Log.Warn("quarantined", v.LogFields(now, source)...)
 	}
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -168,7 +168,7 @@
 	s := &state{
 		controller: c, follower: follower.New(), contacts: map[string]contact{}, capacities: map[string]capacity{}, died: map[string]time.Time{},
 		seeds: seeds, started: now, lastTick: now, lastBoot: c.config.SinceBoot(),
-		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, Suspect: suspectTime}),
+		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, SuspectAfter: suspectTime}),
 	}
 	s.follower.BoundRemovals(c.config.InForce)
 	c.goRun(func() { c.follow(ctx) })
@@ -218,13 +218,13 @@
 	}
 	if paused > wokeAfter {
 		s.controller.config.Log.Warn("woke", zap.Duration("paused_ms", paused))
-		s.prober.Woke(now)
+		s.prober.ResetSilence(now)
 		s.follower.Unconfirmed()
 		s.dirty = true
 	}
 	s.membersChanged(s.prober.Tick(now))
 	s.logStore(s.follower.Tick(now), "hold_ended")
-	s.logQuarantined(now, s.controller.config.Quarantine.Judge(now), "own")
+	s.logQuarantined(now, s.controller.config.Quarantine.Evaluate(now), "own")
 	if age, ok := s.follower.ConfirmedAge(now); ok {
 		s.controller.metrics.listAge.Update(age.Seconds())
 	}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -83,7 +83,7 @@
 		}
 		now := time.Now()
 		*reply = s.beat(now, contacts)
-		reply.Quarantine = s.controller.config.Quarantine.Reply(now, beat.Quarantine)
+		reply.Quarantine = s.controller.config.Quarantine.ReplyUpdate(now, beat.Quarantine)
 	})
 	if reply.From == "" {
 		return errStopped
@@ -137,7 +137,7 @@
 		now := time.Now()
 		targets = s.targets(now, all)
 		beat = s.beat(now, fewContacts)
-		beat.Quarantine = c.config.Quarantine.Tell(now)
+		beat.Quarantine = c.config.Quarantine.HeartbeatUpdate(now)
 	})
 	for _, address := range targets {
 		go func() {
@@ -170,7 +170,7 @@
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 		return out[:min(len(out), mostPushed)]
 	}
-	for _, m := range s.prober.Targets(now) {
+	for _, m := range s.prober.BeginRound(now) {
 		out = append(out, m.PeerAddress)
 		live[m.PeerAddress] = true
 	}
@@ -190,7 +190,7 @@
 	b := Beat{
 		Heartbeat: api.Heartbeat{
 			From: c.Name, Incarnation: c.Incarnation, PeerAddress: c.Peers, Address: c.Callers, DataCentre: c.DataCentre,
-			Stopping: s.stopping, Ready: s.table != nil, Revision: uint64(revision), Notices: s.prober.Notices(),
+			Stopping: s.stopping, Ready: s.table != nil, Revision: uint64(revision), Notices: s.prober.NextNotices(),
 		},
 		Knows: len(s.contacts), Known: ok && s.follower.Known(), Content: s.follower.Content(), Confirmed: age,
 		Disturbed: s.disturbed(now), Speed: c.Speed, Strained: s.lag.strained,
@@ -212,7 +212,7 @@
 		now := time.Now()
 		s.heard(now, b)
 		s.hearDisturbed(now, b.Disturbed)
-		s.logQuarantined(now, c.config.Quarantine.Hear(now, b.Quarantine), b.From)
+		s.logQuarantined(now, c.config.Quarantine.ApplyUpdate(now, b.Quarantine), b.From)
 		have.Have = s.follower.Revision()
 		_, have.HaveConfig = s.follower.Config()
 		fetch = b.Known && (b.Content > s.follower.Content() || !s.follower.Known()) && s.fetching < mostFetches
@@ -234,7 +234,7 @@
 	for _, k := range b.Contacts {
 		s.meet(now, contact{name: k.Name, callers: k.Callers, peers: k.Peers, dataCentre: k.DataCentre})
 	}
-	s.membersChanged(s.prober.Heard(now, b.Heartbeat))
+	s.membersChanged(s.prober.ReceiveHeartbeat(now, b.Heartbeat))
 	after, _ := s.prober.Find(b.From)
 	told := capacity{speed: b.Speed, strained: b.Strained}
 	if s.capacities[b.From] != told {
@@ -262,5 +262,5 @@
 			Name: k.name, Kind: api.KindEntry, Address: k.callers.String(), PeerAddress: k.peers.String(), DataCentre: k.dataCentre,
 		})
 	}
-	s.prober.List(now, list)
+	s.prober.ApplyInstanceList(now, list)
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -10,7 +10,7 @@
 func (c *Controller) Status() api.Status {
 	var status api.Status
 	c.do(func(s *state) { status = s.status(time.Now()) })
-	status.Quarantined = c.config.Quarantine.Count()
+	status.Quarantined = c.config.Quarantine.QuarantinedCount()
 	for _, row := range c.config.Board.Upstreams(time.Now()) {
 		state := api.InstanceLive
 		if row.Instance.Leaving {
@@ -46,8 +46,8 @@
 		line := api.MemberStatus{
 			Name: m.Name, State: string(m.State), Incarnation: m.Incarnation, Speed: told.speed, Strained: told.strained, Takes: takes[m.Name],
 		}
-		if !m.Heard.IsZero() {
-			line.Heard = now.Sub(m.Heard)
+		if !m.LastHeartbeat.IsZero() {
+			line.Heard = now.Sub(m.LastHeartbeat)
 		}
 		status.Members = append(status.Members, line)
 	}
--- a/controller/view.go
+++ b/controller/view.go
@@ -61,7 +61,7 @@
 	if s.table != nil {
 		c.config.Board.Update(s.table, usable)
 	}
-	c.config.Quarantine.SetUpstreams(len(usable))
+	c.config.Quarantine.SetUpstreamCount(len(usable))
 	c.metrics.revision.Update(float64(configRevision))
 	c.metrics.members.Update(float64(heard))
 	c.metrics.upstream.Update(float64(len(usable)))
--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -21,14 +21,14 @@
 )
 
 // hasLongPrefill reports whether one engine needs longPrefill or more for a prompt.
-func hasLongPrefill(e *matcher.Engine, promptTokens int) bool {
+func hasLongPrefill(e *matcher.EngineProfile, promptTokens int) bool {
 	return predictor.Prefill(e, promptTokens) >= longPrefill
 }
 
 // refuseTooCostly returns a refusal for a long prompt whose placement would cost more than the
 // prompt's value, and nil for others. The argument totalCost is the cost of its best placement in
 // requests, the prompt's own lateness included.
-func refuseTooCostly(d Demand, e *matcher.Engine, candidates []candidate, totalCost float64) *Refusal {
+func refuseTooCostly(d Demand, e *matcher.EngineProfile, candidates []candidate, totalCost float64) *Refusal {
 	if d.Admitted || !hasLongPrefill(e, d.PromptTokens) {
 		return nil
 	}
@@ -60,7 +60,7 @@
 // new shards before older ones, and the gaps between events grow with the queue, whereas a prompt
 // that waits at its entry delays no other. An entry that is shutting down has no time for that and
 // defers nothing.
-func refuseTooEarly(d Demand, e *matcher.Engine, g group, backlog time.Duration) *Refusal {
+func refuseTooEarly(d Demand, e *matcher.EngineProfile, g group, backlog time.Duration) *Refusal {
 	if d.Admitted || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
 		return nil
 	}
@@ -111,7 +111,7 @@
 func (d Demand) latestEnd(now time.Time, g group) time.Duration {
 	answering := g.estimates[0]
 	engine := answering.upstream.engine
-	events := d.MaxAnswerTokens/max(1, engine.Stride) + 1
+	events := d.MaxAnswerTokens/max(1, engine.StepsPerPass) + 1
 	pass := float64(predictor.DecodePass(engine, engine.Slots, answering.load.MemoryTokens+d.PromptTokens)) * answering.upstream.health.pace(now)
 	return time.Duration(endMargin * (float64(g.prefillDelay) + float64(events)*pass))
 }
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -14,7 +14,7 @@
 func loadedDispatcher(b testing.TB, answers int) *Dispatcher {
 	b.Helper()
 	engine := testEngine
-	engine.Slots, engine.Stride = 10, 80
+	engine.Slots, engine.StepsPerPass = 10, 80
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &engine}}})
 	if err != nil {
 		b.Fatal(err)
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -136,16 +136,16 @@
 func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, forecast *predictor.Forecast) estimate {
 	u, engine := c.upstream, c.upstream.engine
 	est := estimate{candidate: c, job: newJob(now, d, engine, shards, decodes), canDecode: shards > 1 || d.PromptTokens+d.AnswerTokens <= engine.MemoryTokens}
-	projections := forecast.Play(now, u.queue, &est.job)
+	projections := forecast.Simulate(now, u.queue, &est.job)
 	own := projections[len(projections)-1]
-	est.prefillDelay, est.longestGap = own.Done.Sub(now)+c.load.Overdue+transitTime, own.Pause
+	est.prefillDelay, est.longestGap = own.PrefillDone.Sub(now)+c.load.Overdue+transitTime, own.MaxGap
 	if decodes {
 		est.unfinishedRisk = overProbability(own.End.Sub(now), d.Remaining, endFrom, endTo)
 	}
 	for i, projection := range projections[:len(projections)-1] {
 		est.displacementCost += u.assignmentOf[projection.Job].loss(projection, c.othersPrefilledAt[i]) - c.baselineLoss[i]
 	}
-	est.displacementCost += c.slotPrice * float64(c.decoding) * est.job.Prefill.Seconds()
+	est.displacementCost += c.slotPrice * float64(c.decoding) * est.job.PrefillTime.Seconds()
 	est.cost = est.displacementCost
 	value := promptValue(d.PromptTokens)
 	est.cost += value * failureLoss * c.load.FailureRate
@@ -163,22 +163,22 @@
 
 // newJob returns the engine's job for one of a number of shards of a prompt. With decodes the
 // engine also decodes the answer.
-func newJob(now time.Time, d Demand, e *matcher.Engine, shards int, decodes bool) predictor.Job {
+func newJob(now time.Time, d Demand, e *matcher.EngineProfile, shards int, decodes bool) predictor.Job {
 	return predictor.Job{
-		Joint: shards > 1, Tokens: d.PromptTokens / shards, Prefill: predictor.Part(e, d.PromptTokens, shards), Decodes: decodes, Context: d.PromptTokens / shards,
-		Events: d.AnswerTokens/max(1, e.Stride) + 1, Arrived: now,
+		Sharded: shards > 1, PrefillTokens: d.PromptTokens / shards, PrefillTime: predictor.ShardPrefill(e, d.PromptTokens, shards), Decodes: decodes, ContextTokens: d.PromptTokens / shards,
+		ExpectedEvents: d.AnswerTokens/max(1, e.StepsPerPass) + 1, Arrived: now,
 	}
 }
 
 // hasShortPrefill reports whether the prefill of a prompt fits into shortPrefillFraction of its gap
 // target.
-func hasShortPrefill(d Demand, e *matcher.Engine) bool {
+func hasShortPrefill(d Demand, e *matcher.EngineProfile) bool {
 	return float64(predictor.Prefill(e, d.PromptTokens)) <= shortPrefillFraction*float64(d.GapTarget)
 }
 
 // slotWait returns the mean time until a slot of a full engine is free. An answer is decoded in
 // UsualAnswer / Stride passes, and answers are taken to end evenly over time.
-func slotWait(e *matcher.Engine, pass time.Duration) time.Duration {
-	passes := float64(e.UsualAnswer) / float64(max(1, e.Stride))
+func slotWait(e *matcher.EngineProfile, pass time.Duration) time.Duration {
+	passes := float64(e.MeanAnswerTokens) / float64(max(1, e.StepsPerPass))
 	return time.Duration(passes * float64(pass) / float64(max(1, e.Slots)))
 }
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -15,9 +15,9 @@
 // The engine figures of the first deployments, and three demands after their kinds of prompt:
 // 5,000, 45,000 and 154,000 tokens.
 var (
-	testEngine = matcher.Engine{
-		Slots: 16, MemoryTokens: 315000, Stride: 51, Step: 850 * time.Microsecond, PerSequence: 4250 * time.Nanosecond,
-		PerThousand: 2850 * time.Nanosecond, PrefillPerSecond: 177000, PerMillionPairs: 184 * time.Microsecond, Chunk: 2048,
+	testEngine = matcher.EngineProfile{
+		Slots: 16, MemoryTokens: 315000, StepsPerPass: 51, StepTime: 850 * time.Microsecond, TimePerSequence: 4250 * time.Nanosecond,
+		TimePerThousandTokens: 2850 * time.Nanosecond, PrefillTokensPerSecond: 177000, TimePerMillionPairs: 184 * time.Microsecond, ChunkTokens: 2048,
 	}
 	shortDemand  = Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 1650, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, MaxWait: 2 * time.Second}
 	mediumDemand = Demand{Service: "lm", PromptTokens: 45000, AnswerTokens: 1000, FirstByteTarget: 1500 * time.Millisecond, GapTarget: 600 * time.Millisecond, MaxWait: 6 * time.Second}
@@ -166,7 +166,7 @@
 	b.newCandidates(now, longDemand, b.usableUpstreams(now, longDemand))
 	for _, u := range b.upstreams {
 		for _, f := range u.projections {
-			is.True(f.Pause < longDemand.GapTarget)
+			is.True(f.MaxGap < longDemand.GapTarget)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 		place(t, b, now, withPrompt(longDemand, 224000))
 		b.newCandidates(now, longDemand, b.usableUpstreams(now, longDemand))
 		for _, f := range first.request.assignments[0].upstream.projections {
-			is.True(f.Pause < longDemand.GapTarget)
+			is.True(f.MaxGap < longDemand.GapTarget)
 		}
 	}
 }
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -32,10 +32,10 @@
 	isJoint := len(r.assignments) > 1
 	u := r.assignments[0].upstream
 	if u.queue != nil && !isJoint {
-		u.queue.PassSeen(now)
+		u.queue.RecordPassEnd(now)
 	}
 	r.recordFirstByte(now)
-	if isJoint || r.assignments[0].job.Prefill > minReportedPrefill {
+	if isJoint || r.assignments[0].job.PrefillTime > minReportedPrefill {
 		b.queueUpdate(r)
 	}
 	u.health.recordSuccess(now)
@@ -50,7 +50,7 @@
 	p.dispatcher.lock.Lock()
 	defer p.dispatcher.lock.Unlock()
 	if u := p.request.assignments[0].upstream; u.queue != nil {
-		u.queue.PassSeen(now)
+		u.queue.RecordPassEnd(now)
 	}
 }
 
@@ -60,7 +60,7 @@
 	r.firstByteSeen = true
 	for _, a := range r.assignments {
 		if a.upstream.queue != nil {
-			a.upstream.queue.Begun(now, &a.job)
+			a.upstream.queue.RecordFirstEvent(now, &a.job)
 		}
 	}
 }
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -94,18 +94,18 @@
 
 // loss returns the predicted loss of the request, in requests, if its job on this upstream proceeds
 // as projected and its other shards are prefilled by othersPrefilledAt. It is 0 for plain requests.
-func (a *assignment) loss(projection predictor.Fate, othersPrefilledAt time.Time) float64 {
+func (a *assignment) loss(projection predictor.Projection, othersPrefilledAt time.Time) float64 {
 	r := a.request
 	if r.gapTarget == 0 {
 		return 0
 	}
-	prefilledAt := projection.Done
+	prefilledAt := projection.PrefillDone
 	if othersPrefilledAt.After(prefilledAt) {
 		prefilledAt = othersPrefilledAt
 	}
 	longestGap := time.Duration(0)
 	if a.job.Decodes {
-		longestGap = projection.Pause
+		longestGap = projection.MaxGap
 	}
 	unfinishedRisk := 0.0
 	if a.job.Decodes {
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -22,7 +22,7 @@
 // less than a quarter of its gap target gets one engine. Two are considered for it only where every
 // engine has a prefill backlog of half the first-byte target or more, since the shards of a group
 // are prefilled before other work.
-func groupSizes(d Demand, e *matcher.Engine, candidates []candidate) []int {
+func groupSizes(d Demand, e *matcher.EngineProfile, candidates []candidate) []int {
 	maxSize := min(len(candidates), maxHelpers+1)
 	if predictor.Prefill(e, d.PromptTokens) < d.GapTarget/4 {
 		hasIdle := slices.ContainsFunc(candidates, func(c candidate) bool { return c.load.PrefillBacklog < d.FirstByteTarget/2 })
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -13,7 +13,7 @@
 	// wireID identifies the incarnation in load updates.
 	wireID WireID
 	// engine and queue are nil where the upstream is not a model engine.
-	engine *matcher.Engine
+	engine *matcher.EngineProfile
 	queue  *predictor.Queue
 	// assignments is the work of requests there, of this entry and of peers.
 	assignments map[*assignment]bool
@@ -24,7 +24,7 @@
 	backpressure backpressure
 	// projections are the predicted courses of the jobs if nothing more is placed there, as of the
 	// last call of project.
-	projections []predictor.Fate
+	projections []predictor.Projection
 }
 
 // setEngine sets the engine figures from the configuration of the service, which is nil if unknown.
@@ -39,7 +39,7 @@
 	case u.queue == nil:
 		u.queue = predictor.NewQueue(u.engine)
 	default:
-		u.queue.Reset(u.engine)
+		u.queue.SetEngine(u.engine)
 	}
 }
 
@@ -63,11 +63,11 @@
 
 // project predicts the course of the assignments if nothing more is placed there.
 func (u *upstream) project(now time.Time, forecast *predictor.Forecast) {
-	u.queue.SetPace(u.health.pace(now))
+	u.queue.SetSlowdown(u.health.pace(now))
 	u.queue.Advance(now)
-	u.projections = append(u.projections[:0], forecast.Play(now, u.queue, nil)...)
+	u.projections = append(u.projections[:0], forecast.Simulate(now, u.queue, nil)...)
 	for _, projection := range u.projections {
-		u.assignmentOf[projection.Job].prefilledAt = projection.Done
+		u.assignmentOf[projection.Job].prefilledAt = projection.PrefillDone
 	}
 }
 
@@ -77,8 +77,8 @@
 func (u *upstream) updateJointJobs() bool {
 	found := false
 	for a := range u.assignments {
-		if a.job.Joint && a.job.Decodes && !a.request.firstByteSeen {
-			a.job.Elsewhere = a.othersPrefilledAt()
+		if a.job.Sharded && a.job.Decodes && !a.request.firstByteSeen {
+			a.job.OtherShardsDone = a.othersPrefilledAt()
 			found = true
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	if u.queue != nil {
 		u.queue.Advance(now)
-		l.PrefillBacklog = u.queue.Left(now)
+		l.PrefillBacklog = u.queue.RemainingPrefill(now)
 	}
 	return l
 }
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	a := &attempt{placement: p, cancel: cancel, sentAt: time.Now()}
 	a.watchdog = f.watch(x, p, func() { cancel(errSilent) })
-	p.OnRestart(func() { a.restarted(x.route.PauseTarget) })
+	p.OnRestart(func() { a.restarted(x.route.GapTarget) })
 	var err error
 	a.group, err = f.reserve(ctx, x, p, cancel)
 	if err != nil {
@@ -262,7 +262,7 @@
 	f.noteEnd(x, a)
 	// A failure proves nothing: an upstream may fail what it has not begun.
 	if a.verdict == verdictAnswered && a.response.StatusCode < http.StatusMultipleChoices {
-		f.quarantine.Answered(time.Now(), x.content)
+		f.quarantine.RecordSuccess(time.Now(), x.content)
 	}
 	if a.verdict == verdictAnswered {
 		return
--- a/forwarder/ended.go
+++ b/forwarder/ended.go
@@ -11,13 +11,13 @@
 )
 
 // contentOf names what a request asks for: of one organisation, to one path, with one body.
-func contentOf(x *exchange) quarantiner.Content {
+func contentOf(x *exchange) quarantiner.Fingerprint {
 	caller := x.organisation
 	if caller == "" {
 		caller = x.call.Key
 	}
 	r := x.request
-	return quarantiner.ContentOf([]byte(r.Method), []byte(r.Host), []byte(r.URL.RequestURI()), []byte(caller), x.body)
+	return quarantiner.FingerprintOf([]byte(r.Method), []byte(r.Host), []byte(r.URL.RequestURI()), []byte(caller), x.body)
 }
 
 // breakOff notes that the answer of an attempt broke off.
@@ -40,7 +40,7 @@
 		}
 		f.log.Warn("upstream_ended", zap.String("request", x.call.ID), zap.Stringer("content", x.content), zap.String("upstream", first.ID),
 			zap.Stringer("address", first.Address), zap.Duration("ran_ms", broke.Sub(a.sentAt)))
-		f.quarantine.Struck(time.Now(), quarantiner.Strike{Content: x.content, Run: quarantiner.Run(first.IncarnationID()), Sent: a.sentAt, Ended: broke})
+		f.quarantine.RecordCrash(time.Now(), quarantiner.Crash{Fingerprint: x.content, Incarnation: quarantiner.Incarnation(first.IncarnationID()), LastSent: a.sentAt, Ended: broke})
 	}()
 }
 
@@ -57,12 +57,12 @@
 	return !before && a.proven()
 }
 
-func (a *attempt) proven() bool { return a.lastEvent.Sub(a.firstEvent) >= quarantiner.ProvenTime }
+func (a *attempt) proven() bool { return a.lastEvent.Sub(a.firstEvent) >= quarantiner.ProvenAfter }
 
 // quarantined refuses requests that crash what runs them.
 func (f *Forwarder) quarantined(x *exchange) *dispatcher.Refusal {
 	now := time.Now()
-	until, ok := f.quarantine.Until(now, x.content)
+	until, ok := f.quarantine.QuarantinedUntil(now, x.content)
 	if !ok {
 		return nil
 	}
--- a/forwarder/ended_test.go
+++ b/forwarder/ended_test.go
@@ -10,8 +10,8 @@
 )
 
 // contentOf is what a request of the fixture's usual caller asks for.
-func contentOf(path, body string) quarantiner.Content {
-	return quarantiner.ContentOf([]byte(http.MethodPost), []byte("h"), []byte(path), []byte("crew"), []byte(body))
+func contentOf(path, body string) quarantiner.Fingerprint {
+	return quarantiner.FingerprintOf([]byte(http.MethodPost), []byte("h"), []byte(path), []byte("crew"), []byte(body))
 }
 
 // endWorking ends the processes of the engines that work on anything.
@@ -42,7 +42,7 @@
 				a := f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
 				f.is.True(a.err != nil)
 				time.Sleep(time.Second)
-				f.is.Equal(f.quarantine.Strikes(contentOf("/fixed/x", "b")), c.want)
+				f.is.Equal(f.quarantine.CrashCount(contentOf("/fixed/x", "b")), c.want)
 			})
 		})
 	}
@@ -54,7 +54,7 @@
 		setAll(f.engines, worker.Torn)
 		f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
 		time.Sleep(time.Second)
-		f.is.Equal(f.quarantine.Strikes(contentOf("/fixed/x", "b")), 0)
+		f.is.Equal(f.quarantine.CrashCount(contentOf("/fixed/x", "b")), 0)
 	})
 }
 
@@ -65,13 +65,13 @@
 		now, content := time.Now(), contentOf("/stream/x", "b")
 		for n := range 2 {
 			ended := now.Add(time.Duration(n-3) * time.Second)
-			f.quarantine.Struck(now, quarantiner.Strike{Content: content, Run: quarantiner.Run(n), Sent: ended.Add(-100 * time.Millisecond), Ended: ended})
+			f.quarantine.RecordCrash(now, quarantiner.Crash{Fingerprint: content, Incarnation: quarantiner.Incarnation(n), LastSent: ended.Add(-100 * time.Millisecond), Ended: ended})
 		}
 		time.AfterFunc(100*time.Millisecond, f.endWorking)
 		f.ask(request{path: "/stream/x", id: "third", usage: "2000,200", body: "b"})
 		f.is.Equal(runs(f.engines, "third"), 1)
 		time.Sleep(2 * time.Second)
-		f.is.Equal(len(f.quarantine.Judge(time.Now())), 1)
+		f.is.Equal(len(f.quarantine.Evaluate(time.Now())), 1)
 		fourth := f.ask(request{path: "/stream/x", id: "fourth", usage: "2000,200", body: "b"})
 		f.is.Equal(fourth.status, 503)
 		f.is.Equal(fourth.header.Get("Retry-After"), "300.000")
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -54,7 +54,7 @@
 	if a.verdict == verdictUnsent {
 		return unsent < mostUnsent
 	}
-	if x.pending > 0 && !x.route.Repeatable() {
+	if x.pending > 0 && !x.route.IsRepeatable() {
 		return false
 	}
 	if x.sent >= x.route.MaxAttempts || f.isSuspect(x, a) {
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -106,7 +106,7 @@
 	deadline time.Time
 	body     []byte
 	bodyRead bool
-	content  quarantiner.Content
+	content  quarantiner.Fingerprint
 
 	// sent counts upstreams that the request was sent to, pending those of
 	// them that have not stated that it did not run.
@@ -229,7 +229,7 @@
 			x.organisation, x.rank = organisation.Name, organisation.Priority
 		}
 		x.deadline = x.arrived.Add(patience(x))
-		x.service = route.Pick(rand.Float64())
+		x.service = route.PickService(rand.Float64())
 		if x.view.turnsAway(x) {
 			return refuseStopping(x.view, nil)
 		}
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -49,21 +49,21 @@
 	engines   []*worker.Worker
 }
 
-var engineModel = &matcher.Engine{
-	Slots: 16, MemoryTokens: 315000, Stride: 51, Step: 850 * time.Microsecond, PerSequence: 4250 * time.Nanosecond,
-	PerThousand: 2850 * time.Nanosecond, PrefillPerSecond: 177000, PerMillionPairs: 184 * time.Microsecond, Chunk: 2048,
+var engineModel = &matcher.EngineProfile{
+	Slots: 16, MemoryTokens: 315000, StepsPerPass: 51, StepTime: 850 * time.Microsecond, TimePerSequence: 4250 * time.Nanosecond,
+	TimePerThousandTokens: 2850 * time.Nanosecond, PrefillTokensPerSecond: 177000, TimePerMillionPairs: 184 * time.Microsecond, ChunkTokens: 2048,
 }
 
 func testConfig() matcher.Config {
-	app, lm := []matcher.Share{{Service: "app", Weight: 1}}, []matcher.Share{{Service: "lm", Weight: 1}}
+	app, lm := []matcher.WeightedService{{Service: "app", Weight: 1}}, []matcher.WeightedService{{Service: "lm", Weight: 1}}
 	return matcher.Config{
 		Version: 1,
 		Routes: []matcher.Route{
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: matcher.AtMostOnce, Timeout: 2 * time.Second, FirstByteTarget: 100 * time.Millisecond, Shares: app, MaxAttempts: 1},
-			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: matcher.Idempotent, Timeout: 2 * time.Second, FirstByteTarget: 100 * time.Millisecond, Shares: app, MaxAttempts: 2},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: matcher.Stream, Timeout: 10 * time.Second, FirstByteTarget: 300 * time.Millisecond, PauseTarget: 250 * time.Millisecond, Shares: lm, MaxAttempts: 2, Prompted: true, Resumable: true},
-			{Name: "long", Host: "h", Prefix: "/long/", Kind: matcher.Stream, Timeout: 15 * time.Second, FirstByteTarget: 3 * time.Second, PauseTarget: time.Second, Shares: lm, MaxAttempts: 2, Prompted: true, Resumable: true},
-			{Name: "fixed", Host: "h", Prefix: "/fixed/", Kind: matcher.Stream, Timeout: 10 * time.Second, FirstByteTarget: 300 * time.Millisecond, PauseTarget: 250 * time.Millisecond, Shares: lm, MaxAttempts: 2, Prompted: true},
+			{Name: "once", Host: "h", Prefix: "/once/", Kind: matcher.AtMostOnce, Timeout: 2 * time.Second, FirstByteTarget: 100 * time.Millisecond, Services: app, MaxAttempts: 1},
+			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: matcher.Idempotent, Timeout: 2 * time.Second, FirstByteTarget: 100 * time.Millisecond, Services: app, MaxAttempts: 2},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: matcher.Stream, Timeout: 10 * time.Second, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, Services: lm, MaxAttempts: 2, CarriesPrompts: true, Resumable: true},
+			{Name: "long", Host: "h", Prefix: "/long/", Kind: matcher.Stream, Timeout: 15 * time.Second, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Services: lm, MaxAttempts: 2, CarriesPrompts: true, Resumable: true},
+			{Name: "fixed", Host: "h", Prefix: "/fixed/", Kind: matcher.Stream, Timeout: 10 * time.Second, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, Services: lm, MaxAttempts: 2, CarriesPrompts: true},
 		},
 		Services:      []matcher.Service{{Name: "app"}, {Name: "lm", Engine: engineModel}},
 		Limits:        matcher.Limits{BodyBytes: 1000, HeaderBytes: 2000},
--- a/forwarder/place.go
+++ b/forwarder/place.go
@@ -37,7 +37,7 @@
 // place finds the next upstream for a request.
 func (f *Forwarder) place(x *exchange, d dispatcher.Demand) (*dispatcher.Placement, *failure) {
 	d.Service, d.Avoid, d.NoHelpers = x.service, x.avoid, x.alone
-	d.FirstByteTarget, d.GapTarget = x.route.FirstByteTarget, x.route.PauseTarget
+	d.FirstByteTarget, d.GapTarget = x.route.FirstByteTarget, x.route.GapTarget
 	d.Admitted = x.sent > 0
 	p, refusal := f.find(x, d)
 	for yields := 0; refusal == nil && yields < mostYields && f.yields(x, p); yields++ {
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -85,7 +85,7 @@
 
 // firstEventPatience is how long the caller still waits for an event.
 func firstEventPatience(x *exchange) time.Duration {
-	return max(time.Millisecond, min(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.PauseTarget)-waited(x), time.Until(x.deadline)))
+	return max(time.Millisecond, min(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget)-waited(x), time.Until(x.deadline)))
 }
 
 // waited is how long the caller has waited for its first event or the next.
@@ -119,7 +119,7 @@
 				any = true
 			}
 			if a.event(time.Now()) {
-				f.quarantine.Answered(time.Now(), x.content)
+				f.quarantine.RecordSuccess(time.Now(), x.content)
 			}
 			if fail := f.passEvent(x, a, e); fail != nil {
 				a.verdict, a.err = verdictBroken, fail
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -51,7 +51,7 @@
 // watch starts a watchdog for an attempt. Where the request could not be sent
 // elsewhere there is none: silence is no reason to end an answer sooner.
 func (f *Forwarder) watch(x *exchange, p *dispatcher.Placement, expire func()) *watchdog {
-	if !x.route.Repeatable() || x.sent+1 >= x.route.MaxAttempts {
+	if !x.route.IsRepeatable() || x.sent+1 >= x.route.MaxAttempts {
 		return nil
 	}
 	w := &watchdog{heard: time.Now(), begun: x.begun, expire: expire, busy: func() time.Duration { return 0 }}
@@ -59,7 +59,7 @@
 	w.limit = plainSilence * x.route.FirstByteTarget
 	w.most = w.limit
 	if x.isStream() {
-		abandon := float64(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.PauseTarget))
+		abandon := float64(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget))
 		w.limit = time.Duration(silentPart * abandon)
 		w.most = time.Duration(busyPart * abandon)
 		w.busy = p.ExpectedSilence
--- a/matcher/config.go
+++ b/matcher/config.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// Kind says how often a request of a route may run.
-type Kind int
+// RouteKind says how often a request of a route may run.
+type RouteKind int
 
 // The kinds.
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Kind = iota
+	Idempotent RouteKind = iota
 	// AtMostOnce requests run once or not at all.
 	AtMostOnce
 	// Stream requests are answered by a sequence of numbered events. They run
@@ -18,7 +18,7 @@
 	Stream
 )
 
-func (k Kind) String() string {
+func (k RouteKind) String() string {
 	switch k {
 	case Idempotent:
 		return "idempotent"
@@ -28,8 +28,8 @@
 	return "stream"
 }
 
-// Share is the part of a route's requests that one service takes.
-type Share struct {
+// WeightedService is the part of a route's requests that one service takes.
+type WeightedService struct {
 	Service string
 	// Weight is greater than 0 and counts against the sum of all weights.
 	Weight int
@@ -41,31 +41,31 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout is the longest that a request may be kept waiting.
 	Timeout time.Duration
 	// FirstByteTarget is the time in which an answer is on time: whole answers
 	// to their end, streams to their first event.
 	FirstByteTarget time.Duration
-	// PauseTarget is the longest pause between events of a stream that is on
+	// GapTarget is the longest pause between events of a stream that is on
 	// time; 0 where the route has none.
-	PauseTarget time.Duration
+	GapTarget time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Shares has at least one element.
-	Shares []Share
+	// Services has at least one element.
+	Services []WeightedService
 	// MaxAttempts is how many upstreams one request may be sent to, at least 1.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Prompted routes carry prompts for model engines.
-	Prompted bool
+	// CarriesPrompts routes carry prompts for model engines.
+	CarriesPrompts bool
 	// Resumable streams may be continued by another engine.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// IsRepeatable reports whether a request of the route may run more than once.
+func (r *Route) IsRepeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
@@ -84,35 +84,35 @@
 	return max(leastAbandon, targetAbandon*firstByteTarget, pauseAbandon*pauseTarget)
 }
 
-// Engine is how the model engines of a service work. All of its figures come
+// EngineProfile is how the model engines of a service work. All of its figures come
 // from the configuration.
-type Engine struct {
+type EngineProfile struct {
 	// Slots is how many requests an engine works on at once.
 	Slots int
 	// MemoryTokens is the KV memory of an engine in tokens.
 	MemoryTokens int
-	// Stride is how many token steps a pass that decodes answers executes, and
+	// StepsPerPass is how many token steps a pass that decodes answers executes, and
 	// thereby how many tokens an event holds.
-	Stride int
-	// Step is the time of a token step, PerSequence what each request that
-	// decodes adds to it, PerThousand what 1,000 tokens of its context add.
-	Step, PerSequence, PerThousand time.Duration
-	// PrefillPerSecond is prompt tokens prefilled in a second, without pairs.
-	PrefillPerSecond float64
-	// PerMillionPairs is the time that a million pairs of a prompt token and
+	StepsPerPass int
+	// StepTime is the time of a token step, TimePerSequence what each request that
+	// decodes adds to it, TimePerThousandTokens what 1,000 tokens of its context add.
+	StepTime, TimePerSequence, TimePerThousandTokens time.Duration
+	// PrefillTokensPerSecond is prompt tokens prefilled in a second, without pairs.
+	PrefillTokensPerSecond float64
+	// TimePerMillionPairs is the time that a million pairs of a prompt token and
 	// an earlier one add to the prefill.
-	PerMillionPairs time.Duration
-	// Chunk is the most prompt tokens prefilled in a token step.
-	Chunk int
-	// UsualPrompt and UsualAnswer are mean token counts.
-	UsualPrompt, UsualAnswer int
+	TimePerMillionPairs time.Duration
+	// ChunkTokens is the most prompt tokens prefilled in a token step.
+	ChunkTokens int
+	// MeanPromptTokens and MeanAnswerTokens are mean token counts.
+	MeanPromptTokens, MeanAnswerTokens int
 }
 
 // Service is a set of upstreams that are alike.
 type Service struct {
 	Name string
 	// Engine is nil where the upstreams are not model engines.
-	Engine *Engine
+	Engine *EngineProfile
 }
 
 // Limits bound what a caller may send and how long it may take. A zero means
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -17,12 +17,12 @@
 
 // InvalidError names a field of a configuration that can't be used.
 type InvalidError struct {
-	Field string
-	Limit string
+	Field       string
+	Requirement string
 }
 
 func (e InvalidError) Error() string {
-	return fmt.Sprintf("configuration: %s: must be %s", e.Field, e.Limit)
+	return fmt.Sprintf("configuration: %s: must be %s", e.Field, e.Requirement)
 }
 
 // Table is a configuration with its indexes. It is never changed.
@@ -65,17 +65,17 @@
 func (t *Table) check(r *Route) error {
 	field := "route " + r.Name
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return InvalidError{Field: field + " prefix " + r.Prefix, Limit: "a path that begins and ends with a slash"}
+		return InvalidError{Field: field + " prefix " + r.Prefix, Requirement: "a path that begins and ends with a slash"}
 	}
-	if len(r.Shares) == 0 {
-		return InvalidError{Field: field + " services", Limit: "at least one"}
+	if len(r.Services) == 0 {
+		return InvalidError{Field: field + " services", Requirement: "at least one"}
 	}
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		if _, ok := t.services[s.Service]; !ok {
-			return InvalidError{Field: field + " service " + s.Service, Limit: "one of the configuration's services"}
+			return InvalidError{Field: field + " service " + s.Service, Requirement: "one of the configuration's services"}
 		}
 		if s.Weight <= 0 {
-			return InvalidError{Field: field + " weight", Limit: "greater than 0"}
+			return InvalidError{Field: field + " weight", Requirement: "greater than 0"}
 		}
 	}
 	return nil
@@ -114,19 +114,19 @@
 	return s, ok
 }
 
-// Pick draws a service of the route by weight; draw is from 0 up to, and
+// PickService draws a service of the route by weight; draw is from 0 up to, and
 // without, 1.
-func (r *Route) Pick(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	sum := 0
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		sum += s.Weight
 	}
 	left := int(draw * float64(sum))
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		left -= s.Weight
 		if left < 0 {
 			return s.Service
 		}
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
--- a/matcher/table_test.go
+++ b/matcher/table_test.go
@@ -10,20 +10,20 @@
 )
 
 func config() matcher.Config {
-	shares := []matcher.Share{{Service: "lm", Weight: 9}, {Service: "app", Weight: 1}}
+	shares := []matcher.WeightedService{{Service: "lm", Weight: 9}, {Service: "app", Weight: 1}}
 	return matcher.Config{
 		Version: 3,
 		Routes: []matcher.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Shares: shares[1:]},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Shares: shares, Public: true},
-			{Name: "x", Host: "a.example", Prefix: "/x/", Shares: shares[:1]},
+			{Name: "all", Host: "a.example", Prefix: "/", Services: shares[1:]},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Services: shares, Public: true},
+			{Name: "x", Host: "a.example", Prefix: "/x/", Services: shares[:1]},
 		},
 		Services:      []matcher.Service{{Name: "lm"}, {Name: "app"}},
 		Organisations: []matcher.Organisation{{Name: "crew", Keys: []string{"k1", "k2"}}},
 	}
 }
 
-func TestLongestPrefix(t *testing.T) {
+func TestRouteOfLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	table, err := matcher.New(config())
 	is.NoErr(err)
@@ -36,7 +36,7 @@
 	is.True(errors.Is(err, matcher.ErrNoRoute))
 }
 
-func TestOrganisation(t *testing.T) {
+func TestOrganisationOfKey(t *testing.T) {
 	is := is.New(t)
 	table, err := matcher.New(config())
 	is.NoErr(err)
@@ -52,14 +52,14 @@
 	is.True(o == nil)
 }
 
-func TestPickFollowsWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	table, err := matcher.New(config())
 	is.NoErr(err)
 	r, _ := table.Route("a.example", "/x/y/")
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Pick(float64(i)/1000)]++
+		counts[r.PickService(float64(i)/1000)]++
 	}
 	is.Equal(counts, map[string]int{"lm": 900, "app": 100})
 }
@@ -67,7 +67,7 @@
 func TestInvalidConfigNamesField(t *testing.T) {
 	is := is.New(t)
 	c := config()
-	c.Routes[2].Shares = []matcher.Share{{Service: "none", Weight: 1}}
+	c.Routes[2].Services = []matcher.WeightedService{{Service: "none", Weight: 1}}
 	_, err := matcher.New(c)
 	var invalid matcher.InvalidError
 	is.True(errors.As(err, &invalid))
--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Fate is what becomes of a job, as far as can be foreseen.
-type Fate struct {
+// Projection is what becomes of a job, as far as can be foreseen.
+type Projection struct {
 	Job *Job
-	// Done is when it is prefilled here; the time of a past end is kept.
-	Done time.Time
-	// Pause is the longest between its events, past ones included.
-	Pause time.Duration
+	// PrefillDone is when it is prefilled here; the time of a past end is kept.
+	PrefillDone time.Time
+	// MaxGap is the longest between its events, past ones included.
+	MaxGap time.Duration
 	// Decoding is true where its answer is being decoded already.
 	Decoding bool
 	// End is when its last event is expected, if nothing more is prefilled than was
@@ -20,7 +20,7 @@
 // is not safe for concurrent use.
 type Forecast struct {
 	queue Queue
-	fates []Fate
+	fates []Projection
 }
 
 // mostPasses bounds how far a forecast looks: some seconds of passes.
@@ -32,11 +32,11 @@
 // prompt harms.
 const leastEvents = 3
 
-// Play returns the fates of all jobs in a queue, and of one more job where added
+// Simulate returns the fates of all jobs in a queue, and of one more job where added
 // is not nil, which is the last of them. They are valid until the next call.
 // Nothing that arrives later is foreseen. The queue has been advanced to now
 // and is not changed.
-func (f *Forecast) Play(now time.Time, q *Queue, added *Job) []Fate {
+func (f *Forecast) Simulate(now time.Time, q *Queue, added *Job) []Projection {
 	tasks := append(f.queue.tasks[:0], q.tasks...)
 	f.queue = *q
 	f.queue.tasks = tasks
@@ -70,20 +70,20 @@
 	return true
 }
 
-func (f *Forecast) collect() []Fate {
+func (f *Forecast) collect() []Projection {
 	f.fates = f.fates[:0]
-	var last Fate
+	var last Projection
 	found := false
 	pass := f.queue.decodePass()
 	for i := range f.queue.tasks {
 		t := &f.queue.tasks[i]
-		fate := Fate{Job: t.job, Done: t.done, Pause: t.pause, Decoding: t.decoding}
-		if fate.Done.IsZero() {
+		fate := Projection{Job: t.job, PrefillDone: t.done, MaxGap: t.pause, Decoding: t.decoding}
+		if fate.PrefillDone.IsZero() {
 			// Not within what is looked at: no sooner than its end.
-			fate.Done = f.queue.end
+			fate.PrefillDone = f.queue.end
 		}
 		if t.job.Decodes {
-			fate.End = f.queue.lastEvent(t, fate.Done, pass)
+			fate.End = f.queue.lastEvent(t, fate.PrefillDone, pass)
 		}
 		if t.added {
 			last, found = fate, true
--- a/predictor/pass.go
+++ b/predictor/pass.go
@@ -13,19 +13,19 @@
 	for i := range q.tasks {
 		t := &q.tasks[i]
 		t.taken = 0
-		if q.foresees && t.awaits() && !t.job.Elsewhere.After(now) {
-			t.decoding, t.eventAt = true, later(t.done, t.job.Elsewhere)
+		if q.foresees && t.awaits() && !t.job.OtherShardsDone.After(now) {
+			t.decoding, t.eventAt = true, later(t.done, t.job.OtherShardsDone)
 		}
 		t.joined = t.decoding
 		if t.decoding {
 			answers++
-			context += t.job.Context
+			context += t.job.ContextTokens
 		}
 	}
 	var took time.Duration
 	if answers > 0 {
 		q.decodes = true
-		took = DecodePass(q.engine, answers, context) + q.take(float64(q.engine.Stride*q.engine.Chunk), answers)
+		took = DecodePass(q.engine, answers, context) + q.take(float64(q.engine.StepsPerPass*q.engine.ChunkTokens), answers)
 	} else {
 		took = q.takeNext(now)
 	}
@@ -70,9 +70,9 @@
 	if first < 0 {
 		return max(leastPass, until.Sub(now))
 	}
-	chunk := float64(max(1, q.engine.Chunk))
+	chunk := float64(max(1, q.engine.ChunkTokens))
 	steps := math.Ceil(q.tasks[first].tokens / chunk)
-	took := time.Duration(steps)*q.engine.Step + q.take(steps*chunk, 0)
+	took := time.Duration(steps)*q.engine.StepTime + q.take(steps*chunk, 0)
 	if limit := max(leastPass, time.Duration(float64(until.Sub(now))/q.pace)); !until.IsZero() && limit < took {
 		for i := range q.tasks {
 			q.tasks[i].taken *= float64(limit) / float64(took)
@@ -93,8 +93,8 @@
 		return next
 	}
 	for i := range q.tasks {
-		if t := &q.tasks[i]; t.awaits() && (next.IsZero() || t.job.Elsewhere.Before(next)) {
-			next = t.job.Elsewhere
+		if t := &q.tasks[i]; t.awaits() && (next.IsZero() || t.job.OtherShardsDone.Before(next)) {
+			next = t.job.OtherShardsDone
 		}
 	}
 	return next
@@ -102,7 +102,7 @@
 
 // awaits reports whether a task is prefilled here, and its answer waits for other engines.
 func (t *task) awaits() bool {
-	return t.job.Decodes && t.job.Joint && t.tokens <= 0 && !t.decoding && t.made == 0 && !t.done.IsZero()
+	return t.job.Decodes && t.job.Sharded && t.tokens <= 0 && !t.decoding && t.made == 0 && !t.done.IsZero()
 }
 
 func later(a, b time.Time) time.Time {
@@ -124,7 +124,7 @@
 	for i := range q.tasks {
 		taken += q.tasks[i].taken
 	}
-	steps := max(1, taken/float64(max(1, q.engine.Chunk)))
+	steps := max(1, taken/float64(max(1, q.engine.ChunkTokens)))
 	step := time.Duration(float64(q.end.Sub(q.start)) / steps)
 	if step > 0 {
 		now = q.start.Add((now.Sub(q.start) + step - 1) / step * step)
@@ -187,7 +187,7 @@
 	}
 	t.tokens, t.prefill, t.done = 0, 0, now
 	// A joint answer begins when all its parts are done, which others tell.
-	if t.job.Decodes && !t.job.Joint {
+	if t.job.Decodes && !t.job.Sharded {
 		t.decoding, t.eventAt = true, now
 	}
 }
--- a/predictor/predictor.go
+++ b/predictor/predictor.go
@@ -17,29 +17,29 @@
 
 // Prefill is how long one engine prefills a prompt alone: its tokens at the
 // engine's rate, and the pairs of each token with every earlier one.
-func Prefill(e *matcher.Engine, tokens int) time.Duration {
-	if e.PrefillPerSecond <= 0 || tokens <= 0 {
+func Prefill(e *matcher.EngineProfile, tokens int) time.Duration {
+	if e.PrefillTokensPerSecond <= 0 || tokens <= 0 {
 		return 0
 	}
 	n := float64(tokens)
-	seconds := n / e.PrefillPerSecond
+	seconds := n / e.PrefillTokensPerSecond
 	millionPairs := n * n / 2 / 1e6
-	return time.Duration(seconds*float64(time.Second) + millionPairs*float64(e.PerMillionPairs))
+	return time.Duration(seconds*float64(time.Second) + millionPairs*float64(e.TimePerMillionPairs))
 }
 
-// Part is how long each of k engines prefills its part of a prompt: parts are
+// ShardPrefill is how long each of k engines prefills its part of a prompt: parts are
 // even in tokens and in pairs.
-func Part(e *matcher.Engine, tokens, k int) time.Duration {
+func ShardPrefill(e *matcher.EngineProfile, tokens, k int) time.Duration {
 	return Prefill(e, tokens) / time.Duration(max(1, k))
 }
 
 // DecodePass is the time of a pass without prefill, for a number of answers
 // being decoded that hold context tokens together.
-func DecodePass(e *matcher.Engine, streams, contextTokens int) time.Duration {
+func DecodePass(e *matcher.EngineProfile, streams, contextTokens int) time.Duration {
 	if streams <= 0 {
 		return 0
 	}
-	step := e.Step + time.Duration(streams)*e.PerSequence
-	step += time.Duration(float64(contextTokens) / 1000 * float64(e.PerThousand))
-	return time.Duration(e.Stride) * step
+	step := e.StepTime + time.Duration(streams)*e.TimePerSequence
+	step += time.Duration(float64(contextTokens) / 1000 * float64(e.TimePerThousandTokens))
+	return time.Duration(e.StepsPerPass) * step
 }
--- a/predictor/predictor_test.go
+++ b/predictor/predictor_test.go
@@ -11,10 +11,10 @@
 )
 
 // engine has the figures of the first deployments.
-func engine() *matcher.Engine {
-	return &matcher.Engine{
-		Slots: 16, MemoryTokens: 315000, Stride: 51, Step: 850 * time.Microsecond, PerSequence: 4250 * time.Nanosecond,
-		PerThousand: 2850 * time.Nanosecond, PrefillPerSecond: 177000, PerMillionPairs: 184 * time.Microsecond, Chunk: 2048,
+func engine() *matcher.EngineProfile {
+	return &matcher.EngineProfile{
+		Slots: 16, MemoryTokens: 315000, StepsPerPass: 51, StepTime: 850 * time.Microsecond, TimePerSequence: 4250 * time.Nanosecond,
+		TimePerThousandTokens: 2850 * time.Nanosecond, PrefillTokensPerSecond: 177000, TimePerMillionPairs: 184 * time.Microsecond, ChunkTokens: 2048,
 	}
 }
 
@@ -27,7 +27,7 @@
 	e := engine()
 	is.True(near(predictor.Prefill(e, 4960), 30*time.Millisecond, 2*time.Millisecond))
 	is.True(near(predictor.Prefill(e, 154000), 3050*time.Millisecond, 20*time.Millisecond))
-	is.True(near(predictor.Part(e, 154000, 10), 305*time.Millisecond, 5*time.Millisecond))
+	is.True(near(predictor.ShardPrefill(e, 154000, 10), 305*time.Millisecond, 5*time.Millisecond))
 	is.Equal(predictor.Prefill(e, 0), time.Duration(0))
 }
 
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -9,22 +9,22 @@
 
 // Job is what one request has one engine do.
 type Job struct {
-	// Joint jobs are parts of a prompt that several engines prefill.
-	Joint bool
-	// Tokens are to be prefilled, which takes Prefill by itself.
-	Tokens  int
-	Prefill time.Duration
+	// Sharded jobs are parts of a prompt that several engines prefill.
+	Sharded bool
+	// PrefillTokens are to be prefilled, which takes Prefill by itself.
+	PrefillTokens int
+	PrefillTime   time.Duration
 	// Decodes is true where the engine decodes the answer.
 	Decodes bool
-	// Context is how many tokens a decode step of the answer attends to.
-	Context int
-	// Events is how many events the answer is expected to have.
-	Events int
+	// ContextTokens is how many tokens a decode step of the answer attends to.
+	ContextTokens int
+	// ExpectedEvents is how many events the answer is expected to have.
+	ExpectedEvents int
 	// Arrived is when the engine got the job.
 	Arrived time.Time
-	// Elsewhere is when the other engines of a joint job are expected to be done;
+	// OtherShardsDone is when the other engines of a joint job are expected to be done;
 	// forecasts begin its answer then. It may be changed at any time.
-	Elsewhere time.Time
+	OtherShardsDone time.Time
 }
 
 // task is how far an engine is with a job.
@@ -50,7 +50,7 @@
 }
 
 func newTask(j *Job) task {
-	return task{job: j, tokens: float64(max(1, j.Tokens)), prefill: j.Prefill, events: j.Events}
+	return task{job: j, tokens: float64(max(1, j.PrefillTokens)), prefill: j.PrefillTime, events: j.ExpectedEvents}
 }
 
 // Queue is one engine's work, kept as the engine does it: in passes. A pass
@@ -64,7 +64,7 @@
 // A queue does no I/O and keeps no clock: time advances with its calls. It is
 // not safe for concurrent use.
 type Queue struct {
-	engine *matcher.Engine
+	engine *matcher.EngineProfile
 	pace   float64
 	// tasks are in the order of prefill.
 	tasks []task
@@ -80,14 +80,14 @@
 }
 
 // NewQueue returns the queue of an idle engine.
-func NewQueue(e *matcher.Engine) *Queue { return &Queue{engine: e, pace: 1} }
+func NewQueue(e *matcher.EngineProfile) *Queue { return &Queue{engine: e, pace: 1} }
 
-// Reset changes the engine's figures.
-func (q *Queue) Reset(e *matcher.Engine) { q.engine = e }
+// SetEngine changes the engine's figures.
+func (q *Queue) SetEngine(e *matcher.EngineProfile) { q.engine = e }
 
-// SetPace says how many times longer than expected work takes from the next
+// SetSlowdown says how many times longer than expected work takes from the next
 // pass on.
-func (q *Queue) SetPace(pace float64) { q.pace = max(1, pace) }
+func (q *Queue) SetSlowdown(pace float64) { q.pace = max(1, pace) }
 
 // Advance works on to a time.
 func (q *Queue) Advance(now time.Time) {
@@ -127,10 +127,10 @@
 
 // before reports whether an engine prefills one job before another.
 func before(a, b *Job) bool {
-	if a.Joint != b.Joint {
-		return a.Joint
+	if a.Sharded != b.Sharded {
+		return a.Sharded
 	}
-	if a.Joint {
+	if a.Sharded {
 		return !a.Arrived.Before(b.Arrived)
 	}
 	return a.Arrived.Before(b.Arrived)
@@ -162,7 +162,7 @@
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.decoding {
 			n++
-			context += t.job.Context
+			context += t.job.ContextTokens
 		}
 	}
 	return n, context
@@ -172,8 +172,8 @@
 	return slices.IndexFunc(q.tasks, func(t task) bool { return t.job == j })
 }
 
-// Begun notes that the first event of a job's answer was seen: all of it is prefilled.
-func (q *Queue) Begun(now time.Time, j *Job) {
+// RecordFirstEvent notes that the first event of a job's answer was seen: all of it is prefilled.
+func (q *Queue) RecordFirstEvent(now time.Time, j *Job) {
 	q.Advance(now)
 	i := q.index(j)
 	if i < 0 {
@@ -200,9 +200,9 @@
 // most: a round trip between data centres and the wait for a processor.
 const sameEnd = 15 * time.Millisecond
 
-// PassSeen notes that a pass ended a moment before now, as an event of an
+// RecordPassEnd notes that a pass ended a moment before now, as an event of an
 // answer was seen. That corrects what the queue expects.
-func (q *Queue) PassSeen(now time.Time) {
+func (q *Queue) RecordPassEnd(now time.Time) {
 	q.Advance(now)
 	if q.end.IsZero() || !q.decodes || now.Sub(q.confirmed) < sameEnd {
 		return
@@ -217,8 +217,8 @@
 	q.finish()
 }
 
-// Left is how long the engine has yet to prefill, answers aside.
-func (q *Queue) Left(now time.Time) time.Duration {
+// RemainingPrefill is how long the engine has yet to prefill, answers aside.
+func (q *Queue) RemainingPrefill(now time.Time) time.Duration {
 	left, taken := time.Duration(0), time.Duration(0)
 	for i := range q.tasks {
 		t := &q.tasks[i]
--- a/prober/example_test.go
+++ b/prober/example_test.go
@@ -15,10 +15,10 @@
 
 func Example() {
 	now := time.Now()
-	p := prober.New(prober.Config{Name: "a", Incarnation: 1, Neighbours: 2, Suspect: time.Second})
-	p.Heard(now, api.Heartbeat{From: "b", Incarnation: 1, Ready: true, PeerAddress: netip.MustParseAddrPort("10.0.0.2:81")})
-	p.Targets(now)
-	p.Targets(now)
+	p := prober.New(prober.Config{Name: "a", Incarnation: 1, Neighbours: 2, SuspectAfter: time.Second})
+	p.ReceiveHeartbeat(now, api.Heartbeat{From: "b", Incarnation: 1, Ready: true, PeerAddress: netip.MustParseAddrPort("10.0.0.2:81")})
+	p.BeginRound(now)
+	p.BeginRound(now)
 	fmt.Println(p.Tick(now.Add(500 * time.Millisecond)))
 	fmt.Println(p.Tick(now.Add(2 * time.Second)))
 	// Output:
@@ -54,8 +54,8 @@
 		list = append(list, api.Instance{Name: name(i), Kind: api.KindEntry, Address: address(i).String(), PeerAddress: address(i).String(), DataCentre: place(i), State: api.InstanceLive})
 	}
 	for i := range size {
-		p := prober.New(prober.Config{Name: name(i), Incarnation: 1, DataCentre: place(i), Neighbours: neighbours, Suspect: 3 * time.Second})
-		p.List(r.now, list)
+		p := prober.New(prober.Config{Name: name(i), Incarnation: 1, DataCentre: place(i), Neighbours: neighbours, SuspectAfter: 3 * time.Second})
+		p.ApplyInstanceList(r.now, list)
 		r.probers = append(r.probers, p)
 	}
 	return r
@@ -68,7 +68,7 @@
 }
 
 func (r *testRing) beat(i int) api.Heartbeat {
-	return api.Heartbeat{From: name(i), Incarnation: 1 + r.runs[i], Ready: !r.stopping[i], Stopping: r.stopping[i], PeerAddress: address(i), DataCentre: r.place(i), Notices: r.probers[i].Notices()}
+	return api.Heartbeat{From: name(i), Incarnation: 1 + r.runs[i], Ready: !r.stopping[i], Stopping: r.stopping[i], PeerAddress: address(i), DataCentre: r.place(i), Notices: r.probers[i].NextNotices()}
 }
 
 // round lets a second pass in which everyone who is not silent sends its
@@ -81,7 +81,7 @@
 			continue
 		}
 		p.Tick(r.now)
-		for _, t := range p.Targets(r.now) {
+		for _, t := range p.BeginRound(r.now) {
 			var to int
 			_, _ = fmt.Sscanf(t.Name, "entry-%d", &to)
 			if r.place(i) == r.place(to) {
@@ -95,8 +95,8 @@
 			if knew[i] || knew[to] {
 				r.knows[i], r.knows[to] = true, true
 			}
-			r.probers[to].Heard(r.now, r.beat(i))
-			p.Heard(r.now, r.beat(to))
+			r.probers[to].ReceiveHeartbeat(r.now, r.beat(i))
+			p.ReceiveHeartbeat(r.now, r.beat(to))
 		}
 	}
 }
@@ -145,7 +145,7 @@
 
 // An entry of 380 stops and starts again. Only those that exchanged a heartbeat with it knew: the others
 // named its address to callers while it stopped and while it was gone, and sent it messages to pass on.
-func TestStopAndReturnSpread(t *testing.T) {
+func TestShutdownAndReturnSpread(t *testing.T) {
 	is := is.New(t)
 	const size, mostRounds = 380, 10
 	r := newTestRing(size, 4)
@@ -188,7 +188,7 @@
 // A quiet fleet of 120 in three data centres: some pairs hear each other for the first time only after 50 rounds. Each
 // entry that did so spread a notice of its own of the other, also where it had been told before: a day without
 // a fault had two fifths more bytes between data centres.
-func TestAMemberIsNewsOnce(t *testing.T) {
+func TestMemberIsAnnouncedOnce(t *testing.T) {
 	is := is.New(t)
 	const size, rounds = 120, 200
 	r := newPlacedRing(size, 4, func(i int) string { return fmt.Sprint("dc-", i%3) })
@@ -196,7 +196,7 @@
 	for range rounds {
 		r.round()
 		for _, p := range r.probers {
-			for _, n := range p.Notices() {
+			for _, n := range p.NextNotices() {
 				notices[n] = true
 			}
 		}
@@ -206,16 +206,16 @@
 }
 
 // A heartbeat that was sent before a member began to stop, and comes after it was heard to stop, says nothing.
-func TestLateHeartbeatOfAStoppingMember(t *testing.T) {
+func TestLateHeartbeatOfStoppingMemberIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	p := prober.New(prober.Config{Name: "a", Incarnation: 1, Neighbours: 2, Suspect: time.Second})
+	p := prober.New(prober.Config{Name: "a", Incarnation: 1, Neighbours: 2, SuspectAfter: time.Second})
 	beat := api.Heartbeat{From: "b", Incarnation: 1, Ready: true, PeerAddress: address(1)}
-	p.Heard(now, beat)
+	p.ReceiveHeartbeat(now, beat)
 	stops := beat
 	stops.Stopping = true
-	p.Heard(now, stops)
-	p.Heard(now, beat)
+	p.ReceiveHeartbeat(now, stops)
+	p.ReceiveHeartbeat(now, beat)
 	m, _ := p.Find("b")
 	is.Equal(m.State, prober.Stopping)
 	is.True(!m.Ready)
@@ -236,7 +236,7 @@
 
 // What rides on heartbeats, such as the revision of a new document, reaches
 // everyone in few rounds.
-func TestWordSpreads(t *testing.T) {
+func TestHeartbeatPayloadSpreads(t *testing.T) {
 	is := is.New(t)
 	const size = 380
 	r := newTestRing(size, 3)
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -60,8 +60,8 @@
 	State       State
 	// Ready says that the member takes callers.
 	Ready bool
-	// Heard is when the member last spoke; zero when it never did.
-	Heard time.Time
+	// LastHeartbeat is when the member last spoke; zero when it never did.
+	LastHeartbeat time.Time
 
 	position uint64
 	listed   bool
@@ -85,9 +85,9 @@
 	DataCentre string
 	// Neighbours is how many live members are sent heartbeats in a round.
 	Neighbours int
-	// Suspect is how long after an unanswered heartbeat a silent member
+	// SuspectAfter is how long after an unanswered heartbeat a silent member
 	// counts as dead.
-	Suspect time.Duration
+	SuspectAfter time.Duration
 }
 
 // Change is a member's change of state, for the log.
@@ -120,9 +120,9 @@
 	return &Prober{config: config, members: map[string]*Member{}, rumours: map[api.Notice]*rumour{}}
 }
 
-// List takes over the entries of an instance list. Members no longer listed
+// ApplyInstanceList takes over the entries of an instance list. Members no longer listed
 // and not live are forgotten; live ones stay, as the list lags.
-func (p *Prober) List(now time.Time, instances []api.Instance) {
+func (p *Prober) ApplyInstanceList(now time.Time, instances []api.Instance) {
 	for _, m := range p.members {
 		m.listed = false
 	}
@@ -133,7 +133,7 @@
 		m := p.member(i.Name)
 		m.listed = true
 		m.DataCentre = i.DataCentre
-		if m.Heard.IsZero() {
+		if m.LastHeartbeat.IsZero() {
 			m.Address, _ = netip.ParseAddrPort(i.Address)
 			m.PeerAddress, _ = netip.ParseAddrPort(i.PeerAddress)
 		}
@@ -173,10 +173,10 @@
 	p.ring = slices.DeleteFunc(p.ring, func(o *Member) bool { return o == m })
 }
 
-// Heard takes in a heartbeat, sent or answered by another entry. A heartbeat
+// ReceiveHeartbeat takes in a heartbeat, sent or answered by another entry. A heartbeat
 // of an earlier incarnation is late and is dropped. That a member stops, or begins
 // to take callers, is spread to all: in a large fleet most are seldom heard.
-func (p *Prober) Heard(now time.Time, beat api.Heartbeat) []Change {
+func (p *Prober) ReceiveHeartbeat(now time.Time, beat api.Heartbeat) []Change {
 	if beat.From == p.config.Name {
 		return nil
 	}
@@ -198,7 +198,7 @@
 	m.unannounced = state == Live && (m.unannounced || isNews)
 	m.Address, m.PeerAddress, m.DataCentre = beat.Address, beat.PeerAddress, beat.DataCentre
 	m.Ready = beat.Ready && !beat.Stopping
-	m.Heard = now
+	m.LastHeartbeat = now
 	m.unanswered = 0
 	changes := p.move(m, state, "heartbeat")
 	switch {
@@ -209,7 +209,7 @@
 		p.announce(now, m, api.NoticeLive)
 	}
 	for _, n := range beat.Notices {
-		changes = append(changes, p.Notice(now, n)...)
+		changes = append(changes, p.ReceiveNotice(now, n)...)
 	}
 	return changes
 }
@@ -223,8 +223,8 @@
 	return []Change{c}
 }
 
-// Notice takes in news of an instance. News is passed on.
-func (p *Prober) Notice(now time.Time, n api.Notice) []Change {
+// ReceiveNotice takes in news of an instance. News is passed on.
+func (p *Prober) ReceiveNotice(now time.Time, n api.Notice) []Change {
 	if r, known := p.rumours[n]; known {
 		r.heard = now
 		return nil
@@ -243,7 +243,7 @@
 	}
 	if n.Incarnation > m.Incarnation {
 		// Another run, of which this entry has heard nothing itself.
-		m.Incarnation, m.sequence, m.Heard = n.Incarnation, 0, time.Time{}
+		m.Incarnation, m.sequence, m.LastHeartbeat = n.Incarnation, 0, time.Time{}
 	} else if p.overtaken(m, n) {
 		return nil
 	}
@@ -253,7 +253,7 @@
 		return p.move(m, Stopping, "notice")
 	}
 	// What this entry hears itself is better than what others say.
-	heard := !m.Heard.IsZero() && now.Sub(m.Heard) < p.config.Suspect
+	heard := !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < p.config.SuspectAfter
 	if heard && n.State == api.NoticeDead {
 		p.announce(now, m, api.NoticeLive)
 		return nil
@@ -293,14 +293,14 @@
 	p.rumours[n] = &rumour{notice: n, left: noticeRounds * p.config.Neighbours, heard: now}
 }
 
-// Known reports whether a notice was heard or made before.
-func (p *Prober) Known(n api.Notice) bool {
+// HasNotice reports whether a notice was heard or made before.
+func (p *Prober) HasNotice(n api.Notice) bool {
 	_, ok := p.rumours[n]
 	return ok
 }
 
-// Notices returns the notices to send with the next heartbeat.
-func (p *Prober) Notices() []api.Notice {
+// NextNotices returns the notices to send with the next heartbeat.
+func (p *Prober) NextNotices() []api.Notice {
 	var out []api.Notice
 	for _, r := range p.rumours {
 		if r.left <= 0 || len(out) == maxNotices {
@@ -312,9 +312,9 @@
 	return out
 }
 
-// Targets begins a round and returns the members to send a heartbeat. Dead
+// BeginRound begins a round and returns the members to send a heartbeat. Dead
 // ones are among them, so that a healed partition is noticed.
-func (p *Prober) Targets(now time.Time) []Member {
+func (p *Prober) BeginRound(now time.Time) []Member {
 	p.round++
 	watched := (p.config.Neighbours + 1) / 2
 	within := p.stayWithin()
@@ -390,7 +390,7 @@
 func (p *Prober) Tick(now time.Time) []Change {
 	var changes []Change
 	for _, m := range p.ring {
-		if m.State == Dead || m.unanswered < leastUnanswered || now.Sub(m.unansweredSince) <= p.config.Suspect {
+		if m.State == Dead || m.unanswered < leastUnanswered || now.Sub(m.unansweredSince) <= p.config.SuspectAfter {
 			continue
 		}
 		m.Ready = false
@@ -405,13 +405,13 @@
 	return changes
 }
 
-// Woke tells the prober that this instance did not run for a while: silence
+// ResetSilence tells the prober that this instance did not run for a while: silence
 // during that time is no sign of death.
-func (p *Prober) Woke(now time.Time) {
+func (p *Prober) ResetSilence(now time.Time) {
 	for _, m := range p.members {
 		m.unanswered = 0
 		if m.State == Live || m.State == Stopping {
-			m.Heard = now
+			m.LastHeartbeat = now
 		}
 	}
 }
--- a/quarantiner/answers.go
+++ b/quarantiner/answers.go
@@ -10,18 +10,18 @@
 type answerCache struct {
 	// young are the newest answers; when they are too many they become old, and what was old
 	// is forgotten.
-	young, old map[Content]time.Time
+	young, old map[Fingerprint]time.Time
 }
 
-func (a *answerCache) add(now time.Time, c Content) {
+func (a *answerCache) add(now time.Time, c Fingerprint) {
 	if a.young == nil || len(a.young) >= mostAnswers {
-		a.young, a.old = map[Content]time.Time{}, a.young
+		a.young, a.old = map[Fingerprint]time.Time{}, a.young
 	}
 	a.young[c] = now
 }
 
 // last is when a content was last answered, as far as remembered.
-func (a *answerCache) last(c Content) (time.Time, bool) {
+func (a *answerCache) last(c Fingerprint) (time.Time, bool) {
 	if at, ok := a.young[c]; ok {
 		return at, true
 	}
--- a/quarantiner/judge.go
+++ b/quarantiner/judge.go
@@ -34,21 +34,21 @@
 // ending is the end of an upstream's run, and since when it worked on which contents.
 type ending struct {
 	at       time.Time
-	contents map[Content]time.Time
+	contents map[Fingerprint]time.Time
 }
 
 // has reports whether the run worked on a content.
-func (e *ending) has(c Content) bool {
+func (e *ending) has(c Fingerprint) bool {
 	_, ok := e.contents[c]
 	return ok
 }
 
-// Judge forgets what is too old, and returns the contents that are refused from now on.
+// Evaluate forgets what is too old, and returns the contents that are refused from now on.
 //
 // A content that was merely there when upstreams ended is told from one that ends them by
 // three things: that another, which is quarantined, was there too; that others ended at the same
 // time without it, as in an outage; and that another that was there has as many strikes.
-func (q *Quarantiner) Judge(now time.Time) []Verdict {
+func (q *Quarantiner) Evaluate(now time.Time) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.expire(now)
@@ -57,13 +57,13 @@
 	}
 	ends := q.endings()
 	q.unjudged = slices.ContainsFunc(ends.all, func(e *ending) bool { return now.Sub(e.at) < settleTime })
-	var out []Verdict
+	var out []Decision
 	for {
 		v, ok := q.worst(now, ends)
 		if !ok {
 			return out
 		}
-		if !q.quarantine(now, v.Content, now) {
+		if !q.quarantine(now, v.Fingerprint, now) {
 			return out // as many as may be are refused already
 		}
 		out = append(out, v)
@@ -74,21 +74,21 @@
 type endings struct {
 	all []*ending
 	// byRun holds them by the name of the run.
-	byRun map[Run][]*ending
+	byRun map[Incarnation][]*ending
 }
 
 func (q *Quarantiner) endings() endings {
-	ends := endings{byRun: map[Run][]*ending{}}
+	ends := endings{byRun: map[Incarnation][]*ending{}}
 	for c, p := range q.suspects {
 		for _, s := range p.strikes {
-			e := ends.of(s.Strike)
+			e := ends.of(s.Crash)
 			if e == nil {
-				e = &ending{at: s.Ended, contents: map[Content]time.Time{}}
+				e = &ending{at: s.Ended, contents: map[Fingerprint]time.Time{}}
 				ends.all = append(ends.all, e)
-				ends.byRun[s.Run] = append(ends.byRun[s.Run], e)
+				ends.byRun[s.Incarnation] = append(ends.byRun[s.Incarnation], e)
 			}
-			if since, ok := e.contents[c]; !ok || s.First.Before(since) {
-				e.contents[c] = s.First
+			if since, ok := e.contents[c]; !ok || s.FirstSent.Before(since) {
+				e.contents[c] = s.FirstSent
 			}
 		}
 	}
@@ -96,8 +96,8 @@
 }
 
 // of returns the end that a strike is of; nil where it is not among them.
-func (e endings) of(s Strike) *ending {
-	for _, one := range e.byRun[s.Run] {
+func (e endings) of(s Crash) *ending {
+	for _, one := range e.byRun[s.Incarnation] {
 		if s.Ended.Sub(one.at).Abs() <= sameTime {
 			return one
 		}
@@ -106,28 +106,28 @@
 }
 
 // worst returns the content that is least likely to crash nothing, if any is unlikely enough.
-func (q *Quarantiner) worst(now time.Time, ends endings) (Verdict, bool) {
-	var found []Verdict
+func (q *Quarantiner) worst(now time.Time, ends endings) (Decision, bool) {
+	var found []Decision
 	for c, p := range q.suspects {
 		if _, ok := q.quarantined[c]; ok || len(p.strikes) < leastStrikes || !p.newest().After(p.released) {
 			continue
 		}
-		if v := q.weigh(now, c, p, ends); v.Strikes >= leastStrikes && v.Chance <= doubt {
+		if v := q.weigh(now, c, p, ends); v.Crashes >= leastStrikes && v.Probability <= doubt {
 			found = append(found, v)
 		}
 	}
 	if len(found) == 0 {
-		return Verdict{}, false
+		return Decision{}, false
 	}
-	return slices.MinFunc(found, func(a, b Verdict) int {
-		return cmp.Or(cmp.Compare(a.Chance, b.Chance), cmp.Compare(a.Content, b.Content))
+	return slices.MinFunc(found, func(a, b Decision) int {
+		return cmp.Or(cmp.Compare(a.Probability, b.Probability), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	}), true
 }
 
 // weigh returns how many ends of runs speak against a content, and how likely they are
 // where it crashes nothing.
-func (q *Quarantiner) weigh(now time.Time, c Content, p *suspect, ends endings) Verdict {
-	v := Verdict{Content: c, Chance: 1, Until: now.Add(QuarantineTime)}
+func (q *Quarantiner) weigh(now time.Time, c Fingerprint, p *suspect, ends endings) Decision {
+	v := Decision{Fingerprint: c, Probability: 1, Until: now.Add(QuarantineDuration)}
 	var runs []*ending
 	var last time.Time
 	settle := settleTime
@@ -135,21 +135,21 @@
 		settle = plainSettleTime
 	}
 	for _, s := range p.strikes {
-		e := ends.of(s.Strike)
+		e := ends.of(s.Crash)
 		if now.Sub(s.Ended) < settle || q.explained(c, e) {
 			continue
 		}
 		runs = append(runs, e)
 		// Repeats that were under way at once met the same outage.
-		if s.Sent.Before(last.Add(-overlapSlack)) || q.isRivalled(c, p, e) {
+		if s.LastSent.Before(last.Add(-overlapSlack)) || q.isRivalled(c, p, e) {
 			continue
 		}
 		last = s.Ended
-		v.Strikes++
-		v.Chance *= q.chance(c, s.Strike, ends)
+		v.Crashes++
+		v.Probability *= q.chance(c, s.Crash, ends)
 	}
-	if v.Strikes < plainStrikes && q.isOutage(runs, ends) {
-		v.Strikes = 0
+	if v.Crashes < plainStrikes && q.isOutage(runs, ends) {
+		v.Crashes = 0
 	}
 	return v
 }
@@ -170,7 +170,7 @@
 }
 
 // explained reports whether another content that is quarantined was there when a run ended.
-func (q *Quarantiner) explained(c Content, e *ending) bool {
+func (q *Quarantiner) explained(c Fingerprint, e *ending) bool {
 	for o := range e.contents {
 		if _, ok := q.quarantined[o]; ok && o != c {
 			return true
@@ -181,7 +181,7 @@
 
 // chance is how likely a run ended by itself when it did: as part of an outage, which is
 // known by the runs that ended at the same time without the content.
-func (q *Quarantiner) chance(c Content, s Strike, ends endings) float64 {
+func (q *Quarantiner) chance(c Fingerprint, s Crash, ends endings) float64 {
 	others := 0
 	for _, e := range ends.all {
 		if !e.has(c) && e.at.Sub(s.Ended).Abs() <= sameTime && !q.explained(c, e) {
@@ -194,7 +194,7 @@
 // isRivalled reports whether another content that was there explains the end of a run as well: one
 // that has as many strikes as one that has few, or one with several that came there later. What ends
 // a run does so as it begins.
-func (q *Quarantiner) isRivalled(c Content, p *suspect, e *ending) bool {
+func (q *Quarantiner) isRivalled(c Fingerprint, p *suspect, e *ending) bool {
 	for o, since := range e.contents {
 		if o == c {
 			continue
--- a/quarantiner/news.go
+++ b/quarantiner/news.go
@@ -19,16 +19,16 @@
 	mostTold = 32
 )
 
-// Tell returns what this entry learned lately, for one heartbeat.
-func (q *Quarantiner) Tell(now time.Time) api.QuarantineNews {
+// HeartbeatUpdate returns what this entry learned lately, for one heartbeat.
+func (q *Quarantiner) HeartbeatUpdate(now time.Time) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.tell(now)
 }
 
-// Reply returns what an entry is to be told that told this one, all quarantines where it
+// ReplyUpdate returns what an entry is to be told that told this one, all quarantines where it
 // refuses other contents.
-func (q *Quarantiner) Reply(now time.Time, heard api.QuarantineNews) api.QuarantineNews {
+func (q *Quarantiner) ReplyUpdate(now time.Time, heard api.QuarantineNews) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	n := q.tell(now)
@@ -45,7 +45,7 @@
 	n := api.QuarantineNews{Digest: q.digest()}
 	for _, s := range q.untold(now) {
 		s.tellings--
-		n.Strikes = append(n.Strikes, api.StrikeNews{Content: uint64(s.Content), Run: uint32(s.Run), Age: milliseconds(now.Sub(s.Ended)), Ran: milliseconds(s.Ended.Sub(s.Sent)), Longest: milliseconds(s.Ended.Sub(s.First))})
+		n.Strikes = append(n.Strikes, api.StrikeNews{Content: uint64(s.Fingerprint), Run: uint32(s.Incarnation), Age: milliseconds(now.Sub(s.Ended)), Ran: milliseconds(s.Ended.Sub(s.LastSent)), Longest: milliseconds(s.Ended.Sub(s.FirstSent))})
 	}
 	for c, p := range q.suspects {
 		if p.tellings > 0 && now.Sub(p.cleared) <= answerLife && len(n.Answers) < mostTold {
@@ -68,7 +68,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *heldStrike) int {
-		return cmp.Or(cmp.Compare(len(q.suspects[b.Content].strikes), len(q.suspects[a.Content].strikes)), b.Ended.Compare(a.Ended), cmp.Compare(a.Content, b.Content))
+		return cmp.Or(cmp.Compare(len(q.suspects[b.Fingerprint].strikes), len(q.suspects[a.Fingerprint].strikes)), b.Ended.Compare(a.Ended), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return out[:min(len(out), mostTold)]
 }
@@ -82,23 +82,23 @@
 	return sum
 }
 
-// Hear takes in what another entry tells, and returns the contents that are refused from
+// ApplyUpdate takes in what another entry tells, and returns the contents that are refused from
 // now on.
-func (q *Quarantiner) Hear(now time.Time, n api.QuarantineNews) []Verdict {
+func (q *Quarantiner) ApplyUpdate(now time.Time, n api.QuarantineNews) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	for _, a := range n.Answers[:min(len(n.Answers), mostTold)] {
-		q.clear(Content(a.Content), ago(now, a.Age))
+		q.clear(Fingerprint(a.Content), ago(now, a.Age))
 	}
 	for _, s := range n.Strikes[:min(len(n.Strikes), mostTold)] {
 		ended := ago(now, s.Age)
-		q.strike(now, Strike{Content: Content(s.Content), Run: Run(s.Run), First: ago(ended, max(s.Ran, s.Longest)), Sent: ago(ended, s.Ran), Ended: ended})
+		q.strike(now, Crash{Fingerprint: Fingerprint(s.Content), Incarnation: Incarnation(s.Run), FirstSent: ago(ended, max(s.Ran, s.Longest)), LastSent: ago(ended, s.Ran), Ended: ended})
 	}
-	var out []Verdict
+	var out []Decision
 	for _, c := range n.Quarantined[:min(len(n.Quarantined), mostQuarantined)] {
 		since := ago(now, c.Age)
-		if q.quarantine(now, Content(c.Content), since) {
-			out = append(out, Verdict{Content: Content(c.Content), Until: since.Add(QuarantineTime)})
+		if q.quarantine(now, Fingerprint(c.Content), since) {
+			out = append(out, Decision{Fingerprint: Fingerprint(c.Content), Until: since.Add(QuarantineDuration)})
 		}
 	}
 	return out
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -17,24 +17,24 @@
 	"go.uber.org/zap"
 )
 
-// Run names one run of an upstream.
-type Run uint32
+// Incarnation names one run of an upstream.
+type Incarnation uint32
 
-// Strike is the end of an upstream's run while it worked on a content.
-type Strike struct {
-	Content Content
-	Run     Run
-	// First and Sent are when the first and the last request for the content were sent there that
-	// had no answer yet, Ended is when the answers broke off. First may be zero where there was one.
-	First, Sent, Ended time.Time
+// Crash is the end of an upstream's run while it worked on a content.
+type Crash struct {
+	Fingerprint Fingerprint
+	Incarnation Incarnation
+	// FirstSent and LastSent are when the first and the last request for the content were sent there that
+	// had no answer yet, Ended is when the answers broke off. FirstSent may be zero where there was one.
+	FirstSent, LastSent, Ended time.Time
 }
 
 const (
-	// ProvenTime is how long an upstream has made parts of an answer when the request counts as one
+	// ProvenAfter is how long an upstream has made parts of an answer when the request counts as one
 	// that it can run: what crashes an upstream does so as it begins.
-	ProvenTime = 2 * time.Second
-	// QuarantineTime is how long a content is refused.
-	QuarantineTime = 5 * time.Minute
+	ProvenAfter = 2 * time.Second
+	// QuarantineDuration is how long a content is refused.
+	QuarantineDuration = 5 * time.Minute
 	// strikeLife is how long a strike counts: several quarantines, after each of which one more
 	// is enough.
 	strikeLife = 30 * time.Minute
@@ -69,7 +69,7 @@
 
 // heldStrike is a strike, and how often it is yet to be told.
 type heldStrike struct {
-	Strike
+	Crash
 	tellings int
 }
 
@@ -81,20 +81,20 @@
 	return p.cleared
 }
 
-// Verdict is a content that is refused from now on.
-type Verdict struct {
-	Content Content
-	// Strikes is how many upstreams have ended under it, Chance how likely that is for a
+// Decision is a content that is refused from now on.
+type Decision struct {
+	Fingerprint Fingerprint
+	// Crashes is how many upstreams have ended under it, Chance how likely that is for a
 	// content that crashes nothing.
-	Strikes int
-	Chance  float64
-	Until   time.Time
+	Crashes     int
+	Probability float64
+	Until       time.Time
 }
 
-// Fields are what is logged of a verdict that this entry came to, or heard from a source.
-func (v Verdict) Fields(now time.Time, source string) []zap.Field {
+// LogFields are what is logged of a verdict that this entry came to, or heard from a source.
+func (v Decision) LogFields(now time.Time, source string) []zap.Field {
 	return []zap.Field{
-		zap.Stringer("content", v.Content), zap.Int("strikes", v.Strikes), zap.Float64("chance", v.Chance),
+		zap.Stringer("content", v.Fingerprint), zap.Int("strikes", v.Crashes), zap.Float64("chance", v.Probability),
 		zap.Duration("left_ms", v.Until.Sub(now)), zap.String("source", source),
 	}
 }
@@ -102,9 +102,9 @@
 // Quarantiner holds strikes and quarantines. It is safe for concurrent use.
 type Quarantiner struct {
 	lock     sync.Mutex
-	suspects map[Content]*suspect
+	suspects map[Fingerprint]*suspect
 	// quarantined holds since when contents are refused.
-	quarantined map[Content]time.Time
+	quarantined map[Fingerprint]time.Time
 	// answers are those that this entry saw.
 	answers answerCache
 	// upstreams is how many there are.
@@ -115,40 +115,40 @@
 
 // New returns a quarantiner that suspects nothing.
 func New() *Quarantiner {
-	return &Quarantiner{suspects: map[Content]*suspect{}, quarantined: map[Content]time.Time{}}
+	return &Quarantiner{suspects: map[Fingerprint]*suspect{}, quarantined: map[Fingerprint]time.Time{}}
 }
 
-// SetUpstreams tells how many upstreams there are.
-func (q *Quarantiner) SetUpstreams(n int) {
+// SetUpstreamCount tells how many upstreams there are.
+func (q *Quarantiner) SetUpstreamCount(n int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.upstreams = n
 }
 
-// Struck notes that an upstream ended while it worked on a request.
-func (q *Quarantiner) Struck(now time.Time, s Strike) {
+// RecordCrash notes that an upstream ended while it worked on a request.
+func (q *Quarantiner) RecordCrash(now time.Time, s Crash) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.strike(now, s)
 }
 
-func (q *Quarantiner) strike(now time.Time, s Strike) {
-	if s.First.IsZero() {
-		s.First = s.Sent
+func (q *Quarantiner) strike(now time.Time, s Crash) {
+	if s.FirstSent.IsZero() {
+		s.FirstSent = s.LastSent
 	}
-	if at, ok := q.answers.last(s.Content); ok && clears(at, s.Ended) {
-		q.clear(s.Content, at)
+	if at, ok := q.answers.last(s.Fingerprint); ok && clears(at, s.Ended) {
+		q.clear(s.Fingerprint, at)
 		return
 	}
-	p := q.suspect(s.Content)
-	if i := slices.IndexFunc(p.strikes, func(o heldStrike) bool { return s.sameEnd(o.Strike) }); i >= 0 {
+	p := q.suspect(s.Fingerprint)
+	if i := slices.IndexFunc(p.strikes, func(o heldStrike) bool { return s.sameEnd(o.Crash) }); i >= 0 {
 		p.strikes[i].join(s)
 		return
 	}
 	if clears(p.cleared, s.Ended) || now.Sub(s.Ended) > strikeLife {
 		return
 	}
-	p.strikes = append(p.strikes, heldStrike{Strike: s, tellings: newsTellings})
+	p.strikes = append(p.strikes, heldStrike{Crash: s, tellings: newsTellings})
 	slices.SortFunc(p.strikes, func(a, b heldStrike) int { return a.Ended.Compare(b.Ended) })
 	p.strikes = p.strikes[max(0, len(p.strikes)-mostStrikes):]
 	q.unjudged = true
@@ -159,32 +159,32 @@
 
 // sameEnd reports whether two strikes of a content are of one end of a run. While the store is away entries
 // know an upstream that starts again by the name of its run before.
-func (s Strike) sameEnd(o Strike) bool {
-	return s.Run == o.Run && s.Ended.Sub(o.Ended).Abs() <= sameTime
+func (s Crash) sameEnd(o Crash) bool {
+	return s.Incarnation == o.Incarnation && s.Ended.Sub(o.Ended).Abs() <= sameTime
 }
 
 // join takes in another request for the content at the same end, and has that told where it
 // says more.
-func (h *heldStrike) join(s Strike) {
-	if h.First.Sub(s.First) > overlapSlack || s.Sent.Sub(h.Sent) > overlapSlack {
+func (h *heldStrike) join(s Crash) {
+	if h.FirstSent.Sub(s.FirstSent) > overlapSlack || s.LastSent.Sub(h.LastSent) > overlapSlack {
 		h.tellings = newsTellings
 	}
-	if s.First.Before(h.First) {
-		h.First = s.First
+	if s.FirstSent.Before(h.FirstSent) {
+		h.FirstSent = s.FirstSent
 	}
-	if s.Sent.After(h.Sent) {
-		h.Sent = s.Sent
+	if s.LastSent.After(h.LastSent) {
+		h.LastSent = s.LastSent
 	}
 }
 
 // suspect returns that of a content. Where there are too many, the one with the fewest
 // strikes, and of these the oldest, goes.
-func (q *Quarantiner) suspect(c Content) *suspect {
+func (q *Quarantiner) suspect(c Fingerprint) *suspect {
 	if p, ok := q.suspects[c]; ok {
 		return p
 	}
 	if len(q.suspects) >= mostSuspects {
-		var least Content
+		var least Fingerprint
 		var found *suspect
 		for key, p := range q.suspects {
 			if found == nil || cmp.Or(cmp.Compare(len(p.strikes), len(found.strikes)), p.newest().Compare(found.newest())) < 0 {
@@ -198,9 +198,9 @@
 	return p
 }
 
-// Answered notes that an upstream ran a request to its end, or for long. What it answers does
+// RecordSuccess notes that an upstream ran a request to its end, or for long. What it answers does
 // not crash what runs it.
-func (q *Quarantiner) Answered(now time.Time, c Content) {
+func (q *Quarantiner) RecordSuccess(now time.Time, c Fingerprint) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.answers.add(now, c)
@@ -210,7 +210,7 @@
 }
 
 // clear voids the strikes of a content that an answer clears, and lifts its quarantine.
-func (q *Quarantiner) clear(c Content, answered time.Time) {
+func (q *Quarantiner) clear(c Fingerprint, answered time.Time) {
 	p := q.suspect(c)
 	if !answered.After(p.cleared) {
 		return
@@ -225,19 +225,19 @@
 	}
 }
 
-// Until returns until when requests for a content are refused; ok is false where they
+// QuarantinedUntil returns until when requests for a content are refused; ok is false where they
 // are not.
-func (q *Quarantiner) Until(now time.Time, c Content) (until time.Time, ok bool) {
+func (q *Quarantiner) QuarantinedUntil(now time.Time, c Fingerprint) (until time.Time, ok bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	since, ok := q.quarantined[c]
-	until = since.Add(QuarantineTime)
+	until = since.Add(QuarantineDuration)
 	return until, ok && until.After(now)
 }
 
-// Strikes is under how many runs of upstreams that ended a content was worked on since it
+// CrashCount is under how many runs of upstreams that ended a content was worked on since it
 // was last answered.
-func (q *Quarantiner) Strikes(c Content) int {
+func (q *Quarantiner) CrashCount(c Fingerprint) int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if p, ok := q.suspects[c]; ok {
@@ -248,18 +248,18 @@
 
 // IsSuspect reports whether a request for a content is not to be sent to a second upstream
 // when its first has broken off.
-func (q *Quarantiner) IsSuspect(c Content) bool { return q.Strikes(c) >= suspectStrikes }
+func (q *Quarantiner) IsSuspect(c Fingerprint) bool { return q.CrashCount(c) >= suspectStrikes }
 
-// Count is how many contents are refused.
-func (q *Quarantiner) Count() int {
+// QuarantinedCount is how many contents are refused.
+func (q *Quarantiner) QuarantinedCount() int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return len(q.quarantined)
 }
 
 // quarantine has a content refused since a time, and reports whether that is news.
-func (q *Quarantiner) quarantine(now time.Time, c Content, since time.Time) bool {
-	if _, ok := q.quarantined[c]; ok || now.Sub(since) >= QuarantineTime-endSlack {
+func (q *Quarantiner) quarantine(now time.Time, c Fingerprint, since time.Time) bool {
+	if _, ok := q.quarantined[c]; ok || now.Sub(since) >= QuarantineDuration-endSlack {
 		return false
 	}
 	if at, ok := q.answers.last(c); ok && clears(at, since) {
@@ -270,7 +270,7 @@
 		return false
 	}
 	if len(q.quarantined) >= mostQuarantined {
-		oldest := slices.MinFunc(slices.Collect(maps.Keys(q.quarantined)), func(a, b Content) int {
+		oldest := slices.MinFunc(slices.Collect(maps.Keys(q.quarantined)), func(a, b Fingerprint) int {
 			return q.quarantined[a].Compare(q.quarantined[b])
 		})
 		if !since.After(q.quarantined[oldest]) {
@@ -285,7 +285,7 @@
 // expire drops what is too old.
 func (q *Quarantiner) expire(now time.Time) {
 	for c, since := range q.quarantined {
-		if now.Sub(since) >= QuarantineTime {
+		if now.Sub(since) >= QuarantineDuration {
 			delete(q.quarantined, c)
 			if p, ok := q.suspects[c]; ok {
 				p.released = now
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func content(name string) Content { return ContentOf([]byte(name)) }
+func content(name string) Fingerprint { return FingerprintOf([]byte(name)) }
 
 // fleet is entries that tell each other what they learn.
 type fleet struct {
@@ -34,7 +34,7 @@
 	f := &fleet{now: start}
 	for range entries {
 		q := New()
-		q.SetUpstreams(upstreams)
+		q.SetUpstreamCount(upstreams)
 		f.entries = append(f.entries, q)
 	}
 	return f
@@ -53,10 +53,10 @@
 		f.now = f.now.Add(200 * time.Millisecond)
 		for i, q := range f.entries {
 			for _, other := range f.neighbours(i) {
-				told := q.Tell(f.now)
-				other.Hear(f.now, told)
-				reply := other.Reply(f.now, told)
-				q.Hear(f.now, reply)
+				told := q.HeartbeatUpdate(f.now)
+				other.ApplyUpdate(f.now, told)
+				reply := other.ReplyUpdate(f.now, told)
+				q.ApplyUpdate(f.now, reply)
 				if f.count != nil {
 					f.count(told)
 					f.count(reply)
@@ -64,7 +64,7 @@
 			}
 		}
 		for _, q := range f.entries {
-			f.verdicts += len(q.Judge(f.now))
+			f.verdicts += len(q.Evaluate(f.now))
 		}
 	}
 }
@@ -82,41 +82,41 @@
 }
 
 // end has a run end that worked on contents, each known to an entry of its own.
-func (f *fleet) end(run Run, ran time.Duration, contents ...Content) {
+func (f *fleet) end(run Incarnation, ran time.Duration, contents ...Fingerprint) {
 	for i, c := range contents {
-		f.entries[(int(run)+i)%len(f.entries)].Struck(f.now, Strike{Content: c, Run: run, Sent: f.now.Add(-ran), Ended: f.now})
+		f.entries[(int(run)+i)%len(f.entries)].RecordCrash(f.now, Crash{Fingerprint: c, Incarnation: run, LastSent: f.now.Add(-ran), Ended: f.now})
 	}
 }
 
 // endInTurn has runs end one after the other that worked on a content.
-func (f *fleet) endInTurn(first Run, runs int, c Content) {
+func (f *fleet) endInTurn(first Incarnation, runs int, c Fingerprint) {
 	for n := range runs {
-		f.end(first+Run(n), 100*time.Millisecond, c)
+		f.end(first+Incarnation(n), 100*time.Millisecond, c)
 		f.pass(400 * time.Millisecond)
 	}
 }
 
 // refuse is how many entries refuse a content.
-func (f *fleet) refuse(c Content) int {
+func (f *fleet) refuse(c Fingerprint) int {
 	n := 0
 	for _, q := range f.entries {
-		if _, ok := q.Until(f.now, c); ok {
+		if _, ok := q.QuarantinedUntil(f.now, c); ok {
 			n++
 		}
 	}
 	return n
 }
 
-func TestContentThatEndsThreeRunsIsRefusedByAll(t *testing.T) {
+func TestFingerprintWithThreeCrashesIsRefusedByAllEntries(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
 	f.endInTurn(0, 3, content("bad"))
 	f.pass(time.Second)
 	is.Equal(f.refuse(content("bad")), 7)
 	is.Equal(f.refuse(content("other")), 0)
-	until, _ := f.entries[0].Until(f.now, content("bad"))
-	is.True(until.Sub(f.now) > QuarantineTime-5*time.Second) // as long as it holds
-	f.now = f.now.Add(QuarantineTime)
+	until, _ := f.entries[0].QuarantinedUntil(f.now, content("bad"))
+	is.True(until.Sub(f.now) > QuarantineDuration-5*time.Second) // as long as it holds
+	f.now = f.now.Add(QuarantineDuration)
 	f.pass(time.Second)
 	is.Equal(f.refuse(content("bad")), 0) // it is tried again
 	f.end(10, 100*time.Millisecond, content("bad"))
@@ -124,18 +124,18 @@
 	is.Equal(f.refuse(content("bad")), 7) // once
 }
 
-func TestTwoEndsProveNothing(t *testing.T) {
+func TestTwoCrashesAreNotEnough(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 2 {
-		f.end(Run(n), 100*time.Millisecond, content("unlucky"))
+		f.end(Incarnation(n), 100*time.Millisecond, content("unlucky"))
 		f.pass(2 * time.Second)
 	}
 	is.Equal(f.refuse(content("unlucky")), 0)
 }
 
 // What ran beside the cause each time but one is not refused.
-func TestBystandersAreNotRefused(t *testing.T) {
+func TestConcurrentRequestsAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
 	f.end(1, time.Second, content("bad"), content("beside"), content("once"))
@@ -158,7 +158,7 @@
 func TestOutageOfManyUpstreamsRefusesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 40)
-	run := Run(0)
+	run := Incarnation(0)
 	for burst := range 4 {
 		for n := range 12 { // of 40
 			run++
@@ -177,11 +177,11 @@
 func TestOutagesFarApartRefuseNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 40)
-	run := Run(0)
+	run := Incarnation(0)
 	for burst := range 3 {
 		for n := range 12 {
 			run++
-			contents := []Content{content(fmt.Sprint(burst, n))}
+			contents := []Fingerprint{content(fmt.Sprint(burst, n))}
 			if n == 0 {
 				contents = append(contents, content("unlucky"))
 			}
@@ -193,23 +193,23 @@
 }
 
 // The same content under way at many upstreams at once meets one outage, not many.
-func TestEndsAtOnceCountOnce(t *testing.T) {
+func TestConcurrentCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 8 {
-		f.end(Run(n), time.Second, content("popular"))
+		f.end(Incarnation(n), time.Second, content("popular"))
 	}
 	f.pass(2 * time.Second)
 	is.Equal(f.refuse(content("popular")), 0)
 }
 
-func TestAnswerClears(t *testing.T) {
+func TestSuccessClearsCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 9 {
-		f.end(Run(n), 100*time.Millisecond, content("popular"))
+		f.end(Incarnation(n), 100*time.Millisecond, content("popular"))
 		f.pass(400 * time.Millisecond)
-		f.entries[n%7].Answered(f.now, content("popular"))
+		f.entries[n%7].RecordSuccess(f.now, content("popular"))
 		f.pass(400 * time.Millisecond)
 	}
 	f.pass(2 * time.Second)
@@ -217,19 +217,19 @@
 }
 
 // An answer that an attempt of before brings lifts the quarantine at all entries.
-func TestAnswerLiftsQuarantine(t *testing.T) {
+func TestSuccessLiftsQuarantine(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
 	f.endInTurn(0, 3, content("slow"))
 	f.pass(time.Second)
 	is.Equal(f.refuse(content("slow")), 7)
-	f.entries[3].Answered(f.now, content("slow"))
+	f.entries[3].RecordSuccess(f.now, content("slow"))
 	f.pass(2 * time.Second)
 	is.Equal(f.refuse(content("slow")), 0)
 }
 
 // An entry that starts or was cut off hears of quarantines that are no news any more.
-func TestNewEntryIsToldAll(t *testing.T) {
+func TestNewEntryReceivesAllQuarantines(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
 	f.endInTurn(0, 3, content("bad"))
@@ -242,26 +242,26 @@
 
 // Whatever comes, memory and messages are bounded, and when nothing more comes
 // nothing is told and at last nothing is kept.
-func TestBounds(t *testing.T) {
+func TestMemoryAndUpdatesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 600)
 	for n := range 20000 {
-		f.entries[n%3].Struck(f.now, Strike{Content: Content(n % 7000), Run: Run(n), Sent: f.now.Add(-time.Second), Ended: f.now})
+		f.entries[n%3].RecordCrash(f.now, Crash{Fingerprint: Fingerprint(n % 7000), Incarnation: Incarnation(n), LastSent: f.now.Add(-time.Second), Ended: f.now})
 	}
 	for n := range 1000 {
-		f.entries[0].quarantine(f.now, Content(n), f.now.Add(time.Duration(n)))
+		f.entries[0].quarantine(f.now, Fingerprint(n), f.now.Add(time.Duration(n)))
 	}
 	for _, q := range f.entries {
 		is.True(len(q.suspects) <= mostSuspects)
 		is.True(len(q.quarantined) <= mostQuarantined)
-		is.True(size(t, q.Tell(f.now)) < 2<<10)
-		is.True(size(t, q.Reply(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
+		is.True(size(t, q.HeartbeatUpdate(f.now)) < 2<<10)
+		is.True(size(t, q.ReplyUpdate(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
 	}
 	f.pass(5 * time.Second)
-	told := f.entries[0].Tell(f.now)
+	told := f.entries[0].HeartbeatUpdate(f.now)
 	is.Equal(len(told.Strikes)+len(told.Answers)+len(told.Quarantined), 0)
 	is.True(size(t, told) < 300) // a heartbeat's share when there is nothing to tell
-	f.now = f.now.Add(max(QuarantineTime, strikeLife))
+	f.now = f.now.Add(max(QuarantineDuration, strikeLife))
 	f.pass(time.Second)
 	for _, q := range f.entries {
 		is.Equal(len(q.suspects)+len(q.quarantined), 0)
@@ -279,21 +279,21 @@
 
 // In drawn orders of ends, with drawn company, all entries come to the same verdict about the cause
 // within three ends more, and none about what crashes nothing.
-func TestVerdictsInAnyOrder(t *testing.T) {
+func TestDecisionsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 9).Draw(r, "entries"), rapid.IntRange(14, 600).Draw(r, "upstreams"))
-		run := Run(0)
+		run := Incarnation(0)
 		ends := 0
 		for f.refuse(content("bad")) < len(f.entries) {
 			if ends++; ends > 6 {
 				r.Fatalf("not refused after %d ends", ends-1)
 			}
 			run++
-			company := []Content{content("bad")}
+			company := []Fingerprint{content("bad")}
 			for n := range rapid.IntRange(0, 15).Draw(r, "company") {
-				company = append(company, Content(1000*ends+n)) // asked once or twice
+				company = append(company, Fingerprint(1000*ends+n)) // asked once or twice
 				if n < 4 && ends < 3 {
-					company = append(company, Content(n))
+					company = append(company, Fingerprint(n))
 				}
 			}
 			f.end(run, 100*time.Millisecond, company...)
@@ -312,23 +312,23 @@
 
 // A content that is asked for everywhere is under way wherever an upstream ends. The runs
 // that it did not end prove that it is not why, whichever entry saw that.
-func TestPopularContentIsNotRefused(t *testing.T) {
+func TestPopularFingerprintIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
 	popular := content("popular")
 	for n := range 2 {
-		f.end(Run(n), 100*time.Millisecond, content("bad"), popular)
+		f.end(Incarnation(n), 100*time.Millisecond, content("bad"), popular)
 		f.pass(200 * time.Millisecond)
 	}
 	f.end(2, 100*time.Millisecond, popular, content("other"))
-	f.entries[5].Answered(f.now, popular)
+	f.entries[5].RecordSuccess(f.now, popular)
 	f.pass(2 * time.Second)
 	is.Equal(f.refuse(popular), 0)
 }
 
 // With 380 entries before 600 upstreams all refuse what has ended three, before entries that are in
 // contact have to, and what each entry sends for it stays within 3 KB/s.
-func TestTargetFleet(t *testing.T) {
+func TestTrafficOfTargetFleet(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(380, 600)
 	sent, out := 0, bytes.Buffer{}
@@ -344,11 +344,11 @@
 	is.True(perSecond(time.Second) < 300) // nothing to tell
 	sent = 0
 	for n := range 3 { // each beside 15 others
-		var company []Content
+		var company []Fingerprint
 		for k := range 15 {
-			company = append(company, Content(100*n+k))
+			company = append(company, Fingerprint(100*n+k))
 		}
-		f.end(Run(n), 100*time.Millisecond, append(company, content("bad"))...)
+		f.end(Incarnation(n), 100*time.Millisecond, append(company, content("bad"))...)
 		f.pass(time.Second)
 	}
 	f.pass(2 * time.Second)
@@ -359,11 +359,11 @@
 	is.True(perSecond(5*time.Second) < 600) // something is refused
 	sent = 0
 	for n := range 120 { // a fifth of all upstreams at once
-		var company []Content
+		var company []Fingerprint
 		for k := range 16 {
-			company = append(company, Content(100000+100*n+k))
+			company = append(company, Fingerprint(100000+100*n+k))
 		}
-		f.end(Run(1000+n), 100*time.Millisecond, company...)
+		f.end(Incarnation(1000+n), 100*time.Millisecond, company...)
 	}
 	f.pass(4 * time.Second)                    // all of it is told by then
 	is.True(perSecond(15*time.Second) < 3<<10) // within a quarter of a minute
@@ -374,11 +374,11 @@
 
 // What many ask for is under way wherever an upstream ends in an outage. It was answered a
 // moment before, by some entry, and whoever would judge it is told so.
-func TestOutageUnderPopularContent(t *testing.T) {
+func TestOutageDuringPopularRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
 	popular := content("popular")
-	f.entries[4].Answered(f.now, popular)
+	f.entries[4].RecordSuccess(f.now, popular)
 	f.pass(20 * time.Second)
 	f.endInTurn(0, 6, popular)
 	f.pass(2 * time.Second)
@@ -386,9 +386,9 @@
 	is.Equal(f.verdicts, 0)
 	// An entry that starts anew judges by itself, and is told better.
 	f.entries[1] = New()
-	f.entries[1].SetUpstreams(6)
+	f.entries[1].SetUpstreamCount(6)
 	for n := range 4 {
-		f.entries[1].Struck(f.now, Strike{Content: popular, Run: Run(20 + n), Sent: f.now.Add(-100 * time.Millisecond), Ended: f.now})
+		f.entries[1].RecordCrash(f.now, Crash{Fingerprint: popular, Incarnation: Incarnation(20 + n), LastSent: f.now.Add(-100 * time.Millisecond), Ended: f.now})
 		f.pass(400 * time.Millisecond)
 	}
 	f.pass(2 * time.Second)
@@ -401,7 +401,7 @@
 }
 
 // While the store is away, an upstream that starts again has the name of its run before at all entries.
-func TestRunsOfOneNameThatEndAgain(t *testing.T) {
+func TestRepeatedCrashesOfOneIncarnationID(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
 	for range 4 {
@@ -413,12 +413,12 @@
 }
 
 // More contents than are refused at the most may end upstreams at once.
-func TestManyContentsThatEndRuns(t *testing.T) {
+func TestMoreCrashingFingerprintsThanQuarantineLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, 6000)
 	for n := range 3 {
 		for k := range mostQuarantined + 50 {
-			f.end(Run(n*1000+k), 100*time.Millisecond, Content(k))
+			f.end(Incarnation(n*1000+k), 100*time.Millisecond, Fingerprint(k))
 		}
 		f.pass(time.Second)
 	}
@@ -430,7 +430,7 @@
 
 // Where half of all upstreams end within a second or two, what many ask for may be under way at
 // each of them, and no answer came yet.
-func TestOutageOfHalfOfAllUpstreams(t *testing.T) {
+func TestOutageOfHalfOfUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
 	f.endInTurn(0, 3, content("popular"))
@@ -443,7 +443,7 @@
 
 // A content that met an outage twice was under way once more where the one ended an upstream that
 // ends them, which was not known yet.
-func TestOutageBeforeTheCause(t *testing.T) {
+func TestOutageBeforeCrashingRequest(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	f.endInTurn(0, 2, content("popular"))
@@ -451,7 +451,7 @@
 	f.end(2, 60*time.Millisecond, content("popular"), content("bad"))
 	for n := range 3 {
 		f.pass(200 * time.Millisecond)
-		f.end(Run(3+n), 60*time.Millisecond, content("bad"))
+		f.end(Incarnation(3+n), 60*time.Millisecond, content("bad"))
 	}
 	f.pass(4 * time.Second)
 	is.Equal(f.refuse(content("bad")), 6)
@@ -460,13 +460,13 @@
 
 // What many ask for was under way wherever the cause ended an upstream, and had been there for half a
 // second each time; a strike of the cause was lost with an entry.
-func TestWhatWasThereLongerIsNotTheCause(t *testing.T) {
+func TestLongerRunningRequestIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	for n := range 7 {
-		f.end(Run(n), 550*time.Millisecond, content("popular"))
+		f.end(Incarnation(n), 550*time.Millisecond, content("popular"))
 		if n > 0 {
-			f.end(Run(n), 60*time.Millisecond, content("bad"))
+			f.end(Incarnation(n), 60*time.Millisecond, content("bad"))
 		}
 		f.pass(1200 * time.Millisecond)
 	}
@@ -477,11 +477,11 @@
 
 // Three engines are all there are, and two callers in step end them all at once: the outage that this
 // looks like is over with the fourth end, which has the content refused half a second later.
-func TestFourthEndIsJudgedSoon(t *testing.T) {
+func TestFourthCrashIsEvaluatedSoon(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	for n := range 3 {
-		f.end(Run(n), 60*time.Millisecond, content("bad"))
+		f.end(Incarnation(n), 60*time.Millisecond, content("bad"))
 		f.now = f.now.Add(60 * time.Millisecond)
 	}
 	f.pass(2500 * time.Millisecond)
--- a/server/beat.go
+++ b/server/beat.go
@@ -35,7 +35,7 @@
 		now := time.Now()
 		targets = c.targets(now)
 		beat = c.heartbeat(now)
-		beat.Quarantine = s.quarantine.Tell(now)
+		beat.Quarantine = s.quarantine.HeartbeatUpdate(now)
 	})
 	var calls sync.WaitGroup
 	for _, address := range targets {
@@ -68,7 +68,7 @@
 	for _, m := range c.prober.Members() {
 		known[m.PeerAddress] = true
 	}
-	for _, m := range c.prober.Targets(now) {
+	for _, m := range c.prober.BeginRound(now) {
 		out = append(out, m.PeerAddress)
 	}
 	for _, address := range c.server.settings.Peers {
@@ -86,7 +86,7 @@
 	s.do(func(c *control) {
 		now := time.Now()
 		c.heard(now, beat)
-		s.logQuarantined(now, s.quarantine.Hear(now, beat.Quarantine), beat.From)
+		s.logQuarantined(now, s.quarantine.ApplyUpdate(now, beat.Quarantine), beat.From)
 		wanted = c.adopter.Wants(validator.Version{Revision: beat.Revision, Digest: beat.Digest}) ||
 			c.lister.Wants(now, beat.ListDigest, beat.ListAge)
 	})
--- a/server/call.go
+++ b/server/call.go
@@ -39,7 +39,7 @@
 		result, f := s.sendCall(x, p)
 		p.End(time.Now(), result)
 		if f == nil {
-			s.quarantine.Answered(time.Now(), x.content)
+			s.quarantine.RecordSuccess(time.Now(), x.content)
 			return nil
 		}
 		if x.ctx.Err() != nil || x.left() <= 0 {
--- a/server/complete.go
+++ b/server/complete.go
@@ -59,7 +59,7 @@
 		}
 		f := c.attempt()
 		if f == nil {
-			s.quarantine.Answered(time.Now(), x.content)
+			s.quarantine.RecordSuccess(time.Now(), x.content)
 			return c.finish()
 		}
 		if !c.mayRetry(f) {
--- a/server/control.go
+++ b/server/control.go
@@ -89,7 +89,7 @@
 	return &control{
 		server:   s,
 		adopter:  adopter.New(sources...),
-		prober:   prober.New(prober.Config{Name: s.settings.Name, Incarnation: s.config.Incarnation, Neighbours: t.Neighbours, Suspect: t.Suspect}),
+		prober:   prober.New(prober.Config{Name: s.settings.Name, Incarnation: s.config.Incarnation, Neighbours: t.Neighbours, SuspectAfter: t.Suspect}),
 		drainer:  drainer.New(),
 		admitter: admitter.New(rand.New(rand.NewPCG(s.config.Incarnation, uint64(s.settings.Address.Port())))),
 		spender: spender.New(now, spender.Config{
@@ -122,11 +122,11 @@
 	if now.Sub(c.lastTick) > wokeAfter {
 		c.server.logs.entry.Warn("woke", zap.Duration("paused", now.Sub(c.lastTick)))
 		c.wokeAt = now
-		c.prober.Woke(now)
+		c.prober.ResetSilence(now)
 	}
 	c.lastTick = now
 	c.changed(c.prober.Tick(now))
-	c.server.logQuarantined(now, c.server.quarantine.Judge(now), "own")
+	c.server.logQuarantined(now, c.server.quarantine.Evaluate(now), "own")
 	c.server.metrics.inFlight.Update(float64(c.admitter.InFlight()))
 }
 
@@ -209,7 +209,7 @@
 // heard takes in a heartbeat.
 func (c *control) heard(now time.Time, beat api.Heartbeat) {
 	before, known := c.prober.Find(beat.From)
-	c.changed(c.prober.Heard(now, beat))
+	c.changed(c.prober.ReceiveHeartbeat(now, beat))
 	after, _ := c.prober.Find(beat.From)
 	if !known || before.Ready != after.Ready || before.Incarnation != after.Incarnation {
 		c.dirty = true
@@ -250,7 +250,7 @@
 		kind = i.Kind
 	}
 	n := api.Notice{Kind: kind, Name: name, Incarnation: c.drainer.CurrentIncarnation(name), State: api.NoticeLeaving}
-	c.prober.Notice(time.Now(), n)
+	c.prober.ReceiveNotice(time.Now(), n)
 	c.dirty = true
 }
 
@@ -270,7 +270,7 @@
 
 // list takes over an instance list.
 func (c *control) list(now time.Time, list api.InstanceList) {
-	c.prober.List(now, list.Instances)
+	c.prober.ApplyInstanceList(now, list.Instances)
 	instances := make(map[string]api.Instance, len(list.Instances))
 	for _, i := range list.Instances {
 		if _, err := netip.ParseAddrPort(i.Address); err != nil {
@@ -302,7 +302,7 @@
 		From: c.server.settings.Name, Incarnation: c.server.config.Incarnation,
 		PeerAddress: c.server.settings.PeerAddress, Address: c.server.settings.Address,
 		DataCentre: c.server.settings.DataCentre, Stopping: c.stopping, Ready: c.adopter.Ready(),
-		Revision: v.Revision, Digest: validator.Shorten(v.Digest), Notices: c.prober.Notices(),
+		Revision: v.Revision, Digest: validator.Shorten(v.Digest), Notices: c.prober.NextNotices(),
 		ListDigest: validator.Shorten(c.lister.Digest()), ListAge: c.lister.Age(now),
 	}
 	for _, k := range c.keepers {
--- a/server/crash.go
+++ b/server/crash.go
@@ -11,18 +11,18 @@
 )
 
 // contentOf names what a prompt or a call asks for, whatever id it has.
-func contentOf(x *exchange) quarantiner.Content {
+func contentOf(x *exchange) quarantiner.Fingerprint {
 	organisation := []byte(x.organisation.Name)
 	if r := x.completion; r != nil {
-		return quarantiner.ContentOf(organisation, []byte(r.Model), []byte(r.Adapter), []byte(r.Prompt))
+		return quarantiner.FingerprintOf(organisation, []byte(r.Model), []byte(r.Adapter), []byte(r.Prompt))
 	}
-	return quarantiner.ContentOf(organisation, []byte(x.service.Name), []byte(x.call), x.body)
+	return quarantiner.FingerprintOf(organisation, []byte(x.service.Name), []byte(x.call), x.body)
 }
 
 // quarantined refuses a request that crashes the upstreams that run it.
 func (x *exchange) quarantined() *failure {
 	now := time.Now()
-	until, ok := x.server.quarantine.Until(now, x.content)
+	until, ok := x.server.quarantine.QuarantinedUntil(now, x.content)
 	if !ok {
 		return nil
 	}
@@ -57,18 +57,18 @@
 		}
 		s.logs.route.Warn("upstream_ended", zap.String("request", id), zap.Stringer("content", content), zap.String("upstream", t.upstream),
 			zap.Duration("ran_ms", broke.Sub(t.sent)))
-		if !t.began.IsZero() && broke.Sub(t.began) >= quarantiner.ProvenTime {
-			s.quarantine.Answered(broke, content)
+		if !t.began.IsZero() && broke.Sub(t.began) >= quarantiner.ProvenAfter {
+			s.quarantine.RecordSuccess(broke, content)
 			return
 		}
-		run := quarantiner.Run(quarantiner.ContentOf([]byte(t.upstream)))
-		s.quarantine.Struck(time.Now(), quarantiner.Strike{Content: content, Run: run, Sent: t.sent, Ended: broke})
+		run := quarantiner.Incarnation(quarantiner.FingerprintOf([]byte(t.upstream)))
+		s.quarantine.RecordCrash(time.Now(), quarantiner.Crash{Fingerprint: content, Incarnation: run, LastSent: t.sent, Ended: broke})
 	}()
 }
 
 // logQuarantined logs requests that are refused from now on.
-func (s *Server) logQuarantined(now time.Time, verdicts []quarantiner.Verdict, source string) {
+func (s *Server) logQuarantined(now time.Time, verdicts []quarantiner.Decision, source string) {
 	for _, v := range verdicts {
-		s.logs.route.Warn("quarantined", v.Fields(now, source)...)
+		s.logs.route.Warn("quarantined", v.LogFields(now, source)...)
 	}
 }
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -32,7 +32,7 @@
 	call       string
 	// content is what the request asks for, cut is true once an upstream broke its last
 	// attempt off.
-	content quarantiner.Content
+	content quarantiner.Fingerprint
 	cut     bool
 
 	timeout      time.Duration
--- a/server/peers.go
+++ b/server/peers.go
@@ -61,7 +61,7 @@
 	e.server.do(func(c *control) {
 		now := time.Now()
 		*reply = c.heartbeat(now)
-		reply.Quarantine = e.server.quarantine.Reply(now, beat.Quarantine)
+		reply.Quarantine = e.server.quarantine.ReplyUpdate(now, beat.Quarantine)
 	})
 	return nil
 }
--- a/server/status.go
+++ b/server/status.go
@@ -54,8 +54,8 @@
 	}
 	for _, m := range c.prober.Members() {
 		line := api.MemberStatus{Name: m.Name, State: string(m.State), Incarnation: m.Incarnation}
-		if !m.Heard.IsZero() {
-			line.Heard = now.Sub(m.Heard)
+		if !m.LastHeartbeat.IsZero() {
+			line.Heard = now.Sub(m.LastHeartbeat)
 		}
 		status.Members = append(status.Members, line)
 	}
--- a/server/view.go
+++ b/server/view.go
@@ -69,7 +69,7 @@
 		services = c.servicesOf(v.accepted)
 	}
 	c.assign(v)
-	c.server.quarantine.SetUpstreams(countUpstreams(v.engines, services))
+	c.server.quarantine.SetUpstreamCount(countUpstreams(v.engines, services))
 	c.server.calls.Update(&matcher.Table{}, services)
 	c.server.current.Store(v)
 }
