--- a/quarantiner/content.go
+++ b/quarantiner/fingerprint.go
@@ -23,4 +23,4 @@
 }
 
 // String returns the content as it is logged.
-func (c Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(c)) }
+func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -35,50 +35,50 @@
 	ProvenAfter = 2 * time.Second
 	// QuarantineDuration is how long a content is refused.
 	QuarantineDuration = 5 * time.Minute
-	// strikeLife is how long a strike counts: several quarantines, after each of which one more
+	// crashTTL is how long a strike counts: several quarantines, after each of which one more
 	// is enough.
-	strikeLife = 30 * time.Minute
-	// answerLife is how long after an answer ends of upstreams don't count against a content: in an
+	crashTTL = 30 * time.Minute
+	// successTTL is how long after an answer ends of upstreams don't count against a content: in an
 	// outage what many ask for is under way wherever an upstream ends.
-	answerLife = time.Minute
-	// endSlack is how long before its end a quarantine is no longer taken over from others:
+	successTTL = time.Minute
+	// minAdoptedRemaining is how long before its end a quarantine is no longer taken over from others:
 	// entries end it at different moments, and would tell each other of it for ever.
-	endSlack = 10 * time.Second
-	// suspectStrikes is under how many runs that ended a content was when it is not sent to a second
+	minAdoptedRemaining = 10 * time.Second
+	// minSuspectCrashes is under how many runs that ended a content was when it is not sent to a second
 	// upstream after its first: a third end is likely its own doing.
-	suspectStrikes = 2
-	// mostSuspects bounds the contents with strikes, mostStrikes the strikes of one, and
+	minSuspectCrashes = 2
+	// maxSuspects bounds the contents with strikes, mostStrikes the strikes of one, and
 	// mostQuarantined the contents that are refused.
-	mostSuspects    = 2048
-	mostStrikes     = 8
-	mostQuarantined = 256
+	maxSuspects          = 2048
+	maxCrashesPerSuspect = 8
+	maxQuarantined       = 256
 )
 
 // suspect is a content under which upstreams have ended.
 type suspect struct {
-	// strikes are in order of their ends, all later than answerLife after cleared.
-	strikes []heldStrike
-	// cleared is when an upstream last answered the content; zero for never.
-	cleared time.Time
-	// tellings is how often cleared is yet to be told.
-	tellings int
-	// released is when a quarantine of the content last ended; only a later strike has it
+	// crashes are in order of their ends, all later than answerLife after cleared.
+	crashes []knownCrash
+	// lastSuccess is when an upstream last answered the content; zero for never.
+	lastSuccess time.Time
+	// broadcastsLeft is how often cleared is yet to be told.
+	broadcastsLeft int
+	// releasedAt is when a quarantine of the content last ended; only a later strike has it
 	// refused again.
-	released time.Time
+	releasedAt time.Time
 }
 
-// heldStrike is a strike, and how often it is yet to be told.
-type heldStrike struct {
+// knownCrash is a strike, and how often it is yet to be told.
+type knownCrash struct {
 	Crash
-	tellings int
+	broadcastsLeft int
 }
 
-// newest is the time of the last that is known of a suspect.
-func (p *suspect) newest() time.Time {
-	if n := len(p.strikes); n > 0 {
-		return p.strikes[n-1].Ended
+// lastActivity is the time of the last that is known of a suspect.
+func (p *suspect) lastActivity() time.Time {
+	if n := len(p.crashes); n > 0 {
+		return p.crashes[n-1].Ended
 	}
-	return p.cleared
+	return p.lastSuccess
 }
 
 // Decision is a content that is refused from now on.
@@ -92,10 +92,10 @@
 }
 
 // LogFields are what is logged of a verdict that this entry came to, or heard from a source.
-func (v Decision) LogFields(now time.Time, source string) []zap.Field {
+func (d Decision) LogFields(now time.Time, source string) []zap.Field {
 	return []zap.Field{
-		zap.Stringer("content", v.Fingerprint), zap.Int("strikes", v.Crashes), zap.Float64("chance", v.Probability),
-		zap.Duration("left_ms", v.Until.Sub(now)), zap.String("source", source),
+		zap.Stringer("content", d.Fingerprint), zap.Int("strikes", d.Crashes), zap.Float64("chance", d.Probability),
+		zap.Duration("left_ms", d.Until.Sub(now)), zap.String("source", source),
 	}
 }
 
@@ -105,12 +105,12 @@
 	suspects map[Fingerprint]*suspect
 	// quarantined holds since when contents are refused.
 	quarantined map[Fingerprint]time.Time
-	// answers are those that this entry saw.
-	answers answerCache
-	// upstreams is how many there are.
-	upstreams int
-	// unjudged is true where a strike came since the last judgement, or is too new for it.
-	unjudged bool
+	// successes are those that this entry saw.
+	successes successCache
+	// upstreamCount is how many there are.
+	upstreamCount int
+	// needsEvaluation is true where a strike came since the last judgement, or is too new for it.
+	needsEvaluation bool
 }
 
 // New returns a quarantiner that suspects nothing.
@@ -122,133 +122,133 @@
 func (q *Quarantiner) SetUpstreamCount(n int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.upstreams = n
+	q.upstreamCount = n
 }
 
 // RecordCrash notes that an upstream ended while it worked on a request.
-func (q *Quarantiner) RecordCrash(now time.Time, s Crash) {
+func (q *Quarantiner) RecordCrash(now time.Time, crash Crash) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.strike(now, s)
+	q.recordCrash(now, crash)
 }
 
-func (q *Quarantiner) strike(now time.Time, s Crash) {
-	if s.FirstSent.IsZero() {
-		s.FirstSent = s.LastSent
+func (q *Quarantiner) recordCrash(now time.Time, crash Crash) {
+	if crash.FirstSent.IsZero() {
+		crash.FirstSent = crash.LastSent
 	}
-	if at, ok := q.answers.last(s.Fingerprint); ok && clears(at, s.Ended) {
-		q.clear(s.Fingerprint, at)
+	if at, ok := q.successes.last(crash.Fingerprint); ok && isCleared(at, crash.Ended) {
+		q.applySuccess(crash.Fingerprint, at)
 		return
 	}
-	p := q.suspect(s.Fingerprint)
-	if i := slices.IndexFunc(p.strikes, func(o heldStrike) bool { return s.sameEnd(o.Crash) }); i >= 0 {
-		p.strikes[i].join(s)
+	p := q.ensureSuspect(crash.Fingerprint)
+	if i := slices.IndexFunc(p.crashes, func(o knownCrash) bool { return crash.isSameEnd(o.Crash) }); i >= 0 {
+		p.crashes[i].merge(crash)
 		return
 	}
-	if clears(p.cleared, s.Ended) || now.Sub(s.Ended) > strikeLife {
+	if isCleared(p.lastSuccess, crash.Ended) || now.Sub(crash.Ended) > crashTTL {
 		return
 	}
-	p.strikes = append(p.strikes, heldStrike{Crash: s, tellings: newsTellings})
-	slices.SortFunc(p.strikes, func(a, b heldStrike) int { return a.Ended.Compare(b.Ended) })
-	p.strikes = p.strikes[max(0, len(p.strikes)-mostStrikes):]
-	q.unjudged = true
+	p.crashes = append(p.crashes, knownCrash{Crash: crash, broadcastsLeft: broadcastsPerItem})
+	slices.SortFunc(p.crashes, func(a, b knownCrash) int { return a.Ended.Compare(b.Ended) })
+	p.crashes = p.crashes[max(0, len(p.crashes)-maxCrashesPerSuspect):]
+	q.needsEvaluation = true
 }
 
-// clears reports whether an answer at a time proves that an end is not a content's doing.
-func clears(answered, ended time.Time) bool { return !ended.After(answered.Add(answerLife)) }
+// isCleared reports whether an answer at a time proves that an end is not a content's doing.
+func isCleared(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
 
-// sameEnd reports whether two strikes of a content are of one end of a run. While the store is away entries
+// isSameEnd reports whether two strikes of a content are of one end of a run. While the store is away entries
 // know an upstream that starts again by the name of its run before.
-func (s Crash) sameEnd(o Crash) bool {
-	return s.Incarnation == o.Incarnation && s.Ended.Sub(o.Ended).Abs() <= sameTime
+func (c Crash) isSameEnd(o Crash) bool {
+	return c.Incarnation == o.Incarnation && c.Ended.Sub(o.Ended).Abs() <= coincidenceWindow
 }
 
-// join takes in another request for the content at the same end, and has that told where it
+// merge takes in another request for the content at the same end, and has that told where it
 // says more.
-func (h *heldStrike) join(s Crash) {
-	if h.FirstSent.Sub(s.FirstSent) > overlapSlack || s.LastSent.Sub(h.LastSent) > overlapSlack {
-		h.tellings = newsTellings
+func (k *knownCrash) merge(crash Crash) {
+	if k.FirstSent.Sub(crash.FirstSent) > timestampSlack || crash.LastSent.Sub(k.LastSent) > timestampSlack {
+		k.broadcastsLeft = broadcastsPerItem
 	}
-	if s.FirstSent.Before(h.FirstSent) {
-		h.FirstSent = s.FirstSent
+	if crash.FirstSent.Before(k.FirstSent) {
+		k.FirstSent = crash.FirstSent
 	}
-	if s.LastSent.After(h.LastSent) {
-		h.LastSent = s.LastSent
+	if crash.LastSent.After(k.LastSent) {
+		k.LastSent = crash.LastSent
 	}
 }
 
-// suspect returns that of a content. Where there are too many, the one with the fewest
+// ensureSuspect returns that of a content. Where there are too many, the one with the fewest
 // strikes, and of these the oldest, goes.
-func (q *Quarantiner) suspect(c Fingerprint) *suspect {
-	if p, ok := q.suspects[c]; ok {
+func (q *Quarantiner) ensureSuspect(fp Fingerprint) *suspect {
+	if p, ok := q.suspects[fp]; ok {
 		return p
 	}
-	if len(q.suspects) >= mostSuspects {
-		var least Fingerprint
-		var found *suspect
+	if len(q.suspects) >= maxSuspects {
+		var evicted Fingerprint
+		var fewest *suspect
 		for key, p := range q.suspects {
-			if found == nil || cmp.Or(cmp.Compare(len(p.strikes), len(found.strikes)), p.newest().Compare(found.newest())) < 0 {
-				least, found = key, p
+			if fewest == nil || cmp.Or(cmp.Compare(len(p.crashes), len(fewest.crashes)), p.lastActivity().Compare(fewest.lastActivity())) < 0 {
+				evicted, fewest = key, p
 			}
 		}
-		delete(q.suspects, least)
+		delete(q.suspects, evicted)
 	}
 	p := &suspect{}
-	q.suspects[c] = p
+	q.suspects[fp] = p
 	return p
 }
 
 // RecordSuccess notes that an upstream ran a request to its end, or for long. What it answers does
 // not crash what runs it.
-func (q *Quarantiner) RecordSuccess(now time.Time, c Fingerprint) {
+func (q *Quarantiner) RecordSuccess(now time.Time, fp Fingerprint) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.answers.add(now, c)
-	if p, ok := q.suspects[c]; ok && len(p.strikes) > 0 {
-		q.clear(c, now)
+	q.successes.add(now, fp)
+	if p, ok := q.suspects[fp]; ok && len(p.crashes) > 0 {
+		q.applySuccess(fp, now)
 	}
 }
 
-// clear voids the strikes of a content that an answer clears, and lifts its quarantine.
-func (q *Quarantiner) clear(c Fingerprint, answered time.Time) {
-	p := q.suspect(c)
-	if !answered.After(p.cleared) {
+// applySuccess voids the strikes of a content that an answer clears, and lifts its quarantine.
+func (q *Quarantiner) applySuccess(fp Fingerprint, success time.Time) {
+	p := q.ensureSuspect(fp)
+	if !success.After(p.lastSuccess) {
 		return
 	}
-	if answered.Sub(p.cleared) > newsTime { // else it is what others were told already
-		p.tellings = newsTellings
+	if success.Sub(p.lastSuccess) > maxBroadcastAge { // else it is what others were told already
+		p.broadcastsLeft = broadcastsPerItem
 	}
-	p.cleared = answered
-	p.strikes = slices.DeleteFunc(p.strikes, func(s heldStrike) bool { return clears(answered, s.Ended) })
-	if since, ok := q.quarantined[c]; ok && clears(answered, since) {
-		delete(q.quarantined, c)
+	p.lastSuccess = success
+	p.crashes = slices.DeleteFunc(p.crashes, func(s knownCrash) bool { return isCleared(success, s.Ended) })
+	if since, ok := q.quarantined[fp]; ok && isCleared(success, since) {
+		delete(q.quarantined, fp)
 	}
 }
 
 // QuarantinedUntil returns until when requests for a content are refused; ok is false where they
 // are not.
-func (q *Quarantiner) QuarantinedUntil(now time.Time, c Fingerprint) (until time.Time, ok bool) {
+func (q *Quarantiner) QuarantinedUntil(now time.Time, fp Fingerprint) (until time.Time, ok bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	since, ok := q.quarantined[c]
+	since, ok := q.quarantined[fp]
 	until = since.Add(QuarantineDuration)
 	return until, ok && until.After(now)
 }
 
 // CrashCount is under how many runs of upstreams that ended a content was worked on since it
 // was last answered.
-func (q *Quarantiner) CrashCount(c Fingerprint) int {
+func (q *Quarantiner) CrashCount(fp Fingerprint) int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	if p, ok := q.suspects[c]; ok {
-		return len(p.strikes)
+	if p, ok := q.suspects[fp]; ok {
+		return len(p.crashes)
 	}
 	return 0
 }
 
 // IsSuspect reports whether a request for a content is not to be sent to a second upstream
 // when its first has broken off.
-func (q *Quarantiner) IsSuspect(c Fingerprint) bool { return q.CrashCount(c) >= suspectStrikes }
+func (q *Quarantiner) IsSuspect(fp Fingerprint) bool { return q.CrashCount(fp) >= minSuspectCrashes }
 
 // QuarantinedCount is how many contents are refused.
 func (q *Quarantiner) QuarantinedCount() int {
@@ -257,19 +257,19 @@
 	return len(q.quarantined)
 }
 
-// quarantine has a content refused since a time, and reports whether that is news.
-func (q *Quarantiner) quarantine(now time.Time, c Fingerprint, since time.Time) bool {
-	if _, ok := q.quarantined[c]; ok || now.Sub(since) >= QuarantineDuration-endSlack {
+// addQuarantine has a content refused since a time, and reports whether that is news.
+func (q *Quarantiner) addQuarantine(now time.Time, fp Fingerprint, since time.Time) bool {
+	if _, ok := q.quarantined[fp]; ok || now.Sub(since) >= QuarantineDuration-minAdoptedRemaining {
 		return false
 	}
-	if at, ok := q.answers.last(c); ok && clears(at, since) {
-		q.clear(c, at)
+	if at, ok := q.successes.last(fp); ok && isCleared(at, since) {
+		q.applySuccess(fp, at)
 	}
-	if p, ok := q.suspects[c]; ok && clears(p.cleared, since) {
-		p.tellings = newsTellings // the other does not know
+	if p, ok := q.suspects[fp]; ok && isCleared(p.lastSuccess, since) {
+		p.broadcastsLeft = broadcastsPerItem // the other does not know
 		return false
 	}
-	if len(q.quarantined) >= mostQuarantined {
+	if len(q.quarantined) >= maxQuarantined {
 		oldest := slices.MinFunc(slices.Collect(maps.Keys(q.quarantined)), func(a, b Fingerprint) int {
 			return q.quarantined[a].Compare(q.quarantined[b])
 		})
@@ -278,24 +278,24 @@
 		}
 		delete(q.quarantined, oldest)
 	}
-	q.quarantined[c] = since
+	q.quarantined[fp] = since
 	return true
 }
 
 // expire drops what is too old.
 func (q *Quarantiner) expire(now time.Time) {
-	for c, since := range q.quarantined {
+	for fp, since := range q.quarantined {
 		if now.Sub(since) >= QuarantineDuration {
-			delete(q.quarantined, c)
-			if p, ok := q.suspects[c]; ok {
-				p.released = now
+			delete(q.quarantined, fp)
+			if p, ok := q.suspects[fp]; ok {
+				p.releasedAt = now
 			}
 		}
 	}
-	for c, p := range q.suspects {
-		p.strikes = slices.DeleteFunc(p.strikes, func(s heldStrike) bool { return now.Sub(s.Ended) > strikeLife })
-		if len(p.strikes) == 0 && now.Sub(p.cleared) > strikeLife {
-			delete(q.suspects, c)
+	for fp, p := range q.suspects {
+		p.crashes = slices.DeleteFunc(p.crashes, func(s knownCrash) bool { return now.Sub(s.Ended) > crashTTL })
+		if len(p.crashes) == 0 && now.Sub(p.lastSuccess) > crashTTL {
+			delete(q.suspects, fp)
 		}
 	}
 }
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func content(name string) Fingerprint { return FingerprintOf([]byte(name)) }
+func fingerprint(name string) Fingerprint { return FingerprintOf([]byte(name)) }
 
 // fleet is entries that tell each other what they learn.
 type fleet struct {
@@ -24,10 +24,10 @@
 	entries []*Quarantiner
 	// random, where not nil, draws the neighbours of a round; one in a ring otherwise.
 	random *rand.Rand
-	// verdicts counts those of all entries.
-	verdicts int
-	// count, where not nil, is told of what is sent.
-	count func(api.QuarantineNews)
+	// decisions counts those of all entries.
+	decisions int
+	// onSend, where not nil, is told of what is sent.
+	onSend func(api.QuarantineNews)
 }
 
 func newFleet(entries, upstreams int) *fleet {
@@ -47,24 +47,24 @@
 	return f
 }
 
-// pass lets time pass, with a heartbeat of each entry to its neighbour every 200 ms.
-func (f *fleet) pass(d time.Duration) {
+// advance lets time pass, with a heartbeat of each entry to its neighbour every 200 ms.
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(200 * time.Millisecond)
 		for i, q := range f.entries {
 			for _, other := range f.neighbours(i) {
-				told := q.HeartbeatUpdate(f.now)
-				other.ApplyUpdate(f.now, told)
-				reply := other.ReplyUpdate(f.now, told)
+				sent := q.HeartbeatUpdate(f.now)
+				other.ApplyUpdate(f.now, sent)
+				reply := other.ReplyUpdate(f.now, sent)
 				q.ApplyUpdate(f.now, reply)
-				if f.count != nil {
-					f.count(told)
-					f.count(reply)
+				if f.onSend != nil {
+					f.onSend(sent)
+					f.onSend(reply)
 				}
 			}
 		}
 		for _, q := range f.entries {
-			f.verdicts += len(q.Evaluate(f.now))
+			f.decisions += len(q.Evaluate(f.now))
 		}
 	}
 }
@@ -81,26 +81,26 @@
 	return out
 }
 
-// end has a run end that worked on contents, each known to an entry of its own.
-func (f *fleet) end(run Incarnation, ran time.Duration, contents ...Fingerprint) {
-	for i, c := range contents {
-		f.entries[(int(run)+i)%len(f.entries)].RecordCrash(f.now, Crash{Fingerprint: c, Incarnation: run, LastSent: f.now.Add(-ran), Ended: f.now})
+// crash has a run end that worked on contents, each known to an entry of its own.
+func (f *fleet) crash(incarnation Incarnation, ran time.Duration, fingerprints ...Fingerprint) {
+	for i, fp := range fingerprints {
+		f.entries[(int(incarnation)+i)%len(f.entries)].RecordCrash(f.now, Crash{Fingerprint: fp, Incarnation: incarnation, LastSent: f.now.Add(-ran), Ended: f.now})
 	}
 }
 
-// endInTurn has runs end one after the other that worked on a content.
-func (f *fleet) endInTurn(first Incarnation, runs int, c Fingerprint) {
-	for n := range runs {
-		f.end(first+Incarnation(n), 100*time.Millisecond, c)
-		f.pass(400 * time.Millisecond)
+// crashInTurn has runs end one after the other that worked on a content.
+func (f *fleet) crashInTurn(first Incarnation, count int, fp Fingerprint) {
+	for n := range count {
+		f.crash(first+Incarnation(n), 100*time.Millisecond, fp)
+		f.advance(400 * time.Millisecond)
 	}
 }
 
-// refuse is how many entries refuse a content.
-func (f *fleet) refuse(c Fingerprint) int {
+// refusing is how many entries refuse a content.
+func (f *fleet) refusing(fp Fingerprint) int {
 	n := 0
 	for _, q := range f.entries {
-		if _, ok := q.QuarantinedUntil(f.now, c); ok {
+		if _, ok := q.QuarantinedUntil(f.now, fp); ok {
 			n++
 		}
 	}
@@ -110,48 +110,48 @@
 func TestFingerprintWithThreeCrashesIsRefusedByAllEntries(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
-	f.endInTurn(0, 3, content("bad"))
-	f.pass(time.Second)
-	is.Equal(f.refuse(content("bad")), 7)
-	is.Equal(f.refuse(content("other")), 0)
-	until, _ := f.entries[0].QuarantinedUntil(f.now, content("bad"))
+	f.crashInTurn(0, 3, fingerprint("bad"))
+	f.advance(time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 7)
+	is.Equal(f.refusing(fingerprint("other")), 0)
+	until, _ := f.entries[0].QuarantinedUntil(f.now, fingerprint("bad"))
 	is.True(until.Sub(f.now) > QuarantineDuration-5*time.Second) // as long as it holds
 	f.now = f.now.Add(QuarantineDuration)
-	f.pass(time.Second)
-	is.Equal(f.refuse(content("bad")), 0) // it is tried again
-	f.end(10, 100*time.Millisecond, content("bad"))
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("bad")), 7) // once
+	f.advance(time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 0) // it is tried again
+	f.crash(10, 100*time.Millisecond, fingerprint("bad"))
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 7) // once
 }
 
 func TestTwoCrashesAreNotEnough(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 2 {
-		f.end(Incarnation(n), 100*time.Millisecond, content("unlucky"))
-		f.pass(2 * time.Second)
+		f.crash(Incarnation(n), 100*time.Millisecond, fingerprint("unlucky"))
+		f.advance(2 * time.Second)
 	}
-	is.Equal(f.refuse(content("unlucky")), 0)
+	is.Equal(f.refusing(fingerprint("unlucky")), 0)
 }
 
 // What ran beside the cause each time but one is not refused.
 func TestConcurrentRequestsAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
-	f.end(1, time.Second, content("bad"), content("beside"), content("once"))
-	f.pass(400 * time.Millisecond)
-	f.end(2, 100*time.Millisecond, content("beside"), content("bad"))
-	f.pass(400 * time.Millisecond)
-	f.end(3, 100*time.Millisecond, content("beside"), content("bad"))
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("bad"))+f.refuse(content("beside")), 0) // nothing tells them apart
-	f.end(4, 100*time.Millisecond, content("bad"), content("late"))
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("bad")), 7)
-	is.Equal(f.refuse(content("beside")), 0)
-	f.end(5, 100*time.Millisecond, content("beside"))
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("beside")), 0) // what ran beside the cause is explained
+	f.crash(1, time.Second, fingerprint("bad"), fingerprint("beside"), fingerprint("once"))
+	f.advance(400 * time.Millisecond)
+	f.crash(2, 100*time.Millisecond, fingerprint("beside"), fingerprint("bad"))
+	f.advance(400 * time.Millisecond)
+	f.crash(3, 100*time.Millisecond, fingerprint("beside"), fingerprint("bad"))
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("bad"))+f.refusing(fingerprint("beside")), 0) // nothing tells them apart
+	f.crash(4, 100*time.Millisecond, fingerprint("bad"), fingerprint("late"))
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 7)
+	is.Equal(f.refusing(fingerprint("beside")), 0)
+	f.crash(5, 100*time.Millisecond, fingerprint("beside"))
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("beside")), 0) // what ran beside the cause is explained
 }
 
 // Outages take upstreams in two bursts while repeats of what ran there meet the next.
@@ -162,13 +162,13 @@
 	for burst := range 4 {
 		for n := range 12 { // of 40
 			run++
-			f.end(run, 300*time.Millisecond, content("unlucky"+fmt.Sprint(n%4)), content(fmt.Sprint(burst, n)))
+			f.crash(run, 300*time.Millisecond, fingerprint("unlucky"+fmt.Sprint(n%4)), fingerprint(fmt.Sprint(burst, n)))
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	for n := range 4 {
-		is.Equal(f.refuse(content("unlucky"+fmt.Sprint(n))), 0)
+		is.Equal(f.refusing(fingerprint("unlucky"+fmt.Sprint(n))), 0)
 	}
 }
 
@@ -181,15 +181,15 @@
 	for burst := range 3 {
 		for n := range 12 {
 			run++
-			contents := []Fingerprint{content(fmt.Sprint(burst, n))}
+			contents := []Fingerprint{fingerprint(fmt.Sprint(burst, n))}
 			if n == 0 {
-				contents = append(contents, content("unlucky"))
+				contents = append(contents, fingerprint("unlucky"))
 			}
-			f.end(run, 300*time.Millisecond, contents...)
+			f.crash(run, 300*time.Millisecond, contents...)
 		}
-		f.pass(5 * time.Second)
+		f.advance(5 * time.Second)
 	}
-	is.Equal(f.refuse(content("unlucky")), 0)
+	is.Equal(f.refusing(fingerprint("unlucky")), 0)
 }
 
 // The same content under way at many upstreams at once meets one outage, not many.
@@ -197,47 +197,47 @@
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 8 {
-		f.end(Incarnation(n), time.Second, content("popular"))
+		f.crash(Incarnation(n), time.Second, fingerprint("popular"))
 	}
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("popular")), 0)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
 func TestSuccessClearsCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 9 {
-		f.end(Incarnation(n), 100*time.Millisecond, content("popular"))
-		f.pass(400 * time.Millisecond)
-		f.entries[n%7].RecordSuccess(f.now, content("popular"))
-		f.pass(400 * time.Millisecond)
+		f.crash(Incarnation(n), 100*time.Millisecond, fingerprint("popular"))
+		f.advance(400 * time.Millisecond)
+		f.entries[n%7].RecordSuccess(f.now, fingerprint("popular"))
+		f.advance(400 * time.Millisecond)
 	}
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("popular")), 0)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
 // An answer that an attempt of before brings lifts the quarantine at all entries.
 func TestSuccessLiftsQuarantine(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
-	f.endInTurn(0, 3, content("slow"))
-	f.pass(time.Second)
-	is.Equal(f.refuse(content("slow")), 7)
-	f.entries[3].RecordSuccess(f.now, content("slow"))
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("slow")), 0)
+	f.crashInTurn(0, 3, fingerprint("slow"))
+	f.advance(time.Second)
+	is.Equal(f.refusing(fingerprint("slow")), 7)
+	f.entries[3].RecordSuccess(f.now, fingerprint("slow"))
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("slow")), 0)
 }
 
 // An entry that starts or was cut off hears of quarantines that are no news any more.
 func TestNewEntryReceivesAllQuarantines(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
-	f.endInTurn(0, 3, content("bad"))
+	f.crashInTurn(0, 3, fingerprint("bad"))
 	f.now = f.now.Add(time.Minute)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.entries[4] = New()
-	f.pass(600 * time.Millisecond)
-	is.Equal(f.refuse(content("bad")), 7)
+	f.advance(600 * time.Millisecond)
+	is.Equal(f.refusing(fingerprint("bad")), 7)
 }
 
 // Whatever comes, memory and messages are bounded, and when nothing more comes
@@ -249,27 +249,27 @@
 		f.entries[n%3].RecordCrash(f.now, Crash{Fingerprint: Fingerprint(n % 7000), Incarnation: Incarnation(n), LastSent: f.now.Add(-time.Second), Ended: f.now})
 	}
 	for n := range 1000 {
-		f.entries[0].quarantine(f.now, Fingerprint(n), f.now.Add(time.Duration(n)))
+		f.entries[0].addQuarantine(f.now, Fingerprint(n), f.now.Add(time.Duration(n)))
 	}
 	for _, q := range f.entries {
-		is.True(len(q.suspects) <= mostSuspects)
-		is.True(len(q.quarantined) <= mostQuarantined)
-		is.True(size(t, q.HeartbeatUpdate(f.now)) < 2<<10)
-		is.True(size(t, q.ReplyUpdate(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
+		is.True(len(q.suspects) <= maxSuspects)
+		is.True(len(q.quarantined) <= maxQuarantined)
+		is.True(encodedSize(t, q.HeartbeatUpdate(f.now)) < 2<<10)
+		is.True(encodedSize(t, q.ReplyUpdate(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
 	}
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	told := f.entries[0].HeartbeatUpdate(f.now)
 	is.Equal(len(told.Strikes)+len(told.Answers)+len(told.Quarantined), 0)
-	is.True(size(t, told) < 300) // a heartbeat's share when there is nothing to tell
-	f.now = f.now.Add(max(QuarantineDuration, strikeLife))
-	f.pass(time.Second)
+	is.True(encodedSize(t, told) < 300) // a heartbeat's share when there is nothing to tell
+	f.now = f.now.Add(max(QuarantineDuration, crashTTL))
+	f.advance(time.Second)
 	for _, q := range f.entries {
 		is.Equal(len(q.suspects)+len(q.quarantined), 0)
 	}
 }
 
-// size is that of news on the wire, types included.
-func size(t *testing.T, n api.QuarantineNews) int {
+// encodedSize is that of news on the wire, types included.
+func encodedSize(t *testing.T, n api.QuarantineNews) int {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(n); err != nil {
 		t.Fatal(err)
@@ -284,22 +284,22 @@
 		f := newFleet(rapid.IntRange(2, 9).Draw(r, "entries"), rapid.IntRange(14, 600).Draw(r, "upstreams"))
 		run := Incarnation(0)
 		ends := 0
-		for f.refuse(content("bad")) < len(f.entries) {
+		for f.refusing(fingerprint("bad")) < len(f.entries) {
 			if ends++; ends > 6 {
 				r.Fatalf("not refused after %d ends", ends-1)
 			}
 			run++
-			company := []Fingerprint{content("bad")}
+			company := []Fingerprint{fingerprint("bad")}
 			for n := range rapid.IntRange(0, 15).Draw(r, "company") {
 				company = append(company, Fingerprint(1000*ends+n)) // asked once or twice
 				if n < 4 && ends < 3 {
 					company = append(company, Fingerprint(n))
 				}
 			}
-			f.end(run, 100*time.Millisecond, company...)
-			f.pass(time.Duration(rapid.IntRange(2, 20).Draw(r, "gap")) * 200 * time.Millisecond)
+			f.crash(run, 100*time.Millisecond, company...)
+			f.advance(time.Duration(rapid.IntRange(2, 20).Draw(r, "gap")) * 200 * time.Millisecond)
 			if ends >= 3 {
-				f.pass(time.Second)
+				f.advance(time.Second)
 			}
 		}
 		for _, q := range f.entries {
@@ -315,15 +315,15 @@
 func TestPopularFingerprintIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
-	popular := content("popular")
+	popular := fingerprint("popular")
 	for n := range 2 {
-		f.end(Incarnation(n), 100*time.Millisecond, content("bad"), popular)
-		f.pass(200 * time.Millisecond)
+		f.crash(Incarnation(n), 100*time.Millisecond, fingerprint("bad"), popular)
+		f.advance(200 * time.Millisecond)
 	}
-	f.end(2, 100*time.Millisecond, popular, content("other"))
+	f.crash(2, 100*time.Millisecond, popular, fingerprint("other"))
 	f.entries[5].RecordSuccess(f.now, popular)
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(popular), 0)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(popular), 0)
 }
 
 // With 380 entries before 600 upstreams all refuse what has ended three, before entries that are in
@@ -334,13 +334,13 @@
 	sent, out := 0, bytes.Buffer{}
 	encoder := gob.NewEncoder(&out)
 	is.NoErr(encoder.Encode(api.QuarantineNews{})) // the types are sent once a connection
-	f.count = func(n api.QuarantineNews) {
+	f.onSend = func(n api.QuarantineNews) {
 		out.Reset()
 		is.NoErr(encoder.Encode(n))
 		sent += out.Len()
 	}
 	perSecond := func(d time.Duration) int { return int(float64(sent) / d.Seconds() / float64(len(f.entries))) }
-	f.pass(time.Second)
+	f.advance(time.Second)
 	is.True(perSecond(time.Second) < 300) // nothing to tell
 	sent = 0
 	for n := range 3 { // each beside 15 others
@@ -348,14 +348,14 @@
 		for k := range 15 {
 			company = append(company, Fingerprint(100*n+k))
 		}
-		f.end(Incarnation(n), 100*time.Millisecond, append(company, content("bad"))...)
-		f.pass(time.Second)
+		f.crash(Incarnation(n), 100*time.Millisecond, append(company, fingerprint("bad"))...)
+		f.advance(time.Second)
 	}
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("bad")), 380)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 380)
 	is.True(perSecond(5*time.Second) < 3<<10)
 	sent = 0
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	is.True(perSecond(5*time.Second) < 600) // something is refused
 	sent = 0
 	for n := range 120 { // a fifth of all upstreams at once
@@ -363,9 +363,9 @@
 		for k := range 16 {
 			company = append(company, Fingerprint(100000+100*n+k))
 		}
-		f.end(Incarnation(1000+n), 100*time.Millisecond, company...)
+		f.crash(Incarnation(1000+n), 100*time.Millisecond, company...)
 	}
-	f.pass(4 * time.Second)                    // all of it is told by then
+	f.advance(4 * time.Second)                 // all of it is told by then
 	is.True(perSecond(15*time.Second) < 3<<10) // within a quarter of a minute
 	for _, q := range f.entries {
 		is.Equal(len(q.quarantined), 1)
@@ -377,27 +377,27 @@
 func TestOutageDuringPopularRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
-	popular := content("popular")
+	popular := fingerprint("popular")
 	f.entries[4].RecordSuccess(f.now, popular)
-	f.pass(20 * time.Second)
-	f.endInTurn(0, 6, popular)
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(popular), 0)
-	is.Equal(f.verdicts, 0)
+	f.advance(20 * time.Second)
+	f.crashInTurn(0, 6, popular)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(popular), 0)
+	is.Equal(f.decisions, 0)
 	// An entry that starts anew judges by itself, and is told better.
 	f.entries[1] = New()
 	f.entries[1].SetUpstreamCount(6)
 	for n := range 4 {
 		f.entries[1].RecordCrash(f.now, Crash{Fingerprint: popular, Incarnation: Incarnation(20 + n), LastSent: f.now.Add(-100 * time.Millisecond), Ended: f.now})
-		f.pass(400 * time.Millisecond)
+		f.advance(400 * time.Millisecond)
 	}
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(popular), 0)
-	f.pass(answerLife)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(popular), 0)
+	f.advance(successTTL)
 	// it may have become what ends them since: more than half of them
-	f.endInTurn(10, 4, popular)
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(popular), 6)
+	f.crashInTurn(10, 4, popular)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(popular), 6)
 }
 
 // While the store is away, an upstream that starts again has the name of its run before at all entries.
@@ -405,11 +405,11 @@
 	is := is.New(t)
 	f := newFleet(6, 6)
 	for range 4 {
-		f.end(1, 100*time.Millisecond, content("bad"))
-		f.pass(2 * time.Second)
+		f.crash(1, 100*time.Millisecond, fingerprint("bad"))
+		f.advance(2 * time.Second)
 	}
-	f.pass(time.Second)
-	is.Equal(f.refuse(content("bad")), 6)
+	f.advance(time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 6)
 }
 
 // More contents than are refused at the most may end upstreams at once.
@@ -417,14 +417,14 @@
 	is := is.New(t)
 	f := newFleet(1, 6000)
 	for n := range 3 {
-		for k := range mostQuarantined + 50 {
-			f.end(Incarnation(n*1000+k), 100*time.Millisecond, Fingerprint(k))
+		for k := range maxQuarantined + 50 {
+			f.crash(Incarnation(n*1000+k), 100*time.Millisecond, Fingerprint(k))
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
-	f.pass(time.Second)
+	f.advance(time.Second)
 	for _, q := range f.entries {
-		is.Equal(len(q.quarantined), mostQuarantined)
+		is.Equal(len(q.quarantined), maxQuarantined)
 	}
 }
 
@@ -433,12 +433,12 @@
 func TestOutageOfHalfOfUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
-	f.endInTurn(0, 3, content("popular"))
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("popular")), 0)
-	f.endInTurn(3, 1, content("popular")) // once more when they are back
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("popular")), 6)
+	f.crashInTurn(0, 3, fingerprint("popular"))
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("popular")), 0)
+	f.crashInTurn(3, 1, fingerprint("popular")) // once more when they are back
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("popular")), 6)
 }
 
 // A content that met an outage twice was under way once more where the one ended an upstream that
@@ -446,16 +446,16 @@
 func TestOutageBeforeCrashingRequest(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
-	f.endInTurn(0, 2, content("popular"))
-	f.pass(4 * time.Second)
-	f.end(2, 60*time.Millisecond, content("popular"), content("bad"))
+	f.crashInTurn(0, 2, fingerprint("popular"))
+	f.advance(4 * time.Second)
+	f.crash(2, 60*time.Millisecond, fingerprint("popular"), fingerprint("bad"))
 	for n := range 3 {
-		f.pass(200 * time.Millisecond)
-		f.end(Incarnation(3+n), 60*time.Millisecond, content("bad"))
+		f.advance(200 * time.Millisecond)
+		f.crash(Incarnation(3+n), 60*time.Millisecond, fingerprint("bad"))
 	}
-	f.pass(4 * time.Second)
-	is.Equal(f.refuse(content("bad")), 6)
-	is.Equal(f.refuse(content("popular")), 0)
+	f.advance(4 * time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 6)
+	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
 // What many ask for was under way wherever the cause ended an upstream, and had been there for half a
@@ -464,15 +464,15 @@
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	for n := range 7 {
-		f.end(Incarnation(n), 550*time.Millisecond, content("popular"))
+		f.crash(Incarnation(n), 550*time.Millisecond, fingerprint("popular"))
 		if n > 0 {
-			f.end(Incarnation(n), 60*time.Millisecond, content("bad"))
+			f.crash(Incarnation(n), 60*time.Millisecond, fingerprint("bad"))
 		}
-		f.pass(1200 * time.Millisecond)
+		f.advance(1200 * time.Millisecond)
 	}
-	f.pass(2 * time.Second)
-	is.Equal(f.refuse(content("bad")), 6)
-	is.Equal(f.refuse(content("popular")), 0)
+	f.advance(2 * time.Second)
+	is.Equal(f.refusing(fingerprint("bad")), 6)
+	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
 // Three engines are all there are, and two callers in step end them all at once: the outage that this
@@ -481,11 +481,11 @@
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	for n := range 3 {
-		f.end(Incarnation(n), 60*time.Millisecond, content("bad"))
+		f.crash(Incarnation(n), 60*time.Millisecond, fingerprint("bad"))
 		f.now = f.now.Add(60 * time.Millisecond)
 	}
-	f.pass(2500 * time.Millisecond)
-	f.end(3, 60*time.Millisecond, content("bad"))
-	f.pass(600 * time.Millisecond)
-	is.Equal(f.refuse(content("bad")), 6)
+	f.advance(2500 * time.Millisecond)
+	f.crash(3, 60*time.Millisecond, fingerprint("bad"))
+	f.advance(600 * time.Millisecond)
+	is.Equal(f.refusing(fingerprint("bad")), 6)
 }
