--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -8,46 +8,54 @@
 )
 
 const (
-	// minCrashes is under how many upstreams, one after the other, a content has to have been
-	// when they ended.
+	// minCrashes is the number of incarnations that must have exited, one after the other, while
+	// they ran a fingerprint before it can be quarantined.
 	minCrashes = 3
-	// conclusiveCrashes is from how many on it does not matter whether another content that was
-	// there has as many, or whether an outage took half of all upstreams meanwhile.
+	// conclusiveCrashes is the number of crashes from which it no longer matters whether another
+	// fingerprint on the same incarnations has as many, or whether half of all upstreams exited at
+	// the time.
 	conclusiveCrashes = 4
-	// settleDelay is how long after its end a strike is judged: all entries have told by then what
-	// else ran there. With plainStrikes that matters less, and each repeat ends one more.
+	// settleDelay is how old a crash must be before it counts: by then every entry has reported
+	// which other requests the incarnation ran. From conclusiveCrashes on the shorter delay
+	// applies, because other requests matter less and each further retry crashes one more upstream.
 	settleDelay           = time.Second
 	conclusiveSettleDelay = 300 * time.Millisecond
-	// coincidenceWindow is how far apart upstreams end at most in one outage.
+	// coincidenceWindow is the maximum time between two exits that count as part of one outage, or
+	// between two reports of the same exit.
 	coincidenceWindow = time.Second
-	// maxOutageDuration is how long an outage takes upstreams at most.
+	// maxOutageDuration is the maximum time from the first to the last exit of an outage.
 	maxOutageDuration = 3 * time.Second
-	// timestampSlack is by how much the times of two strikes may be wrong, as entries tell ages.
+	// timestampSlack is the maximum error of the time between two crashes: entries send each other
+	// ages, not times.
 	timestampSlack = 50 * time.Millisecond
-	// minProbability and mostChance bound how likely an upstream ends by itself while it works on a
-	// request.
+	// minProbability and maxProbability limit the estimated probability that an incarnation exits
+	// for another reason while it runs a request.
 	minProbability, maxProbability = 0.05, 0.95
-	// significanceLevel is how likely the ends of upstreams may be for a content that crashes nothing.
+	// significanceLevel is the maximum probability of the crashes of a fingerprint, assuming that
+	// it caused none of them, at which the fingerprint is quarantined.
 	significanceLevel = 1.0 / 300
 )
 
-// incarnationEnd is the end of an upstream's run, and since when it worked on which contents.
+// incarnationEnd is the exit of an upstream incarnation.
 type incarnationEnd struct {
-	at      time.Time
+	// at is when the responses of the incarnation broke off, as one of the reports has it.
+	at time.Time
+	// running holds the fingerprints that the incarnation ran, with the time each was first sent.
 	running map[Fingerprint]time.Time
 }
 
-// hasFingerprint reports whether the run worked on a content.
+// hasFingerprint reports whether the incarnation ran a request with the fingerprint when it exited.
 func (e *incarnationEnd) hasFingerprint(fp Fingerprint) bool {
 	_, ok := e.running[fp]
 	return ok
 }
 
-// Evaluate forgets what is too old, and returns the contents that are refused from now on.
+// Evaluate drops expired state and returns the fingerprints that are quarantined from now on.
 //
-// A content that was merely there when upstreams ended is told from one that ends them by
-// three things: that another, which is quarantined, was there too; that others ended at the same
-// time without it, as in an outage; and that another that was there has as many strikes.
+// A fingerprint that was merely running when upstreams exited is told apart from one that crashes
+// them by three signs: a fingerprint that is already quarantined ran on the same incarnation; other
+// upstreams that didn't run the fingerprint exited at the same time, as in an outage; or another
+// fingerprint on the same incarnations has as many crashes.
 func (q *Quarantiner) Evaluate(now time.Time) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -64,19 +72,21 @@
 			return out
 		}
 		if !q.addQuarantine(now, d.Fingerprint, now) {
-			return out // as many as may be are refused already
+			return out // maxQuarantined is reached
 		}
 		out = append(out, d)
 	}
 }
 
-// incarnationEnds are the ends of all runs under which there was anything.
+// incarnationEnds holds the exits of all incarnations that are known to have run a request.
 type incarnationEnds struct {
+	// all holds every exit, in no particular order.
 	all []*incarnationEnd
-	// byIncarnation holds them by the name of the run.
+	// byIncarnation holds the same exits by incarnation.
 	byIncarnation map[Incarnation][]*incarnationEnd
 }
 
+// collectEnds groups the known crashes by the exit that they report. The caller holds the lock.
 func (q *Quarantiner) collectEnds() incarnationEnds {
 	ends := incarnationEnds{byIncarnation: map[Incarnation][]*incarnationEnd{}}
 	for fp, p := range q.suspects {
@@ -95,7 +105,7 @@
 	return ends
 }
 
-// find returns the end that a strike is of; nil where it is not among them.
+// find returns the exit that a crash reports, or nil if there is none.
 func (e incarnationEnds) find(crash Crash) *incarnationEnd {
 	for _, end := range e.byIncarnation[crash.Incarnation] {
 		if crash.Ended.Sub(end.at).Abs() <= coincidenceWindow {
@@ -105,7 +115,8 @@
 	return nil
 }
 
-// mostSignificant returns the content that is least likely to crash nothing, if any is unlikely enough.
+// mostSignificant returns the decision with the lowest probability among the fingerprints to
+// quarantine, and whether there is one.
 func (q *Quarantiner) mostSignificant(now time.Time, ends incarnationEnds) (Decision, bool) {
 	var found []Decision
 	for fp, p := range q.suspects {
@@ -124,8 +135,8 @@
 	}), true
 }
 
-// assess returns how many ends of runs speak against a content, and how likely they are
-// where it crashes nothing.
+// assess counts the crashes that speak against a fingerprint, and estimates how probable they are
+// if the fingerprint causes none of them.
 func (q *Quarantiner) assess(now time.Time, fp Fingerprint, p *suspect, ends incarnationEnds) Decision {
 	d := Decision{Fingerprint: fp, Probability: 1, Until: now.Add(QuarantineDuration)}
 	var counted []*incarnationEnd
@@ -140,7 +151,7 @@
 			continue
 		}
 		counted = append(counted, e)
-		// Repeats that were under way at once met the same outage.
+		// Requests that ran at the same time may have met the same outage: they count once.
 		if s.LastSent.Before(lastEnded.Add(-timestampSlack)) || q.hasRival(fp, p, e) {
 			continue
 		}
@@ -154,7 +165,8 @@
 	return d
 }
 
-// isOutage reports whether half of all upstreams ended in the short time in which some runs did.
+// isOutage reports whether at least half of all upstreams exited in the short period in which the
+// given incarnations did. The incarnations are sorted by the time of their exit.
 func (q *Quarantiner) isOutage(related []*incarnationEnd, ends incarnationEnds) bool {
 	if len(related) == 0 || related[len(related)-1].at.Sub(related[0].at) > maxOutageDuration {
 		return false
@@ -169,7 +181,8 @@
 	return 2*ended >= q.upstreamCount
 }
 
-// isExplained reports whether another content that is quarantined was there when a run ended.
+// isExplained reports whether the incarnation also ran another fingerprint that is quarantined,
+// which explains its exit.
 func (q *Quarantiner) isExplained(fp Fingerprint, e *incarnationEnd) bool {
 	for other := range e.running {
 		if _, ok := q.quarantined[other]; ok && other != fp {
@@ -179,8 +192,9 @@
 	return false
 }
 
-// outageProbability is how likely a run ended by itself when it did: as part of an outage, which is
-// known by the runs that ended at the same time without the content.
+// outageProbability estimates the probability that an incarnation exited at the time of the crash
+// for another reason, such as an outage. The estimate is the fraction of all upstreams that exited
+// at the same time without running the fingerprint.
 func (q *Quarantiner) outageProbability(fp Fingerprint, crash Crash, ends incarnationEnds) float64 {
 	others := 0
 	for _, e := range ends.all {
@@ -191,9 +205,10 @@
 	return math.Min(maxProbability, math.Max(minProbability, float64(others)/float64(max(1, q.upstreamCount))))
 }
 
-// hasRival reports whether another content that was there explains the end of a run as well: one
-// that has as many strikes as one that has few, or one with several that came there later. What ends
-// a run does so as it begins.
+// hasRival reports whether another fingerprint explains the exit of an incarnation equally well: it
+// has at least as many crashes as one below conclusiveCrashes, or it has several crashes and was
+// sent later. A request that crashes an upstream does so soon after it starts, so the one sent last
+// is the more likely cause.
 func (q *Quarantiner) hasRival(fp Fingerprint, p *suspect, e *incarnationEnd) bool {
 	for other, since := range e.running {
 		if other == fp {
--- a/quarantiner/fingerprint.go
+++ b/quarantiner/fingerprint.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint names what a request asks for, whatever id it has and whichever entry
-// it comes to: a hash of the parts that make two requests the same.
+// Fingerprint identifies requests with equal content, whatever their ID and whichever entry they
+// are sent to. It is a hash of the parts of a request that determine its content.
 type Fingerprint uint64
 
-// FingerprintOf returns the content of a request whose parts are given. The order and
-// the borders of the parts count.
+// FingerprintOf returns the fingerprint of a request with the given parts. The order of the parts
+// and the boundaries between them matter.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	h := xxhash.New()
 	for _, p := range parts {
-		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(p)))) // a hash takes everything
+		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(p)))) // writing to a hash never fails
 		_, _ = h.Write(p)
 	}
 	return Fingerprint(h.Sum64())
 }
 
-// String returns the content as it is logged.
+// String returns the fingerprint as 16 hexadecimal digits, as it is logged.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/quarantiner/gossip.go
+++ b/quarantiner/gossip.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// broadcastsPerItem is in how many heartbeats an entry tells what it learned, sent or answered: it
-	// reaches all in a number of rounds that grows with the logarithm of the fleet.
+	// broadcastsPerItem is the number of heartbeats in which an entry broadcasts a crash or a
+	// success, whether it observed or received it. An item reaches the whole fleet in a number of
+	// rounds that grows with the logarithm of its size.
 	broadcastsPerItem = 8
-	// maxBroadcastAge is the age up to which strikes are told on, and by how much a later answer is
-	// news where one is known.
+	// maxBroadcastAge is the age up to which a crash is broadcast. A success is broadcast again
+	// only if it is later than the known one by more than this.
 	maxBroadcastAge = 1500 * time.Millisecond
-	// maxItemsPerUpdate bounds the strikes, and the answers, of one heartbeat.
+	// maxItemsPerUpdate limits the crashes, and separately the successes, in one heartbeat.
 	maxItemsPerUpdate = 32
 )
 
-// HeartbeatUpdate returns what this entry learned lately, for one heartbeat.
+// HeartbeatUpdate returns the crashes and successes to broadcast with the next heartbeat. Each call
+// counts as one broadcast of the items that it returns.
 func (q *Quarantiner) HeartbeatUpdate(now time.Time) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.nextUpdate(now)
 }
 
-// ReplyUpdate returns what an entry is to be told that told this one, all quarantines where it
-// refuses other contents.
+// ReplyUpdate returns the update with which to answer an update received from another entry. If the
+// other entry's quarantines differ, it includes all quarantines of this one.
 func (q *Quarantiner) ReplyUpdate(now time.Time, received api.QuarantineNews) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -41,6 +43,7 @@
 	return update
 }
 
+// nextUpdate implements HeartbeatUpdate. The caller holds the lock.
 func (q *Quarantiner) nextUpdate(now time.Time) api.QuarantineNews {
 	update := api.QuarantineNews{Digest: q.digest()}
 	for _, s := range q.crashesToBroadcast(now) {
@@ -56,8 +59,8 @@
 	return update
 }
 
-// crashesToBroadcast returns the strikes to tell; where there are too many, those of contents that have
-// the most.
+// crashesToBroadcast returns the crashes for the next heartbeat. If there are more than
+// maxItemsPerUpdate, crashes of the fingerprints with the most crashes go first.
 func (q *Quarantiner) crashesToBroadcast(now time.Time) []*knownCrash {
 	var out []*knownCrash
 	for _, p := range q.suspects {
@@ -73,17 +76,18 @@
 	return out[:min(len(out), maxItemsPerUpdate)]
 }
 
-// digest is the same at entries that refuse the same contents.
+// digest returns a hash of the quarantined fingerprints. Entries with equal quarantines have equal
+// digests.
 func (q *Quarantiner) digest() uint32 {
 	sum := uint32(0)
 	for fp := range q.quarantined {
-		sum ^= uint32(fp) ^ uint32(fp>>32) // contents are hashes
+		sum ^= uint32(fp) ^ uint32(fp>>32) // fingerprints are hashes already
 	}
 	return sum
 }
 
-// ApplyUpdate takes in what another entry tells, and returns the contents that are refused from
-// now on.
+// ApplyUpdate applies an update received from another entry, and returns the quarantines that it
+// added.
 func (q *Quarantiner) ApplyUpdate(now time.Time, update api.QuarantineNews) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -104,10 +108,10 @@
 	return out
 }
 
-// milliseconds is an age on the wire.
+// milliseconds converts an age to its form on the wire; a negative age becomes 0.
 func milliseconds(d time.Duration) uint32 { return uint32(max(0, d/time.Millisecond)) }
 
-// ago is the time of something that was so many milliseconds old.
+// ago returns the time that was the given number of milliseconds before now.
 func ago(now time.Time, age uint32) time.Time {
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -1,10 +1,10 @@
-// Package quarantiner finds the requests that crash the upstreams that run them,
-// and says until when they are refused. A request is known by its content, so
-// that it is the same under another id and at another entry. Entries tell each
-// other which upstreams ended while they worked on which content; each judges
-// by all that it knows, and a quarantine that one declares holds at all.
+// Package quarantiner detects requests that crash the upstreams that run them and quarantines them
+// for a fixed time. Requests are identified by a fingerprint of their content, so a repeat under
+// another request ID or at another entry counts as the same request. Entries gossip which upstreams
+// exited while they ran which fingerprints; each entry decides on the crashes it has received, and
+// a quarantine decided by one entry is adopted by all.
 //
-// It does no I/O. What it holds is bounded in number and in time.
+// The package does no I/O. All state is bounded in size and expires.
 package quarantiner
 
 import (
@@ -17,63 +17,65 @@
 	"go.uber.org/zap"
 )
 
-// Incarnation names one run of an upstream.
+// Incarnation identifies one process lifetime of an upstream: a hash of its incarnation ID.
 type Incarnation uint32
 
-// Crash is the end of an upstream's run while it worked on a content.
+// Crash is the exit of an upstream incarnation while it ran requests with a fingerprint.
 type Crash struct {
 	Fingerprint Fingerprint
 	Incarnation Incarnation
-	// FirstSent and LastSent are when the first and the last request for the content were sent there that
-	// had no answer yet, Ended is when the answers broke off. FirstSent may be zero where there was one.
+	// FirstSent and LastSent are when the first and the last unanswered request with the
+	// fingerprint were sent to the incarnation; a zero FirstSent stands for LastSent. Ended is when
+	// its responses broke off.
 	FirstSent, LastSent, Ended time.Time
 }
 
 const (
-	// ProvenAfter is how long an upstream has made parts of an answer when the request counts as one
-	// that it can run: what crashes an upstream does so as it begins.
+	// ProvenAfter is how long an upstream must have streamed a response before the request counts
+	// as one that it can run: a request that crashes an upstream does so soon after it starts.
 	ProvenAfter = 2 * time.Second
-	// QuarantineDuration is how long a content is refused.
+	// QuarantineDuration is how long requests with a quarantined fingerprint are refused.
 	QuarantineDuration = 5 * time.Minute
-	// crashTTL is how long a strike counts: several quarantines, after each of which one more
-	// is enough.
+	// crashTTL is the age at which a crash is dropped. It spans several quarantines, because a
+	// fingerprint is quarantined again after a single new crash.
 	crashTTL = 30 * time.Minute
-	// successTTL is how long after an answer ends of upstreams don't count against a content: in an
-	// outage what many ask for is under way wherever an upstream ends.
+	// successTTL is how long after a success crashes don't count against a fingerprint: in an
+	// outage, a popular request is running on almost every upstream that exits.
 	successTTL = time.Minute
-	// minAdoptedRemaining is how long before its end a quarantine is no longer taken over from others:
-	// entries end it at different moments, and would tell each other of it for ever.
+	// minAdoptedRemaining is the remaining time below which a quarantine isn't adopted from another
+	// entry. Entries end the same quarantine at slightly different times, and without this limit
+	// they would pass it back to each other forever.
 	minAdoptedRemaining = 10 * time.Second
-	// minSuspectCrashes is under how many runs that ended a content was when it is not sent to a second
-	// upstream after its first: a third end is likely its own doing.
+	// minSuspectCrashes is the number of crashes from which a request is not retried on a second
+	// upstream after its first one broke off: it would probably crash a third incarnation.
 	minSuspectCrashes = 2
-	// maxSuspects bounds the contents with strikes, mostStrikes the strikes of one, and
-	// mostQuarantined the contents that are refused.
+	// maxSuspects limits the fingerprints with crashes, maxCrashesPerSuspect the crashes kept for
+	// each, and maxQuarantined the fingerprints quarantined at once.
 	maxSuspects          = 2048
 	maxCrashesPerSuspect = 8
 	maxQuarantined       = 256
 )
 
-// suspect is a content under which upstreams have ended.
+// suspect is the state of a fingerprint that upstreams were running when they exited.
 type suspect struct {
-	// crashes are in order of their ends, all later than answerLife after cleared.
+	// crashes is sorted by Ended and holds only crashes later than lastSuccess plus successTTL.
 	crashes []knownCrash
-	// lastSuccess is when an upstream last answered the content; zero for never.
+	// lastSuccess is when an upstream last completed a request with the fingerprint; zero if never.
 	lastSuccess time.Time
-	// broadcastsLeft is how often cleared is yet to be told.
+	// broadcastsLeft is the number of heartbeats that are still to carry lastSuccess.
 	broadcastsLeft int
-	// releasedAt is when a quarantine of the content last ended; only a later strike has it
-	// refused again.
+	// releasedAt is when the last quarantine of the fingerprint expired; zero if there was none.
+	// Only a later crash can quarantine it again.
 	releasedAt time.Time
 }
 
-// knownCrash is a strike, and how often it is yet to be told.
+// knownCrash is a crash and the number of heartbeats that are still to carry it.
 type knownCrash struct {
 	Crash
 	broadcastsLeft int
 }
 
-// lastActivity is the time of the last that is known of a suspect.
+// lastActivity returns the time of the last crash, or of the last success if there is no crash.
 func (p *suspect) lastActivity() time.Time {
 	if n := len(p.crashes); n > 0 {
 		return p.crashes[n-1].Ended
@@ -81,17 +83,20 @@
 	return p.lastSuccess
 }
 
-// Decision is a content that is refused from now on.
+// Decision is the decision to quarantine a fingerprint.
 type Decision struct {
 	Fingerprint Fingerprint
-	// Crashes is how many upstreams have ended under it, Chance how likely that is for a
-	// content that crashes nothing.
+	// Crashes is the number of crashes that count against the fingerprint. Probability is how
+	// likely these crashes are if the fingerprint causes none of them. Both are zero for a
+	// quarantine adopted from another entry.
 	Crashes     int
 	Probability float64
-	Until       time.Time
+	// Until is when the quarantine expires.
+	Until time.Time
 }
 
-// LogFields are what is logged of a verdict that this entry came to, or heard from a source.
+// LogFields returns the log fields of a decision. Source is "own", or the name of the entry from
+// which the decision was adopted.
 func (d Decision) LogFields(now time.Time, source string) []zap.Field {
 	return []zap.Field{
 		zap.Stringer("content", d.Fingerprint), zap.Int("strikes", d.Crashes), zap.Float64("chance", d.Probability),
@@ -99,39 +104,43 @@
 	}
 }
 
-// Quarantiner holds strikes and quarantines. It is safe for concurrent use.
+// Quarantiner keeps the known crashes and the active quarantines. It is safe for concurrent use.
 type Quarantiner struct {
 	lock     sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// quarantined holds since when contents are refused.
+	// quarantined holds the time at which each active quarantine began.
 	quarantined map[Fingerprint]time.Time
-	// successes are those that this entry saw.
+	// successes holds the requests that this entry saw complete, whether suspect or not.
 	successes successCache
-	// upstreamCount is how many there are.
+	// upstreamCount is the number of upstreams of the whole deployment.
 	upstreamCount int
-	// needsEvaluation is true where a strike came since the last judgement, or is too new for it.
+	// needsEvaluation is true if a crash was recorded since the last call of Evaluate, or was too
+	// recent to be counted then.
 	needsEvaluation bool
 }
 
-// New returns a quarantiner that suspects nothing.
+// New returns a quarantiner without crashes or quarantines.
 func New() *Quarantiner {
 	return &Quarantiner{suspects: map[Fingerprint]*suspect{}, quarantined: map[Fingerprint]time.Time{}}
 }
 
-// SetUpstreamCount tells how many upstreams there are.
+// SetUpstreamCount sets the number of upstreams of the whole deployment.
 func (q *Quarantiner) SetUpstreamCount(n int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.upstreamCount = n
 }
 
-// RecordCrash notes that an upstream ended while it worked on a request.
+// RecordCrash records that an upstream exited while it ran a request. The crash is broadcast to the
+// other entries.
 func (q *Quarantiner) RecordCrash(now time.Time, crash Crash) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.recordCrash(now, crash)
 }
 
+// recordCrash adds a crash, or merges it with a known crash of the same incarnation. It ignores
+// crashes that a success clears and crashes older than crashTTL. The caller holds the lock.
 func (q *Quarantiner) recordCrash(now time.Time, crash Crash) {
 	if crash.FirstSent.IsZero() {
 		crash.FirstSent = crash.LastSent
@@ -154,17 +163,19 @@
 	q.needsEvaluation = true
 }
 
-// isCleared reports whether an answer at a time proves that an end is not a content's doing.
+// isCleared reports whether a success shows that a crash was not caused by the fingerprint: the
+// crash came before it or within successTTL after it.
 func isCleared(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
 
-// isSameEnd reports whether two strikes of a content are of one end of a run. While the store is away entries
-// know an upstream that starts again by the name of its run before.
+// isSameEnd reports whether two crashes of a fingerprint report the same exit of an incarnation.
+// Comparing the incarnation alone is not enough: while the store is unavailable, entries know a
+// restarted upstream by its previous incarnation ID.
 func (c Crash) isSameEnd(o Crash) bool {
 	return c.Incarnation == o.Incarnation && c.Ended.Sub(o.Ended).Abs() <= coincidenceWindow
 }
 
-// merge takes in another request for the content at the same end, and has that told where it
-// says more.
+// merge adds another report of the same exit. If the report widens the time span by more than
+// timestampSlack, the crash is broadcast again.
 func (k *knownCrash) merge(crash Crash) {
 	if k.FirstSent.Sub(crash.FirstSent) > timestampSlack || crash.LastSent.Sub(k.LastSent) > timestampSlack {
 		k.broadcastsLeft = broadcastsPerItem
@@ -177,8 +188,8 @@
 	}
 }
 
-// ensureSuspect returns that of a content. Where there are too many, the one with the fewest
-// strikes, and of these the oldest, goes.
+// ensureSuspect returns the state of a fingerprint and creates it if needed. At maxSuspects it
+// evicts the fingerprint with the fewest crashes, the least recently active first.
 func (q *Quarantiner) ensureSuspect(fp Fingerprint) *suspect {
 	if p, ok := q.suspects[fp]; ok {
 		return p
@@ -198,8 +209,9 @@
 	return p
 }
 
-// RecordSuccess notes that an upstream ran a request to its end, or for long. What it answers does
-// not crash what runs it.
+// RecordSuccess records that an upstream ran a request to its end, or for at least ProvenAfter.
+// This clears earlier crashes of the fingerprint and lifts its quarantine: a request that completes
+// doesn't crash the upstream that runs it.
 func (q *Quarantiner) RecordSuccess(now time.Time, fp Fingerprint) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -209,13 +221,14 @@
 	}
 }
 
-// applySuccess voids the strikes of a content that an answer clears, and lifts its quarantine.
+// applySuccess removes the crashes of a fingerprint that a success clears, and lifts the quarantine
+// if the success clears that as well. The caller holds the lock.
 func (q *Quarantiner) applySuccess(fp Fingerprint, success time.Time) {
 	p := q.ensureSuspect(fp)
 	if !success.After(p.lastSuccess) {
 		return
 	}
-	if success.Sub(p.lastSuccess) > maxBroadcastAge { // else it is what others were told already
+	if success.Sub(p.lastSuccess) > maxBroadcastAge { // a smaller step was already broadcast
 		p.broadcastsLeft = broadcastsPerItem
 	}
 	p.lastSuccess = success
@@ -225,8 +238,8 @@
 	}
 }
 
-// QuarantinedUntil returns until when requests for a content are refused; ok is false where they
-// are not.
+// QuarantinedUntil returns when the quarantine of a fingerprint expires; ok is false if the
+// fingerprint is not quarantined.
 func (q *Quarantiner) QuarantinedUntil(now time.Time, fp Fingerprint) (until time.Time, ok bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -235,8 +248,8 @@
 	return until, ok && until.After(now)
 }
 
-// CrashCount is under how many runs of upstreams that ended a content was worked on since it
-// was last answered.
+// CrashCount returns the number of incarnations that exited while they ran a request with the
+// fingerprint, since its last success and within crashTTL.
 func (q *Quarantiner) CrashCount(fp Fingerprint) int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -246,18 +259,21 @@
 	return 0
 }
 
-// IsSuspect reports whether a request for a content is not to be sent to a second upstream
-// when its first has broken off.
+// IsSuspect reports whether a request with the fingerprint must not be sent to a second upstream
+// after its first one broke off.
 func (q *Quarantiner) IsSuspect(fp Fingerprint) bool { return q.CrashCount(fp) >= minSuspectCrashes }
 
-// QuarantinedCount is how many contents are refused.
+// QuarantinedCount returns the number of quarantined fingerprints.
 func (q *Quarantiner) QuarantinedCount() int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return len(q.quarantined)
 }
 
-// addQuarantine has a content refused since a time, and reports whether that is news.
+// addQuarantine quarantines a fingerprint from the given start time, and reports whether that added
+// a quarantine. It adds none if the fingerprint is quarantined already, if less than
+// minAdoptedRemaining of the quarantine remains, if a success clears it, or if the limit is reached
+// and all other quarantines are as new. The caller holds the lock.
 func (q *Quarantiner) addQuarantine(now time.Time, fp Fingerprint, since time.Time) bool {
 	if _, ok := q.quarantined[fp]; ok || now.Sub(since) >= QuarantineDuration-minAdoptedRemaining {
 		return false
@@ -266,7 +282,7 @@
 		q.applySuccess(fp, at)
 	}
 	if p, ok := q.suspects[fp]; ok && isCleared(p.lastSuccess, since) {
-		p.broadcastsLeft = broadcastsPerItem // the other does not know
+		p.broadcastsLeft = broadcastsPerItem // the sender lacks this success
 		return false
 	}
 	if len(q.quarantined) >= maxQuarantined {
@@ -282,7 +298,8 @@
 	return true
 }
 
-// expire drops what is too old.
+// expire ends quarantines older than QuarantineDuration and drops crashes and successes older than
+// crashTTL. The caller holds the lock.
 func (q *Quarantiner) expire(now time.Time) {
 	for fp, since := range q.quarantined {
 		if now.Sub(since) >= QuarantineDuration {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -18,18 +18,20 @@
 
 func fingerprint(name string) Fingerprint { return FingerprintOf([]byte(name)) }
 
-// fleet is entries that tell each other what they learn.
+// fleet is a set of entries that exchange heartbeats on a simulated clock.
 type fleet struct {
 	now     time.Time
 	entries []*Quarantiner
-	// random, where not nil, draws the neighbours of a round; one in a ring otherwise.
+	// random selects half of the neighbours in each round; if nil, each entry has only its
+	// successor in a ring as neighbour.
 	random *rand.Rand
-	// decisions counts those of all entries.
+	// decisions counts the decisions of all entries.
 	decisions int
-	// onSend, where not nil, is told of what is sent.
+	// onSend, if not nil, is called with every update that is sent.
 	onSend func(api.QuarantineNews)
 }
 
+// newFleet returns a fleet that exchanges heartbeats along a ring.
 func newFleet(entries, upstreams int) *fleet {
 	f := &fleet{now: start}
 	for range entries {
@@ -40,14 +42,16 @@
 	return f
 }
 
-// newGossipFleet returns a fleet whose entries draw half of their neighbours, as they do.
+// newGossipFleet returns a fleet whose entries select half of their neighbours at random, as real
+// entries do.
 func newGossipFleet(entries, upstreams int) *fleet {
 	f := newFleet(entries, upstreams)
 	f.random = rand.New(rand.NewPCG(1, 1))
 	return f
 }
 
-// advance lets time pass, with a heartbeat of each entry to its neighbour every 200 ms.
+// advance simulates a period in which each entry exchanges a heartbeat with its neighbours and
+// evaluates its crashes every 200 ms.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(200 * time.Millisecond)
@@ -69,7 +73,7 @@
 	}
 }
 
-// neighbours are the entries that one exchanges heartbeats with in a round.
+// neighbours returns the entries with which entry i exchanges heartbeats in a round.
 func (f *fleet) neighbours(i int) []*Quarantiner {
 	if f.random == nil {
 		return []*Quarantiner{f.entries[(i+1)%len(f.entries)]}
@@ -81,14 +85,16 @@
 	return out
 }
 
-// crash has a run end that worked on contents, each known to an entry of its own.
+// crash simulates the exit of an incarnation that ran the given fingerprints, each reported to a
+// different entry.
 func (f *fleet) crash(incarnation Incarnation, ran time.Duration, fingerprints ...Fingerprint) {
 	for i, fp := range fingerprints {
 		f.entries[(int(incarnation)+i)%len(f.entries)].RecordCrash(f.now, Crash{Fingerprint: fp, Incarnation: incarnation, LastSent: f.now.Add(-ran), Ended: f.now})
 	}
 }
 
-// crashInTurn has runs end one after the other that worked on a content.
+// crashInTurn simulates a number of incarnations that exit one after the other while running a
+// fingerprint.
 func (f *fleet) crashInTurn(first Incarnation, count int, fp Fingerprint) {
 	for n := range count {
 		f.crash(first+Incarnation(n), 100*time.Millisecond, fp)
@@ -96,7 +102,7 @@
 	}
 }
 
-// refusing is how many entries refuse a content.
+// refusing returns the number of entries that refuse a fingerprint.
 func (f *fleet) refusing(fp Fingerprint) int {
 	n := 0
 	for _, q := range f.entries {
@@ -115,13 +121,13 @@
 	is.Equal(f.refusing(fingerprint("bad")), 7)
 	is.Equal(f.refusing(fingerprint("other")), 0)
 	until, _ := f.entries[0].QuarantinedUntil(f.now, fingerprint("bad"))
-	is.True(until.Sub(f.now) > QuarantineDuration-5*time.Second) // as long as it holds
+	is.True(until.Sub(f.now) > QuarantineDuration-5*time.Second) // the remaining time of the quarantine
 	f.now = f.now.Add(QuarantineDuration)
 	f.advance(time.Second)
-	is.Equal(f.refusing(fingerprint("bad")), 0) // it is tried again
+	is.Equal(f.refusing(fingerprint("bad")), 0) // the quarantine has expired
 	f.crash(10, 100*time.Millisecond, fingerprint("bad"))
 	f.advance(2 * time.Second)
-	is.Equal(f.refusing(fingerprint("bad")), 7) // once
+	is.Equal(f.refusing(fingerprint("bad")), 7) // a single new crash is enough
 }
 
 func TestTwoCrashesAreNotEnough(t *testing.T) {
@@ -134,7 +140,8 @@
 	is.Equal(f.refusing(fingerprint("unlucky")), 0)
 }
 
-// What ran beside the cause each time but one is not refused.
+// A request that ran beside the crashing one on all incarnations but one must not be quarantined
+// with it.
 func TestConcurrentRequestsAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
@@ -144,25 +151,26 @@
 	f.advance(400 * time.Millisecond)
 	f.crash(3, 100*time.Millisecond, fingerprint("beside"), fingerprint("bad"))
 	f.advance(2 * time.Second)
-	is.Equal(f.refusing(fingerprint("bad"))+f.refusing(fingerprint("beside")), 0) // nothing tells them apart
+	is.Equal(f.refusing(fingerprint("bad"))+f.refusing(fingerprint("beside")), 0) // both have the same crashes
 	f.crash(4, 100*time.Millisecond, fingerprint("bad"), fingerprint("late"))
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(fingerprint("bad")), 7)
 	is.Equal(f.refusing(fingerprint("beside")), 0)
 	f.crash(5, 100*time.Millisecond, fingerprint("beside"))
 	f.advance(2 * time.Second)
-	is.Equal(f.refusing(fingerprint("beside")), 0) // what ran beside the cause is explained
+	is.Equal(f.refusing(fingerprint("beside")), 0) // its earlier crashes are explained by "bad"
 }
 
-// Outages take upstreams in two bursts while repeats of what ran there meet the next.
+// Outages end many upstreams in several bursts, and retries of the requests that ran on them meet
+// the next burst. None of these requests must be quarantined.
 func TestOutageOfManyUpstreamsRefusesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 40)
-	run := Incarnation(0)
+	incarnation := Incarnation(0)
 	for burst := range 4 {
 		for n := range 12 { // of 40
-			run++
-			f.crash(run, 300*time.Millisecond, fingerprint("unlucky"+fmt.Sprint(n%4)), fingerprint(fmt.Sprint(burst, n)))
+			incarnation++
+			f.crash(incarnation, 300*time.Millisecond, fingerprint("unlucky"+fmt.Sprint(n%4)), fingerprint(fmt.Sprint(burst, n)))
 		}
 		f.advance(time.Second)
 	}
@@ -172,27 +180,27 @@
 	}
 }
 
-// Three outages, so far apart that they are not taken for one, each of which takes less than a third of all
-// upstreams: what repeats of one request met each time was no doing of its own.
+// Three outages each end less than a third of all upstreams, too far apart to be seen as one
+// outage. A request whose retries met all three must not be quarantined.
 func TestOutagesFarApartRefuseNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 40)
-	run := Incarnation(0)
+	incarnation := Incarnation(0)
 	for burst := range 3 {
 		for n := range 12 {
-			run++
-			contents := []Fingerprint{fingerprint(fmt.Sprint(burst, n))}
+			incarnation++
+			fingerprints := []Fingerprint{fingerprint(fmt.Sprint(burst, n))}
 			if n == 0 {
-				contents = append(contents, fingerprint("unlucky"))
+				fingerprints = append(fingerprints, fingerprint("unlucky"))
 			}
-			f.crash(run, 300*time.Millisecond, contents...)
+			f.crash(incarnation, 300*time.Millisecond, fingerprints...)
 		}
 		f.advance(5 * time.Second)
 	}
 	is.Equal(f.refusing(fingerprint("unlucky")), 0)
 }
 
-// The same content under way at many upstreams at once meets one outage, not many.
+// A request running on many upstreams at once when they exit has met a single outage, not several.
 func TestConcurrentCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
@@ -216,7 +224,7 @@
 	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
-// An answer that an attempt of before brings lifts the quarantine at all entries.
+// A success of an attempt sent before the quarantine lifts the quarantine at all entries.
 func TestSuccessLiftsQuarantine(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
@@ -228,7 +236,8 @@
 	is.Equal(f.refusing(fingerprint("slow")), 0)
 }
 
-// An entry that starts or was cut off hears of quarantines that are no news any more.
+// An entry that starts, or was disconnected, receives quarantines that are no longer broadcast,
+// because its digest differs.
 func TestNewEntryReceivesAllQuarantines(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
@@ -240,8 +249,8 @@
 	is.Equal(f.refusing(fingerprint("bad")), 7)
 }
 
-// Whatever comes, memory and messages are bounded, and when nothing more comes
-// nothing is told and at last nothing is kept.
+// Whatever crashes are recorded, memory and updates stay bounded; after the last crash, updates
+// become empty and all state expires.
 func TestMemoryAndUpdatesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 600)
@@ -258,9 +267,9 @@
 		is.True(encodedSize(t, q.ReplyUpdate(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
 	}
 	f.advance(5 * time.Second)
-	told := f.entries[0].HeartbeatUpdate(f.now)
-	is.Equal(len(told.Strikes)+len(told.Answers)+len(told.Quarantined), 0)
-	is.True(encodedSize(t, told) < 300) // a heartbeat's share when there is nothing to tell
+	update := f.entries[0].HeartbeatUpdate(f.now)
+	is.Equal(len(update.Strikes)+len(update.Answers)+len(update.Quarantined), 0)
+	is.True(encodedSize(t, update) < 300) // the part of a heartbeat when there is nothing to broadcast
 	f.now = f.now.Add(max(QuarantineDuration, crashTTL))
 	f.advance(time.Second)
 	for _, q := range f.entries {
@@ -268,7 +277,7 @@
 	}
 }
 
-// encodedSize is that of news on the wire, types included.
+// encodedSize returns the size of an update on the wire, type descriptions included.
 func encodedSize(t *testing.T, n api.QuarantineNews) int {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(n); err != nil {
@@ -277,41 +286,41 @@
 	return out.Len()
 }
 
-// In drawn orders of ends, with drawn company, all entries come to the same verdict about the cause
-// within three ends more, and none about what crashes nothing.
+// For crashes at random times with random concurrent requests, all entries quarantine the cause
+// after at most six crashes, and nothing else.
 func TestDecisionsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 9).Draw(r, "entries"), rapid.IntRange(14, 600).Draw(r, "upstreams"))
-		run := Incarnation(0)
-		ends := 0
+		incarnation := Incarnation(0)
+		crashes := 0
 		for f.refusing(fingerprint("bad")) < len(f.entries) {
-			if ends++; ends > 6 {
-				r.Fatalf("not refused after %d ends", ends-1)
+			if crashes++; crashes > 6 {
+				r.Fatalf("not refused after %d crashes", crashes-1)
 			}
-			run++
-			company := []Fingerprint{fingerprint("bad")}
-			for n := range rapid.IntRange(0, 15).Draw(r, "company") {
-				company = append(company, Fingerprint(1000*ends+n)) // asked once or twice
-				if n < 4 && ends < 3 {
-					company = append(company, Fingerprint(n))
+			incarnation++
+			concurrent := []Fingerprint{fingerprint("bad")}
+			for n := range rapid.IntRange(0, 15).Draw(r, "concurrent") {
+				concurrent = append(concurrent, Fingerprint(1000*crashes+n)) // most run on a single incarnation
+				if n < 4 && crashes < 3 {
+					concurrent = append(concurrent, Fingerprint(n))
 				}
 			}
-			f.crash(run, 100*time.Millisecond, company...)
+			f.crash(incarnation, 100*time.Millisecond, concurrent...)
 			f.advance(time.Duration(rapid.IntRange(2, 20).Draw(r, "gap")) * 200 * time.Millisecond)
-			if ends >= 3 {
+			if crashes >= 3 {
 				f.advance(time.Second)
 			}
 		}
 		for _, q := range f.entries {
 			if len(q.quarantined) != 1 {
-				r.Fatalf("%d contents are refused", len(q.quarantined))
+				r.Fatalf("%d fingerprints are refused", len(q.quarantined))
 			}
 		}
 	})
 }
 
-// A content that is asked for everywhere is under way wherever an upstream ends. The runs
-// that it did not end prove that it is not why, whichever entry saw that.
+// A popular request is running wherever an upstream exits. A success that any entry saw shows that
+// it is not the cause.
 func TestPopularFingerprintIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
@@ -326,14 +335,15 @@
 	is.Equal(f.refusing(popular), 0)
 }
 
-// With 380 entries before 600 upstreams all refuse what has ended three, before entries that are in
-// contact have to, and what each entry sends for it stays within 3 KB/s.
+// At 380 entries and 600 upstreams, all entries refuse a fingerprint within 3 s of its third crash,
+// sooner than is required even of entries in direct contact, and each entry sends less than 3 KB/s
+// for it.
 func TestTrafficOfTargetFleet(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(380, 600)
 	sent, out := 0, bytes.Buffer{}
 	encoder := gob.NewEncoder(&out)
-	is.NoErr(encoder.Encode(api.QuarantineNews{})) // the types are sent once a connection
+	is.NoErr(encoder.Encode(api.QuarantineNews{})) // type descriptions are sent once per connection
 	f.onSend = func(n api.QuarantineNews) {
 		out.Reset()
 		is.NoErr(encoder.Encode(n))
@@ -341,14 +351,14 @@
 	}
 	perSecond := func(d time.Duration) int { return int(float64(sent) / d.Seconds() / float64(len(f.entries))) }
 	f.advance(time.Second)
-	is.True(perSecond(time.Second) < 300) // nothing to tell
+	is.True(perSecond(time.Second) < 300) // nothing to broadcast
 	sent = 0
-	for n := range 3 { // each beside 15 others
-		var company []Fingerprint
+	for n := range 3 { // each with 15 concurrent requests
+		var concurrent []Fingerprint
 		for k := range 15 {
-			company = append(company, Fingerprint(100*n+k))
+			concurrent = append(concurrent, Fingerprint(100*n+k))
 		}
-		f.crash(Incarnation(n), 100*time.Millisecond, append(company, fingerprint("bad"))...)
+		f.crash(Incarnation(n), 100*time.Millisecond, append(concurrent, fingerprint("bad"))...)
 		f.advance(time.Second)
 	}
 	f.advance(2 * time.Second)
@@ -356,24 +366,24 @@
 	is.True(perSecond(5*time.Second) < 3<<10)
 	sent = 0
 	f.advance(5 * time.Second)
-	is.True(perSecond(5*time.Second) < 600) // something is refused
+	is.True(perSecond(5*time.Second) < 600) // one fingerprint is quarantined
 	sent = 0
-	for n := range 120 { // a fifth of all upstreams at once
-		var company []Fingerprint
+	for n := range 120 { // a fifth of all upstreams exits at once
+		var concurrent []Fingerprint
 		for k := range 16 {
-			company = append(company, Fingerprint(100000+100*n+k))
+			concurrent = append(concurrent, Fingerprint(100000+100*n+k))
 		}
-		f.crash(Incarnation(1000+n), 100*time.Millisecond, company...)
+		f.crash(Incarnation(1000+n), 100*time.Millisecond, concurrent...)
 	}
-	f.advance(4 * time.Second)                 // all of it is told by then
-	is.True(perSecond(15*time.Second) < 3<<10) // within a quarter of a minute
+	f.advance(4 * time.Second)                 // everything has been broadcast by then
+	is.True(perSecond(15*time.Second) < 3<<10) // averaged over 15 s
 	for _, q := range f.entries {
 		is.Equal(len(q.quarantined), 1)
 	}
 }
 
-// What many ask for is under way wherever an upstream ends in an outage. It was answered a
-// moment before, by some entry, and whoever would judge it is told so.
+// In an outage, a popular request is running on each upstream that exits. It succeeded shortly
+// before at one entry, and that success must reach every entry that would otherwise quarantine it.
 func TestOutageDuringPopularRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
@@ -384,7 +394,7 @@
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(popular), 0)
 	is.Equal(f.decisions, 0)
-	// An entry that starts anew judges by itself, and is told better.
+	// A restarted entry has lost the success and records the crashes until another entry reports it.
 	f.entries[1] = New()
 	f.entries[1].SetUpstreamCount(6)
 	for n := range 4 {
@@ -394,13 +404,15 @@
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(popular), 0)
 	f.advance(successTTL)
-	// it may have become what ends them since: more than half of them
+	// Once successTTL has passed, the request counts as the cause of new crashes, even on more than half of
+	// the upstreams.
 	f.crashInTurn(10, 4, popular)
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(popular), 6)
 }
 
-// While the store is away, an upstream that starts again has the name of its run before at all entries.
+// While the store is unavailable, all entries know a restarted upstream by its previous incarnation
+// ID. Its next exit must still count as another crash.
 func TestRepeatedCrashesOfOneIncarnationID(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
@@ -412,7 +424,7 @@
 	is.Equal(f.refusing(fingerprint("bad")), 6)
 }
 
-// More contents than are refused at the most may end upstreams at once.
+// If more fingerprints crash upstreams than can be quarantined, the limit holds.
 func TestMoreCrashingFingerprintsThanQuarantineLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, 6000)
@@ -428,21 +440,21 @@
 	}
 }
 
-// Where half of all upstreams end within a second or two, what many ask for may be under way at
-// each of them, and no answer came yet.
+// If half of all upstreams exit within two seconds, a popular request may have been running on each
+// of them without a success yet.
 func TestOutageOfHalfOfUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
 	f.crashInTurn(0, 3, fingerprint("popular"))
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(fingerprint("popular")), 0)
-	f.crashInTurn(3, 1, fingerprint("popular")) // once more when they are back
+	f.crashInTurn(3, 1, fingerprint("popular")) // a fourth crash after they have restarted
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(fingerprint("popular")), 6)
 }
 
-// A content that met an outage twice was under way once more where the one ended an upstream that
-// ends them, which was not known yet.
+// A popular request meets an outage twice, and then runs on an upstream that another request
+// crashes, which is not quarantined yet. Only that other request must be quarantined.
 func TestOutageBeforeCrashingRequest(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
@@ -458,8 +470,9 @@
 	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
-// What many ask for was under way wherever the cause ended an upstream, and had been there for half a
-// second each time; a strike of the cause was lost with an entry.
+// A popular request ran wherever the cause crashed an upstream, each time for half a second
+// already. One crash of the cause was lost with the entry that recorded it, so the popular request
+// has more crashes.
 func TestLongerRunningRequestIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
@@ -475,8 +488,8 @@
 	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
-// Three engines are all there are, and two callers in step end them all at once: the outage that this
-// looks like is over with the fourth end, which has the content refused half a second later.
+// Two callers in step crash all three engines at once, which looks like an outage. The fourth crash
+// rules that out, and the fingerprint must be quarantined within 600 ms.
 func TestFourthCrashIsEvaluatedSoon(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
--- a/quarantiner/successes.go
+++ b/quarantiner/successes.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// maxGenerationSize bounds each half of an answerCache.
+// maxGenerationSize is the maximum number of fingerprints in each map of a successCache.
 const maxGenerationSize = 4096
 
-// successCache holds when contents were last answered. What is not answered again while
-// as many others are is forgotten.
+// successCache holds when requests with a fingerprint last completed. A fingerprint is evicted
+// after at least maxGenerationSize others completed since.
 type successCache struct {
-	// current are the newest answers; when they are too many they become old, and what was old
-	// is forgotten.
+	// current holds the most recent successes. When it is full it replaces previous, whose
+	// fingerprints are evicted.
 	current, previous map[Fingerprint]time.Time
 }
 
+// add records a success.
 func (s *successCache) add(now time.Time, fp Fingerprint) {
 	if s.current == nil || len(s.current) >= maxGenerationSize {
 		s.current, s.previous = map[Fingerprint]time.Time{}, s.current
@@ -20,7 +21,7 @@
 	s.current[fp] = now
 }
 
-// last is when a content was last answered, as far as remembered.
+// last returns the time of the last success of a fingerprint, and whether it is in the cache.
 func (s *successCache) last(fp Fingerprint) (time.Time, bool) {
 	if at, ok := s.current[fp]; ok {
 		return at, true
