--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -19,95 +19,95 @@
 // Forecast plays an engine's queue forward. It may be used again and again, and
 // is not safe for concurrent use.
 type Forecast struct {
-	queue Queue
-	fates []Projection
+	queue       Queue
+	projections []Projection
 }
 
-// mostPasses bounds how far a forecast looks: some seconds of passes.
-const mostPasses = 100
+// maxPasses bounds how far a forecast looks: some seconds of passes.
+const maxPasses = 100
 
-// leastEvents is how many more events an answer is expected to have at least,
+// minExtraEvents is how many more events an answer is expected to have at least,
 // beside half of those that it had: what callers estimate is right at the median
 // only, and an answer that was taken to end too soon is left out of what a new
 // prompt harms.
-const leastEvents = 3
+const minExtraEvents = 3
 
 // Simulate returns the fates of all jobs in a queue, and of one more job where added
 // is not nil, which is the last of them. They are valid until the next call.
 // Nothing that arrives later is foreseen. The queue has been advanced to now
 // and is not changed.
-func (f *Forecast) Simulate(now time.Time, q *Queue, added *Job) []Projection {
+func (f *Forecast) Simulate(now time.Time, q *Queue, candidate *Job) []Projection {
 	tasks := append(f.queue.tasks[:0], q.tasks...)
 	f.queue = *q
 	f.queue.tasks = tasks
-	f.queue.foresees = true
+	f.queue.isSimulation = true
 	for i := range tasks {
-		tasks[i].events = max(tasks[i].events, tasks[i].made/2+leastEvents)
+		tasks[i].eventsLeft = max(tasks[i].eventsLeft, tasks[i].eventsSent/2+minExtraEvents)
 	}
-	if added != nil {
-		t := newTask(added)
-		t.added = true
+	if candidate != nil {
+		t := newTask(candidate)
+		t.isCandidate = true
 		f.queue.add(now, t)
 	}
-	for range mostPasses {
-		if f.queue.end.IsZero() || f.queue.settled() {
+	for range maxPasses {
+		if f.queue.passEnd.IsZero() || f.queue.isSettled() {
 			break
 		}
-		f.queue.finish()
+		f.queue.finishPass()
 	}
-	return f.collect()
+	return f.project()
 }
 
-// settled reports whether nothing is left to prefill, in the pass that runs
+// isSettled reports whether nothing is left to prefill, in the pass that runs
 // either, and all answers had an event after their first: what follows are passes
 // that decode only.
-func (q *Queue) settled() bool {
+func (q *Queue) isSettled() bool {
 	for i := range q.tasks {
-		if t := &q.tasks[i]; t.tokens > 0 || t.decoding && t.made == 0 {
+		if t := &q.tasks[i]; t.tokensLeft > 0 || t.decoding && t.eventsSent == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *Forecast) collect() []Projection {
-	f.fates = f.fates[:0]
+func (f *Forecast) project() []Projection {
+	f.projections = f.projections[:0]
 	var last Projection
 	found := false
-	pass := f.queue.decodePass()
+	pass := f.queue.decodePassTime()
 	for i := range f.queue.tasks {
 		t := &f.queue.tasks[i]
-		fate := Projection{Job: t.job, PrefillDone: t.done, MaxGap: t.pause, Decoding: t.decoding}
-		if fate.PrefillDone.IsZero() {
+		projection := Projection{Job: t.job, PrefillDone: t.prefillDone, MaxGap: t.maxGap, Decoding: t.decoding}
+		if projection.PrefillDone.IsZero() {
 			// Not within what is looked at: no sooner than its end.
-			fate.PrefillDone = f.queue.end
+			projection.PrefillDone = f.queue.passEnd
 		}
 		if t.job.Decodes {
-			fate.End = f.queue.lastEvent(t, fate.PrefillDone, pass)
+			projection.End = f.queue.projectedEnd(t, projection.PrefillDone, pass)
 		}
-		if t.added {
-			last, found = fate, true
+		if t.isCandidate {
+			last, found = projection, true
 			continue
 		}
-		f.fates = append(f.fates, fate)
+		f.projections = append(f.projections, projection)
 	}
 	if found {
-		f.fates = append(f.fates, last)
+		f.projections = append(f.projections, last)
 	}
-	return f.fates
+	return f.projections
 }
 
-// decodePass is the time of a pass that only decodes the answers that are decoded.
-func (q *Queue) decodePass() time.Duration {
-	answers, context := q.answers()
-	return time.Duration(float64(DecodePass(q.engine, max(1, answers), context)) * q.pace)
+// decodePassTime is the time of a pass that only decodes the answers that are decoded.
+func (q *Queue) decodePassTime() time.Duration {
+	answers, context := q.decodeLoad()
+	return time.Duration(float64(DecodePass(q.engine, max(1, answers), context)) * q.slowdown)
 }
 
-// lastEvent is when a task's answer ends, at a pass an event from the end of the pass that
+// projectedEnd is when a task's answer ends, at a pass an event from the end of the pass that
 // runs on, or from the end of its prefill where that is later.
-func (q *Queue) lastEvent(t *task, done time.Time, pass time.Duration) time.Time {
-	if t.made > 0 && !t.decoding {
-		return t.eventAt
+func (q *Queue) projectedEnd(t *task, done time.Time, pass time.Duration) time.Time {
+	if t.eventsSent > 0 && !t.decoding {
+		return t.lastEvent
 	}
-	return later(done, q.end).Add(time.Duration(max(0, t.events-1)) * pass)
+	return later(done, q.passEnd).Add(time.Duration(max(0, t.eventsLeft-1)) * pass)
 }
--- a/predictor/pass.go
+++ b/predictor/pass.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// begin starts a pass.
-func (q *Queue) begin(now time.Time) {
-	q.start, q.end, q.decodes = now, time.Time{}, false
+// beginPass starts a pass.
+func (q *Queue) beginPass(now time.Time) {
+	q.passStart, q.passEnd, q.passDecodes = now, time.Time{}, false
 	answers, context := 0, 0
 	for i := range q.tasks {
 		t := &q.tasks[i]
-		t.taken = 0
-		if q.foresees && t.awaits() && !t.job.OtherShardsDone.After(now) {
-			t.decoding, t.eventAt = true, later(t.done, t.job.OtherShardsDone)
+		t.passTokens = 0
+		if q.isSimulation && t.isAwaitingShards() && !t.job.OtherShardsDone.After(now) {
+			t.decoding, t.lastEvent = true, later(t.prefillDone, t.job.OtherShardsDone)
 		}
-		t.joined = t.decoding
+		t.inPass = t.decoding
 		if t.decoding {
 			answers++
 			context += t.job.ContextTokens
 		}
 	}
-	var took time.Duration
+	var duration time.Duration
 	if answers > 0 {
-		q.decodes = true
-		took = DecodePass(q.engine, answers, context) + q.take(float64(q.engine.StepsPerPass*q.engine.ChunkTokens), answers)
+		q.passDecodes = true
+		duration = DecodePass(q.engine, answers, context) + q.schedulePrefill(float64(q.engine.StepsPerPass*q.engine.ChunkTokens), answers)
 	} else {
-		took = q.takeNext(now)
+		duration = q.schedulePrefillPass(now)
 	}
-	if took > 0 {
-		q.end = now.Add(time.Duration(float64(took) * q.pace))
+	if duration > 0 {
+		q.passEnd = now.Add(time.Duration(float64(duration) * q.slowdown))
 	}
 }
 
-// take has the pass prefill what waits, up to a number of tokens, and returns
+// schedulePrefill has the pass prefill what waits, up to a number of tokens, and returns
 // how long that takes. An engine works on as many requests as it has slots.
-func (q *Queue) take(tokens float64, answers int) time.Duration {
-	took := time.Duration(0)
+func (q *Queue) schedulePrefill(tokens float64, answers int) time.Duration {
+	duration := time.Duration(0)
 	for i := range q.tasks {
 		t := &q.tasks[i]
-		if t.tokens <= 0 {
+		if t.tokensLeft <= 0 {
 			continue
 		}
 		if t.job.Decodes {
@@ -48,61 +48,61 @@
 				continue
 			}
 		}
-		t.taken = min(tokens, t.tokens)
-		tokens -= t.taken
-		took += t.share(t.taken)
+		t.passTokens = min(tokens, t.tokensLeft)
+		tokens -= t.passTokens
+		duration += t.prefillTimeOf(t.passTokens)
 		if tokens <= 0 {
 			break
 		}
 	}
-	return took
+	return duration
 }
 
-// takeNext has an engine without answers prefill the first job, and returns how long that
+// schedulePrefillPass has an engine without answers prefill the first job, and returns how long that
 // takes: each step has its own time beside that of its tokens, and the last one is
 // filled up with what comes next. In a forecast it ends where a joint answer begins.
-func (q *Queue) takeNext(now time.Time) time.Duration {
-	until := q.nextAnswer()
-	first := slices.IndexFunc(q.tasks, func(t task) bool { return t.tokens > 0 })
+func (q *Queue) schedulePrefillPass(now time.Time) time.Duration {
+	until := q.nextShardedDecode()
+	first := slices.IndexFunc(q.tasks, func(t task) bool { return t.tokensLeft > 0 })
 	if first < 0 && until.IsZero() {
 		return 0
 	}
 	if first < 0 {
-		return max(leastPass, until.Sub(now))
+		return max(minPassTime, until.Sub(now))
 	}
 	chunk := float64(max(1, q.engine.ChunkTokens))
-	steps := math.Ceil(q.tasks[first].tokens / chunk)
-	took := time.Duration(steps)*q.engine.StepTime + q.take(steps*chunk, 0)
-	if limit := max(leastPass, time.Duration(float64(until.Sub(now))/q.pace)); !until.IsZero() && limit < took {
+	steps := math.Ceil(q.tasks[first].tokensLeft / chunk)
+	duration := time.Duration(steps)*q.engine.StepTime + q.schedulePrefill(steps*chunk, 0)
+	if limit := max(minPassTime, time.Duration(float64(until.Sub(now))/q.slowdown)); !until.IsZero() && limit < duration {
 		for i := range q.tasks {
-			q.tasks[i].taken *= float64(limit) / float64(took)
+			q.tasks[i].passTokens *= float64(limit) / float64(duration)
 		}
-		took = limit
+		duration = limit
 	}
-	return took
+	return duration
 }
 
-// leastPass is the shortest pass that is modelled, so that time goes on.
-const leastPass = time.Microsecond
+// minPassTime is the shortest pass that is modelled, so that time goes on.
+const minPassTime = time.Microsecond
 
-// nextAnswer is when, in a forecast, the next joint answer begins whose part is
+// nextShardedDecode is when, in a forecast, the next joint answer begins whose part is
 // prefilled here; zero if there is none.
-func (q *Queue) nextAnswer() time.Time {
+func (q *Queue) nextShardedDecode() time.Time {
 	var next time.Time
-	if !q.foresees {
+	if !q.isSimulation {
 		return next
 	}
 	for i := range q.tasks {
-		if t := &q.tasks[i]; t.awaits() && (next.IsZero() || t.job.OtherShardsDone.Before(next)) {
+		if t := &q.tasks[i]; t.isAwaitingShards() && (next.IsZero() || t.job.OtherShardsDone.Before(next)) {
 			next = t.job.OtherShardsDone
 		}
 	}
 	return next
 }
 
-// awaits reports whether a task is prefilled here, and its answer waits for other engines.
-func (t *task) awaits() bool {
-	return t.job.Decodes && t.job.Sharded && t.tokens <= 0 && !t.decoding && t.made == 0 && !t.done.IsZero()
+// isAwaitingShards reports whether a task is prefilled here, and its answer waits for other engines.
+func (t *task) isAwaitingShards() bool {
+	return t.job.Decodes && t.job.Sharded && t.tokensLeft <= 0 && !t.decoding && t.eventsSent == 0 && !t.prefillDone.IsZero()
 }
 
 func later(a, b time.Time) time.Time {
@@ -112,85 +112,85 @@
 	return b
 }
 
-// share is how long a number of the tokens that are left take.
-func (t *task) share(tokens float64) time.Duration {
-	return time.Duration(float64(t.prefill) * tokens / t.tokens)
+// prefillTimeOf is how long a number of the tokens that are left take.
+func (t *task) prefillTimeOf(tokens float64) time.Duration {
+	return time.Duration(float64(t.prefillTimeLeft) * tokens / t.tokensLeft)
 }
 
-// endStep ends a pass that only prefills after the step that runs, and returns
+// interruptAfterStep ends a pass that only prefills after the step that runs, and returns
 // when that is.
-func (q *Queue) endStep(now time.Time) time.Time {
-	taken := 0.0
+func (q *Queue) interruptAfterStep(now time.Time) time.Time {
+	scheduled := 0.0
 	for i := range q.tasks {
-		taken += q.tasks[i].taken
+		scheduled += q.tasks[i].passTokens
 	}
-	steps := max(1, taken/float64(max(1, q.engine.ChunkTokens)))
-	step := time.Duration(float64(q.end.Sub(q.start)) / steps)
+	steps := max(1, scheduled/float64(max(1, q.engine.ChunkTokens)))
+	step := time.Duration(float64(q.passEnd.Sub(q.passStart)) / steps)
 	if step > 0 {
-		now = q.start.Add((now.Sub(q.start) + step - 1) / step * step)
+		now = q.passStart.Add((now.Sub(q.passStart) + step - 1) / step * step)
 	}
-	if !now.Before(q.end) {
-		now = q.end
+	if !now.Before(q.passEnd) {
+		now = q.passEnd
 	}
-	q.interrupt(now)
+	q.interruptPass(now)
 	return now
 }
 
-// interrupt ends a pass that only prefills before its time.
-func (q *Queue) interrupt(now time.Time) {
-	part := q.passed(now)
+// interruptPass ends a pass that only prefills before its time.
+func (q *Queue) interruptPass(now time.Time) {
+	fraction := q.passFraction(now)
 	for i := range q.tasks {
 		t := &q.tasks[i]
-		if t.taken > 0 {
-			t.prefilled(t.taken * part)
-			q.complete(t, now)
+		if t.passTokens > 0 {
+			t.recordPrefill(t.passTokens * fraction)
+			q.completePrefill(t, now)
 		}
 	}
-	q.end = time.Time{}
+	q.passEnd = time.Time{}
 }
 
-// prefilled takes tokens off what is left.
-func (t *task) prefilled(tokens float64) {
-	t.taken = 0
+// recordPrefill takes tokens off what is left.
+func (t *task) recordPrefill(tokens float64) {
+	t.passTokens = 0
 	if tokens <= 0 {
 		return
 	}
-	t.prefill -= t.share(tokens)
-	t.tokens -= tokens
+	t.prefillTimeLeft -= t.prefillTimeOf(tokens)
+	t.tokensLeft -= tokens
 }
 
-// finish ends the pass that runs and begins the next.
-func (q *Queue) finish() {
-	now := q.end
+// finishPass ends the pass that runs and begins the next.
+func (q *Queue) finishPass() {
+	now := q.passEnd
 	for i := range q.tasks {
 		t := &q.tasks[i]
-		if t.joined {
-			t.pause = max(t.pause, now.Sub(t.eventAt))
-			t.eventAt = now
-			t.events--
-			t.made++
-			t.decoding = !q.foresees || t.events > 0
+		if t.inPass {
+			t.maxGap = max(t.maxGap, now.Sub(t.lastEvent))
+			t.lastEvent = now
+			t.eventsLeft--
+			t.eventsSent++
+			t.decoding = !q.isSimulation || t.eventsLeft > 0
 		}
-		if t.taken <= 0 {
+		if t.passTokens <= 0 {
 			continue
 		}
-		t.prefilled(t.taken)
-		q.complete(t, now)
+		t.recordPrefill(t.passTokens)
+		q.completePrefill(t, now)
 	}
-	q.begin(now)
+	q.beginPass(now)
 }
 
-// complete notes the end of a task's prefill where nothing of it is left.
-func (q *Queue) complete(t *task, now time.Time) {
-	if t.tokens > leastTokens {
+// completePrefill notes the end of a task's prefill where nothing of it is left.
+func (q *Queue) completePrefill(t *task, now time.Time) {
+	if t.tokensLeft > maxRoundingTokens {
 		return
 	}
-	t.tokens, t.prefill, t.done = 0, 0, now
+	t.tokensLeft, t.prefillTimeLeft, t.prefillDone = 0, 0, now
 	// A joint answer begins when all its parts are done, which others tell.
 	if t.job.Decodes && !t.job.Sharded {
-		t.decoding, t.eventAt = true, now
+		t.decoding, t.lastEvent = true, now
 	}
 }
 
-// leastTokens is what is left of a job that is done, but for rounding.
-const leastTokens = 0.5
+// maxRoundingTokens is what is left of a job that is done, but for rounding.
+const maxRoundingTokens = 0.5
--- a/predictor/queue_test.go
+++ b/predictor/queue_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// fateOf is what a queue is expected to make of a job.
-func fateOf(t *testing.T, q *predictor.Queue, now time.Time, job *predictor.Job) predictor.Projection {
+// projectionOf is what a queue is expected to make of a job.
+func projectionOf(t *testing.T, q *predictor.Queue, now time.Time, job *predictor.Job) predictor.Projection {
 	t.Helper()
 	var f predictor.Forecast
 	q.Advance(now)
@@ -51,7 +51,7 @@
 		jobs = append(jobs, j)
 	}
 	for i, s := range seen {
-		done := fateOf(t, q, at(104), jobs[i]).PrefillDone.Sub(start)
+		done := projectionOf(t, q, at(104), jobs[i]).PrefillDone.Sub(start)
 		if want := time.Duration(s.first) * time.Millisecond; !near(done, want, 6*time.Millisecond) {
 			t.Errorf("prompt %d is done after %v, seen after %v", i, done, want)
 		}
@@ -60,12 +60,12 @@
 
 // Prompts prefilled by idle engines, as seen there, less 5 ms of transit: each step has its own
 // time beside that of its tokens.
-func TestFirstEventOfShardedPrompts(t *testing.T) {
+func TestFirstEventOfJointPrompts(t *testing.T) {
 	for _, s := range []struct{ tokens, k, first int }{{70303, 3, 293}, {15527, 2, 61}, {26585, 2, 113}, {39910, 2, 194}, {228787, 10, 623}} {
 		q := predictor.NewQueue(engine())
 		j := prompt(start, s.tokens, s.k, true)
 		q.Add(start, j)
-		done := fateOf(t, q, start, j).PrefillDone.Sub(start)
+		done := projectionOf(t, q, start, j).PrefillDone.Sub(start)
 		if want := time.Duration(s.first) * time.Millisecond; !near(done, want, 10*time.Millisecond) {
 			t.Errorf("%d tokens at %d engines: done after %v, seen after %v", s.tokens, s.k, done, want)
 		}
@@ -80,14 +80,14 @@
 	for _, j := range []*predictor.Job{old, alone, fresh} {
 		q.Add(j.Arrived, j)
 	}
-	done := func(j *predictor.Job) time.Time { return fateOf(t, q, at(20), j).PrefillDone }
+	done := func(j *predictor.Job) time.Time { return projectionOf(t, q, at(20), j).PrefillDone }
 	is.True(done(fresh).Before(done(old)))
 	is.True(done(old).Before(done(alone)))
 }
 
 // While an answer is decoded, all that waits is prefilled in one pass, which is its pause: a
 // part of 500 ms ends an answer's being on time at a pause of 250 ms.
-func TestPrefillDelaysAnswers(t *testing.T) {
+func TestPrefillIsThePauseOfAnswers(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	answer := prompt(start, 5000, 1, true)
@@ -107,7 +107,7 @@
 
 // A joint answer begins when its last engine is done, and what its own engine prefills then
 // is its first pause, also where that is not over in the middle of a pass.
-func TestShardedAnswerStartsAfterOtherShards(t *testing.T) {
+func TestJointAnswerBeginsElsewhere(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	other := prompt(start, 5000, 1, true) // has the engine work in passes
@@ -127,7 +127,7 @@
 // An answer that begins within a pass has its second event only at the end of the next: one that
 // began 273 ms after the start of a pass of 691 ms stood still for 1,055 ms, as the next
 // pass had a part of 562 ms to prefill.
-func TestAnswerStartedDuringPass(t *testing.T) {
+func TestAnswerBegunWithinAPass(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	q.Add(start, prompt(start, 5000, 1, true))
@@ -138,14 +138,14 @@
 	q.RecordFirstEvent(at(350), joint)
 	next := prompt(at(400), 178423, 7, false)
 	q.Add(at(400), next)
-	fate := fateOf(t, q, at(400), joint)
+	fate := projectionOf(t, q, at(400), joint)
 	is.True(fate.MaxGap > 900*time.Millisecond) // 370 of the first pass, 608 of the next
 }
 
 // An answer that has had the events it was expected to have goes on: estimates of callers are
 // right at the median only. Parts that were put beside such answers made one of
 // eight long answers late.
-func TestAnswerBeyondEstimateContinues(t *testing.T) {
+func TestAnswerPastItsEstimateGoesOn(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	answer := prompt(start, 5000, 1, true)
@@ -157,7 +157,7 @@
 }
 
 // An event that is seen ends the pass that runs, whatever was expected.
-func TestObservedEventsCorrectPasses(t *testing.T) {
+func TestSeenEventsCorrectPasses(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	answer := prompt(start, 5000, 1, true)
@@ -166,7 +166,7 @@
 	q.RecordPassEnd(at(100)) // 44 ms a pass: 31, 75, 119 were expected
 	late := prompt(at(101), 5000, 1, true)
 	q.Add(at(101), late)
-	is.True(near(fateOf(t, q, at(101), late).PrefillDone.Sub(at(100)), 118*time.Millisecond, 5*time.Millisecond))
+	is.True(near(projectionOf(t, q, at(101), late).PrefillDone.Sub(at(100)), 118*time.Millisecond, 5*time.Millisecond))
 }
 
 // An engine whose last answer has ended does nothing.
@@ -179,12 +179,12 @@
 	q.Remove(at(100), answer)
 	next := prompt(at(101), 5000, 1, true)
 	q.Add(at(101), next)
-	is.True(near(fateOf(t, q, at(101), next).PrefillDone.Sub(at(101)), 32*time.Millisecond, 3*time.Millisecond))
+	is.True(near(projectionOf(t, q, at(101), next).PrefillDone.Sub(at(101)), 32*time.Millisecond, 3*time.Millisecond))
 }
 
 // Whatever comes and goes, an engine prefills everything in the time that its tokens
 // take and that of its passes, and a forecast changes nothing.
-func TestQueueCompletesAllPrefill(t *testing.T) {
+func TestQueueEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := predictor.NewQueue(engine())
 		now := start
@@ -252,7 +252,7 @@
 }
 
 // An answer ends a pass an event after it began, and later by what is prefilled meanwhile.
-func TestProjectedEnd(t *testing.T) {
+func TestForecastOfAnEnd(t *testing.T) {
 	for _, long := range []int{0, 60000} {
 		q := predictor.NewQueue(engine())
 		j := prompt(at(0), 5000, 1, true)
@@ -263,7 +263,7 @@
 			q.Add(at(60), prompt(at(60), long, 1, true))
 			answers, context = 3, context+long
 		}
-		fate := fateOf(t, q, at(70), j)
+		fate := projectionOf(t, q, at(70), j)
 		passes := time.Duration(j.ExpectedEvents) * predictor.DecodePass(engine(), answers, context)
 		want := fate.PrefillDone.Add(passes + predictor.Prefill(engine(), long))
 		if !near(fate.End.Sub(start), want.Sub(start), 120*time.Millisecond) {
