--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Projection is what becomes of a job, as far as can be foreseen.
+// Projection is the predicted course of a job.
 type Projection struct {
 	Job *Job
-	// PrefillDone is when it is prefilled here; the time of a past end is kept.
+	// PrefillDone is when this engine completes the prefill of the job; in the past if it is done.
+	// For a job not completed within the simulated passes, it is the end of the last of them.
 	PrefillDone time.Time
-	// MaxGap is the longest between its events, past ones included.
+	// MaxGap is the longest gap between two events of the answer, including past gaps.
 	MaxGap time.Duration
-	// Decoding is true where its answer is being decoded already.
+	// Decoding is true if the engine is decoding the answer of the job.
 	Decoding bool
-	// End is when its last event is expected, if nothing more is prefilled than was
-	// foreseen; zero for jobs that decode nothing.
+	// End is when the last event of the answer is expected if no further job arrives; zero for a
+	// job that doesn't decode.
 	End time.Time
 }
 
-// Forecast plays an engine's queue forward. It may be used again and again, and
+// Forecast simulates the queue of an engine forward. It can be reused, which saves allocations, but
 // is not safe for concurrent use.
 type Forecast struct {
 	queue       Queue
 	projections []Projection
 }
 
-// maxPasses bounds how far a forecast looks: some seconds of passes.
+// maxPasses limits a simulation; 100 passes last a few seconds.
 const maxPasses = 100
 
-// minExtraEvents is how many more events an answer is expected to have at least,
-// beside half of those that it had: what callers estimate is right at the median
-// only, and an answer that was taken to end too soon is left out of what a new
-// prompt harms.
+// minExtraEvents is the minimum number of further events that a simulation expects of an answer, in
+// addition to half of those already sent. The estimates of callers are right only at the median,
+// and an answer wrongly expected to have ended would not count when the delay that a new prompt
+// causes is assessed.
 const minExtraEvents = 3
 
-// Simulate returns the fates of all jobs in a queue, and of one more job where added
-// is not nil, which is the last of them. They are valid until the next call.
-// Nothing that arrives later is foreseen. The queue has been advanced to now
-// and is not changed.
+// Simulate returns the projections of all jobs in a queue. A candidate that isn't nil is simulated
+// as one more job, and its projection comes last. The projections are valid until the next call.
+// Jobs that arrive after now are not predicted. The queue must have been advanced to now, and is
+// not changed.
 func (f *Forecast) Simulate(now time.Time, q *Queue, candidate *Job) []Projection {
 	tasks := append(f.queue.tasks[:0], q.tasks...)
 	f.queue = *q
@@ -58,9 +59,8 @@
 	return f.project()
 }
 
-// isSettled reports whether nothing is left to prefill, in the pass that runs
-// either, and all answers had an event after their first: what follows are passes
-// that decode only.
+// isSettled reports whether no prefill is left, in the running pass either, and every answer has
+// had an event after its first. All passes after that only decode.
 func (q *Queue) isSettled() bool {
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.tokensLeft > 0 || t.decoding && t.eventsSent == 0 {
@@ -70,6 +70,7 @@
 	return true
 }
 
+// project returns the projections of all tasks after a simulation, the candidate last.
 func (f *Forecast) project() []Projection {
 	f.projections = f.projections[:0]
 	var last Projection
@@ -79,7 +80,7 @@
 		t := &f.queue.tasks[i]
 		projection := Projection{Job: t.job, PrefillDone: t.prefillDone, MaxGap: t.maxGap, Decoding: t.decoding}
 		if projection.PrefillDone.IsZero() {
-			// Not within what is looked at: no sooner than its end.
+			// Not completed within maxPasses, so the end of the last pass is a lower bound.
 			projection.PrefillDone = f.queue.passEnd
 		}
 		if t.job.Decodes {
@@ -97,14 +98,15 @@
 	return f.projections
 }
 
-// decodePassTime is the time of a pass that only decodes the answers that are decoded.
+// decodePassTime returns the duration of a pass that only decodes the answers being decoded now.
 func (q *Queue) decodePassTime() time.Duration {
 	answers, context := q.decodeLoad()
 	return time.Duration(float64(DecodePass(q.engine, max(1, answers), context)) * q.slowdown)
 }
 
-// projectedEnd is when a task's answer ends, at a pass an event from the end of the pass that
-// runs on, or from the end of its prefill where that is later.
+// projectedEnd returns when the last event of a task's answer is expected, at one event per pass of
+// the given duration. The first event comes at the end of the running pass, or at the end of the
+// prefill (done) if that is later.
 func (q *Queue) projectedEnd(t *task, done time.Time, pass time.Duration) time.Time {
 	if t.eventsSent > 0 && !t.decoding {
 		return t.lastEvent
--- a/predictor/pass.go
+++ b/predictor/pass.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// beginPass starts a pass.
+// beginPass starts a pass at the given time. It decodes all current answers and schedules prefill;
+// without either, the engine becomes idle.
 func (q *Queue) beginPass(now time.Time) {
 	q.passStart, q.passEnd, q.passDecodes = now, time.Time{}, false
 	answers, context := 0, 0
@@ -34,8 +35,9 @@
 	}
 }
 
-// schedulePrefill has the pass prefill what waits, up to a number of tokens, and returns
-// how long that takes. An engine works on as many requests as it has slots.
+// schedulePrefill schedules waiting prompts for the running pass, up to the given number of tokens,
+// and returns how long their prefill takes. Prompts whose answer would exceed the engine's slots,
+// together with the given number of answers, stay waiting.
 func (q *Queue) schedulePrefill(tokens float64, answers int) time.Duration {
 	duration := time.Duration(0)
 	for i := range q.tasks {
@@ -58,9 +60,10 @@
 	return duration
 }
 
-// schedulePrefillPass has an engine without answers prefill the first job, and returns how long that
-// takes: each step has its own time beside that of its tokens, and the last one is
-// filled up with what comes next. In a forecast it ends where a joint answer begins.
+// schedulePrefillPass schedules a pass of an engine that decodes nothing, and returns its duration.
+// The pass prefills the first waiting prompt; each token step has a fixed time in addition to that
+// of its tokens, and the last step is filled up with the prompts that follow. In a simulation, the
+// pass ends early when a sharded answer starts decoding.
 func (q *Queue) schedulePrefillPass(now time.Time) time.Duration {
 	until := q.nextShardedDecode()
 	first := slices.IndexFunc(q.tasks, func(t task) bool { return t.tokensLeft > 0 })
@@ -82,11 +85,11 @@
 	return duration
 }
 
-// minPassTime is the shortest pass that is modelled, so that time goes on.
+// minPassTime is the shortest simulated pass, so that every pass advances the time.
 const minPassTime = time.Microsecond
 
-// nextShardedDecode is when, in a forecast, the next joint answer begins whose part is
-// prefilled here; zero if there is none.
+// nextShardedDecode returns when the next sharded answer starts decoding whose shard on this engine
+// is already prefilled; zero if there is none, and outside a simulation.
 func (q *Queue) nextShardedDecode() time.Time {
 	var next time.Time
 	if !q.isSimulation {
@@ -100,11 +103,13 @@
 	return next
 }
 
-// isAwaitingShards reports whether a task is prefilled here, and its answer waits for other engines.
+// isAwaitingShards reports whether the shard on this engine is prefilled, and the decoding of the
+// answer waits for other engines of the group.
 func (t *task) isAwaitingShards() bool {
 	return t.job.Decodes && t.job.Sharded && t.tokensLeft <= 0 && !t.decoding && t.eventsSent == 0 && !t.prefillDone.IsZero()
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -112,13 +117,13 @@
 	return b
 }
 
-// prefillTimeOf is how long a number of the tokens that are left take.
+// prefillTimeOf returns the prefill time of a number of the tokens that are left.
 func (t *task) prefillTimeOf(tokens float64) time.Duration {
 	return time.Duration(float64(t.prefillTimeLeft) * tokens / t.tokensLeft)
 }
 
-// interruptAfterStep ends a pass that only prefills after the step that runs, and returns
-// when that is.
+// interruptAfterStep ends a pass that only prefills at the end of its current token step, and
+// returns that time.
 func (q *Queue) interruptAfterStep(now time.Time) time.Time {
 	scheduled := 0.0
 	for i := range q.tasks {
@@ -136,7 +141,8 @@
 	return now
 }
 
-// interruptPass ends a pass that only prefills before its time.
+// interruptPass ends the running pass early. The prefill done until now counts; answers get no
+// event.
 func (q *Queue) interruptPass(now time.Time) {
 	fraction := q.passFraction(now)
 	for i := range q.tasks {
@@ -149,7 +155,7 @@
 	q.passEnd = time.Time{}
 }
 
-// recordPrefill takes tokens off what is left.
+// recordPrefill subtracts prefilled tokens, and their time, from what is left of the task.
 func (t *task) recordPrefill(tokens float64) {
 	t.passTokens = 0
 	if tokens <= 0 {
@@ -159,7 +165,8 @@
 	t.tokensLeft -= tokens
 }
 
-// finishPass ends the pass that runs and begins the next.
+// finishPass ends the running pass at passEnd and begins the next one. Each answer of the pass has
+// an event then.
 func (q *Queue) finishPass() {
 	now := q.passEnd
 	for i := range q.tasks {
@@ -180,17 +187,20 @@
 	q.beginPass(now)
 }
 
-// completePrefill notes the end of a task's prefill where nothing of it is left.
+// completePrefill marks the prefill of a task as done if no tokens are left. Decoding starts at
+// once, unless the prompt is sharded.
 func (q *Queue) completePrefill(t *task, now time.Time) {
 	if t.tokensLeft > maxRoundingTokens {
 		return
 	}
 	t.tokensLeft, t.prefillTimeLeft, t.prefillDone = 0, 0, now
-	// A joint answer begins when all its parts are done, which others tell.
+	// A sharded answer starts decoding when all engines of the group are done, which the caller
+	// reports with RecordFirstEvent.
 	if t.job.Decodes && !t.job.Sharded {
 		t.decoding, t.lastEvent = true, now
 	}
 }
 
-// maxRoundingTokens is what is left of a job that is done, but for rounding.
+// maxRoundingTokens is the number of tokens left below which a prefill counts as done: rounding
+// errors.
 const maxRoundingTokens = 0.5
--- a/predictor/predictor.go
+++ b/predictor/predictor.go
@@ -1,12 +1,11 @@
-// Package predictor models how an engine works, from the figures in
-// the configuration: how long a prompt takes to prefill, how long a pass takes
-// while answers are decoded, and what more prefill does to those answers. It
-// keeps nothing and does no I/O.
+// Package predictor models the timing of a model engine from the engine's profile in the
+// configuration: how long the prefill of a prompt takes, how long a decoding pass takes, and how
+// much further prefill delays the answers that are being decoded. A Queue tracks the work of one
+// engine, and a Forecast simulates a queue forward. The package does no I/O.
 //
-// An engine works in passes. A pass that decodes answers executes Stride token
-// steps and prefills, in between, what waits. Every answer on the
-// engine makes one event a pass, so the time of a pass is the pause between
-// the events of each of them.
+// An engine works in forward passes. A pass that decodes answers executes StepsPerPass token steps
+// and prefills waiting prompts along with them. Every answer on the engine emits one event per
+// pass, so the duration of a pass is the gap between the events of each answer.
 package predictor
 
 import (
@@ -15,8 +14,9 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Prefill is how long one engine prefills a prompt alone: its tokens at the
-// engine's rate, and the pairs of each token with every earlier one.
+// Prefill returns the time in which a single engine prefills a prompt of the given number of
+// tokens: the time of the tokens at the engine's prefill rate, plus the attention time of all pairs
+// of a token and an earlier one.
 func Prefill(e *matcher.EngineProfile, tokens int) time.Duration {
 	if e.PrefillTokensPerSecond <= 0 || tokens <= 0 {
 		return 0
@@ -27,19 +27,19 @@
 	return time.Duration(seconds*float64(time.Second) + millionPairs*float64(e.TimePerMillionPairs))
 }
 
-// ShardPrefill is how long each of k engines prefills its part of a prompt: parts are
-// even in tokens and in pairs.
+// ShardPrefill returns the time in which each of k engines prefills its shard of a prompt. Shards
+// are equal in tokens and in pairs of tokens.
 func ShardPrefill(e *matcher.EngineProfile, tokens, k int) time.Duration {
 	return Prefill(e, tokens) / time.Duration(max(1, k))
 }
 
-// DecodePass is the time of a pass without prefill, for a number of answers
-// being decoded that hold context tokens together.
-func DecodePass(e *matcher.EngineProfile, streams, contextTokens int) time.Duration {
-	if streams <= 0 {
+// DecodePass returns the duration of a pass without prefill that decodes the given number of
+// answers, which hold contextTokens tokens of context in total.
+func DecodePass(e *matcher.EngineProfile, answers, contextTokens int) time.Duration {
+	if answers <= 0 {
 		return 0
 	}
-	step := e.StepTime + time.Duration(streams)*e.TimePerSequence
+	step := e.StepTime + time.Duration(answers)*e.TimePerSequence
 	step += time.Duration(float64(contextTokens) / 1000 * float64(e.TimePerThousandTokens))
 	return time.Duration(e.StepsPerPass) * step
 }
--- a/predictor/predictor_test.go
+++ b/predictor/predictor_test.go
@@ -10,7 +10,7 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// engine has the figures of the first deployments.
+// engine returns the profile of the engines of the first deployments.
 func engine() *matcher.EngineProfile {
 	return &matcher.EngineProfile{
 		Slots: 16, MemoryTokens: 315000, StepsPerPass: 51, StepTime: 850 * time.Microsecond, TimePerSequence: 4250 * time.Nanosecond,
@@ -18,10 +18,11 @@
 	}
 }
 
+// near reports whether two durations differ by less than within.
 func near(got, want, within time.Duration) bool { return got > want-within && got < want+within }
 
-// The pairs of a long prompt outweigh its tokens: 154,000 tokens take 0.87 s
-// to prefill and 2.18 s for their pairs.
+// The pairs of tokens dominate the prefill of a long prompt: 154,000 tokens take 0.87 s at the
+// prefill rate and 2.18 s for their pairs.
 func TestPrefill(t *testing.T) {
 	is := is.New(t)
 	e := engine()
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -7,101 +7,112 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Job is what one request has one engine do.
+// Job is the work that one request causes on one engine.
 type Job struct {
-	// Sharded jobs are parts of a prompt that several engines prefill.
+	// Sharded is true if the prompt is split over a group of engines; the job then prefills one
+	// shard.
 	Sharded bool
-	// PrefillTokens are to be prefilled, which takes Prefill by itself.
+	// PrefillTokens is the number of tokens to prefill. PrefillTime is the time that their prefill
+	// takes on an otherwise idle engine, without the fixed time of each token step.
 	PrefillTokens int
 	PrefillTime   time.Duration
-	// Decodes is true where the engine decodes the answer.
+	// Decodes is true if the engine decodes the answer; false for the other engines of a group.
 	Decodes bool
-	// ContextTokens is how many tokens a decode step of the answer attends to.
+	// ContextTokens is the number of tokens that a decode step of the answer attends to.
 	ContextTokens int
-	// ExpectedEvents is how many events the answer is expected to have.
+	// ExpectedEvents is the number of events that the answer is expected to have.
 	ExpectedEvents int
-	// Arrived is when the engine got the job.
+	// Arrived is when the engine received the job.
 	Arrived time.Time
-	// OtherShardsDone is when the other engines of a joint job are expected to be done;
-	// forecasts begin its answer then. It may be changed at any time.
+	// OtherShardsDone is when the other engines of the group are expected to have prefilled their
+	// shards. A simulation starts to decode the answer then. It may be changed at any time, and is
+	// ignored unless Sharded.
 	OtherShardsDone time.Time
 }
 
-// task is how far an engine is with a job.
+// task is the progress of an engine on a job.
 type task struct {
 	job *Job
-	// tokensLeft and prefill are what is left to prefill, before the pass that runs.
+	// tokensLeft and prefillTimeLeft are the tokens still to prefill and their prefill time,
+	// including what the running pass prefills.
 	tokensLeft      float64
 	prefillTimeLeft time.Duration
-	// passTokens are the tokens that the pass that runs prefills.
+	// passTokens is the number of tokens that the running pass prefills.
 	passTokens float64
-	// decoding is true while the answer is decoded, from the job's first event on, joined
-	// once a pass has begun since: an answer that begins within a pass has its next
-	// event at the end of the next one.
+	// decoding is true while the answer is decoded, from its first event on. inPass is true if it
+	// was so when the running pass began: an answer whose first event falls within a pass has its
+	// second event at the end of the next pass.
 	decoding, inPass bool
-	// eventsLeft is how many events the answer is expected to have yet, made how many it had.
+	// eventsLeft is the number of events still expected; it is negative for an answer that exceeds
+	// its estimate. eventsSent is the number of events sent. The first event changes neither.
 	eventsLeft, eventsSent int
-	// prefillDone is when the prefill ended, eventAt when the last event came; zero before.
+	// prefillDone is when the prefill was completed, and lastEvent when the last event was sent;
+	// both zero before that.
 	prefillDone, lastEvent time.Time
-	// maxGap is the longest between two events.
+	// maxGap is the longest gap between two events so far.
 	maxGap time.Duration
-	// isCandidate is true of the job that a forecast adds.
+	// isCandidate is true for the job that a simulation adds.
 	isCandidate bool
 }
 
+// newTask returns a task for a job that the engine has not started.
 func newTask(j *Job) task {
 	return task{job: j, tokensLeft: float64(max(1, j.PrefillTokens)), prefillTimeLeft: j.PrefillTime, eventsLeft: j.ExpectedEvents}
 }
 
-// Queue is one engine's work, kept as the engine does it: in passes. A pass
-// that decodes executes Stride steps and prefills what waits, up to Chunk tokens
-// a step; each answer makes an event at its end. While nothing is decoded an
-// engine prefills step by step, and what is new can go first at once.
+// Queue models the work of one engine, pass by pass. A pass that decodes answers executes
+// StepsPerPass token steps and prefills waiting prompts, up to ChunkTokens tokens per step; each
+// answer has an event at the end of the pass. While nothing is decoded, the engine prefills step by
+// step, and a new job can be put first after the current step.
 //
-// Joint jobs go before others, the newest first; the others go oldest first. A
-// job's prefill ends with its pass, and its first event comes then.
+// Sharded jobs are prefilled before others, the newest first; all others are prefilled oldest
+// first. The prefill of a job is complete, and its first event sent, at the end of a pass.
 //
-// A queue does no I/O and keeps no clock: time advances with its calls. It is
-// not safe for concurrent use.
+// A queue does no I/O and reads no clock: time advances only with its calls. It is not safe for
+// concurrent use.
 type Queue struct {
-	engine   *matcher.EngineProfile
+	engine *matcher.EngineProfile
+	// slowdown is the factor by which passes take longer than the profile says; at least 1.
 	slowdown float64
-	// tasks are in the order of prefill.
+	// tasks is sorted in the order of prefill.
 	tasks []task
-	// passStart and end are those of the pass that runs; end is zero while idle.
+	// passStart and passEnd are the start and the predicted end of the running pass; passEnd is
+	// zero while the engine is idle.
 	passStart, passEnd time.Time
-	// passDecodes is true where that pass decodes answers.
+	// passDecodes is true if the running pass decodes answers.
 	passDecodes bool
-	// lastObservedEnd is the end of the last pass whose end was observed.
+	// lastObservedEnd is the end of the last pass for which an event was observed.
 	lastObservedEnd time.Time
-	// isSimulation is true in a forecast: joint answers begin by themselves, and
-	// answers end after as many events as they are expected to have.
+	// isSimulation is true in the copy of a queue that a Forecast simulates: sharded answers start
+	// decoding at OtherShardsDone, and answers end after the expected number of events.
 	isSimulation bool
 }
 
-// NewQueue returns the queue of an idle engine.
+// NewQueue returns the queue of an idle engine with the given profile.
 func NewQueue(e *matcher.EngineProfile) *Queue { return &Queue{engine: e, slowdown: 1} }
 
-// SetEngine changes the engine's figures.
+// SetEngine replaces the profile of the engine.
 func (q *Queue) SetEngine(e *matcher.EngineProfile) { q.engine = e }
 
-// SetSlowdown says how many times longer than expected work takes from the next
-// pass on.
+// SetSlowdown sets the factor by which passes take longer than the profile says, from the next pass
+// on. Factors below 1 count as 1.
 func (q *Queue) SetSlowdown(slowdown float64) { q.slowdown = max(1, slowdown) }
 
-// Advance works on to a time.
+// Advance simulates the engine up to the given time.
 func (q *Queue) Advance(now time.Time) {
 	for !q.passEnd.IsZero() && !q.passEnd.After(now) {
 		q.finishPass()
 	}
 }
 
-// Add takes in a job that arrived now or a little earlier.
+// Add adds a job that arrived at the given time or shortly before it.
 func (q *Queue) Add(now time.Time, j *Job) {
 	q.Advance(now)
 	q.add(now, newTask(j))
 }
 
+// add adds a task. A pass that only prefills ends after its current step, so that a new task can go
+// first.
 func (q *Queue) add(now time.Time, t task) {
 	if !q.passEnd.IsZero() && !q.passDecodes {
 		now = q.interruptAfterStep(now)
@@ -111,12 +122,12 @@
 	case q.passEnd.IsZero():
 		q.beginPass(now)
 	case q.passDecodes && t.job.Arrived.Before(q.passStart):
-		// It was there when the pass began, and is prefilled in it.
+		// The job arrived before the running pass began, so the pass prefills it too.
 		q.beginPass(q.passStart)
 	}
 }
 
-// insert puts a task in its place: a joint one before what arrived earlier.
+// insert adds a task at its place in the order of prefill.
 func (q *Queue) insert(t task) {
 	at := slices.IndexFunc(q.tasks, func(o task) bool { return prefillsBefore(t.job, o.job) })
 	if at < 0 {
@@ -125,7 +136,7 @@
 	q.tasks = slices.Insert(q.tasks, at, t)
 }
 
-// prefillsBefore reports whether an engine prefills one job before another.
+// prefillsBefore reports whether an engine prefills job a before job b.
 func prefillsBefore(a, b *Job) bool {
 	if a.Sharded != b.Sharded {
 		return a.Sharded
@@ -136,15 +147,15 @@
 	return a.Arrived.Before(b.Arrived)
 }
 
-// Remove takes a job out that ended or was given up.
+// Remove removes a job that has ended or was cancelled. An unknown job is ignored.
 func (q *Queue) Remove(now time.Time, j *Job) {
 	q.Advance(now)
 	i := q.indexOf(j)
 	if i < 0 {
 		return
 	}
-	// A pass goes on without a part of it, but for one that would have nothing left to do, or
-	// no answer to decode any more: that has just had its last event.
+	// The running pass goes on without the job, unless nothing else is left in a pass that only
+	// prefills, or no other answer is being decoded: that answer has just had its last event.
 	t := q.tasks[i]
 	answers, _ := q.decodeLoad()
 	ends := t.passTokens > 0 && !q.passDecodes || t.decoding && answers == 1
@@ -157,7 +168,8 @@
 	}
 }
 
-// decodeLoad is how many answers are decoded, and how many tokens a decode step attends to.
+// decodeLoad returns the number of answers being decoded, and the total number of tokens that a
+// decode step attends to.
 func (q *Queue) decodeLoad() (n, context int) {
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.decoding {
@@ -168,11 +180,13 @@
 	return n, context
 }
 
+// indexOf returns the index of the task of a job, or -1.
 func (q *Queue) indexOf(j *Job) int {
 	return slices.IndexFunc(q.tasks, func(t task) bool { return t.job == j })
 }
 
-// RecordFirstEvent notes that the first event of a job's answer was seen: all of it is prefilled.
+// RecordFirstEvent records that the first event of a job's answer was observed, which shows that
+// its prefill is complete on all engines. An unknown job is ignored.
 func (q *Queue) RecordFirstEvent(now time.Time, j *Job) {
 	q.Advance(now)
 	i := q.indexOf(j)
@@ -196,12 +210,13 @@
 	}
 }
 
-// maxEventSkew is how far apart the events of one pass reach those who watch, at
-// most: a round trip between data centres and the wait for a processor.
+// maxEventSkew is the maximum time between the arrivals of the events of one pass at the observers:
+// a round trip between data centres plus the wait for a processor.
 const maxEventSkew = 15 * time.Millisecond
 
-// RecordPassEnd notes that a pass ended a moment before now, as an event of an
-// answer was seen. That corrects what the queue expects.
+// RecordPassEnd records that an event of an answer was observed, so that a pass has just ended. It
+// corrects the predicted end of the running pass. Further events of the same pass, within
+// maxEventSkew, are ignored.
 func (q *Queue) RecordPassEnd(now time.Time) {
 	q.Advance(now)
 	if q.passEnd.IsZero() || !q.passDecodes || now.Sub(q.lastObservedEnd) < maxEventSkew {
@@ -209,7 +224,7 @@
 	}
 	q.lastObservedEnd = now
 	if late := now.Sub(q.passStart); late < q.passEnd.Sub(now) {
-		// The pass before it ended that much later than expected.
+		// The event belongs to the previous pass, which ended later than predicted.
 		q.passStart, q.passEnd = now, q.passEnd.Add(late)
 		return
 	}
@@ -217,7 +232,8 @@
 	q.finishPass()
 }
 
-// RemainingPrefill is how long the engine has yet to prefill, answers aside.
+// RemainingPrefill returns the prefill time left on the engine, the slowdown included and the time
+// of decoding excluded.
 func (q *Queue) RemainingPrefill(now time.Time) time.Duration {
 	left, inPass := time.Duration(0), time.Duration(0)
 	for i := range q.tasks {
@@ -233,7 +249,7 @@
 	return time.Duration(float64(left) * q.slowdown)
 }
 
-// passFraction is the part of the pass that runs which is over.
+// passFraction returns the elapsed fraction of the running pass, from 0 to 1.
 func (q *Queue) passFraction(now time.Time) float64 {
 	return min(1, max(0, float64(now.Sub(q.passStart))/float64(max(1, q.passEnd.Sub(q.passStart)))))
 }
--- a/predictor/queue_test.go
+++ b/predictor/queue_test.go
@@ -12,9 +12,10 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns the time that is the given number of milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// prompt is a job of one of k engines.
+// prompt returns the job of one of k engines that prefill a prompt.
 func prompt(arrived time.Time, tokens, k int, decodes bool) *predictor.Job {
 	e := engine()
 	return &predictor.Job{
@@ -22,57 +23,58 @@
 	}
 }
 
-// projectionOf is what a queue is expected to make of a job.
+// projectionOf returns the projection of a job in a queue.
 func projectionOf(t *testing.T, q *predictor.Queue, now time.Time, job *predictor.Job) predictor.Projection {
 	t.Helper()
-	var f predictor.Forecast
+	var forecast predictor.Forecast
 	q.Advance(now)
-	for _, fate := range f.Simulate(now, q, nil) {
-		if fate.Job == job {
-			return fate
+	for _, projection := range forecast.Simulate(now, q, nil) {
+		if projection.Job == job {
+			return projection
 		}
 	}
-	t.Fatal("the job is gone")
+	t.Fatal("the queue has no projection of the job")
 	return predictor.Projection{}
 }
 
-// Seven short prompts at one engine, as they arrived and as their first events were
-// seen on a quiet day of the second users, in ms after the first arrival and less 5 ms
-// of transit. What arrives within a pass waits for its end, and all of one pass come at once.
+// Seven short prompts on one engine, as observed in a lightly loaded deployment. Times are in ms
+// after the first arrival, less 5 ms of network transit. A prompt that arrives during a pass waits
+// for its end, and the first events of one pass come together.
 func TestFirstEventsOfShortPrompts(t *testing.T) {
-	seen := []struct{ arrived, tokens, first int }{
+	observed := []struct{ arrived, tokens, first int }{
 		{0, 2357, 26}, {12, 6007, 107}, {22, 1847, 108}, {87, 4348, 253}, {90, 1492, 254}, {92, 7271, 254}, {104, 3345, 253},
 	}
 	q := predictor.NewQueue(engine())
 	var jobs []*predictor.Job
-	for _, s := range seen {
+	for _, s := range observed {
 		j := prompt(at(s.arrived), s.tokens, 1, true)
 		q.Add(at(s.arrived), j)
 		jobs = append(jobs, j)
 	}
-	for i, s := range seen {
+	for i, s := range observed {
 		done := projectionOf(t, q, at(104), jobs[i]).PrefillDone.Sub(start)
 		if want := time.Duration(s.first) * time.Millisecond; !near(done, want, 6*time.Millisecond) {
-			t.Errorf("prompt %d is done after %v, seen after %v", i, done, want)
+			t.Errorf("prompt %d: prefill is projected to end after %v, observed after %v", i, done, want)
 		}
 	}
 }
 
-// Prompts prefilled by idle engines, as seen there, less 5 ms of transit: each step has its own
-// time beside that of its tokens.
-func TestFirstEventOfJointPrompts(t *testing.T) {
+// Sharded prompts on idle engines, as observed in a deployment, less 5 ms of network transit. Each
+// token step has a fixed time in addition to that of its tokens.
+func TestFirstEventOfShardedPrompts(t *testing.T) {
 	for _, s := range []struct{ tokens, k, first int }{{70303, 3, 293}, {15527, 2, 61}, {26585, 2, 113}, {39910, 2, 194}, {228787, 10, 623}} {
 		q := predictor.NewQueue(engine())
 		j := prompt(start, s.tokens, s.k, true)
 		q.Add(start, j)
 		done := projectionOf(t, q, start, j).PrefillDone.Sub(start)
 		if want := time.Duration(s.first) * time.Millisecond; !near(done, want, 10*time.Millisecond) {
-			t.Errorf("%d tokens at %d engines: done after %v, seen after %v", s.tokens, s.k, done, want)
+			t.Errorf("%d tokens on %d engines: prefill is projected to end after %v, observed after %v", s.tokens, s.k, done, want)
 		}
 	}
 }
 
-// Of parts the newest goes first; a prompt that an engine prefills alone goes after them.
+// Of the shards, the newest is prefilled first; a prompt that one engine prefills alone comes after
+// all shards.
 func TestOrderOfPrefill(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
@@ -85,91 +87,92 @@
 	is.True(done(old).Before(done(alone)))
 }
 
-// While an answer is decoded, all that waits is prefilled in one pass, which is its pause: a
-// part of 500 ms ends an answer's being on time at a pause of 250 ms.
-func TestPrefillIsThePauseOfAnswers(t *testing.T) {
+// While an answer is decoded, all waiting prompts are prefilled in one pass, which delays the next
+// event: a shard of 500 ms makes an answer with a gap target of 250 ms late.
+func TestPrefillDelaysAnswers(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	answer := prompt(start, 5000, 1, true)
 	q.Add(start, answer)
 	q.Advance(at(200))
-	part := prompt(at(200), 120000, 4, false)
-	var f predictor.Forecast
-	before := f.Simulate(at(200), q, nil)[0]
+	shard := prompt(at(200), 120000, 4, false)
+	var forecast predictor.Forecast
+	before := forecast.Simulate(at(200), q, nil)[0]
 	is.True(before.Decoding)
 	is.True(before.MaxGap < 60*time.Millisecond)
-	fates := f.Simulate(at(200), q, part)
-	is.Equal(len(fates), 2)
-	is.True(near(fates[0].MaxGap, 45*time.Millisecond+part.PrefillTime, 5*time.Millisecond))
-	is.True(fates[1].PrefillDone.After(at(200).Add(part.PrefillTime)))
-	is.Equal(len(f.Simulate(at(200), q, nil)), 1) // a forecast changes nothing
+	projections := forecast.Simulate(at(200), q, shard)
+	is.Equal(len(projections), 2)
+	is.True(near(projections[0].MaxGap, 45*time.Millisecond+shard.PrefillTime, 5*time.Millisecond))
+	is.True(projections[1].PrefillDone.After(at(200).Add(shard.PrefillTime)))
+	is.Equal(len(forecast.Simulate(at(200), q, nil)), 1) // a simulation leaves the queue unchanged
 }
 
-// A joint answer begins when its last engine is done, and what its own engine prefills then
-// is its first pause, also where that is not over in the middle of a pass.
-func TestJointAnswerBeginsElsewhere(t *testing.T) {
+// A sharded answer starts when the last engine of its group is done. Prefill that is running on its
+// own engine then delays its second event, also when that prefill is not over in the middle of a
+// pass.
+func TestShardedAnswerStartsAfterOtherShards(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
-	other := prompt(start, 5000, 1, true) // has the engine work in passes
+	other := prompt(start, 5000, 1, true) // keeps the engine in decoding passes
 	q.Add(start, other)
-	joint := prompt(at(40), 120000, 4, true)
-	q.Add(at(40), joint)
+	sharded := prompt(at(40), 120000, 4, true)
+	q.Add(at(40), sharded)
 	q.Advance(at(700))
-	joint.OtherShardsDone = at(1200)
-	var f predictor.Forecast
-	for _, fate := range f.Simulate(at(700), q, prompt(at(700), 300000, 4, false)) {
-		if fate.Job == joint {
-			is.True(fate.MaxGap > time.Second) // 2.7 s of prefill, of which 0.5 s are over
+	sharded.OtherShardsDone = at(1200)
+	var forecast predictor.Forecast
+	for _, projection := range forecast.Simulate(at(700), q, prompt(at(700), 300000, 4, false)) {
+		if projection.Job == sharded {
+			is.True(projection.MaxGap > time.Second) // 0.5 s of the 2.7 s of prefill are over
 		}
 	}
 }
 
-// An answer that begins within a pass has its second event only at the end of the next: one that
-// began 273 ms after the start of a pass of 691 ms stood still for 1,055 ms, as the next
-// pass had a part of 562 ms to prefill.
-func TestAnswerBegunWithinAPass(t *testing.T) {
+// An answer that starts during a pass has its second event only at the end of the next pass. An
+// observed answer started 273 ms into a pass of 691 ms and then had a gap of 1,055 ms, because the
+// next pass prefilled a shard of 562 ms.
+func TestAnswerStartedDuringPass(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	q.Add(start, prompt(start, 5000, 1, true))
-	joint := prompt(at(40), 10000, 4, true)
-	q.Add(at(40), joint)
+	sharded := prompt(at(40), 10000, 4, true)
+	q.Add(at(40), sharded)
 	q.Add(at(41), prompt(at(41), 167621+24000, 7, false)) // 640 ms
 	q.Advance(at(350))
-	q.RecordFirstEvent(at(350), joint)
+	q.RecordFirstEvent(at(350), sharded)
 	next := prompt(at(400), 178423, 7, false)
 	q.Add(at(400), next)
-	fate := projectionOf(t, q, at(400), joint)
-	is.True(fate.MaxGap > 900*time.Millisecond) // 370 of the first pass, 608 of the next
+	projection := projectionOf(t, q, at(400), sharded)
+	is.True(projection.MaxGap > 900*time.Millisecond) // 370 ms of the first pass and 608 ms of the next
 }
 
-// An answer that has had the events it was expected to have goes on: estimates of callers are
-// right at the median only. Parts that were put beside such answers made one of
+// An answer that has had its expected number of events is still expected to continue, because the
+// estimates of callers are right only at the median. Shards placed beside such answers made one of
 // eight long answers late.
-func TestAnswerPastItsEstimateGoesOn(t *testing.T) {
+func TestAnswerBeyondEstimateContinues(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	answer := prompt(start, 5000, 1, true)
 	answer.ExpectedEvents = 3
 	q.Add(start, answer)
 	q.Advance(at(1000))
-	var f predictor.Forecast
-	is.True(f.Simulate(at(1000), q, prompt(at(1000), 100000, 2, false))[0].MaxGap > 500*time.Millisecond)
+	var forecast predictor.Forecast
+	is.True(forecast.Simulate(at(1000), q, prompt(at(1000), 100000, 2, false))[0].MaxGap > 500*time.Millisecond)
 }
 
-// An event that is seen ends the pass that runs, whatever was expected.
-func TestSeenEventsCorrectPasses(t *testing.T) {
+// An observed event ends the running pass, whatever its predicted end.
+func TestObservedEventsCorrectPasses(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
 	answer := prompt(start, 5000, 1, true)
 	q.Add(start, answer)
 	q.Advance(at(100))
-	q.RecordPassEnd(at(100)) // 44 ms a pass: 31, 75, 119 were expected
+	q.RecordPassEnd(at(100)) // passes of 44 ms: events were predicted at 31, 75 and 119 ms
 	late := prompt(at(101), 5000, 1, true)
 	q.Add(at(101), late)
 	is.True(near(projectionOf(t, q, at(101), late).PrefillDone.Sub(at(100)), 118*time.Millisecond, 5*time.Millisecond))
 }
 
-// An engine whose last answer has ended does nothing.
+// An engine becomes idle when its last answer is removed.
 func TestQueueIsIdleAfterItsLastAnswer(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
@@ -182,13 +185,13 @@
 	is.True(near(projectionOf(t, q, at(101), next).PrefillDone.Sub(at(101)), 32*time.Millisecond, 3*time.Millisecond))
 }
 
-// Whatever comes and goes, an engine prefills everything in the time that its tokens
-// take and that of its passes, and a forecast changes nothing.
-func TestQueueEnds(t *testing.T) {
+// For any sequence of jobs and events, an engine completes all prefill within ten minutes, and
+// simulations leave the queue unchanged.
+func TestQueueCompletesAllPrefill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := predictor.NewQueue(engine())
 		now := start
-		var f predictor.Forecast
+		var forecast predictor.Forecast
 		var jobs []*predictor.Job
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond)
@@ -214,13 +217,13 @@
 				jobs = append(jobs[:i], jobs[i+1:]...)
 			}
 			left := q.RemainingPrefill(now)
-			for _, fate := range f.Simulate(now, q, nil) {
-				if fate.PrefillDone.IsZero() {
-					t.Fatalf("no end is expected of %+v", fate.Job)
+			for _, projection := range forecast.Simulate(now, q, nil) {
+				if projection.PrefillDone.IsZero() {
+					t.Fatalf("no end of the prefill is projected for job %+v", projection.Job)
 				}
 			}
 			if q.RemainingPrefill(now) != left {
-				t.Fatal("a forecast changed the queue")
+				t.Fatal("a simulation changed the queue")
 			}
 		}
 		decoders := 0
@@ -231,7 +234,7 @@
 		}
 		q.Advance(now.Add(10 * time.Minute))
 		if left := q.RemainingPrefill(now.Add(10 * time.Minute)); decoders <= engine().Slots && left > 0 {
-			t.Fatalf("%v are left", left)
+			t.Fatalf("%v of prefill are left after 10 min", left)
 		}
 	})
 }
@@ -242,17 +245,18 @@
 		q.Add(at(10*i), prompt(at(10*i), 5000, 1, true))
 	}
 	q.Add(at(130), prompt(at(130), 150000, 8, false))
-	part := prompt(at(140), 150000, 8, false)
-	var f predictor.Forecast
+	shard := prompt(at(140), 150000, 8, false)
+	var forecast predictor.Forecast
 	q.Advance(at(140))
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Simulate(at(140), q, part)
+		forecast.Simulate(at(140), q, shard)
 	}
 }
 
-// An answer ends a pass an event after it began, and later by what is prefilled meanwhile.
-func TestForecastOfAnEnd(t *testing.T) {
+// An answer ends one pass per event after its start, and later by the time of what is prefilled
+// meanwhile.
+func TestProjectedEnd(t *testing.T) {
 	for _, long := range []int{0, 60000} {
 		q := predictor.NewQueue(engine())
 		j := prompt(at(0), 5000, 1, true)
@@ -263,11 +267,11 @@
 			q.Add(at(60), prompt(at(60), long, 1, true))
 			answers, context = 3, context+long
 		}
-		fate := projectionOf(t, q, at(70), j)
+		projection := projectionOf(t, q, at(70), j)
 		passes := time.Duration(j.ExpectedEvents) * predictor.DecodePass(engine(), answers, context)
-		want := fate.PrefillDone.Add(passes + predictor.Prefill(engine(), long))
-		if !near(fate.End.Sub(start), want.Sub(start), 120*time.Millisecond) {
-			t.Errorf("beside %d tokens the end is expected after %v, not %v", long, fate.End.Sub(start), want.Sub(start))
+		want := projection.PrefillDone.Add(passes + predictor.Prefill(engine(), long))
+		if !near(projection.End.Sub(start), want.Sub(start), 120*time.Millisecond) {
+			t.Errorf("beside %d tokens: projected end after %v, want %v", long, projection.End.Sub(start), want.Sub(start))
 		}
 	}
 }
