--- a/prober/example_test.go
+++ b/prober/example_test.go
@@ -26,29 +26,29 @@
 	// [{b live dead silence}]
 }
 
-// testRing is many probers that exchange heartbeats.
-type testRing struct {
+// testFleet is many probers that exchange heartbeats.
+type testFleet struct {
 	now     time.Time
 	probers []*prober.Prober
 	silent  map[int]bool
-	// runs is the incarnation of each less one, stopping are those that stop.
-	runs     map[int]uint64
+	// restarts is the incarnation of each less one, stopping are those that stop.
+	restarts map[int]uint64
 	stopping map[int]bool
-	// knows is who has heard of a new document.
-	knows map[int]bool
-	// place is the data centre of each; all the same where it is nil.
-	place func(int) string
+	// informed is who has heard of a new document.
+	informed map[int]bool
+	// dataCentre is the data centre of each; all the same where it is nil.
+	dataCentre func(int) string
 	// across and within count heartbeats between data centres and inside one.
 	across, within int
 }
 
-func newTestRing(size, neighbours int) *testRing {
-	return newPlacedRing(size, neighbours, func(int) string { return "" })
+func newTestFleet(size, neighbours int) *testFleet {
+	return newPlacedFleet(size, neighbours, func(int) string { return "" })
 }
 
-// newPlacedRing is a ring in several data centres.
-func newPlacedRing(size, neighbours int, place func(int) string) *testRing {
-	r := &testRing{now: time.Now(), silent: map[int]bool{}, runs: map[int]uint64{}, stopping: map[int]bool{}, knows: map[int]bool{}, place: place}
+// newPlacedFleet is a ring in several data centres.
+func newPlacedFleet(size, neighbours int, place func(int) string) *testFleet {
+	r := &testFleet{now: time.Now(), silent: map[int]bool{}, restarts: map[int]uint64{}, stopping: map[int]bool{}, informed: map[int]bool{}, dataCentre: place}
 	var list []api.Instance
 	for i := range size {
 		list = append(list, api.Instance{Name: name(i), Kind: api.KindEntry, Address: address(i).String(), PeerAddress: address(i).String(), DataCentre: place(i), State: api.InstanceLive})
@@ -67,15 +67,15 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 81)
 }
 
-func (r *testRing) beat(i int) api.Heartbeat {
-	return api.Heartbeat{From: name(i), Incarnation: 1 + r.runs[i], Ready: !r.stopping[i], Stopping: r.stopping[i], PeerAddress: address(i), DataCentre: r.place(i), Notices: r.probers[i].NextNotices()}
+func (r *testFleet) heartbeat(i int) api.Heartbeat {
+	return api.Heartbeat{From: name(i), Incarnation: 1 + r.restarts[i], Ready: !r.stopping[i], Stopping: r.stopping[i], PeerAddress: address(i), DataCentre: r.dataCentre(i), Notices: r.probers[i].NextNotices()}
 }
 
 // round lets a second pass in which everyone who is not silent sends its
 // heartbeats.
-func (r *testRing) round() {
+func (r *testFleet) round() {
 	r.now = r.now.Add(time.Second)
-	knew := maps.Clone(r.knows) // word goes one step a round
+	wasInformed := maps.Clone(r.informed) // word goes one step a round
 	for i, p := range r.probers {
 		if r.silent[i] {
 			continue
@@ -84,7 +84,7 @@
 		for _, t := range p.BeginRound(r.now) {
 			var to int
 			_, _ = fmt.Sscanf(t.Name, "entry-%d", &to)
-			if r.place(i) == r.place(to) {
+			if r.dataCentre(i) == r.dataCentre(to) {
 				r.within++
 			} else {
 				r.across++
@@ -92,16 +92,16 @@
 			if r.silent[to] {
 				continue
 			}
-			if knew[i] || knew[to] {
-				r.knows[i], r.knows[to] = true, true
+			if wasInformed[i] || wasInformed[to] {
+				r.informed[i], r.informed[to] = true, true
 			}
-			r.probers[to].ReceiveHeartbeat(r.now, r.beat(i))
-			p.ReceiveHeartbeat(r.now, r.beat(to))
+			r.probers[to].ReceiveHeartbeat(r.now, r.heartbeat(i))
+			p.ReceiveHeartbeat(r.now, r.heartbeat(to))
 		}
 	}
 }
 
-func (r *testRing) believe(member int, state prober.State) int {
+func (r *testFleet) countState(member int, state prober.State) int {
 	n := 0
 	for i, p := range r.probers {
 		if m, ok := p.Find(name(member)); i != member && !r.silent[i] && ok && m.State == state {
@@ -116,39 +116,39 @@
 func TestDeathSpreads(t *testing.T) {
 	is := is.New(t)
 	const size = 380
-	r := newTestRing(size, 3)
+	r := newTestFleet(size, 3)
 	for range 3 {
 		r.round()
 	}
 	r.silent[7] = true
 	rounds := 0
-	for r.believe(7, prober.Dead) < size-1 {
+	for r.countState(7, prober.Dead) < size-1 {
 		r.round()
 		rounds++
 		if rounds > 60 {
-			t.Fatalf("%d of %d believe it after %d rounds", r.believe(7, prober.Dead), size-1, rounds)
+			t.Fatalf("%d of %d believe it after %d rounds", r.countState(7, prober.Dead), size-1, rounds)
 		}
 	}
 	t.Logf("death known to all after %d rounds", rounds)
 	r.silent[7] = false
 	rounds = 0
-	for r.believe(7, prober.Dead) > 0 {
+	for r.countState(7, prober.Dead) > 0 {
 		r.round()
 		rounds++
 		if rounds > 60 {
-			t.Fatalf("%d still believe it dead after %d rounds", r.believe(7, prober.Dead), rounds)
+			t.Fatalf("%d still believe it dead after %d rounds", r.countState(7, prober.Dead), rounds)
 		}
 	}
 	t.Logf("return known to all after %d rounds", rounds)
-	is.Equal(r.believe(7, prober.Dead), 0)
+	is.Equal(r.countState(7, prober.Dead), 0)
 }
 
 // An entry of 380 stops and starts again. Only those that exchanged a heartbeat with it knew: the others
 // named its address to callers while it stopped and while it was gone, and sent it messages to pass on.
 func TestShutdownAndReturnSpread(t *testing.T) {
 	is := is.New(t)
-	const size, mostRounds = 380, 10
-	r := newTestRing(size, 4)
+	const size, maxRounds = 380, 10
+	r := newTestFleet(size, 4)
 	for range 5 {
 		r.round()
 	}
@@ -163,26 +163,26 @@
 	}
 	r.stopping[7] = true
 	rounds := 0
-	for r.believe(7, prober.Stopping) < size-1 {
+	for r.countState(7, prober.Stopping) < size-1 {
 		r.round()
 		rounds++
-		is.True(rounds <= mostRounds)
+		is.True(rounds <= maxRounds)
 	}
 	t.Logf("stop known to all after %d rounds", rounds)
 	is.Equal(ready(), 0)
-	for range mostRounds {
+	for range maxRounds {
 		r.round()
 	}
-	is.Equal(r.believe(7, prober.Stopping), size-1) // nothing late takes it back
-	r.stopping[7], r.runs[7] = false, 1
+	is.Equal(r.countState(7, prober.Stopping), size-1) // nothing late takes it back
+	r.stopping[7], r.restarts[7] = false, 1
 	rounds = 0
 	for ready() < size-1 {
 		r.round()
 		rounds++
-		is.True(rounds <= mostRounds)
+		is.True(rounds <= maxRounds)
 	}
 	t.Logf("return known to all after %d rounds", rounds)
-	is.Equal(r.believe(7, prober.Stopping), 0)
+	is.Equal(r.countState(7, prober.Stopping), 0)
 }
 
 // A quiet fleet of 120 in three data centres: some pairs hear each other for the first time only after 50 rounds. Each
@@ -191,7 +191,7 @@
 func TestMemberIsAnnouncedOnce(t *testing.T) {
 	is := is.New(t)
 	const size, rounds = 120, 200
-	r := newPlacedRing(size, 4, func(i int) string { return fmt.Sprint("dc-", i%3) })
+	r := newPlacedFleet(size, 4, func(i int) string { return fmt.Sprint("dc-", i%3) })
 	notices := map[api.Notice]bool{}
 	for range rounds {
 		r.round()
@@ -223,12 +223,12 @@
 
 // Nobody is taken for dead while all speak.
 func TestNoFalseDeath(t *testing.T) {
-	r := newTestRing(60, 3)
+	r := newTestFleet(60, 3)
 	for range 40 {
 		r.round()
 	}
 	for i := range r.probers {
-		if n := r.believe(i, prober.Dead); n > 0 {
+		if n := r.countState(i, prober.Dead); n > 0 {
 			t.Errorf("%d believe %s dead", n, name(i))
 		}
 	}
@@ -239,14 +239,14 @@
 func TestHeartbeatPayloadSpreads(t *testing.T) {
 	is := is.New(t)
 	const size = 380
-	r := newTestRing(size, 3)
+	r := newTestFleet(size, 3)
 	r.round()
-	clear(r.knows)
-	r.knows[0] = true
+	clear(r.informed)
+	r.informed[0] = true
 	rounds := 0
 	know := func() int {
 		n := 0
-		for _, k := range r.knows {
+		for _, k := range r.informed {
 			if k {
 				n++
 			}
@@ -269,7 +269,7 @@
 	}{{95, 5, 0}, {380, 8, 0}, {60, 3, 2}, {7, 3, 0}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			is := is.New(t)
-			r := newPlacedRing(c.size, 4, func(i int) string {
+			r := newPlacedFleet(c.size, 4, func(i int) string {
 				if i < c.few {
 					return "few"
 				}
@@ -283,7 +283,7 @@
 			is.Equal(crossing < 0.3, c.size > 20 && c.few == 0)
 			r.silent[1] = true
 			rounds := 0
-			for r.believe(1, prober.Dead) < c.size-1 {
+			for r.countState(1, prober.Dead) < c.size-1 {
 				r.round()
 				rounds++
 				is.True(rounds <= 10)
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -40,14 +40,14 @@
 	maxNotices = 16
 	// noticeRounds is how many heartbeats to each neighbour carry a notice.
 	noticeRounds = 4
-	// leastUnanswered is how many heartbeats go unanswered before silence
+	// minUnanswered is how many heartbeats go unanswered before silence
 	// counts: one may be lost.
-	leastUnanswered = 2
-	// settledRounds is after how many rounds most of the others were heard. A member that is heard for the
+	minUnanswered = 2
+	// warmUpRounds is after how many rounds most of the others were heard. A member that is heard for the
 	// first time then is news; before, notices of all would hold up those of deaths.
-	settledRounds = 50
-	// noticeLife is how long a repeated notice is recognised as old.
-	noticeLife = 5 * time.Minute
+	warmUpRounds = 50
+	// noticeTTL is how long a repeated notice is recognised as old.
+	noticeTTL = 5 * time.Minute
 )
 
 // Member is another entry.
@@ -63,17 +63,17 @@
 	// LastHeartbeat is when the member last spoke; zero when it never did.
 	LastHeartbeat time.Time
 
-	position uint64
-	listed   bool
+	ringPosition uint64
+	isListed     bool
 	// unanswered is how many heartbeats were sent since the member was last
 	// heard, and unansweredSince when the first of them was.
 	unanswered      int
-	unansweredSince time.Time
-	// sequence is that of the newest notice about this incarnation.
-	sequence uint64
-	// unannounced is true of one that is live again, or new, until it takes callers: only
+	firstUnanswered time.Time
+	// noticeSequence is that of the newest notice about this incarnation.
+	noticeSequence uint64
+	// announceWhenReady is true of one that is live again, or new, until it takes callers: only
 	// then others are told.
-	unannounced bool
+	announceWhenReady bool
 }
 
 // Config of a prober.
@@ -98,10 +98,10 @@
 	Reason string
 }
 
-type rumour struct {
-	notice api.Notice
-	left   int
-	heard  time.Time
+type knownNotice struct {
+	notice       api.Notice
+	sendsLeft    int
+	lastReceived time.Time
 }
 
 // Prober holds the beliefs. It is not safe for concurrent use.
@@ -110,28 +110,28 @@
 	members map[string]*Member
 	// ring is all members by position after this entry's own.
 	ring    []*Member
-	rumours map[api.Notice]*rumour
+	notices map[api.Notice]*knownNotice
 	// round counts the calls of Targets.
 	round uint64
 }
 
 // New returns a prober that knows no other entry.
 func New(config Config) *Prober {
-	return &Prober{config: config, members: map[string]*Member{}, rumours: map[api.Notice]*rumour{}}
+	return &Prober{config: config, members: map[string]*Member{}, notices: map[api.Notice]*knownNotice{}}
 }
 
 // ApplyInstanceList takes over the entries of an instance list. Members no longer listed
 // and not live are forgotten; live ones stay, as the list lags.
 func (p *Prober) ApplyInstanceList(now time.Time, instances []api.Instance) {
 	for _, m := range p.members {
-		m.listed = false
+		m.isListed = false
 	}
 	for _, i := range instances {
 		if i.Kind != api.KindEntry || i.Name == p.config.Name {
 			continue
 		}
-		m := p.member(i.Name)
-		m.listed = true
+		m := p.ensureMember(i.Name)
+		m.isListed = true
 		m.DataCentre = i.DataCentre
 		if m.LastHeartbeat.IsZero() {
 			m.Address, _ = netip.ParseAddrPort(i.Address)
@@ -139,18 +139,18 @@
 		}
 	}
 	for name, m := range p.members {
-		if !m.listed && (m.State == Dead || m.State == Listed) {
-			p.forget(name)
+		if !m.isListed && (m.State == Dead || m.State == Listed) {
+			p.removeMember(name)
 		}
 	}
 }
 
-func (p *Prober) member(name string) *Member {
+func (p *Prober) ensureMember(name string) *Member {
 	if m, ok := p.members[name]; ok {
 		return m
 	}
 	own := assigner.Weight("ring", p.config.Name)
-	m := &Member{Name: name, State: Listed, position: assigner.Weight("ring", name) - own}
+	m := &Member{Name: name, State: Listed, ringPosition: assigner.Weight("ring", name) - own}
 	p.members[name] = m
 	at, _ := slices.BinarySearchFunc(p.ring, m, comparePosition)
 	p.ring = slices.Insert(p.ring, at, m)
@@ -159,15 +159,15 @@
 
 func comparePosition(a, b *Member) int {
 	switch {
-	case a.position < b.position:
+	case a.ringPosition < b.ringPosition:
 		return -1
-	case a.position > b.position:
+	case a.ringPosition > b.ringPosition:
 		return 1
 	}
 	return strings.Compare(a.Name, b.Name)
 }
 
-func (p *Prober) forget(name string) {
+func (p *Prober) removeMember(name string) {
 	m := p.members[name]
 	delete(p.members, name)
 	p.ring = slices.DeleteFunc(p.ring, func(o *Member) bool { return o == m })
@@ -176,45 +176,45 @@
 // ReceiveHeartbeat takes in a heartbeat, sent or answered by another entry. A heartbeat
 // of an earlier incarnation is late and is dropped. That a member stops, or begins
 // to take callers, is spread to all: in a large fleet most are seldom heard.
-func (p *Prober) ReceiveHeartbeat(now time.Time, beat api.Heartbeat) []Change {
-	if beat.From == p.config.Name {
+func (p *Prober) ReceiveHeartbeat(now time.Time, heartbeat api.Heartbeat) []Change {
+	if heartbeat.From == p.config.Name {
 		return nil
 	}
-	m := p.member(beat.From)
-	if beat.Incarnation < m.Incarnation {
+	m := p.ensureMember(heartbeat.From)
+	if heartbeat.Incarnation < m.Incarnation {
 		return nil
 	}
-	if beat.Incarnation == m.Incarnation && m.State == Stopping && !beat.Stopping {
+	if heartbeat.Incarnation == m.Incarnation && m.State == Stopping && !heartbeat.Stopping {
 		return nil // sent before the member began to stop, which it never takes back
 	}
-	if beat.Incarnation > m.Incarnation {
-		m.Incarnation, m.sequence = beat.Incarnation, 0
+	if heartbeat.Incarnation > m.Incarnation {
+		m.Incarnation, m.noticeSequence = heartbeat.Incarnation, 0
 	}
 	state := Live
-	if beat.Stopping {
+	if heartbeat.Stopping {
 		state = Stopping
 	}
-	isNews := !m.Ready && (m.State == Dead || m.State == Stopping || m.State == Listed && p.round > settledRounds)
-	m.unannounced = state == Live && (m.unannounced || isNews)
-	m.Address, m.PeerAddress, m.DataCentre = beat.Address, beat.PeerAddress, beat.DataCentre
-	m.Ready = beat.Ready && !beat.Stopping
+	isNewlyLive := !m.Ready && (m.State == Dead || m.State == Stopping || m.State == Listed && p.round > warmUpRounds)
+	m.announceWhenReady = state == Live && (m.announceWhenReady || isNewlyLive)
+	m.Address, m.PeerAddress, m.DataCentre = heartbeat.Address, heartbeat.PeerAddress, heartbeat.DataCentre
+	m.Ready = heartbeat.Ready && !heartbeat.Stopping
 	m.LastHeartbeat = now
 	m.unanswered = 0
-	changes := p.move(m, state, "heartbeat")
+	changes := p.setState(m, state, "heartbeat")
 	switch {
 	case state == Stopping && len(changes) > 0:
 		p.announce(now, m, api.NoticeLeaving)
-	case m.unannounced && m.Ready:
-		m.unannounced = false
+	case m.announceWhenReady && m.Ready:
+		m.announceWhenReady = false
 		p.announce(now, m, api.NoticeLive)
 	}
-	for _, n := range beat.Notices {
+	for _, n := range heartbeat.Notices {
 		changes = append(changes, p.ReceiveNotice(now, n)...)
 	}
 	return changes
 }
 
-func (p *Prober) move(m *Member, to State, reason string) []Change {
+func (p *Prober) setState(m *Member, to State, reason string) []Change {
 	if m.State == to {
 		return nil
 	}
@@ -225,89 +225,89 @@
 
 // ReceiveNotice takes in news of an instance. News is passed on.
 func (p *Prober) ReceiveNotice(now time.Time, n api.Notice) []Change {
-	if r, known := p.rumours[n]; known {
-		r.heard = now
+	if k, known := p.notices[n]; known {
+		k.lastReceived = now
 		return nil
 	}
 	if n.Kind != api.KindEntry || n.Name == p.config.Name {
-		p.spread(now, n)
+		p.queueNotice(now, n)
 		return nil
 	}
 	m, ok := p.members[n.Name]
 	if !ok {
 		return nil // it can be used once the member is known
 	}
-	p.spread(now, n)
+	p.queueNotice(now, n)
 	if n.Incarnation < m.Incarnation {
 		return nil
 	}
 	if n.Incarnation > m.Incarnation {
 		// Another run, of which this entry has heard nothing itself.
-		m.Incarnation, m.sequence, m.LastHeartbeat = n.Incarnation, 0, time.Time{}
-	} else if p.overtaken(m, n) {
+		m.Incarnation, m.noticeSequence, m.LastHeartbeat = n.Incarnation, 0, time.Time{}
+	} else if p.isOutdated(m, n) {
 		return nil
 	}
-	m.sequence = n.Sequence
+	m.noticeSequence = n.Sequence
 	if n.State == api.NoticeLeaving {
 		m.Ready = false
-		return p.move(m, Stopping, "notice")
+		return p.setState(m, Stopping, "notice")
 	}
 	// What this entry hears itself is better than what others say.
-	heard := !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < p.config.SuspectAfter
-	if heard && n.State == api.NoticeDead {
+	isRecent := !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < p.config.SuspectAfter
+	if isRecent && n.State == api.NoticeDead {
 		p.announce(now, m, api.NoticeLive)
 		return nil
 	}
 	if n.State == api.NoticeDead {
 		m.Ready = false
-		return p.move(m, Dead, "notice")
+		return p.setState(m, Dead, "notice")
 	}
 	if m.State == Live {
 		m.Ready = m.Ready || n.Ready // a run that is ready stays so until it stops
 		return nil
 	}
 	m.Ready = n.Ready
-	return p.move(m, Listed, "notice")
+	return p.setState(m, Listed, "notice")
 }
 
-// overtaken reports whether newer word about the member was heard. Of two
+// isOutdated reports whether newer word about the member was heard. Of two
 // notices with one sequence death goes first: a neighbour that still hears
 // the member answers it with the next sequence. A run that stops is not live again.
-func (p *Prober) overtaken(m *Member, n api.Notice) bool {
+func (p *Prober) isOutdated(m *Member, n api.Notice) bool {
 	if n.State == api.NoticeLeaving || m.State == Stopping && n.State == api.NoticeLive {
 		return m.State == Stopping
 	}
-	if n.Sequence == m.sequence {
+	if n.Sequence == m.noticeSequence {
 		return n.State != api.NoticeDead
 	}
-	return n.Sequence < m.sequence
+	return n.Sequence < m.noticeSequence
 }
 
 // announce makes a notice about a member and spreads it.
 func (p *Prober) announce(now time.Time, m *Member, state string) {
-	m.sequence++
-	p.spread(now, api.Notice{Kind: api.KindEntry, Name: m.Name, Incarnation: m.Incarnation, State: state, Sequence: m.sequence, Ready: m.Ready})
+	m.noticeSequence++
+	p.queueNotice(now, api.Notice{Kind: api.KindEntry, Name: m.Name, Incarnation: m.Incarnation, State: state, Sequence: m.noticeSequence, Ready: m.Ready})
 }
 
-func (p *Prober) spread(now time.Time, n api.Notice) {
-	p.rumours[n] = &rumour{notice: n, left: noticeRounds * p.config.Neighbours, heard: now}
+func (p *Prober) queueNotice(now time.Time, n api.Notice) {
+	p.notices[n] = &knownNotice{notice: n, sendsLeft: noticeRounds * p.config.Neighbours, lastReceived: now}
 }
 
 // HasNotice reports whether a notice was heard or made before.
 func (p *Prober) HasNotice(n api.Notice) bool {
-	_, ok := p.rumours[n]
+	_, ok := p.notices[n]
 	return ok
 }
 
 // NextNotices returns the notices to send with the next heartbeat.
 func (p *Prober) NextNotices() []api.Notice {
 	var out []api.Notice
-	for _, r := range p.rumours {
-		if r.left <= 0 || len(out) == maxNotices {
+	for _, k := range p.notices {
+		if k.sendsLeft <= 0 || len(out) == maxNotices {
 			continue
 		}
-		r.left--
-		out = append(out, r.notice)
+		k.sendsLeft--
+		out = append(out, k.notice)
 	}
 	return out
 }
@@ -316,19 +316,19 @@
 // ones are among them, so that a healed partition is noticed.
 func (p *Prober) BeginRound(now time.Time) []Member {
 	p.round++
-	watched := (p.config.Neighbours + 1) / 2
-	within := p.stayWithin()
-	chosen := p.take(0, watched, nil, within)
+	successors := (p.config.Neighbours + 1) / 2
+	isLocal := p.localFilter()
+	chosen := p.choose(0, successors, nil, isLocal)
 	if rest := len(p.ring) - len(chosen); rest > 0 {
 		start := len(chosen) + int(assigner.Weight(p.config.Name, strconv.FormatUint(p.round, 10))%uint64(rest))
 		// One at least may be anywhere, so that news goes between data centres.
-		chosen = p.take(start, max(watched, p.config.Neighbours-1), chosen, within)
-		chosen = p.take(start, p.config.Neighbours, chosen, func(*Member) bool { return true })
+		chosen = p.choose(start, max(successors, p.config.Neighbours-1), chosen, isLocal)
+		chosen = p.choose(start, p.config.Neighbours, chosen, func(*Member) bool { return true })
 	}
 	out := make([]Member, len(chosen))
 	for i, m := range chosen {
 		if m.unanswered == 0 {
-			m.unansweredSince = now
+			m.firstUnanswered = now
 		}
 		m.unanswered++
 		out[i] = *m
@@ -336,15 +336,15 @@
 	return out
 }
 
-// leastWithin is how many live members each data centre must have for most heartbeats to
+// minMembersPerCentre is how many live members each data centre must have for most heartbeats to
 // stay within: as many as are exchanged with in a round, and one more. Where one has
 // fewer, its members would be watched by too few others.
-const leastWithin = 5
+const minMembersPerCentre = 5
 
-// stayWithin says which members most heartbeats go to: those of the own data centre, where
+// localFilter says which members most heartbeats go to: those of the own data centre, where
 // all have enough. Of the bytes between data centres on a fleet of 95 entries in five half
 // were heartbeats, of which four in five crossed; now a quarter does.
-func (p *Prober) stayWithin() func(*Member) bool {
+func (p *Prober) localFilter() func(*Member) bool {
 	live := map[string]int{}
 	for _, m := range p.ring {
 		if m.State != Dead {
@@ -353,16 +353,16 @@
 	}
 	live[p.config.DataCentre]++
 	for _, n := range live {
-		if n < leastWithin {
+		if n < minMembersPerCentre {
 			return func(*Member) bool { return true }
 		}
 	}
 	return func(m *Member) bool { return m.DataCentre == p.config.DataCentre }
 }
 
-// take adds members that fit to those chosen, from a place on the ring on, until
+// choose adds members that fit to those chosen, from a place on the ring on, until
 // enough of them are not dead, or twice as many were looked at.
-func (p *Prober) take(from, enough int, chosen []*Member, fits func(*Member) bool) []*Member {
+func (p *Prober) choose(from, enough int, chosen []*Member, accepts func(*Member) bool) []*Member {
 	live := 0
 	for _, m := range chosen {
 		if m.State != Dead {
@@ -374,7 +374,7 @@
 		if live >= enough || len(chosen) >= 2*enough {
 			break
 		}
-		if !m.PeerAddress.IsValid() || !fits(m) || slices.Contains(chosen, m) {
+		if !m.PeerAddress.IsValid() || !accepts(m) || slices.Contains(chosen, m) {
 			continue
 		}
 		if m.State != Dead {
@@ -390,16 +390,16 @@
 func (p *Prober) Tick(now time.Time) []Change {
 	var changes []Change
 	for _, m := range p.ring {
-		if m.State == Dead || m.unanswered < leastUnanswered || now.Sub(m.unansweredSince) <= p.config.SuspectAfter {
+		if m.State == Dead || m.unanswered < minUnanswered || now.Sub(m.firstUnanswered) <= p.config.SuspectAfter {
 			continue
 		}
 		m.Ready = false
-		changes = append(changes, p.move(m, Dead, "silence")...)
+		changes = append(changes, p.setState(m, Dead, "silence")...)
 		p.announce(now, m, api.NoticeDead)
 	}
-	for n, r := range p.rumours {
-		if now.Sub(r.heard) > noticeLife {
-			delete(p.rumours, n)
+	for n, k := range p.notices {
+		if now.Sub(k.lastReceived) > noticeTTL {
+			delete(p.notices, n)
 		}
 	}
 	return changes
