--- a/prober/example_test.go
+++ b/prober/example_test.go
@@ -26,39 +26,42 @@
 	// [{b live dead silence}]
 }
 
-// testFleet is many probers that exchange heartbeats.
+// testFleet is a set of probers that exchange heartbeats on a simulated clock.
 type testFleet struct {
 	now     time.Time
 	probers []*prober.Prober
-	silent  map[int]bool
-	// restarts is the incarnation of each less one, stopping are those that stop.
+	// silent holds the entries that neither send nor answer heartbeats.
+	silent map[int]bool
+	// restarts is the number of restarts of each entry, and stopping holds the entries that are
+	// shutting down.
 	restarts map[int]uint64
 	stopping map[int]bool
-	// informed is who has heard of a new document.
+	// informed holds the entries that have received the revision of a new document.
 	informed map[int]bool
-	// dataCentre is the data centre of each; all the same where it is nil.
+	// dataCentre returns the data centre of an entry.
 	dataCentre func(int) string
-	// across and within count heartbeats between data centres and inside one.
+	// across and within count the heartbeats between data centres and inside one.
 	across, within int
 }
 
+// newTestFleet returns a fleet in a single data centre.
 func newTestFleet(size, neighbours int) *testFleet {
 	return newPlacedFleet(size, neighbours, func(int) string { return "" })
 }
 
-// newPlacedFleet is a ring in several data centres.
-func newPlacedFleet(size, neighbours int, place func(int) string) *testFleet {
-	r := &testFleet{now: time.Now(), silent: map[int]bool{}, restarts: map[int]uint64{}, stopping: map[int]bool{}, informed: map[int]bool{}, dataCentre: place}
+// newPlacedFleet returns a fleet whose entries are in the data centres that the function names.
+func newPlacedFleet(size, neighbours int, dataCentre func(int) string) *testFleet {
+	f := &testFleet{now: time.Now(), silent: map[int]bool{}, restarts: map[int]uint64{}, stopping: map[int]bool{}, informed: map[int]bool{}, dataCentre: dataCentre}
 	var list []api.Instance
 	for i := range size {
-		list = append(list, api.Instance{Name: name(i), Kind: api.KindEntry, Address: address(i).String(), PeerAddress: address(i).String(), DataCentre: place(i), State: api.InstanceLive})
+		list = append(list, api.Instance{Name: name(i), Kind: api.KindEntry, Address: address(i).String(), PeerAddress: address(i).String(), DataCentre: dataCentre(i), State: api.InstanceLive})
 	}
 	for i := range size {
-		p := prober.New(prober.Config{Name: name(i), Incarnation: 1, DataCentre: place(i), Neighbours: neighbours, SuspectAfter: 3 * time.Second})
-		p.ApplyInstanceList(r.now, list)
-		r.probers = append(r.probers, p)
+		p := prober.New(prober.Config{Name: name(i), Incarnation: 1, DataCentre: dataCentre(i), Neighbours: neighbours, SuspectAfter: 3 * time.Second})
+		p.ApplyInstanceList(f.now, list)
+		f.probers = append(f.probers, p)
 	}
-	return r
+	return f
 }
 
 func name(i int) string { return fmt.Sprintf("entry-%d", i) }
@@ -67,135 +70,138 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 81)
 }
 
-func (r *testFleet) heartbeat(i int) api.Heartbeat {
-	return api.Heartbeat{From: name(i), Incarnation: 1 + r.restarts[i], Ready: !r.stopping[i], Stopping: r.stopping[i], PeerAddress: address(i), DataCentre: r.dataCentre(i), Notices: r.probers[i].NextNotices()}
+// heartbeat returns the next heartbeat of entry i.
+func (f *testFleet) heartbeat(i int) api.Heartbeat {
+	return api.Heartbeat{From: name(i), Incarnation: 1 + f.restarts[i], Ready: !f.stopping[i], Stopping: f.stopping[i], PeerAddress: address(i), DataCentre: f.dataCentre(i), Notices: f.probers[i].NextNotices()}
 }
 
-// round lets a second pass in which everyone who is not silent sends its
-// heartbeats.
-func (r *testFleet) round() {
-	r.now = r.now.Add(time.Second)
-	wasInformed := maps.Clone(r.informed) // word goes one step a round
-	for i, p := range r.probers {
-		if r.silent[i] {
+// round simulates a second in which every entry that is not silent sends its heartbeats.
+func (f *testFleet) round() {
+	f.now = f.now.Add(time.Second)
+	wasInformed := maps.Clone(f.informed) // information advances one hop per round
+	for i, p := range f.probers {
+		if f.silent[i] {
 			continue
 		}
-		p.Tick(r.now)
-		for _, t := range p.BeginRound(r.now) {
+		p.Tick(f.now)
+		for _, t := range p.BeginRound(f.now) {
 			var to int
 			_, _ = fmt.Sscanf(t.Name, "entry-%d", &to)
-			if r.dataCentre(i) == r.dataCentre(to) {
-				r.within++
+			if f.dataCentre(i) == f.dataCentre(to) {
+				f.within++
 			} else {
-				r.across++
+				f.across++
 			}
-			if r.silent[to] {
+			if f.silent[to] {
 				continue
 			}
 			if wasInformed[i] || wasInformed[to] {
-				r.informed[i], r.informed[to] = true, true
+				f.informed[i], f.informed[to] = true, true
 			}
-			r.probers[to].ReceiveHeartbeat(r.now, r.heartbeat(i))
-			p.ReceiveHeartbeat(r.now, r.heartbeat(to))
+			f.probers[to].ReceiveHeartbeat(f.now, f.heartbeat(i))
+			p.ReceiveHeartbeat(f.now, f.heartbeat(to))
 		}
 	}
 }
 
-func (r *testFleet) countState(member int, state prober.State) int {
+// countState returns the number of other entries that are not silent and see a member in the given
+// state.
+func (f *testFleet) countState(member int, state prober.State) int {
 	n := 0
-	for i, p := range r.probers {
-		if m, ok := p.Find(name(member)); i != member && !r.silent[i] && ok && m.State == state {
+	for i, p := range f.probers {
+		if m, ok := p.Find(name(member)); i != member && !f.silent[i] && ok && m.State == state {
 			n++
 		}
 	}
 	return n
 }
 
-// At the target's size and with three neighbours each, news of a death
-// reaches everyone in a few rounds, and so does news of a return.
+// In a fleet of the target size, with three neighbours each, a death and a return must reach all
+// entries within 60 rounds.
 func TestDeathSpreads(t *testing.T) {
 	is := is.New(t)
 	const size = 380
-	r := newTestFleet(size, 3)
+	f := newTestFleet(size, 3)
 	for range 3 {
-		r.round()
+		f.round()
 	}
-	r.silent[7] = true
+	f.silent[7] = true
 	rounds := 0
-	for r.countState(7, prober.Dead) < size-1 {
-		r.round()
+	for f.countState(7, prober.Dead) < size-1 {
+		f.round()
 		rounds++
 		if rounds > 60 {
-			t.Fatalf("%d of %d believe it after %d rounds", r.countState(7, prober.Dead), size-1, rounds)
+			t.Fatalf("%d of %d entries declared it dead after %d rounds", f.countState(7, prober.Dead), size-1, rounds)
 		}
 	}
-	t.Logf("death known to all after %d rounds", rounds)
-	r.silent[7] = false
+	t.Logf("death reached all entries after %d rounds", rounds)
+	f.silent[7] = false
 	rounds = 0
-	for r.countState(7, prober.Dead) > 0 {
-		r.round()
+	for f.countState(7, prober.Dead) > 0 {
+		f.round()
 		rounds++
 		if rounds > 60 {
-			t.Fatalf("%d still believe it dead after %d rounds", r.countState(7, prober.Dead), rounds)
+			t.Fatalf("%d entries still see it as dead after %d rounds", f.countState(7, prober.Dead), rounds)
 		}
 	}
-	t.Logf("return known to all after %d rounds", rounds)
-	is.Equal(r.countState(7, prober.Dead), 0)
+	t.Logf("return reached all entries after %d rounds", rounds)
+	is.Equal(f.countState(7, prober.Dead), 0)
 }
 
-// An entry of 380 stops and starts again. Only those that exchanged a heartbeat with it knew: the others
-// named its address to callers while it stopped and while it was gone, and sent it messages to pass on.
+// An entry of 380 shuts down and starts again, and all entries must be notified. If only its
+// neighbours are, the others give its address to callers and send it messages to pass on while it
+// shuts down and while it is gone.
 func TestShutdownAndReturnSpread(t *testing.T) {
 	is := is.New(t)
 	const size, maxRounds = 380, 10
-	r := newTestFleet(size, 4)
+	f := newTestFleet(size, 4)
 	for range 5 {
-		r.round()
+		f.round()
 	}
-	ready := func() int {
+	countReady := func() int {
 		n := 0
-		for i, p := range r.probers {
+		for i, p := range f.probers {
 			if m, ok := p.Find(name(7)); i != 7 && ok && m.Ready {
 				n++
 			}
 		}
 		return n
 	}
-	r.stopping[7] = true
+	f.stopping[7] = true
 	rounds := 0
-	for r.countState(7, prober.Stopping) < size-1 {
-		r.round()
+	for f.countState(7, prober.Stopping) < size-1 {
+		f.round()
 		rounds++
 		is.True(rounds <= maxRounds)
 	}
-	t.Logf("stop known to all after %d rounds", rounds)
-	is.Equal(ready(), 0)
+	t.Logf("shutdown reached all entries after %d rounds", rounds)
+	is.Equal(countReady(), 0)
 	for range maxRounds {
-		r.round()
+		f.round()
 	}
-	is.Equal(r.countState(7, prober.Stopping), size-1) // nothing late takes it back
-	r.stopping[7], r.restarts[7] = false, 1
+	is.Equal(f.countState(7, prober.Stopping), size-1) // late heartbeats and notices do not revert it
+	f.stopping[7], f.restarts[7] = false, 1
 	rounds = 0
-	for ready() < size-1 {
-		r.round()
+	for countReady() < size-1 {
+		f.round()
 		rounds++
 		is.True(rounds <= maxRounds)
 	}
-	t.Logf("return known to all after %d rounds", rounds)
-	is.Equal(r.countState(7, prober.Stopping), 0)
+	t.Logf("return reached all entries after %d rounds", rounds)
+	is.Equal(f.countState(7, prober.Stopping), 0)
 }
 
-// A quiet fleet of 120 in three data centres: some pairs hear each other for the first time only after 50 rounds. Each
-// entry that did so spread a notice of its own of the other, also where it had been told before: a day without
-// a fault had two fifths more bytes between data centres.
+// In a fault-free fleet of 120 entries in three data centres, some pairs exchange their first
+// heartbeat only after warmUpRounds. If each such entry announces the other, even one it knows from
+// a notice, the bytes between data centres grow by two fifths.
 func TestMemberIsAnnouncedOnce(t *testing.T) {
 	is := is.New(t)
 	const size, rounds = 120, 200
-	r := newPlacedFleet(size, 4, func(i int) string { return fmt.Sprint("dc-", i%3) })
+	f := newPlacedFleet(size, 4, func(i int) string { return fmt.Sprint("dc-", i%3) })
 	notices := map[api.Notice]bool{}
 	for range rounds {
-		r.round()
-		for _, p := range r.probers {
+		f.round()
+		for _, p := range f.probers {
 			for _, n := range p.NextNotices() {
 				notices[n] = true
 			}
@@ -205,90 +211,91 @@
 	is.True(len(notices) <= size)
 }
 
-// A heartbeat that was sent before a member began to stop, and comes after it was heard to stop, says nothing.
+// A heartbeat sent before a member began to shut down may arrive after the heartbeat that reports
+// the shutdown. It must be ignored.
 func TestLateHeartbeatOfStoppingMemberIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := prober.New(prober.Config{Name: "a", Incarnation: 1, Neighbours: 2, SuspectAfter: time.Second})
-	beat := api.Heartbeat{From: "b", Incarnation: 1, Ready: true, PeerAddress: address(1)}
-	p.ReceiveHeartbeat(now, beat)
-	stops := beat
-	stops.Stopping = true
-	p.ReceiveHeartbeat(now, stops)
-	p.ReceiveHeartbeat(now, beat)
+	heartbeat := api.Heartbeat{From: "b", Incarnation: 1, Ready: true, PeerAddress: address(1)}
+	p.ReceiveHeartbeat(now, heartbeat)
+	stopping := heartbeat
+	stopping.Stopping = true
+	p.ReceiveHeartbeat(now, stopping)
+	p.ReceiveHeartbeat(now, heartbeat)
 	m, _ := p.Find("b")
 	is.Equal(m.State, prober.Stopping)
 	is.True(!m.Ready)
 }
 
-// Nobody is taken for dead while all speak.
+// No member is declared dead while all entries send heartbeats.
 func TestNoFalseDeath(t *testing.T) {
-	r := newTestFleet(60, 3)
+	f := newTestFleet(60, 3)
 	for range 40 {
-		r.round()
+		f.round()
 	}
-	for i := range r.probers {
-		if n := r.countState(i, prober.Dead); n > 0 {
-			t.Errorf("%d believe %s dead", n, name(i))
+	for i := range f.probers {
+		if n := f.countState(i, prober.Dead); n > 0 {
+			t.Errorf("%d entries declared %s dead", n, name(i))
 		}
 	}
 }
 
-// What rides on heartbeats, such as the revision of a new document, reaches
-// everyone in few rounds.
+// Information carried by heartbeats, such as the revision of a new document, reaches all entries in
+// fewer than 20 rounds.
 func TestHeartbeatPayloadSpreads(t *testing.T) {
 	is := is.New(t)
 	const size = 380
-	r := newTestFleet(size, 3)
-	r.round()
-	clear(r.informed)
-	r.informed[0] = true
+	f := newTestFleet(size, 3)
+	f.round()
+	clear(f.informed)
+	f.informed[0] = true
 	rounds := 0
-	know := func() int {
+	countInformed := func() int {
 		n := 0
-		for _, k := range r.informed {
+		for _, k := range f.informed {
 			if k {
 				n++
 			}
 		}
 		return n
 	}
-	for know() < size {
-		r.round()
+	for countInformed() < size {
+		f.round()
 		rounds++
 		is.True(rounds < 20)
 	}
-	t.Logf("known to all after %d rounds", rounds)
+	t.Logf("reached all entries after %d rounds", rounds)
 }
 
-// Of the heartbeats of a fleet in several data centres a quarter cross between them, unless
-// one of them has few entries, and word of a death in any of them reaches all in ten rounds.
+// In a fleet in several data centres, about a quarter of the heartbeats cross between them, unless
+// one data centre has few entries. A death in any of them reaches all entries within ten rounds.
 func TestHeartbeatsStayWithinDataCentres(t *testing.T) {
 	for _, c := range []struct {
 		size, dataCentres, few int
 	}{{95, 5, 0}, {380, 8, 0}, {60, 3, 2}, {7, 3, 0}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			is := is.New(t)
-			r := newPlacedFleet(c.size, 4, func(i int) string {
+			f := newPlacedFleet(c.size, 4, func(i int) string {
 				if i < c.few {
 					return "few"
 				}
 				return fmt.Sprint("dc-", i%c.dataCentres)
 			})
 			for range 5 {
-				r.round()
+				f.round()
 			}
-			crossing := float64(r.across) / float64(r.across+r.within)
-			t.Logf("%.2f cross", crossing)
+			crossing := float64(f.across) / float64(f.across+f.within)
+			t.Logf("%.2f of the heartbeats cross between data centres", crossing)
 			is.Equal(crossing < 0.3, c.size > 20 && c.few == 0)
-			r.silent[1] = true
+			f.silent[1] = true
 			rounds := 0
-			for r.countState(1, prober.Dead) < c.size-1 {
-				r.round()
+			for f.countState(1, prober.Dead) < c.size-1 {
+				f.round()
 				rounds++
 				is.True(rounds <= 10)
 			}
-			t.Logf("death known to all after %d rounds", rounds)
+			t.Logf("death reached all entries after %d rounds", rounds)
 		})
 	}
 }
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -1,14 +1,12 @@
-// Package prober keeps one entry's belief about which other entries are
-// alive. Each entry sends heartbeats to a few others, so its traffic does not
-// grow with the fleet: half go to its successors on a ring of hashed names, so
-// that everyone is watched by somebody, and half to members drawn anew for
-// every round, so that news of a death or a leaving, which rides on the
-// heartbeats, reaches all in a number of rounds that grows with the logarithm
-// of the fleet.
+// Package prober maintains one entry's view of which other entries are alive. Each entry sends
+// heartbeats to a few others, so its traffic does not grow with the fleet. Half of the heartbeats
+// go to its successors on a ring of hashed names, so that every entry is monitored by some other;
+// the rest go to members sampled at random in each round. Notices of deaths and shutdowns are
+// piggybacked on the heartbeats and reach the whole fleet in a number of rounds that grows with the
+// logarithm of its size.
 //
-// A belief may be wrong during a partition: nothing that must always hold
-// depends on it. It decides who keeps which engine and which addresses
-// callers are given.
+// The view may be wrong during a network partition, so no invariant may depend on it. It is used to
+// select the keeper of each engine and the addresses that callers are given.
 package prober
 
 import (
@@ -22,106 +20,125 @@
 	"github.com/sapphireramp/sapphireramp/assigner"
 )
 
-// State of a member.
+// State is the state of a member.
 type State string
 
-// The states.
+// States of a member.
 const (
-	// Listed: in the instance list, never heard from.
+	// Listed members are in the instance list, or were announced by a notice, but have sent no
+	// heartbeat yet.
 	Listed State = "listed"
-	Live   State = "live"
-	// Stopping: alive, but takes no new callers.
+	// Live members respond to heartbeats.
+	Live State = "live"
+	// Stopping members are alive but shutting down, and accept no new callers.
 	Stopping State = "stopping"
-	Dead     State = "dead"
+	// Dead members have stopped responding to heartbeats, as observed by this entry or reported in
+	// a notice.
+	Dead State = "dead"
 )
 
 const (
-	// maxNotices bounds the notices on one heartbeat.
+	// maxNotices limits the notices in one heartbeat.
 	maxNotices = 16
-	// noticeRounds is how many heartbeats to each neighbour carry a notice.
+	// noticeRounds is the number of heartbeats per neighbour that carry a notice.
 	noticeRounds = 4
-	// minUnanswered is how many heartbeats go unanswered before silence
-	// counts: one may be lost.
+	// minUnanswered is the minimum number of consecutive unanswered heartbeats before a member can
+	// be declared dead: a single one may have been lost.
 	minUnanswered = 2
-	// warmUpRounds is after how many rounds most of the others were heard. A member that is heard for the
-	// first time then is news; before, notices of all would hold up those of deaths.
+	// warmUpRounds is the number of rounds after which most other members have sent a heartbeat.
+	// Only then is the first heartbeat of a member announced; earlier, the notices of all members
+	// would delay those of deaths.
 	warmUpRounds = 50
-	// noticeTTL is how long a repeated notice is recognised as old.
+	// noticeTTL is how long after it was last received a notice is remembered, so that repetitions
+	// are ignored.
 	noticeTTL = 5 * time.Minute
 )
 
-// Member is another entry.
+// Member is the view of another entry.
 type Member struct {
-	Name        string
+	Name string
+	// Incarnation is the newest known incarnation; 0 if none is known.
 	Incarnation uint64
+	// Address is where the member accepts callers, PeerAddress where it accepts heartbeats.
 	Address     netip.AddrPort
 	PeerAddress netip.AddrPort
-	DataCentre  string
-	State       State
-	// Ready says that the member takes callers.
+	// DataCentre is the data centre of the member, from its heartbeat or the instance list.
+	DataCentre string
+	State      State
+	// Ready reports whether the member accepts callers.
 	Ready bool
-	// LastHeartbeat is when the member last spoke; zero when it never did.
+	// LastHeartbeat is when the last heartbeat of this incarnation was received; zero if none was.
+	// ResetSilence sets it to the current time.
 	LastHeartbeat time.Time
 
+	// ringPosition is the distance on the ring of hashed names from the prober's own entry.
 	ringPosition uint64
-	isListed     bool
-	// unanswered is how many heartbeats were sent since the member was last
-	// heard, and unansweredSince when the first of them was.
+	// isListed is true if the last instance list contained the member.
+	isListed bool
+	// unanswered is the number of heartbeats sent to the member since its last one was received,
+	// and firstUnanswered the time of the first of them.
 	unanswered      int
 	firstUnanswered time.Time
-	// noticeSequence is that of the newest notice about this incarnation.
+	// noticeSequence is the sequence number of the newest notice about this incarnation.
 	noticeSequence uint64
-	// announceWhenReady is true of one that is live again, or new, until it takes callers: only
-	// then others are told.
+	// announceWhenReady is true for a member that is new or live again, until it accepts callers;
+	// the others are notified only then.
 	announceWhenReady bool
 }
 
-// Config of a prober.
+// Config is the configuration of a Prober.
 type Config struct {
+	// Name and Incarnation identify the entry that runs the prober.
 	Name        string
 	Incarnation uint64
-	// DataCentre is the entry's own. Where enough others are in it, most heartbeats stay
-	// within; empty where that does not matter.
+	// DataCentre is the data centre of the entry. If all data centres have enough members, most
+	// heartbeats stay within it. Empty if the data centres don't matter.
 	DataCentre string
-	// Neighbours is how many live members are sent heartbeats in a round.
+	// Neighbours is the number of live members that are sent heartbeats in a round.
 	Neighbours int
-	// SuspectAfter is how long after an unanswered heartbeat a silent member
-	// counts as dead.
+	// SuspectAfter is the time after the first unanswered heartbeat at which a silent member is
+	// declared dead.
 	SuspectAfter time.Duration
 }
 
-// Change is a member's change of state, for the log.
+// Change is a change of the state of a member, for the log.
 type Change struct {
-	Name   string
-	From   State
-	To     State
+	Name string
+	From State
+	To   State
+	// Reason is what caused the change: "heartbeat", "notice" or "silence".
 	Reason string
 }
 
+// knownNotice is a notice that was received or created.
 type knownNotice struct {
-	notice       api.Notice
-	sendsLeft    int
+	notice api.Notice
+	// sendsLeft is the number of heartbeats that are still to carry the notice.
+	sendsLeft int
+	// lastReceived is when the notice was last received, or was created.
 	lastReceived time.Time
 }
 
-// Prober holds the beliefs. It is not safe for concurrent use.
+// Prober maintains the view of the other entries. It is not safe for concurrent use.
 type Prober struct {
 	config  Config
 	members map[string]*Member
-	// ring is all members by position after this entry's own.
-	ring    []*Member
+	// ring holds all members, sorted by their distance from this entry.
+	ring []*Member
+	// notices holds the notices received or created within noticeTTL.
 	notices map[api.Notice]*knownNotice
-	// round counts the calls of Targets.
+	// round counts the calls of BeginRound.
 	round uint64
 }
 
-// New returns a prober that knows no other entry.
+// New returns a prober without members.
 func New(config Config) *Prober {
 	return &Prober{config: config, members: map[string]*Member{}, notices: map[api.Notice]*knownNotice{}}
 }
 
-// ApplyInstanceList takes over the entries of an instance list. Members no longer listed
-// and not live are forgotten; live ones stay, as the list lags.
+// ApplyInstanceList adds the entries of an instance list as members. Members that are not in the
+// list are removed if they are dead or were never live; live ones stay, because the list lags
+// behind.
 func (p *Prober) ApplyInstanceList(now time.Time, instances []api.Instance) {
 	for _, m := range p.members {
 		m.isListed = false
@@ -145,6 +162,7 @@
 	}
 }
 
+// ensureMember returns the member with the given name, and adds it if needed.
 func (p *Prober) ensureMember(name string) *Member {
 	if m, ok := p.members[name]; ok {
 		return m
@@ -157,6 +175,7 @@
 	return m
 }
 
+// comparePosition orders members by their position on the ring, then by name.
 func comparePosition(a, b *Member) int {
 	switch {
 	case a.ringPosition < b.ringPosition:
@@ -167,15 +186,17 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
+// removeMember removes the member with the given name.
 func (p *Prober) removeMember(name string) {
 	m := p.members[name]
 	delete(p.members, name)
 	p.ring = slices.DeleteFunc(p.ring, func(o *Member) bool { return o == m })
 }
 
-// ReceiveHeartbeat takes in a heartbeat, sent or answered by another entry. A heartbeat
-// of an earlier incarnation is late and is dropped. That a member stops, or begins
-// to take callers, is spread to all: in a large fleet most are seldom heard.
+// ReceiveHeartbeat processes a heartbeat from another entry, or the response to one, and returns
+// the resulting changes. A heartbeat of an earlier incarnation arrived late and is ignored. If a
+// member begins to shut down or to accept callers, a notice is sent to all entries: in a large
+// fleet, most of them rarely exchange heartbeats with the member.
 func (p *Prober) ReceiveHeartbeat(now time.Time, heartbeat api.Heartbeat) []Change {
 	if heartbeat.From == p.config.Name {
 		return nil
@@ -185,7 +206,7 @@
 		return nil
 	}
 	if heartbeat.Incarnation == m.Incarnation && m.State == Stopping && !heartbeat.Stopping {
-		return nil // sent before the member began to stop, which it never takes back
+		return nil // sent before the member began to shut down, which is final
 	}
 	if heartbeat.Incarnation > m.Incarnation {
 		m.Incarnation, m.noticeSequence = heartbeat.Incarnation, 0
@@ -214,6 +235,7 @@
 	return changes
 }
 
+// setState sets the state of a member, and returns the change if there is one.
 func (p *Prober) setState(m *Member, to State, reason string) []Change {
 	if m.State == to {
 		return nil
@@ -223,7 +245,10 @@
 	return []Change{c}
 }
 
-// ReceiveNotice takes in news of an instance. News is passed on.
+// ReceiveNotice processes a notice about an instance, and returns the resulting changes. A notice
+// that was not known is passed on with the next heartbeats; if it is about another kind of instance
+// or about this entry, nothing else is done. A notice about an entry that is not a member is
+// ignored.
 func (p *Prober) ReceiveNotice(now time.Time, n api.Notice) []Change {
 	if k, known := p.notices[n]; known {
 		k.lastReceived = now
@@ -235,14 +260,14 @@
 	}
 	m, ok := p.members[n.Name]
 	if !ok {
-		return nil // it can be used once the member is known
+		return nil // a repetition is processed once the entry is a member
 	}
 	p.queueNotice(now, n)
 	if n.Incarnation < m.Incarnation {
 		return nil
 	}
 	if n.Incarnation > m.Incarnation {
-		// Another run, of which this entry has heard nothing itself.
+		// A new incarnation, from which this entry has received no heartbeat.
 		m.Incarnation, m.noticeSequence, m.LastHeartbeat = n.Incarnation, 0, time.Time{}
 	} else if p.isOutdated(m, n) {
 		return nil
@@ -252,7 +277,7 @@
 		m.Ready = false
 		return p.setState(m, Stopping, "notice")
 	}
-	// What this entry hears itself is better than what others say.
+	// A recent heartbeat counts for more than the notices of others.
 	isRecent := !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < p.config.SuspectAfter
 	if isRecent && n.State == api.NoticeDead {
 		p.announce(now, m, api.NoticeLive)
@@ -263,16 +288,17 @@
 		return p.setState(m, Dead, "notice")
 	}
 	if m.State == Live {
-		m.Ready = m.Ready || n.Ready // a run that is ready stays so until it stops
+		m.Ready = m.Ready || n.Ready // an incarnation stays ready until it shuts down
 		return nil
 	}
 	m.Ready = n.Ready
 	return p.setState(m, Listed, "notice")
 }
 
-// isOutdated reports whether newer word about the member was heard. Of two
-// notices with one sequence death goes first: a neighbour that still hears
-// the member answers it with the next sequence. A run that stops is not live again.
+// isOutdated reports whether a newer notice about the member's incarnation was processed. Of two
+// notices with the same sequence number, one of a death takes precedence: a neighbour that still
+// receives heartbeats refutes it with the next sequence number. An incarnation that shuts down is
+// never live again.
 func (p *Prober) isOutdated(m *Member, n api.Notice) bool {
 	if n.State == api.NoticeLeaving || m.State == Stopping && n.State == api.NoticeLive {
 		return m.State == Stopping
@@ -283,23 +309,25 @@
 	return n.Sequence < m.noticeSequence
 }
 
-// announce makes a notice about a member and spreads it.
+// announce creates a notice about a member and queues it.
 func (p *Prober) announce(now time.Time, m *Member, state string) {
 	m.noticeSequence++
 	p.queueNotice(now, api.Notice{Kind: api.KindEntry, Name: m.Name, Incarnation: m.Incarnation, State: state, Sequence: m.noticeSequence, Ready: m.Ready})
 }
 
+// queueNotice records a notice, to be sent with the next heartbeats.
 func (p *Prober) queueNotice(now time.Time, n api.Notice) {
 	p.notices[n] = &knownNotice{notice: n, sendsLeft: noticeRounds * p.config.Neighbours, lastReceived: now}
 }
 
-// HasNotice reports whether a notice was heard or made before.
+// HasNotice reports whether a notice was received or created within noticeTTL (5 minutes).
 func (p *Prober) HasNotice(n api.Notice) bool {
 	_, ok := p.notices[n]
 	return ok
 }
 
-// NextNotices returns the notices to send with the next heartbeat.
+// NextNotices returns up to maxNotices notices to send with the next heartbeat. Each call counts as
+// one sending of the notices that it returns.
 func (p *Prober) NextNotices() []api.Notice {
 	var out []api.Notice
 	for _, k := range p.notices {
@@ -312,8 +340,8 @@
 	return out
 }
 
-// BeginRound begins a round and returns the members to send a heartbeat. Dead
-// ones are among them, so that a healed partition is noticed.
+// BeginRound begins a round and returns the members to send a heartbeat to. They include dead
+// members, so that the end of a partition is detected.
 func (p *Prober) BeginRound(now time.Time) []Member {
 	p.round++
 	successors := (p.config.Neighbours + 1) / 2
@@ -321,7 +349,7 @@
 	chosen := p.choose(0, successors, nil, isLocal)
 	if rest := len(p.ring) - len(chosen); rest > 0 {
 		start := len(chosen) + int(assigner.Weight(p.config.Name, strconv.FormatUint(p.round, 10))%uint64(rest))
-		// One at least may be anywhere, so that news goes between data centres.
+		// At least one member may be in any data centre, so that notices spread between them.
 		chosen = p.choose(start, max(successors, p.config.Neighbours-1), chosen, isLocal)
 		chosen = p.choose(start, p.config.Neighbours, chosen, func(*Member) bool { return true })
 	}
@@ -336,14 +364,15 @@
 	return out
 }
 
-// minMembersPerCentre is how many live members each data centre must have for most heartbeats to
-// stay within: as many as are exchanged with in a round, and one more. Where one has
-// fewer, its members would be watched by too few others.
+// minMembersPerCentre is the number of live members that every data centre must have before most
+// heartbeats stay within data centres: one more than the members that an entry exchanges heartbeats
+// with in a round. In a smaller data centre, members would be monitored by too few others.
 const minMembersPerCentre = 5
 
-// localFilter says which members most heartbeats go to: those of the own data centre, where
-// all have enough. Of the bytes between data centres on a fleet of 95 entries in five half
-// were heartbeats, of which four in five crossed; now a quarter does.
+// localFilter returns a filter for the recipients of most heartbeats: members of the own data
+// centre, or all members if some data centre has fewer than minMembersPerCentre. In a fleet of 95
+// entries in five data centres, heartbeats made up half of the bytes between data centres, and four
+// in five heartbeats crossed; with this filter, a quarter of the heartbeats cross.
 func (p *Prober) localFilter() func(*Member) bool {
 	live := map[string]int{}
 	for _, m := range p.ring {
@@ -360,8 +389,8 @@
 	return func(m *Member) bool { return m.DataCentre == p.config.DataCentre }
 }
 
-// choose adds members that fit to those chosen, from a place on the ring on, until
-// enough of them are not dead, or twice as many were looked at.
+// choose adds members that the filter accepts to those chosen, starting at an index of the ring. It
+// stops once enough chosen members are not dead, or twice as many are chosen.
 func (p *Prober) choose(from, enough int, chosen []*Member, accepts func(*Member) bool) []*Member {
 	live := 0
 	for _, m := range chosen {
@@ -385,8 +414,9 @@
 	return chosen
 }
 
-// Tick notices silence: of members that were sent heartbeats and did not
-// answer. Of the others this entry relies on notices.
+// Tick declares members dead that have not answered heartbeats for SuspectAfter, and returns the
+// changes. Members to which this entry sends no heartbeats are covered by notices. Tick also drops
+// expired notices.
 func (p *Prober) Tick(now time.Time) []Change {
 	var changes []Change
 	for _, m := range p.ring {
@@ -405,8 +435,8 @@
 	return changes
 }
 
-// ResetSilence tells the prober that this instance did not run for a while: silence
-// during that time is no sign of death.
+// ResetSilence restarts the detection of silent members. It is called after this process was
+// suspended for a while: that members were silent during that time doesn't show that they are dead.
 func (p *Prober) ResetSilence(now time.Time) {
 	for _, m := range p.members {
 		m.unanswered = 0
@@ -416,7 +446,7 @@
 	}
 }
 
-// Members returns all members by name.
+// Members returns a copy of all members, sorted by name.
 func (p *Prober) Members() []Member {
 	out := make([]Member, 0, len(p.members))
 	for _, m := range p.members {
@@ -426,7 +456,7 @@
 	return out
 }
 
-// Find returns the member of that name.
+// Find returns a copy of the member with the given name, and whether there is one.
 func (p *Prober) Find(name string) (Member, bool) {
 	m, ok := p.members[name]
 	if !ok {
