--- a/matcher/config.go
+++ b/matcher/config.go
@@ -70,18 +70,18 @@
 }
 
 // Callers of the platform abandon a stream after the longest of leastAbandon,
-// targetAbandon times the target of its first event and pauseAbandon times the pause
+// firstByteAbandonFactor times the target of its first event and pauseAbandon times the pause
 // that is on time, as the platform's pages say.
 const (
-	leastAbandon  = 2 * time.Second
-	targetAbandon = 4
-	pauseAbandon  = 8
+	minAbandonTime         = 2 * time.Second
+	firstByteAbandonFactor = 4
+	gapAbandonFactor       = 8
 )
 
 // AbandonAfter is the gap after which callers abandon a stream with a target of
 // its first event, 0 once that has come, and a target of its pauses.
-func AbandonAfter(firstByteTarget, pauseTarget time.Duration) time.Duration {
-	return max(leastAbandon, targetAbandon*firstByteTarget, pauseAbandon*pauseTarget)
+func AbandonAfter(firstByteTarget, gapTarget time.Duration) time.Duration {
+	return max(minAbandonTime, firstByteAbandonFactor*firstByteTarget, gapAbandonFactor*gapTarget)
 }
 
 // EngineProfile is how the model engines of a service work. All of its figures come
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -28,16 +28,16 @@
 // Table is a configuration with its indexes. It is never changed.
 type Table struct {
 	Config Config
-	// byHost holds the routes of a host, longest prefix first.
-	byHost   map[string][]*Route
-	byKey    map[string]*Organisation
-	services map[string]*Service
+	// routesByHost holds the routes of a host, longest prefix first.
+	routesByHost       map[string][]*Route
+	organisationsByKey map[string]*Organisation
+	services           map[string]*Service
 }
 
 // New checks a configuration and builds its indexes.
 func New(c Config) (*Table, error) {
 	t := &Table{
-		Config: c, byHost: map[string][]*Route{}, byKey: map[string]*Organisation{},
+		Config: c, routesByHost: map[string][]*Route{}, organisationsByKey: map[string]*Organisation{},
 		services: make(map[string]*Service, len(c.Services)),
 	}
 	for i := range c.Services {
@@ -45,24 +45,24 @@
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if err := t.check(r); err != nil {
+		if err := t.checkRoute(r); err != nil {
 			return nil, err
 		}
-		t.byHost[r.Host] = append(t.byHost[r.Host], r)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], r)
 	}
-	for _, routes := range t.byHost {
+	for _, routes := range t.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for i := range c.Organisations {
 		o := &c.Organisations[i]
 		for _, k := range o.Keys {
-			t.byKey[k] = o
+			t.organisationsByKey[k] = o
 		}
 	}
 	return t, nil
 }
 
-func (t *Table) check(r *Route) error {
+func (t *Table) checkRoute(r *Route) error {
 	field := "route " + r.Name
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return InvalidError{Field: field + " prefix " + r.Prefix, Requirement: "a path that begins and ends with a slash"}
@@ -87,7 +87,7 @@
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, r := range t.byHost[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, nil
 		}
@@ -101,7 +101,7 @@
 	if r.Public || len(t.Config.Organisations) == 0 {
 		return nil, nil
 	}
-	o, ok := t.byKey[key]
+	o, ok := t.organisationsByKey[key]
 	if !ok {
 		return nil, ErrUnknownKey
 	}
@@ -116,15 +116,15 @@
 
 // PickService draws a service of the route by weight; draw is from 0 up to, and
 // without, 1.
-func (r *Route) PickService(draw float64) string {
+func (r *Route) PickService(random float64) string {
 	sum := 0
 	for _, s := range r.Services {
 		sum += s.Weight
 	}
-	left := int(draw * float64(sum))
+	remaining := int(random * float64(sum))
 	for _, s := range r.Services {
-		left -= s.Weight
-		if left < 0 {
+		remaining -= s.Weight
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/matcher/table_test.go
+++ b/matcher/table_test.go
@@ -10,13 +10,13 @@
 )
 
 func config() matcher.Config {
-	shares := []matcher.WeightedService{{Service: "lm", Weight: 9}, {Service: "app", Weight: 1}}
+	services := []matcher.WeightedService{{Service: "lm", Weight: 9}, {Service: "app", Weight: 1}}
 	return matcher.Config{
 		Version: 3,
 		Routes: []matcher.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Services: shares[1:]},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Services: shares, Public: true},
-			{Name: "x", Host: "a.example", Prefix: "/x/", Services: shares[:1]},
+			{Name: "all", Host: "a.example", Prefix: "/", Services: services[1:]},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Services: services, Public: true},
+			{Name: "x", Host: "a.example", Prefix: "/x/", Services: services[:1]},
 		},
 		Services:      []matcher.Service{{Name: "lm"}, {Name: "app"}},
 		Organisations: []matcher.Organisation{{Name: "crew", Keys: []string{"k1", "k2"}}},
@@ -40,12 +40,12 @@
 	is := is.New(t)
 	table, err := matcher.New(config())
 	is.NoErr(err)
-	guarded, _ := table.Route("a.example", "/x/")
+	keyed, _ := table.Route("a.example", "/x/")
 	public, _ := table.Route("a.example", "/x/y/")
-	o, err := table.Organisation(guarded, "k2")
+	o, err := table.Organisation(keyed, "k2")
 	is.NoErr(err)
 	is.Equal(o.Name, "crew")
-	_, err = table.Organisation(guarded, "k3")
+	_, err = table.Organisation(keyed, "k3")
 	is.True(errors.Is(err, matcher.ErrUnknownKey))
 	o, err = table.Organisation(public, "k3")
 	is.NoErr(err)
