--- a/matcher/config.go
+++ b/matcher/config.go
@@ -1,23 +1,24 @@
-// Package matcher holds the configuration of the forwarding path as typed
-// data, and finds the route of a request and the organisation of a key in it.
+// Package matcher holds the configuration of routes, services and organisations as typed data, and
+// finds the route of a request and the organisation of an API key in it.
 package matcher
 
 import "time"
 
-// RouteKind says how often a request of a route may run.
+// RouteKind determines how often a request of a route may be executed.
 type RouteKind int
 
-// The kinds.
+// Kinds of routes.
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed any number of times.
 	Idempotent RouteKind = iota
-	// AtMostOnce requests run once or not at all.
+	// AtMostOnce requests are executed once or not at all.
 	AtMostOnce
-	// Stream requests are answered by a sequence of numbered events. They run
-	// at most once unless their route says that they may be resumed.
+	// Stream requests are answered by a stream of numbered events. They are executed at most once,
+	// unless their route is Resumable.
 	Stream
 )
 
+// String returns the kind as it is logged.
 func (k RouteKind) String() string {
 	switch k {
 	case Idempotent:
@@ -28,115 +29,118 @@
 	return "stream"
 }
 
-// WeightedService is the part of a route's requests that one service takes.
+// WeightedService is a service that receives a fraction of the requests of a route.
 type WeightedService struct {
 	Service string
-	// Weight is greater than 0 and counts against the sum of all weights.
+	// Weight divided by the sum of the weights of the route is that fraction. It is greater than 0.
 	Weight int
 }
 
-// Route says what becomes of the requests below a path of a host.
+// Route determines how the requests of a host below a path prefix are handled.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is a path that begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest that a request may be kept waiting.
+	// Timeout is the maximum time that a caller is kept waiting.
 	Timeout time.Duration
-	// FirstByteTarget is the time in which an answer is on time: whole answers
-	// to their end, streams to their first event.
+	// FirstByteTarget is the latency up to which an answer is on time: the time until the first
+	// event of a stream, or until the end of any other answer.
 	FirstByteTarget time.Duration
-	// GapTarget is the longest pause between events of a stream that is on
-	// time; 0 where the route has none.
+	// GapTarget is the longest gap between two events of a stream that is on time; 0 if the route
+	// has no such target.
 	GapTarget time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Services has at least one element.
+	// Services has at least one element, and its service names are defined in the configuration.
 	Services []WeightedService
-	// MaxAttempts is how many upstreams one request may be sent to, at least 1.
+	// MaxAttempts is the maximum number of upstreams that a request is sent to; at least 1.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is true if requests need no API key.
 	Public bool
-	// CarriesPrompts routes carry prompts for model engines.
+	// CarriesPrompts is true if requests carry prompts for model engines.
 	CarriesPrompts bool
-	// Resumable streams may be continued by another engine.
+	// Resumable is true if another engine may resume a stream that broke off.
 	Resumable bool
 }
 
-// IsRepeatable reports whether a request of the route may run more than once.
+// IsRepeatable reports whether a request of the route may be executed more than once.
 func (r *Route) IsRepeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Callers of the platform abandon a stream after the longest of leastAbandon,
-// firstByteAbandonFactor times the target of its first event and pauseAbandon times the pause
-// that is on time, as the platform's pages say.
+// According to the documentation of the platform, callers abandon a stream after the longest of
+// minAbandonTime, firstByteAbandonFactor times the target of the first event, and gapAbandonFactor
+// times the target of the gaps.
 const (
 	minAbandonTime         = 2 * time.Second
 	firstByteAbandonFactor = 4
 	gapAbandonFactor       = 8
 )
 
-// AbandonAfter is the gap after which callers abandon a stream with a target of
-// its first event, 0 once that has come, and a target of its pauses.
+// AbandonAfter returns how long callers wait for the next event before they abandon a stream with
+// the given targets. A firstByteTarget of 0 stands for a stream whose first event was sent.
 func AbandonAfter(firstByteTarget, gapTarget time.Duration) time.Duration {
 	return max(minAbandonTime, firstByteAbandonFactor*firstByteTarget, gapAbandonFactor*gapTarget)
 }
 
-// EngineProfile is how the model engines of a service work. All of its figures come
-// from the configuration.
+// EngineProfile describes the capacity and the speed of the model engines of a service. All figures
+// come from the configuration.
 type EngineProfile struct {
-	// Slots is how many requests an engine works on at once.
+	// Slots is the number of requests that an engine executes concurrently.
 	Slots int
-	// MemoryTokens is the KV memory of an engine in tokens.
+	// MemoryTokens is the capacity of the KV cache in tokens.
 	MemoryTokens int
-	// StepsPerPass is how many token steps a pass that decodes answers executes, and
-	// thereby how many tokens an event holds.
+	// StepsPerPass is the number of token steps of a forward pass that decodes answers, and so the
+	// number of tokens in an event.
 	StepsPerPass int
-	// StepTime is the time of a token step, TimePerSequence what each request that
-	// decodes adds to it, TimePerThousandTokens what 1,000 tokens of its context add.
+	// StepTime is the fixed time of a token step. TimePerSequence is added for each answer that is
+	// decoded, and TimePerThousandTokens for each 1,000 tokens of their context.
 	StepTime, TimePerSequence, TimePerThousandTokens time.Duration
-	// PrefillTokensPerSecond is prompt tokens prefilled in a second, without pairs.
+	// PrefillTokensPerSecond is the prefill rate in prompt tokens per second, without the time of
+	// pairs of tokens.
 	PrefillTokensPerSecond float64
-	// TimePerMillionPairs is the time that a million pairs of a prompt token and
-	// an earlier one add to the prefill.
+	// TimePerMillionPairs is the prefill time added by a million pairs of a prompt token and an
+	// earlier one.
 	TimePerMillionPairs time.Duration
-	// ChunkTokens is the most prompt tokens prefilled in a token step.
+	// ChunkTokens is the maximum number of prompt tokens that are prefilled in a token step.
 	ChunkTokens int
-	// MeanPromptTokens and MeanAnswerTokens are mean token counts.
+	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of prompts and answers in tokens.
 	MeanPromptTokens, MeanAnswerTokens int
 }
 
-// Service is a set of upstreams that are alike.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string
-	// Engine is nil where the upstreams are not model engines.
+	// Engine is nil if the upstreams are not model engines.
 	Engine *EngineProfile
 }
 
-// Limits bound what a caller may send and how long it may take. A zero means
-// that the configuration sets no limit.
+// Limits are the limits on requests. A zero means that the configuration sets no limit.
 type Limits struct {
+	// HeaderBytes and BodyBytes are the maximum sizes of the header and the body of a request.
 	HeaderBytes int
 	BodyBytes   int64
+	// IdleTimeout is how long an idle connection of a caller is kept open.
 	IdleTimeout time.Duration
 }
 
-// Organisation is a holder of keys.
+// Organisation is a customer, identified by its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority ranks organisations before routes; 0 is the most urgent.
+	// Priority ranks organisations; 0 is the most urgent. It takes precedence over that of routes.
 	Priority int
 }
 
-// Config is one version of the configuration. It is never changed.
+// Config is one version of the configuration. It is immutable.
 type Config struct {
+	// Version is the version number that the configuration carries.
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Organisations is empty where requests need no key.
+	// Organisations is empty if no request needs an API key.
 	Organisations []Organisation
 }
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -9,13 +9,14 @@
 	"strings"
 )
 
-// ErrNoRoute says that no route takes a request.
-var ErrNoRoute = errors.New("no route has this host and path")
+// ErrNoRoute is returned for a request whose host and path match no route.
+var ErrNoRoute = errors.New("no route matches the host and path of the request")
 
-// ErrUnknownKey says that a request's key is no organisation's.
-var ErrUnknownKey = errors.New("the key is no organisation's")
+// ErrUnknownKey is returned for an API key that belongs to no organisation.
+var ErrUnknownKey = errors.New("the API key belongs to no organisation")
 
-// InvalidError names a field of a configuration that can't be used.
+// InvalidError reports an invalid field of the configuration. Field names the field and its value,
+// Requirement says what the value must be.
 type InvalidError struct {
 	Field       string
 	Requirement string
@@ -25,16 +26,17 @@
 	return fmt.Sprintf("configuration: %s: must be %s", e.Field, e.Requirement)
 }
 
-// Table is a configuration with its indexes. It is never changed.
+// Table is a configuration with indexes for lookups. It is immutable.
 type Table struct {
 	Config Config
-	// routesByHost holds the routes of a host, longest prefix first.
+	// routesByHost holds the routes of each host, longest prefix first.
 	routesByHost       map[string][]*Route
 	organisationsByKey map[string]*Organisation
 	services           map[string]*Service
 }
 
-// New checks a configuration and builds its indexes.
+// New validates the routes of a configuration and builds the indexes. It returns an InvalidError if
+// a route is invalid.
 func New(c Config) (*Table, error) {
 	t := &Table{
 		Config: c, routesByHost: map[string][]*Route{}, organisationsByKey: map[string]*Organisation{},
@@ -62,6 +64,7 @@
 	return t, nil
 }
 
+// checkRoute returns an InvalidError if the prefix, a service or a weight of a route is invalid.
 func (t *Table) checkRoute(r *Route) error {
 	field := "route " + r.Name
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
@@ -81,8 +84,8 @@
 	return nil
 }
 
-// Route finds the route of the longest prefix for a request. The host may
-// carry a port.
+// Route returns the route with the longest prefix that matches a request, or ErrNoRoute. The host
+// may include a port, which is ignored.
 func (t *Table) Route(host, path string) (*Route, error) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -95,8 +98,8 @@
 	return nil, ErrNoRoute
 }
 
-// Organisation finds the holder of a key. It is nil, without an error, on a
-// public route and where the configuration has no organisations.
+// Organisation returns the organisation that an API key belongs to, or ErrUnknownKey. It returns
+// nil without an error for a public route, and if the configuration has no organisations.
 func (t *Table) Organisation(r *Route, key string) (*Organisation, error) {
 	if r.Public || len(t.Config.Organisations) == 0 {
 		return nil, nil
@@ -108,14 +111,14 @@
 	return o, nil
 }
 
-// Service finds a service by name.
+// Service returns the service with the given name, and whether there is one.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// PickService draws a service of the route by weight; draw is from 0 up to, and
-// without, 1.
+// PickService selects a service of the route by weight and returns its name. The argument is a
+// random number in the range [0, 1).
 func (r *Route) PickService(random float64) string {
 	sum := 0
 	for _, s := range r.Services {
