--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -4,6 +4,7 @@
 
 // Projection is the predicted course of a job.
 type Projection struct {
+	// Job is the job as it was passed to Queue.Add or Forecast.Simulate.
 	Job *Job
 	// PrefillDone is when this engine completes the prefill of the job; in the past if it is done.
 	// For a job not completed within the simulated passes, it is the end of the last of them.
--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -205,10 +205,10 @@
 	return math.Min(maxProbability, math.Max(minProbability, float64(others)/float64(max(1, q.upstreamCount))))
 }
 
-// hasRival reports whether another fingerprint explains the exit of an incarnation equally well: it
-// has at least as many crashes as one below conclusiveCrashes, or it has several crashes and was
-// sent later. A request that crashes an upstream does so soon after it starts, so the one sent last
-// is the more likely cause.
+// hasRival reports whether another fingerprint that ran on the incarnation explains its exit
+// equally well. It does if it has at least as many crashes, unless this fingerprint has
+// conclusiveCrashes, or if it has minSuspectCrashes and was sent later: a request that crashes an
+// upstream does so soon after it starts, so the one sent last is the more likely cause.
 func (q *Quarantiner) hasRival(fp Fingerprint, p *suspect, e *incarnationEnd) bool {
 	for other, since := range e.running {
 		if other == fp {
--- a/quarantiner/gossip.go
+++ b/quarantiner/gossip.go
@@ -20,8 +20,9 @@
 	maxItemsPerUpdate = 32
 )
 
-// HeartbeatUpdate returns the crashes and successes to broadcast with the next heartbeat. Each call
-// counts as one broadcast of the items that it returns.
+// HeartbeatUpdate returns the update to send with the next heartbeat: recent crashes and successes,
+// and the digest of the quarantines. Each call counts as one broadcast of the items that it
+// returns.
 func (q *Quarantiner) HeartbeatUpdate(now time.Time) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -1,8 +1,8 @@
 // Package quarantiner detects requests that crash the upstreams that run them and quarantines them
 // for a fixed time. Requests are identified by a fingerprint of their content, so a repeat under
 // another request ID or at another entry counts as the same request. Entries gossip which upstreams
-// exited while they ran which fingerprints; each entry decides on the crashes it has received, and
-// a quarantine decided by one entry is adopted by all.
+// exited while they ran which fingerprints; each entry decides on the crashes that it recorded or
+// received, and a quarantine decided by one entry is adopted by all.
 //
 // The package does no I/O. All state is bounded in size and expires.
 package quarantiner
@@ -106,7 +106,9 @@
 
 // Quarantiner keeps the known crashes and the active quarantines. It is safe for concurrent use.
 type Quarantiner struct {
-	lock     sync.Mutex
+	// lock guards all other fields.
+	lock sync.Mutex
+	// suspects holds the fingerprints with recent crashes or with a success that cleared them.
 	suspects map[Fingerprint]*suspect
 	// quarantined holds the time at which each active quarantine began.
 	quarantined map[Fingerprint]time.Time
@@ -248,8 +250,8 @@
 	return until, ok && until.After(now)
 }
 
-// CrashCount returns the number of incarnations that exited while they ran a request with the
-// fingerprint, since its last success and within crashTTL.
+// CrashCount returns the number of known exits of upstreams while they ran a request with the
+// fingerprint, since its last success and within crashTTL; at most maxCrashesPerSuspect.
 func (q *Quarantiner) CrashCount(fp Fingerprint) int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
