--- a/console/console.go
+++ b/console/console.go
@@ -189,7 +189,7 @@
 	d := draft{base: r.PostForm.Get("Base")}
 	var revision uint64
 	if _, err := fmt.Sscan(r.PostForm.Get("Revision"), &revision); err != nil {
-		return draft{}, decoder.FieldError{Field: "Revision", Value: r.PostForm.Get("Revision"), Limit: "a whole number of at least 0"}
+		return draft{}, decoder.FieldError{Field: "Revision", Value: r.PostForm.Get("Revision"), Requirement: "a whole number of at least 0"}
 	}
 	document, err := documentOf(r.PostForm)
 	d.document, d.faults = document, err
--- a/console/form.go
+++ b/console/form.go
@@ -172,16 +172,16 @@
 	switch verb {
 	case "add":
 		if list.Len() >= maxItems {
-			return decoder.FieldError{Field: path, Value: "add", Limit: fmt.Sprintf("a list of at most %d items", maxItems)}
+			return decoder.FieldError{Field: path, Value: "add", Requirement: fmt.Sprintf("a list of at most %d items", maxItems)}
 		}
 		list.Set(reflect.Append(list, reflect.Zero(list.Type().Elem())))
 	case "remove":
 		if index < 0 || index >= list.Len() {
-			return decoder.FieldError{Field: path, Value: "remove", Limit: "an item of the list"}
+			return decoder.FieldError{Field: path, Value: "remove", Requirement: "an item of the list"}
 		}
 		list.Set(reflect.AppendSlice(list.Slice(0, index), list.Slice(index+1, list.Len())))
 	default:
-		return decoder.FieldError{Field: "Action", Value: action, Limit: "add or remove"}
+		return decoder.FieldError{Field: "Action", Value: action, Requirement: "add or remove"}
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 // locate finds the list that a path names, and the index of the item if the
 // path ends in one, else -1.
 func locate(v reflect.Value, path string) (reflect.Value, int, error) {
-	unknown := decoder.FieldError{Field: path, Value: "", Limit: "a list of the document"}
+	unknown := decoder.FieldError{Field: path, Value: "", Requirement: "a list of the document"}
 	index := -1
 	for part := range strings.SplitSeq(path, ".") {
 		n, err := strconv.Atoi(part)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -157,7 +157,7 @@
 		pushes: make(chan struct{}, 1), meetings: make(chan struct{}, 1), metrics: newMetrics(c.Scope),
 	}
 	ctl.news.measure(c.Scope)
-	ctl.current.Store(&view{View: forwarder.View{Entries: 1}})
+	ctl.current.Store(&view{View: forwarder.View{MaxEntries: 1}})
 	return ctl
 }
 
--- a/controller/view.go
+++ b/controller/view.go
@@ -38,8 +38,8 @@
 	_, configRevision := s.follower.Config()
 	v := &view{
 		View: forwarder.View{
-			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), TrustTime: part(c.config.InForce, trustPart),
-			StoreLost: s.storeLost, Entries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.stopBy, KnownUntil: s.knownUntil,
+			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), ConfirmationTTL: part(c.config.InForce, trustPart),
+			StoreUnavailable: s.storeLost, MaxEntries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.stopBy, AddressValidUntil: s.knownUntil,
 		},
 		ready: s.table != nil && !s.stopping,
 	}
@@ -48,9 +48,9 @@
 	}
 	heard := s.addMembers(v)
 	ready := v.takers
-	v.Others = len(ready)
+	v.OtherEntries = len(ready)
 	if v.ready {
-		v.Others--
+		v.OtherEntries--
 	}
 	v.takers = preferred(ready)
 	c.tellers.spare(time.Now(), v.peers, unasked(ready, v.takers))
--- a/decoder/decoder.go
+++ b/decoder/decoder.go
@@ -18,12 +18,12 @@
 	Field string
 	// Value is the value found, as text.
 	Value string
-	// Limit says what would be accepted.
-	Limit string
+	// Requirement says what would be accepted.
+	Requirement string
 }
 
 func (e FieldError) Error() string {
-	return fmt.Sprintf("%s: %q: must be %s", e.Field, e.Value, e.Limit)
+	return fmt.Sprintf("%s: %q: must be %s", e.Field, e.Value, e.Requirement)
 }
 
 // FieldErrors collects every fault of one input.
@@ -42,7 +42,7 @@
 	if holds {
 		return
 	}
-	*e = append(*e, FieldError{Field: field, Value: fmt.Sprint(value), Limit: limit})
+	*e = append(*e, FieldError{Field: field, Value: fmt.Sprint(value), Requirement: limit})
 }
 
 // Err returns the collected faults, or nil where there are none.
--- a/decoder/position.go
+++ b/decoder/position.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		if s.value == parts[3] || (len(shown) >= shownLength && strings.HasPrefix(s.value, shown)) {
-			return FieldError{Field: s.path, Value: s.value, Limit: kind(parts[4])}, true
+			return FieldError{Field: s.path, Value: s.value, Requirement: kind(parts[4])}, true
 		}
 	}
 	return FieldError{}, false
--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -46,10 +46,10 @@
 	return u
 }
 
-// List takes over the upstreams of an instance list. An upstream that was
+// UpdateList takes over the upstreams of an instance list. An upstream that was
 // listed and is no longer counts as leaving. It returns the names that began
 // to leave.
-func (d *Drainer) List(instances []api.Instance) []string {
+func (d *Drainer) UpdateList(instances []api.Instance) []string {
 	state := make(map[string]string, len(instances))
 	for _, i := range instances {
 		if i.Kind == api.KindEntry {
@@ -63,7 +63,7 @@
 		if !u.listed {
 			continue
 		}
-		was := !d.Usable(name)
+		was := !d.IsUsable(name)
 		u.listLeaving = state[name] != api.InstanceLive
 		if u.listLeaving {
 			u.leave(u.incarnation)
@@ -80,9 +80,9 @@
 	u.left = max(u.left, incarnation)
 }
 
-// Leaving takes in word that an incarnation of an upstream is leaving, and
+// MarkLeaving takes in word that an incarnation of an upstream is leaving, and
 // reports whether that was news.
-func (d *Drainer) Leaving(name string, incarnation uint64) bool {
+func (d *Drainer) MarkLeaving(name string, incarnation uint64) bool {
 	u := d.upstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
 	if u.leaving && incarnation <= u.left {
@@ -92,15 +92,15 @@
 	return true
 }
 
-// Incarnation takes in the incarnation that an upstream itself reported.
-func (d *Drainer) Incarnation(name string, incarnation uint64) {
+// ObserveIncarnation takes in the incarnation that an upstream itself reported.
+func (d *Drainer) ObserveIncarnation(name string, incarnation uint64) {
 	u := d.upstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
 }
 
-// Usable reports whether new work may be sent to the upstream. An upstream
+// IsUsable reports whether new work may be sent to the upstream. An upstream
 // never listed is not usable.
-func (d *Drainer) Usable(name string) bool {
+func (d *Drainer) IsUsable(name string) bool {
 	u, ok := d.upstreams[name]
 	if !ok || !u.listed || u.listLeaving {
 		return false
@@ -108,14 +108,14 @@
 	return !u.leaving || u.incarnation > u.left
 }
 
-// Listed reports whether any list ever named the upstream.
-func (d *Drainer) Listed(name string) bool {
+// WasListed reports whether any list ever named the upstream.
+func (d *Drainer) WasListed(name string) bool {
 	u, ok := d.upstreams[name]
 	return ok && u.listed
 }
 
-// CurrentIncarnation is the greatest incarnation heard of, 0 when none.
-func (d *Drainer) CurrentIncarnation(name string) uint64 {
+// LatestIncarnation is the greatest incarnation heard of, 0 when none.
+func (d *Drainer) LatestIncarnation(name string) uint64 {
 	u, ok := d.upstreams[name]
 	if !ok {
 		return 0
--- a/drainer/example_test.go
+++ b/drainer/example_test.go
@@ -10,16 +10,16 @@
 func Example() {
 	list := []api.Instance{{Name: "engine-1", Kind: api.KindEngine, State: api.InstanceLive}}
 	d := drainer.New()
-	fmt.Println(d.Usable("engine-1"))
-	d.List(list)
-	d.Incarnation("engine-1", 7)
-	fmt.Println(d.Usable("engine-1"))
+	fmt.Println(d.IsUsable("engine-1"))
+	d.UpdateList(list)
+	d.ObserveIncarnation("engine-1", 7)
+	fmt.Println(d.IsUsable("engine-1"))
 	// A peer says that it is leaving; the list, which lags, still shows it.
-	fmt.Println(d.Leaving("engine-1", 7), d.Leaving("engine-1", 7))
-	d.List(list)
-	fmt.Println(d.Usable("engine-1"))
-	d.Incarnation("engine-1", 8)
-	fmt.Println(d.Usable("engine-1"))
+	fmt.Println(d.MarkLeaving("engine-1", 7), d.MarkLeaving("engine-1", 7))
+	d.UpdateList(list)
+	fmt.Println(d.IsUsable("engine-1"))
+	d.ObserveIncarnation("engine-1", 8)
+	fmt.Println(d.IsUsable("engine-1"))
 	// Output:
 	// false
 	// true
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -136,8 +136,8 @@
 	if left <= 0 {
 		return nil, context.DeadlineExceeded
 	}
-	f.protocol.WriteAttempt(request.Header, Attempt{
-		Instance: p.First.ID, Left: left, Organisation: x.organisation, LastEvent: lastEvent,
+	f.protocol.WriteAttempt(request.Header, AttemptMetadata{
+		InstanceID: p.First.ID, Remaining: left, Organisation: x.organisation, LastEventID: lastEvent,
 		Helpers: a.group.helpers(p.Helpers), Priority: urgency(x),
 	})
 	return request, nil
@@ -177,20 +177,20 @@
 // classify judges the header of an answer.
 func (f *Forwarder) classify(x *exchange, a *attempt) {
 	status := a.response.StatusCode
-	reply := f.protocol.ReadReply(status, a.response.Header)
+	reply := f.protocol.ReadResponse(status, a.response.Header)
 	f.heed(x, a, reply)
 	switch {
-	case reply.Call != "" && reply.Call != x.call.ID:
+	case reply.RequestID != "" && reply.RequestID != x.call.ID:
 		a.verdict, a.err = verdictBroken, errForeign
 	case reply.NotRun:
 		x.pending--
 		a.verdict, a.err = verdictNotRun, fmt.Errorf("status %d", status)
-		if reply.At.IsValid() && reply.At != a.placement.First.Address {
-			f.blame(x, a, reply.At)
+		if reply.FaultyAddress.IsValid() && reply.FaultyAddress != a.placement.First.Address {
+			f.blame(x, a, reply.FaultyAddress)
 		}
 	case status >= 500:
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", status)
-	case !reply.Signed && status < 300:
+	case !reply.Stamped && status < 300:
 		a.verdict, a.err = verdictBroken, errors.New("the answer is not signed")
 	default:
 		a.verdict = verdictAnswered
--- a/forwarder/ended.go
+++ b/forwarder/ended.go
@@ -14,7 +14,7 @@
 func contentOf(x *exchange) quarantiner.Fingerprint {
 	caller := x.organisation
 	if caller == "" {
-		caller = x.call.Key
+		caller = x.call.APIKey
 	}
 	r := x.request
 	return quarantiner.FingerprintOf([]byte(r.Method), []byte(r.Host), []byte(r.URL.RequestURI()), []byte(caller), x.body)
--- a/forwarder/ended_test.go
+++ b/forwarder/ended_test.go
@@ -27,7 +27,7 @@
 
 // An answer that breaks off as its upstream ends counts against the request, unless the upstream had
 // made events of it for long.
-func TestEndOfUpstreamCountsAgainstWhatItHadJustBegun(t *testing.T) {
+func TestCrashCountsAgainstRequestJustBegun(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		ran  time.Duration
@@ -49,7 +49,7 @@
 }
 
 // An answer that an upstream breaks off and lives does not count.
-func TestBrokenAnswerOfALivingUpstreamCountsForNothing(t *testing.T) {
+func TestBrokenResponseOfLiveUpstreamIsNoCrash(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Torn)
 		f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
@@ -60,7 +60,7 @@
 
 // A request under which two upstreams have ended is not sent to a second one when its
 // first ends too, and is refused once it is quarantined, as long as that holds.
-func TestSuspectIsSentOnceAndQuarantinedNotAtAll(t *testing.T) {
+func TestSuspectRequestIsNotRetriedAndQuarantinedIsRefused(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		now, content := time.Now(), contentOf("/stream/x", "b")
 		for n := range 2 {
--- a/forwarder/failure.go
+++ b/forwarder/failure.go
@@ -136,10 +136,10 @@
 	f.metrics.finished(outcome, time.Since(x.arrived))
 	fields := []zap.Field{
 		zap.String("request", x.call.ID), zap.String("outcome", outcome), zap.Int("status", x.status(fail)),
-		zap.Duration("took_ms", time.Since(x.arrived)), zap.Int("attempts", x.sent), zap.Int("prompt", x.call.Prompt), zap.Stringer("content", x.content),
+		zap.Duration("took_ms", time.Since(x.arrived)), zap.Int("attempts", x.sent), zap.Int("prompt", x.call.PromptTokens), zap.Stringer("content", x.content),
 	}
-	if x.call.Answer > 0 {
-		fields = append(fields, zap.Int("answer", x.call.Answer), zap.Int("answer_hint", x.call.AnswerHint), zap.Int("events", x.events))
+	if x.call.MaxAnswerTokens > 0 {
+		fields = append(fields, zap.Int("answer", x.call.MaxAnswerTokens), zap.Int("answer_hint", x.call.AnswerTokensHint), zap.Int("events", x.events))
 	}
 	if x.route != nil {
 		fields = append(fields, zap.String("route", x.route.Name), zap.String("kind", x.route.Kind.String()))
@@ -149,7 +149,7 @@
 		fields = append(fields, x.view.stopFields(x.arrived)...)
 	}
 	if !x.firstAt.IsZero() {
-		f.metrics.streamed(x.call.Prompt, x.firstAt.Sub(x.arrived), x.longestPause)
+		f.metrics.streamed(x.call.PromptTokens, x.firstAt.Sub(x.arrived), x.longestPause)
 		fields = append(fields, zap.Duration("first_ms", x.firstAt.Sub(x.arrived)), zap.Duration("longest_pause_ms", x.longestPause))
 	}
 	if fail == nil {
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -60,7 +60,7 @@
 	if x.sent >= x.route.MaxAttempts || f.isSuspect(x, a) {
 		return false
 	}
-	if !f.budget.Spend(time.Now(), x.service, f.view().Entries) {
+	if !f.budget.Spend(time.Now(), x.service, f.view().MaxEntries) {
 		f.metrics.denied.Inc(1)
 		f.log.Warn("retry_budget_used_up", zap.String("request", x.call.ID), zap.String("service", x.service))
 		return false
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -35,16 +35,16 @@
 
 // Config of a forwarder. Every field is needed.
 type Config struct {
-	Protocol Protocol
-	Orders   Orders
-	// HoldTime is the lease of memory reserved at engines: shorter than memory
+	Protocol     Protocol
+	Reservations ReservationClient
+	// ReservationTTL is the lease of memory reserved at engines: shorter than memory
 	// may stay set aside after the end of its request.
-	HoldTime time.Duration
+	ReservationTTL time.Duration
 	// MaxIdle is how long reserved memory may be unused by a request.
-	MaxIdle time.Duration
-	View    func() *View
-	Board   *dispatcher.Dispatcher
-	Budget  *budgeter.Budgeter
+	MaxIdle     time.Duration
+	View        func() *View
+	Dispatcher  *dispatcher.Dispatcher
+	RetryBudget *budgeter.Budgeter
 	// Quarantine says which requests are refused, since they crash upstreams.
 	Quarantine *quarantiner.Quarantiner
 	Dial       func(ctx context.Context, network, address string) (net.Conn, error)
@@ -56,7 +56,7 @@
 // Forwarder is the handler of callers' requests.
 type Forwarder struct {
 	protocol   Protocol
-	orders     Orders
+	orders     ReservationClient
 	holdTime   time.Duration
 	maxIdle    time.Duration
 	view       func() *View
@@ -75,7 +75,7 @@
 // New returns a forwarder.
 func New(c Config) *Forwarder {
 	f := &Forwarder{
-		protocol: c.Protocol, orders: c.Orders, holdTime: c.HoldTime, maxIdle: c.MaxIdle, view: c.View, board: c.Board, budget: c.Budget, quarantine: c.Quarantine, log: c.Log,
+		protocol: c.Protocol, orders: c.Reservations, holdTime: c.ReservationTTL, maxIdle: c.MaxIdle, view: c.View, board: c.Dispatcher, budget: c.RetryBudget, quarantine: c.Quarantine, log: c.Log,
 		metrics: newMetrics(c.Scope), asserter: c.Asserter, upstreams: newTransport(c.Dial), presence: connector.NewPresence(c.Dial),
 	}
 	f.chain = chain(f.forward, f.respond, f.recoverPanic, f.open, f.limitHeader, f.match, f.readBody)
@@ -93,7 +93,7 @@
 	writer     http.ResponseWriter
 	request    *http.Request
 	arrived    time.Time
-	call       Call
+	call       RequestMetadata
 	// view is the one in force when the request arrived; nothing newer is
 	// used for it but to learn that an upstream leaves.
 	view         *View
@@ -142,7 +142,7 @@
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	x := &exchange{ctx: r.Context(), writer: w, request: r, arrived: time.Now(), call: f.protocol.ReadCall(r)}
+	x := &exchange{ctx: r.Context(), writer: w, request: r, arrived: time.Now(), call: f.protocol.ReadRequest(r)}
 	_ = f.chain(x)
 }
 
@@ -167,7 +167,7 @@
 		if x.view.Table == nil && x.view.Stopping {
 			return refuseStopping(x.view, nil)
 		}
-		if x.view.Table == nil && x.view.StoreLost {
+		if x.view.Table == nil && x.view.StoreUnavailable {
 			return notRun(reasonNoConfig, lostRetry, nil)
 		}
 		if x.view.Table == nil {
@@ -206,8 +206,8 @@
 
 // configWait is how long a request waits for the first configuration.
 func configWait(x *exchange, v *View) time.Duration {
-	if v.StoreLost {
-		return x.call.Patience / lostWaitPart
+	if v.StoreUnavailable {
+		return x.call.Timeout / lostWaitPart
 	}
 	return startWait
 }
@@ -220,7 +220,7 @@
 		if err != nil {
 			return x.denied(http.StatusNotFound, reasonNoRoute, err)
 		}
-		organisation, err := table.Organisation(route, x.call.Key)
+		organisation, err := table.Organisation(route, x.call.APIKey)
 		if err != nil {
 			return x.denied(http.StatusUnauthorized, reasonUnknownKey, err)
 		}
@@ -242,7 +242,7 @@
 // route or key.
 func (x *exchange) denied(status int, reason string, cause error) *failure {
 	age := time.Since(x.view.ConfirmedAt)
-	if age > x.view.TrustTime {
+	if age > x.view.ConfirmationTTL {
 		return notRun(reasonUnconfirmed, unconfirmedRetry, fmt.Errorf("%w, confirmed %s ago", cause, age.Round(time.Millisecond)))
 	}
 	return &failure{status: status, reason: reason, cause: cause}
@@ -254,8 +254,8 @@
 	if x.route.Timeout > 0 {
 		d = x.route.Timeout
 	}
-	if x.call.Patience > 0 {
-		d = min(d, x.call.Patience)
+	if x.call.Timeout > 0 {
+		d = min(d, x.call.Timeout)
 	}
 	return d
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -78,7 +78,7 @@
 		table, err := matcher.New(testConfig())
 		f.is.NoErr(err)
 		f.table = table
-		f.view.Store(&forwarder.View{Table: table, Entries: 1, ConfirmedAt: time.Now(), TrustTime: 1500 * time.Millisecond})
+		f.view.Store(&forwarder.View{Table: table, MaxEntries: 1, ConfirmedAt: time.Now(), ConfirmationTTL: 1500 * time.Millisecond})
 		f.board = dispatcher.New("a", rand.New(rand.NewPCG(1, 2)))
 		var servers []*http.Server
 		for i := range 5 {
@@ -97,10 +97,10 @@
 		f.board.Update(table, f.instances)
 		invariants := asserter.New(func(name, detail string) { t.Errorf("%s: %s", name, detail) })
 		handler := forwarder.New(forwarder.Config{
-			Protocol: platform.Protocol(), Orders: platform.Orders(&http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(entryHost), DisableKeepAlives: true}}),
-			HoldTime: 3 * time.Second, MaxIdle: 9 * time.Second, View: f.view.Load, Board: f.board, Quarantine: f.quarantine,
-			Budget: budgeter.New(budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}),
-			Dial:   f.net.Dialer(entryHost), Log: zap.NewNop(), Scope: tally.NoopScope, Asserter: invariants,
+			Protocol: platform.Protocol(), Reservations: platform.Orders(&http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(entryHost), DisableKeepAlives: true}}),
+			ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second, View: f.view.Load, Dispatcher: f.board, Quarantine: f.quarantine,
+			RetryBudget: budgeter.New(budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}),
+			Dial:        f.net.Dialer(entryHost), Log: zap.NewNop(), Scope: tally.NoopScope, Asserter: invariants,
 		})
 		servers = append(servers, f.serve(netip.AddrPortFrom(entryHost, 80), handler))
 		transport := &http.Transport{DialContext: f.net.Dialer(callerHost)}
@@ -228,7 +228,7 @@
 
 // What waits at an engine is ordered by the organisation first, then by how
 // soon the route wants its first event.
-func TestOrganisationGoesBeforeTarget(t *testing.T) {
+func TestOrganisationPriorityPrecedesTarget(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		var order []string
 		for _, c := range []request{
@@ -248,7 +248,7 @@
 	})
 }
 
-func TestRefusalsOfOurOwn(t *testing.T) {
+func TestEntryRefusesInvalidRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, c := range []struct {
 			request request
@@ -293,14 +293,14 @@
 // A request that meets an entry in its first milliseconds waits for the
 // configuration; one whose entry can't read the store is refused at once, with
 // a time at which the store may be back.
-func TestEntryJustStarted(t *testing.T) {
+func TestRequestWaitsForConfigAfterStart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		table := f.view.Load().Table
 		f.view.Store(&forwarder.View{})
-		time.AfterFunc(40*time.Millisecond, func() { f.view.Store(&forwarder.View{Table: table, Entries: 1}) })
+		time.AfterFunc(40*time.Millisecond, func() { f.view.Store(&forwarder.View{Table: table, MaxEntries: 1}) })
 		a := f.ask(request{path: "/once/x", id: "r1"})
 		f.is.Equal(a.status, 200)
-		f.view.Store(&forwarder.View{StoreLost: true})
+		f.view.Store(&forwarder.View{StoreUnavailable: true})
 		a = f.ask(request{path: "/once/x", id: "r2"})
 		f.is.Equal(a.status, 503)
 		f.is.Equal(a.header.Get("Retry-After"), "2.000")
@@ -311,14 +311,14 @@
 // The pattern of a day that ends with all entries killed while the store is
 // down: callers of lost entries come back to ones just started, most of them for
 // the last time. They wait a tenth of their patience for the store, and no more.
-func TestEntryStartedWithoutStore(t *testing.T) {
+func TestRequestWaitsForUnavailableStore(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		known := f.view.Load()
-		f.view.Store(&forwarder.View{StoreLost: true})
+		f.view.Store(&forwarder.View{StoreUnavailable: true})
 		time.AfterFunc(400*time.Millisecond, func() { f.view.Store(known) })
 		a := f.ask(request{path: "/stream/x", id: "r1", usage: "1000,100", patience: 10 * time.Second})
 		f.is.Equal(a.status, 200)
-		f.view.Store(&forwarder.View{StoreLost: true})
+		f.view.Store(&forwarder.View{StoreUnavailable: true})
 		a = f.ask(request{path: "/stream/x", id: "r2", usage: "1000,100", patience: 10 * time.Second})
 		f.is.Equal(a.status, 503)
 		f.is.True(a.took >= time.Second && a.took < 1100*time.Millisecond)
@@ -370,7 +370,7 @@
 
 // An engine's own failure reaches the caller as it is where there is nobody
 // else to ask.
-func TestUpstreamsFailureIsPassedOn(t *testing.T) {
+func TestUpstreamFailureIsRelayed(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.plain, worker.Failing)
 		a := f.ask(request{path: "/safe/x", id: "r1"})
@@ -383,7 +383,7 @@
 
 // A stream that may be resumed is whole, once and in order, though the engine
 // that began it fails in the middle.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
@@ -410,7 +410,7 @@
 
 // A stream that may not be resumed is cut where its engine fails, and never
 // looks complete.
-func TestBrokenStreamIsCut(t *testing.T) {
+func TestNonResumableStreamIsAborted(t *testing.T) {
 	for _, fault := range []worker.Fault{worker.Torn, worker.Short} {
 		withForwarder(t, func(f *fixture) {
 			setAll(f.engines, fault)
@@ -425,7 +425,7 @@
 // The last engine that may be asked is not given up for its silence: the
 // caller may wait longer than we would. mix --seed 391397223682 of
 // condor-sapphire broke LOST by that.
-func TestSilenceEndsNoLastAttempt(t *testing.T) {
+func TestSilenceDoesNotEndLastAttempt(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Mute)
 		a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
@@ -441,7 +441,7 @@
 
 // A silent engine is not given up while no other would take the request: odd
 // day 10 of condor-sapphire broke LOST by that beside a SIGTERM.
-func TestSilenceEndsNothingThatNobodyElseTakes(t *testing.T) {
+func TestSilenceDoesNotEndAttemptWithoutAlternative(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Slow)
 		f.board.Update(f.table, f.instances[:4]) // two engines
@@ -477,7 +477,7 @@
 }
 
 // Work ends at the upstream soon after its caller has left.
-func TestCallerLeaves(t *testing.T) {
+func TestUpstreamWorkEndsWhenCallerLeaves(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Mute)
 		ctx, leave := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -493,7 +493,7 @@
 
 // A prompt longer than one engine's memory is held by several, and all of it
 // is given back.
-func TestMemoryOfGroupIsGivenBack(t *testing.T) {
+func TestGroupMemoryIsReleased(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"}) }()
@@ -516,7 +516,7 @@
 
 // A group of which one engine has no room is not begun, and what the others
 // set aside is given back.
-func TestGroupIsAllOrNothing(t *testing.T) {
+func TestReservationIsAllOrNothing(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Full)
 		a := f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"})
@@ -531,7 +531,7 @@
 
 // A helper that sets nothing aside is at fault, not the engine that would have
 // answered: the prompt goes on there with another helper.
-func TestHelperWithoutRoomIsReplaced(t *testing.T) {
+func TestFullHelperIsReplaced(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		long := request{path: "/long/x", id: "s1", usage: "400000,100"}
 		f.is.Equal(f.ask(long).status, 200)
@@ -562,7 +562,7 @@
 // Memory set aside for an engine that hangs is given back before it may no longer stay
 // unused, and the prompt is tried elsewhere; where a request uses it, the answer is awaited.
 // Day false-health-and-flaps of the grown fleet held 217,834 tokens for 10.5 s.
-func TestUnusedMemoryIsGivenBack(t *testing.T) {
+func TestUnusedMemoryIsReleased(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		withForwarder(t, func(f *fixture) {
 			setAll(f.engines, worker.Mute)
--- a/forwarder/group.go
+++ b/forwarder/group.go
@@ -197,7 +197,7 @@
 		if g != nil {
 			for _, s := range g.shares {
 				if s.engine == i.Address {
-					h.Ticket = s.ticket
+					h.ReservationID = s.ticket
 				}
 			}
 		}
--- a/forwarder/heed.go
+++ b/forwarder/heed.go
@@ -9,7 +9,7 @@
 
 // heed takes in what an upstream says of itself in an answer. It goes before what the store
 // lists: the store may be away while an upstream leaves.
-func (f *Forwarder) heed(x *exchange, a *attempt, r Reply) {
+func (f *Forwarder) heed(x *exchange, a *attempt, r ResponseMetadata) {
 	if a.response.StatusCode == http.StatusMisdirectedRequest {
 		return // by another upstream that has the address now
 	}
@@ -17,8 +17,8 @@
 	if r.Leaving && f.board.MarkLeaving(first) {
 		f.log.Info("upstream_leaving", zap.String("request", x.call.ID), zap.String("upstream", first.ID), zap.Stringer("address", first.Address))
 	}
-	if r.PauseFor > 0 && f.board.SetBackoff(first, time.Now().Add(r.PauseFor)) {
+	if r.Backoff > 0 && f.board.SetBackoff(first, time.Now().Add(r.Backoff)) {
 		f.log.Info("upstream_pauses", zap.String("request", x.call.ID), zap.String("upstream", first.ID), zap.Stringer("address", first.Address),
-			zap.Duration("pause_ms", r.PauseFor))
+			zap.Duration("pause_ms", r.Backoff))
 	}
 }
--- a/forwarder/heed_test.go
+++ b/forwarder/heed_test.go
@@ -12,7 +12,7 @@
 // Entries passed these answers on and sent it calls for seconds more, of which its end cut some: what an
 // upstream says of itself changed no belief, only the store did. The entries' logs tell it by place lines
 // after an answer of an upstream that said so.
-func TestUpstreamThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
 			w.Leave()
@@ -34,7 +34,7 @@
 }
 
 // Engines say so with the header of a stream, whose events go on.
-func TestEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingEngineGetsNoStreams(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		stream := func(id string) answer { return f.ask(request{path: "/stream/x", id: id, usage: "2000,200"}) }
 		f.engines[0].Leave()
@@ -61,7 +61,7 @@
 }
 
 // An upstream that turns a request away may say for how long it wants nothing.
-func TestPausingUpstreamGetsNothingMeanwhile(t *testing.T) {
+func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
 			w.SetFault(worker.Pausing)
@@ -83,7 +83,7 @@
 }
 
 // A pause of one upstream keeps nobody from the others.
-func TestPauseIsThatOfOneUpstream(t *testing.T) {
+func TestBackoffAppliesToOneUpstreamOnly(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.engines[0].SetFault(worker.Pausing)
 		f.engines[1].SetFault(worker.Pausing)
@@ -99,7 +99,7 @@
 
 // An upstream wanted nothing for three seconds, and its entry heard only then, as the store had been away, that
 // it had started anew before: what it said was said by the new run.
-func TestPauseOutlivesLateWordOfTheRun(t *testing.T) {
+func TestBackoffSurvivesLateRestartUpdate(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		time.Sleep(10 * time.Second)
 		for _, w := range f.plain {
--- a/forwarder/restart_test.go
+++ b/forwarder/restart_test.go
@@ -28,7 +28,7 @@
 // A stream whose engine starts anew goes on at another at once, though its connection says
 // nothing; one that may not go on ends at once. Nobody waits for the watchdog, which would
 // take a second and a half here.
-func TestStreamOfALostRunGoesOn(t *testing.T) {
+func TestStreamContinuesAfterEngineRestart(t *testing.T) {
 	for _, c := range []struct {
 		path   string
 		status int
@@ -66,7 +66,7 @@
 }
 
 // What may run once has its honest answer at once when its upstream starts anew: it may have run.
-func TestCallOfALostRunEnds(t *testing.T) {
+func TestAtMostOnceRequestEndsOnUpstreamRestart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.plain, worker.Mute)
 		done := make(chan answer)
@@ -88,7 +88,7 @@
 
 // A group of which one helper starts anew begins again with memory set aside anew, and what
 // the others held is given back.
-func TestGroupOfALostRunBeginsAgain(t *testing.T) {
+func TestGroupStartsOverAfterHelperRestart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Slow)
 		done := make(chan answer)
@@ -112,7 +112,7 @@
 // A stream broke off at a sound upstream: its entry heard of the upstream's new run late, as the store
 // had been away, when the stream had been sent to that run already, and ended what the run before had.
 // Found by the virtual soak: the run went on when its caller's connection ended.
-func TestStreamThatTheNewRunAnswersGoesOn(t *testing.T) {
+func TestStreamFromNewIncarnationContinues(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		time.AfterFunc(200*time.Millisecond, func() {
 			for i := range f.instances {
@@ -128,7 +128,7 @@
 
 // A call got 502 from a sound upstream, 17 ms after it had reached it: its entry heard only then, as the store had
 // been away, that the upstream had started anew, some seconds before. Found by the virtual soak.
-func TestCallSentLongAfterTheNewRunBeganIsAnswered(t *testing.T) {
+func TestRequestToNewIncarnationIsAnswered(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.plain, worker.Slow)
 		time.Sleep(10 * time.Second)
--- a/forwarder/stop.go
+++ b/forwarder/stop.go
@@ -15,17 +15,17 @@
 // of them asked for and to start again.
 const restartTime = 2 * time.Second
 
-// ErrCutOff is the cause for which the requests end that are still in progress when their entry does.
-var ErrCutOff = errors.New("the entry ends")
+// ErrShutdown is the cause for which the requests end that are still in progress when their entry does.
+var ErrShutdown = errors.New("the entry ends")
 
 // cutOff is the failure of a request that the end of its entry cut off; nil where that is not
 // why it ended.
 func (x *exchange) cutOff(caller context.Context, v *View, cause error) *failure {
-	if !errors.Is(context.Cause(caller), ErrCutOff) {
+	if !errors.Is(context.Cause(caller), ErrShutdown) {
 		return nil
 	}
 	if x.pending == 0 && !x.begun {
-		return refuseStopping(v, ErrCutOff)
+		return refuseStopping(v, ErrShutdown)
 	}
 	return unknown(reasonCutOff, cause)
 }
@@ -39,7 +39,7 @@
 // be in progress when the entry ends, by a caller that can't have the address from the directory any
 // more. The forecast is no bound, also where no other entry takes callers.
 func (v *View) turnsAway(x *exchange) bool {
-	return x.mayOutlast(v) && x.arrived.After(v.KnownUntil.Add(-orderTime))
+	return x.mayOutlast(v) && x.arrived.After(v.AddressValidUntil.Add(-orderTime))
 }
 
 // orderTime is how long an order to stop takes to be heeded on an instance that has much to do.
@@ -61,7 +61,7 @@
 // boundByStop bounds a demand by the end of a stopping entry. All entries are told of that end as
 // they are of the caller's, so that long prompts are kept from the answer's engine.
 func (x *exchange) boundByStop(v *View, d dispatcher.Demand) dispatcher.Demand {
-	d.MaxAnswerTokens, d.EndWithin = x.call.Answer, max(1, time.Until(v.StopBy))
+	d.MaxAnswerTokens, d.EndWithin = x.call.MaxAnswerTokens, max(1, time.Until(v.StopBy))
 	d.Remaining = min(d.Remaining, d.EndWithin)
 	return d
 }
@@ -69,10 +69,10 @@
 // stopRetry is when a caller that a stopping entry refuses is served: by another entry at
 // once, or by this one when it has started again, soon after nobody has its address any more.
 func (v *View) stopRetry() time.Duration {
-	if v.Others > 0 {
+	if v.OtherEntries > 0 {
 		return soonRetry
 	}
-	return max(0, time.Until(v.KnownUntil)) + restartTime
+	return max(0, time.Until(v.AddressValidUntil)) + restartTime
 }
 
 // refuseStopping is the refusal of a stopping entry.
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -16,7 +16,7 @@
 // callers may use its address for three seconds.
 func (f *fixture) stopping(left time.Duration, others int) {
 	v := *f.view.Load()
-	v.Stopping, v.StopBy, v.Others, v.KnownUntil = true, time.Now().Add(left), others, time.Now().Add(3*time.Second)
+	v.Stopping, v.StopBy, v.OtherEntries, v.AddressValidUntil = true, time.Now().Add(left), others, time.Now().Add(3*time.Second)
 	f.view.Store(&v)
 }
 
@@ -30,10 +30,10 @@
 
 // A stopping entry asks callers to leave, and begins nothing that it can't
 // finish.
-func TestStoppingEntry(t *testing.T) {
+func TestStoppingEntryClosesConnections(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		stopping := *f.view.Load()
-		stopping.Stopping, stopping.StopBy, stopping.Others = true, time.Now().Add(2*time.Second), 1
+		stopping.Stopping, stopping.StopBy, stopping.OtherEntries = true, time.Now().Add(2*time.Second), 1
 		f.view.Store(&stopping)
 		a := f.ask(request{path: "/once/x", id: "r1"})
 		f.is.Equal(a.status, 200)
@@ -46,7 +46,7 @@
 
 // A request that waits for its turn does not wait on at an entry that stops: it is begun where
 // it can end in time, and else its caller is told at once to go elsewhere.
-func TestHeldRequestAtAStoppingEntry(t *testing.T) {
+func TestWaitingRequestAtStoppingEntry(t *testing.T) {
 	for _, left := range []time.Duration{8 * time.Second, 2 * time.Second} {
 		withForwarder(t, func(f *fixture) {
 			for range 2 {
@@ -124,7 +124,7 @@
 
 // Where no other entry takes callers, one that stops serves them while their answers surely end in
 // time, and else tells them when it has started again.
-func TestLastEntryThatStops(t *testing.T) {
+func TestLastStoppingEntryServesShortRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.stopping(5*time.Second, 0)
 		short := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100"})
@@ -133,7 +133,7 @@
 		long := f.ask(request{path: "/stream/x", id: "s2", usage: "1000,4500"})
 		f.is.Equal(long.status, 503)
 		f.is.Equal(runs(f.engines, "s2"), 0)
-		known := time.Until(f.view.Load().KnownUntil)
+		known := time.Until(f.view.Load().AddressValidUntil)
 		f.is.True(known > 0)
 		f.is.True(f.retryAfter(long) > known && f.retryAfter(long) < known+3*time.Second)
 	})
@@ -141,7 +141,7 @@
 
 // A request whose body was still on its way when its entry was told to stop has not been passed on:
 // it is refused, and can be served elsewhere.
-func TestSlowBodyAtAStoppingEntry(t *testing.T) {
+func TestStoppingEntryRefusesSlowBody(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		body, send := io.Pipe()
 		done := make(chan answer)
@@ -160,7 +160,7 @@
 
 // A stream that broke at its engine goes on at another, also at an entry that stops: nothing that
 // has begun can be refused any more, and all that is left to lose is the rest.
-func TestBrokenStreamGoesOnAtAStoppingEntry(t *testing.T) {
+func TestBrokenStreamResumesAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
@@ -175,7 +175,7 @@
 
 // What a stopping entry begins has to end before it does: all entries hear of that, so that they keep
 // from its engine what would hold it up.
-func TestEndOfAStoppingEntryIsTold(t *testing.T) {
+func TestStopDeadlineIsBroadcast(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.stopping(7300*time.Millisecond, 1)
 		done := make(chan answer)
@@ -190,7 +190,7 @@
 
 // A stopping entry gives up on an engine that is silent before its first event only where another can
 // end the answer in time: the caller would be told of a failure, where the engine was only slow.
-func TestSilenceNearTheEndOfAnEntry(t *testing.T) {
+func TestSilentEngineIsKeptIfNoOtherEndsInTime(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.engines, worker.Slow)
 		done := make(chan answer)
@@ -207,7 +207,7 @@
 // A call is in progress at an upstream that says nothing when its entry is told to stop. Another
 // upstream answers in 20 ms and seconds are left, but the call stays where it is until
 // its time or its entry is over, as its time limit is later than the end of the entry.
-func TestSilentCallGoesElsewhereAtAStop(t *testing.T) {
+func TestSilentRequestIsRetriedAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setAll(f.plain, worker.Mute)
 		done := make(chan answer)
@@ -225,7 +225,7 @@
 // A stream that has eight of its ten events is in progress at an engine that turns silent. The
 // two that are left take 0.9 s elsewhere by the longest forecast, and 4 s are left when the
 // silence has lasted too long, but all ten are reckoned with: it stays until its entry is over.
-func TestSilentStreamGoesOnElsewhereAtAStop(t *testing.T) {
+func TestSilentStreamResumesAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		const left = 6 * time.Second
 		done := make(chan answer, 1)
@@ -245,7 +245,7 @@
 
 // A stopping entry admits what it would admit otherwise: a prompt that costs others more than it is worth
 // is not begun because its entry stops.
-func TestStoppingEntryRefusesWhatCostsTooMuch(t *testing.T) {
+func TestStoppingEntryRefusesTooCostlyPrompt(t *testing.T) {
 	for _, patience := range []time.Duration{2 * time.Second, 10 * time.Second} {
 		withForwarder(t, func(f *fixture) {
 			for range 6 {
@@ -265,7 +265,7 @@
 // An entry that is told to stop before it knows a configuration refuses at once: it will not serve.
 func TestStoppingEntryWithoutConfiguration(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		f.view.Store(&forwarder.View{Stopping: true, StopBy: time.Now().Add(7 * time.Second), Others: 1, StoreLost: true})
+		f.view.Store(&forwarder.View{Stopping: true, StopBy: time.Now().Add(7 * time.Second), OtherEntries: 1, StoreUnavailable: true})
 		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", patience: 10 * time.Second})
 		f.is.Equal(a.status, 503)
 		f.is.True(a.took < 20*time.Millisecond)
@@ -276,7 +276,7 @@
 // A day of stops in series lost an answer that the last of seven entries had begun 3.04 s after its order to
 // stop: no other took callers at that moment, so the forecast alone decided, which is no bound. Once nobody can have
 // its address any more, an entry begins only what surely ends before it does, with others or without.
-func TestLastEntryBeginsNothingUnsureOnceItIsForgotten(t *testing.T) {
+func TestLastStoppingEntryRefusesUnboundedRequestsOnceAddressExpired(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.stopping(7*time.Second, 0)
 		time.Sleep(3 * time.Second)
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -24,17 +24,17 @@
 // stream serves a request that is answered by events. Where the route allows,
 // a stream that breaks goes on at another engine within the same answer.
 func (f *Forwarder) stream(x *exchange) *failure {
-	events := splitter.New(x.call.LastEvent)
+	events := splitter.New(x.call.LastEventID)
 	unsent := 0
 	for {
-		p, fail := f.place(x, dispatcher.Demand{PromptTokens: x.call.Prompt, AnswerTokens: expectedAnswer(x)})
+		p, fail := f.place(x, dispatcher.Demand{PromptTokens: x.call.PromptTokens, AnswerTokens: expectedAnswer(x)})
 		if fail != nil && x.pending > 0 {
 			return unknown(reasonFailed, fail.cause)
 		}
 		if fail != nil {
 			return fail
 		}
-		a := f.send(x, p, events.Last())
+		a := f.send(x, p, events.LastID())
 		if a.verdict == verdictAnswered && a.response.StatusCode >= http.StatusMultipleChoices && !x.begun {
 			fail := f.pass(x, a)
 			f.close(x, a)
@@ -65,7 +65,7 @@
 		}
 		x.alone = x.alone || failedAsGroup(p, a)
 		avoidFailed(x, a)
-		events.Break()
+		events.DiscardPartial()
 	}
 }
 
@@ -77,10 +77,10 @@
 
 // expectedAnswer is how many tokens the answer is expected to have.
 func expectedAnswer(x *exchange) int {
-	if x.call.AnswerHint > 0 {
-		return min(x.call.AnswerHint, x.call.Answer)
+	if x.call.AnswerTokensHint > 0 {
+		return min(x.call.AnswerTokensHint, x.call.MaxAnswerTokens)
 	}
-	return x.call.Answer
+	return x.call.MaxAnswerTokens
 }
 
 // firstEventPatience is how long the caller still waits for an event.
@@ -134,7 +134,7 @@
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && gap == nil && events.Partial():
+		case errors.Is(err, io.EOF) && gap == nil && events.HasPartial():
 			a.verdict, a.err = verdictBroken, errPartial
 			return
 		case errors.Is(err, io.EOF) && gap == nil && !any && !x.begun:
--- a/forwarder/wait_test.go
+++ b/forwarder/wait_test.go
@@ -8,7 +8,7 @@
 )
 
 // Waiting prompts take at most an eleventh of a processor each, however slow it is.
-func TestWaitingPromptsLeaveTheProcessorToOthers(t *testing.T) {
+func TestPollIntervalGrowsWithSearchTime(t *testing.T) {
 	is := is.New(t)
 	is.Equal(pollAfter(0), waitPoll)
 	is.Equal(pollAfter(time.Millisecond), waitPoll)
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -98,7 +98,7 @@
 		// its caller leaves an engine that stays silent anyway.
 		d = x.boundByStop(v, d)
 	}
-	return f.board.Accepts(now, d) && f.budget.Left(now, x.service, v.Entries)
+	return f.board.Accepts(now, d) && f.budget.Left(now, x.service, v.MaxEntries)
 }
 
 // hear notes that the upstream said something.
--- a/forwarder/yield_test.go
+++ b/forwarder/yield_test.go
@@ -10,7 +10,7 @@
 
 // Another entry places a long prompt on the same engines at the same moment, and its caller has
 // waited longer: this entry's prompt is not sent behind it, but when the engines are free.
-func TestPromptYieldsItsPlace(t *testing.T) {
+func TestHeavyPromptYieldsItsPlacement(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.board.SetPeers(1, false)
 		other := dispatcher.New("a", rand.New(rand.NewPCG(3, 4)))
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -55,7 +55,7 @@
 	// Speed is that of the instance in processor cores; 0 where it is not known.
 	Speed    float64
 	Protocol forwarder.Protocol
-	Orders   forwarder.Orders
+	Orders   forwarder.ReservationClient
 	// HoldTime is the lease of memory reserved at engines.
 	HoldTime time.Duration
 	// MaxIdle is how long that memory may be unused by a request.
@@ -126,7 +126,7 @@
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	l.forwarder = forwarder.New(forwarder.Config{
-		Protocol: c.Protocol, Orders: c.Orders, HoldTime: c.HoldTime, MaxIdle: c.MaxIdle, View: l.controller.View, Board: board, Budget: l.budget, Quarantine: quarantine, Dial: c.Dial,
+		Protocol: c.Protocol, Reservations: c.Orders, ReservationTTL: c.HoldTime, MaxIdle: c.MaxIdle, View: l.controller.View, Dispatcher: board, RetryBudget: l.budget, Quarantine: quarantine, Dial: c.Dial,
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	return l
@@ -273,7 +273,7 @@
 	if n := l.forwarder.InFlight(); n > 0 {
 		l.config.Log.Warn("requests_cut_off", zap.Int("in_flight", n))
 	}
-	l.cut(forwarder.ErrCutOff)
+	l.cut(forwarder.ErrShutdown)
 	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 	defer cancel()
 	if err := l.callers.Shutdown(ctx); err != nil {
--- a/server/control.go
+++ b/server/control.go
@@ -215,7 +215,7 @@
 		c.dirty = true
 	}
 	for _, n := range beat.Notices {
-		if n.Kind != api.KindEntry && n.State == api.NoticeLeaving && c.drainer.Leaving(n.Name, n.Incarnation) {
+		if n.Kind != api.KindEntry && n.State == api.NoticeLeaving && c.drainer.MarkLeaving(n.Name, n.Incarnation) {
 			c.leaving(n.Name, drainer.FromPeer)
 		}
 	}
@@ -228,16 +228,16 @@
 func (c *control) digest(now time.Time, l api.LoadDigest) {
 	c.load(l.Engine).Heard(now, queueOf(l.QueuedTokens), l.FreeTokens)
 	c.incarnation(l.Engine, l.Incarnation)
-	if l.Leaving && c.drainer.Leaving(l.Engine, l.Incarnation) {
+	if l.Leaving && c.drainer.MarkLeaving(l.Engine, l.Incarnation) {
 		c.leaving(l.Engine, drainer.FromPeer)
 	}
 }
 
 // incarnation takes in an engine's incarnation; a new one may be used again.
 func (c *control) incarnation(engine string, incarnation uint64) {
-	before := c.drainer.Usable(engine)
-	c.drainer.Incarnation(engine, incarnation)
-	if c.drainer.Usable(engine) != before {
+	before := c.drainer.IsUsable(engine)
+	c.drainer.ObserveIncarnation(engine, incarnation)
+	if c.drainer.IsUsable(engine) != before {
 		c.dirty = true
 	}
 }
@@ -249,7 +249,7 @@
 	if i, ok := c.instances[name]; ok {
 		kind = i.Kind
 	}
-	n := api.Notice{Kind: kind, Name: name, Incarnation: c.drainer.CurrentIncarnation(name), State: api.NoticeLeaving}
+	n := api.Notice{Kind: kind, Name: name, Incarnation: c.drainer.LatestIncarnation(name), State: api.NoticeLeaving}
 	c.prober.ReceiveNotice(time.Now(), n)
 	c.dirty = true
 }
@@ -280,7 +280,7 @@
 		instances[i.Name] = i
 	}
 	c.instances = instances
-	for _, name := range c.drainer.List(list.Instances) {
+	for _, name := range c.drainer.UpdateList(list.Instances) {
 		c.leaving(name, drainer.FromList)
 	}
 	c.dirty = true
--- a/server/keep.go
+++ b/server/keep.go
@@ -100,7 +100,7 @@
 		return nil, nil
 	}
 	c.incarnation(name, load.Incarnation)
-	if load.Leaving && c.drainer.Leaving(name, load.Incarnation) {
+	if load.Leaving && c.drainer.MarkLeaving(name, load.Incarnation) {
 		c.leaving(name, drainer.FromUpstream)
 	}
 	var orphans []keeper.Orphan
--- a/server/peers.go
+++ b/server/peers.go
@@ -91,7 +91,7 @@
 		return api.AskReply{}
 	}
 	reply := api.AskReply{Keeper: true}
-	if c.drainer.Listed(args.Engine) && !c.drainer.Usable(args.Engine) {
+	if c.drainer.WasListed(args.Engine) && !c.drainer.IsUsable(args.Engine) {
 		reply.Reason = string(keeper.Leaving)
 		return reply
 	}
@@ -134,8 +134,8 @@
 // noteLeaving notes word from a keeper or an engine that an engine leaves.
 func (s *Server) noteLeaving(engine string, incarnation uint64) {
 	s.do(func(c *control) {
-		incarnation = max(incarnation, c.drainer.CurrentIncarnation(engine))
-		if c.drainer.Leaving(engine, incarnation) {
+		incarnation = max(incarnation, c.drainer.LatestIncarnation(engine))
+		if c.drainer.MarkLeaving(engine, incarnation) {
 			c.leaving(engine, drainer.FromPeer)
 		}
 	})
--- a/server/view.go
+++ b/server/view.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return upstream{}, false
 	}
-	return upstream{Name: name, Address: address, DataCentre: i.DataCentre, Usable: c.drainer.Usable(name)}, true
+	return upstream{Name: name, Address: address, DataCentre: i.DataCentre, Usable: c.drainer.IsUsable(name)}, true
 }
 
 func (c *control) placeEngines(v *view, candidates []assigner.Member) {
--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -12,8 +12,8 @@
 // maxEvent is the largest event in bytes; the largest seen are under 1 KB.
 const maxEvent = 1 << 20
 
-// ErrTooLarge says that an event has no end within the size limit.
-var ErrTooLarge = errors.New("event is too large")
+// ErrEventTooLarge says that an event has no end within the size limit.
+var ErrEventTooLarge = errors.New("event is too large")
 
 // GapError says that events are missing.
 type GapError struct {
@@ -29,8 +29,8 @@
 	Raw []byte
 	// ID is that of the event; Numbered is false where it has none, or none
 	// that is a number.
-	ID       int64
-	Numbered bool
+	ID    int64
+	HasID bool
 }
 
 // Splitter cuts one stream. It is not safe for concurrent use.
@@ -58,7 +58,7 @@
 		end := eventEnd(s.rest)
 		if end < 0 {
 			if len(s.rest) > maxEvent {
-				return out, ErrTooLarge
+				return out, ErrEventTooLarge
 			}
 			return out, nil
 		}
@@ -75,7 +75,7 @@
 }
 
 func (s *Splitter) follows(e Event) (bool, error) {
-	if !e.Numbered {
+	if !e.HasID {
 		return true, nil
 	}
 	if s.started && e.ID <= s.last {
@@ -88,20 +88,20 @@
 	return true, nil
 }
 
-// Last is the id of the last event passed on, as text; empty before the first.
-func (s *Splitter) Last() string {
+// LastID is the id of the last event passed on, as text; empty before the first.
+func (s *Splitter) LastID() string {
 	if !s.started {
 		return ""
 	}
 	return strconv.FormatInt(s.last, 10)
 }
 
-// Partial reports whether bytes of an unfinished event are left.
-func (s *Splitter) Partial() bool { return len(s.rest) > 0 }
+// HasPartial reports whether bytes of an unfinished event are left.
+func (s *Splitter) HasPartial() bool { return len(s.rest) > 0 }
 
-// Break drops an unfinished event, where the stream goes on from another
+// DiscardPartial drops an unfinished event, where the stream goes on from another
 // source.
-func (s *Splitter) Break() { s.rest = nil }
+func (s *Splitter) DiscardPartial() { s.rest = nil }
 
 // eventEnd is the length of the first whole event, or -1.
 func eventEnd(p []byte) int {
@@ -123,7 +123,7 @@
 			continue
 		}
 		id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
-		e.ID, e.Numbered = id, err == nil
+		e.ID, e.HasID = id, err == nil
 	}
 	return e
 }
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -17,7 +17,7 @@
 func Example() {
 	s := splitter.New("")
 	events, _ := s.Feed([]byte("id: 1\ndata: a\n\nid: 2\nda"))
-	fmt.Println(len(events), s.Last(), s.Partial())
+	fmt.Println(len(events), s.LastID(), s.HasPartial())
 	// Output: 1 1 true
 }
 
@@ -52,7 +52,7 @@
 
 // A run that goes on after an event may repeat what was passed on; that is
 // dropped, and a gap is an error.
-func TestResumedStream(t *testing.T) {
+func TestResumedStreamDropsRepeatsAndDetectsGaps(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New("4")
 	events, err := s.Feed([]byte(event(3) + event(4) + event(5)))
@@ -70,16 +70,16 @@
 	s := splitter.New("")
 	_, err := s.Feed([]byte(event(1) + "id: 2\nda"))
 	is.NoErr(err)
-	s.Break()
+	s.DiscardPartial()
 	events, err := s.Feed([]byte(event(2)))
 	is.NoErr(err)
 	is.Equal(string(events[0].Raw), event(2))
 }
 
-func TestEndlessEvent(t *testing.T) {
+func TestTooLargeEventIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := splitter.New("").Feed([]byte(strings.Repeat("x", 2<<20)))
-	is.True(errors.Is(err, splitter.ErrTooLarge))
+	is.True(errors.Is(err, splitter.ErrEventTooLarge))
 }
 
 func FuzzFeed(f *testing.F) {
