--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -33,32 +33,32 @@
 )
 
 var (
-	errForeign   = errors.New("the answer is another request's")
-	errSilent    = errors.New("the upstream was silent for too long")
-	errRestarted = errors.New("an upstream of the request has started anew")
+	errWrongRequest      = errors.New("the answer is another request's")
+	errUpstreamSilent    = errors.New("the upstream was silent for too long")
+	errUpstreamRestarted = errors.New("an upstream of the request has started anew")
 )
 
-// mostUnsent bounds the upstreams tried in vain for a connection.
-const mostUnsent = 4
+// maxUnsentAttempts bounds the upstreams tried in vain for a connection.
+const maxUnsentAttempts = 4
 
 // attempt is one try at one upstream.
 type attempt struct {
 	placement *dispatcher.Placement
 	verdict   verdict
 	err       error
-	// cut is true where the answer broke off by the connection's end, not by this entry.
-	cut bool
-	// sentAt is when the attempt began, firstEvent and lastEvent are when events of its answer
+	// connectionLost is true where the answer broke off by the connection's end, not by this entry.
+	connectionLost bool
+	// startedAt is when the attempt began, firstEvent and lastEvent are when events of its answer
 	// came; zero before. events counts them, longestPause is the longest between two in
 	// nanoseconds.
-	sentAt, firstEvent, lastEvent time.Time
-	events, longestPause          atomic.Int64
-	response                      *http.Response
+	startedAt, firstEventAt, lastEventAt time.Time
+	eventCount, longestGap               atomic.Int64
+	response                             *http.Response
 	// helperAtFault is true where a helper, and not the first engine, is why the
 	// attempt failed.
 	helperAtFault bool
-	// group is the memory reserved for the attempt; nil where it needs none.
-	group *group
+	// reservations is the memory reserved for the attempt; nil where it needs none.
+	reservations *reservationGroup
 	// cancel ends the attempt with a cause.
 	cancel context.CancelCauseFunc
 	// watchdog cancels the attempt when the upstream is silent; nil if unused.
@@ -67,51 +67,51 @@
 
 // send makes one attempt up to the header of the answer. The caller of send
 // ends the attempt with close.
-func (f *Forwarder) send(x *exchange, p *dispatcher.Placement, lastEvent string) *attempt {
+func (f *Forwarder) send(x *exchange, p *dispatcher.Placement, lastEventID string) *attempt {
 	ctx, cancel := context.WithCancelCause(x.ctx)
-	a := &attempt{placement: p, cancel: cancel, sentAt: time.Now()}
-	a.watchdog = f.watch(x, p, func() { cancel(errSilent) })
-	p.OnRestart(func() { a.restarted(x.route.GapTarget) })
+	a := &attempt{placement: p, cancel: cancel, startedAt: time.Now()}
+	a.watchdog = f.startWatchdog(x, p, func() { cancel(errUpstreamSilent) })
+	p.OnRestart(func() { a.onUpstreamRestart(x.route.GapTarget) })
 	var err error
-	a.group, err = f.reserve(ctx, x, p, cancel)
+	a.reservations, err = f.reserve(ctx, x, p, cancel)
 	if err != nil {
 		a.verdict, a.err = verdictUnsent, err
-		f.blameForMemory(x, a)
+		f.blameFailedReservations(x, a)
 		return a
 	}
 	// Only the request's own connection counts, not those of orders about its memory.
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
-	request, err := f.build(ctx, x, a, lastEvent)
+	request, err := f.buildRequest(ctx, x, a, lastEventID)
 	if err != nil {
 		a.verdict, a.err = verdictUnsent, err
 		return a
 	}
 	a.response, err = f.upstreams.RoundTrip(request)
 	if !connected {
-		a.verdict, a.err = verdictUnsent, fmt.Errorf("connect: %w", causeOf(ctx, err))
+		a.verdict, a.err = verdictUnsent, fmt.Errorf("connect: %w", cancellationCause(ctx, err))
 		return a
 	}
-	x.sent++
-	x.pending++
+	x.sentCount++
+	x.pendingCount++
 	if err != nil {
-		a.breakOff(ctx, fmt.Errorf("await answer: %w", causeOf(ctx, err)))
+		a.markBroken(ctx, fmt.Errorf("await answer: %w", cancellationCause(ctx, err)))
 		return a
 	}
 	f.classify(x, a)
 	return a
 }
 
-// causeOf is why a context ended, where that is why a call failed.
-func causeOf(ctx context.Context, err error) error {
+// cancellationCause is why a context ended, where that is why a call failed.
+func cancellationCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// build makes the request to the upstream of a placement.
-func (f *Forwarder) build(ctx context.Context, x *exchange, a *attempt, lastEvent string) (*http.Request, error) {
+// buildRequest makes the request to the upstream of a placement.
+func (f *Forwarder) buildRequest(ctx context.Context, x *exchange, a *attempt, lastEventID string) (*http.Request, error) {
 	p := a.placement
 	address := p.First.Address.String()
 	request := &http.Request{
@@ -130,23 +130,23 @@
 		request.ContentLength = int64(len(x.body))
 	}
 	if len(x.body) > 0 {
-		request.Body = readCloser{bytes.NewReader(x.body)}
+		request.Body = oneShotBody{bytes.NewReader(x.body)}
 	}
-	left := time.Until(x.deadline)
-	if left <= 0 {
+	remaining := time.Until(x.deadline)
+	if remaining <= 0 {
 		return nil, context.DeadlineExceeded
 	}
 	f.protocol.WriteAttempt(request.Header, AttemptMetadata{
-		InstanceID: p.First.ID, Remaining: left, Organisation: x.organisation, LastEventID: lastEvent,
-		Helpers: a.group.helpers(p.Helpers), Priority: urgency(x),
+		InstanceID: p.First.ID, Remaining: remaining, Organisation: x.organisation, LastEventID: lastEventID,
+		Helpers: a.reservations.withReservations(p.Helpers), Priority: enginePriority(x),
 	})
 	return request, nil
 }
 
 const (
-	// ranks is how many ranks of organisations and routes are told apart; a
+	// priorityLevels is how many ranks of organisations and routes are told apart; a
 	// lower one counts as the last of them.
-	ranks = 3
+	priorityLevels = 3
 	// targetClasses is how many classes of target are told apart within a rank.
 	targetClasses = 3
 	// shortTarget and mediumTarget are the longest targets of the first two.
@@ -154,10 +154,10 @@
 	mediumTarget = 2 * time.Second
 )
 
-// urgency orders what waits at an engine, 0 first: by the rank of the
+// enginePriority orders what waits at an engine, 0 first: by the rank of the
 // organisation, which goes before the route's, and within it the shorter the
 // target, the sooner.
-func urgency(x *exchange) int {
+func enginePriority(x *exchange) int {
 	class := targetClasses - 1
 	switch target := x.route.FirstByteTarget; {
 	case target <= shortTarget:
@@ -165,28 +165,28 @@
 	case target <= mediumTarget:
 		class = 1
 	}
-	return min(max(x.rank, 0), ranks-1)*targetClasses + class
+	return min(max(x.priority, 0), priorityLevels-1)*targetClasses + class
 }
 
-// readCloser is a body that can't be rewound, so that the library never sends
+// oneShotBody is a body that can't be rewound, so that the library never sends
 // a request again by itself.
-type readCloser struct{ *bytes.Reader }
+type oneShotBody struct{ *bytes.Reader }
 
-func (readCloser) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
 
 // classify judges the header of an answer.
 func (f *Forwarder) classify(x *exchange, a *attempt) {
 	status := a.response.StatusCode
 	reply := f.protocol.ReadResponse(status, a.response.Header)
-	f.heed(x, a, reply)
+	f.applyBackpressure(x, a, reply)
 	switch {
-	case reply.RequestID != "" && reply.RequestID != x.call.ID:
-		a.verdict, a.err = verdictBroken, errForeign
+	case reply.RequestID != "" && reply.RequestID != x.metadata.ID:
+		a.verdict, a.err = verdictBroken, errWrongRequest
 	case reply.NotRun:
-		x.pending--
+		x.pendingCount--
 		a.verdict, a.err = verdictNotRun, fmt.Errorf("status %d", status)
 		if reply.FaultyAddress.IsValid() && reply.FaultyAddress != a.placement.First.Address {
-			f.blame(x, a, reply.FaultyAddress)
+			f.blameHelper(x, a, reply.FaultyAddress)
 		}
 	case status >= 500:
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", status)
@@ -197,84 +197,84 @@
 	}
 }
 
-// blame notes a helper's fault.
-func (f *Forwarder) blame(x *exchange, a *attempt, at netip.AddrPort) {
+// blameHelper notes a helper's fault.
+func (f *Forwarder) blameHelper(x *exchange, a *attempt, address netip.AddrPort) {
 	for _, h := range a.placement.Helpers {
-		if h.Address == at {
-			f.board.ReportHelperFailure(time.Now(), h)
-			x.avoid = append(x.avoid, h)
+		if h.Address == address {
+			f.dispatcher.ReportHelperFailure(time.Now(), h)
+			x.failedUpstreams = append(x.failedUpstreams, h)
 			a.helperAtFault = true
 		}
 	}
 }
 
-// blameForMemory notes the helpers that set no memory aside.
-func (f *Forwarder) blameForMemory(x *exchange, a *attempt) {
-	for _, s := range failedShares(a.err) {
-		f.blame(x, a, s.Engine)
+// blameFailedReservations notes the helpers that set no memory aside.
+func (f *Forwarder) blameFailedReservations(x *exchange, a *attempt) {
+	for _, s := range reserveErrors(a.err) {
+		f.blameHelper(x, a, s.Engine)
 	}
 }
 
-// restarted ends the attempt as one of its upstreams is known to have started anew: no answer
+// onUpstreamRestart ends the attempt as one of its upstreams is known to have started anew: no answer
 // comes from a run that is over, and where a partition hid its end callers would wait for the watchdog, up to
 // three quarters of their patience. A stream that goes on is made by the new run, of which this entry
 // heard late; it shows that within twice its longest pause, or within most.
-func (a *attempt) restarted(most time.Duration) {
-	seen := a.events.Load()
+func (a *attempt) onUpstreamRestart(maxGap time.Duration) {
+	seen := a.eventCount.Load()
 	if seen == 0 {
-		a.cancel(errRestarted)
+		a.cancel(errUpstreamRestarted)
 		return
 	}
-	if pause := time.Duration(a.longestPause.Load()); pause > 0 {
-		most = min(most, 2*pause)
+	if pause := time.Duration(a.longestGap.Load()); pause > 0 {
+		maxGap = min(maxGap, 2*pause)
 	}
-	time.AfterFunc(most, func() {
-		if a.events.Load() == seen {
-			a.cancel(errRestarted)
+	time.AfterFunc(maxGap, func() {
+		if a.eventCount.Load() == seen {
+			a.cancel(errUpstreamRestarted)
 		}
 	})
 }
 
-// lost reports whether the attempt ended because an upstream has started anew.
-func (a *attempt) lost() bool { return errors.Is(a.err, errRestarted) }
+// isLostToRestart reports whether the attempt ended because an upstream has started anew.
+func (a *attempt) isLostToRestart() bool { return errors.Is(a.err, errUpstreamRestarted) }
 
-// blameless reports whether the engine that was to answer is not to blame. Where an
+// isUpstreamBlameless reports whether the engine that was to answer is not to blame. Where an
 // upstream has started anew, its new run isn't either.
-func (a *attempt) blameless() bool { return a.helperAtFault || a.lost() }
+func (a *attempt) isUpstreamBlameless() bool { return a.helperAtFault || a.isLostToRestart() }
 
-// avoidFailed keeps the request from the upstream that failed an attempt.
-func avoidFailed(x *exchange, a *attempt) {
-	if !a.blameless() {
-		x.avoid = append(x.avoid, a.placement.First)
+// avoidFailedUpstream keeps the request from the upstream that failed an attempt.
+func avoidFailedUpstream(x *exchange, a *attempt) {
+	if !a.isUpstreamBlameless() {
+		x.failedUpstreams = append(x.failedUpstreams, a.placement.First)
 	}
 }
 
-// close ends an attempt and tells the board.
-func (f *Forwarder) close(x *exchange, a *attempt) {
+// endAttempt ends an attempt and tells the board.
+func (f *Forwarder) endAttempt(x *exchange, a *attempt) {
 	a.watchdog.stop()
 	if a.response != nil {
 		_ = a.response.Body.Close()
 	}
 	a.cancel(nil)
-	f.release(a.group)
-	f.metrics.attempted(a.verdict)
-	a.placement.End(time.Now(), resultOf(x, a))
-	f.noteEnd(x, a)
+	f.releaseReservations(a.reservations)
+	f.metrics.recordAttempt(a.verdict)
+	a.placement.End(time.Now(), dispatchResult(x, a))
+	f.detectCrash(x, a)
 	// A failure proves nothing: an upstream may fail what it has not begun.
 	if a.verdict == verdictAnswered && a.response.StatusCode < http.StatusMultipleChoices {
-		f.quarantine.RecordSuccess(time.Now(), x.content)
+		f.quarantine.RecordSuccess(time.Now(), x.fingerprint)
 	}
 	if a.verdict == verdictAnswered {
 		return
 	}
-	f.log.Warn("attempt", zap.String("request", x.call.ID), zap.String("verdict", string(a.verdict)),
+	f.log.Warn("attempt", zap.String("request", x.metadata.ID), zap.String("verdict", string(a.verdict)),
 		zap.String("upstream", a.placement.First.ID), zap.Stringer("address", a.placement.First.Address),
-		zap.Int("helpers", len(a.placement.Helpers)), zap.Duration("left_ms", time.Until(x.deadline)), zap.Stringer("content", x.content), zap.Error(a.err))
+		zap.Int("helpers", len(a.placement.Helpers)), zap.Duration("left_ms", time.Until(x.deadline)), zap.Stringer("content", x.fingerprint), zap.Error(a.err))
 }
 
-func resultOf(x *exchange, a *attempt) dispatcher.Result {
+func dispatchResult(x *exchange, a *attempt) dispatcher.Result {
 	switch {
-	case x.callerLeft(), a.blameless():
+	case x.hasCallerLeft(), a.isUpstreamBlameless():
 		return dispatcher.Abandoned
 	case a.verdict == verdictUnsent:
 		return dispatcher.Unreachable
--- /dev/null
+++ b/forwarder/backpressure.go
@@ -0,0 +1,24 @@
+package forwarder
+
+import (
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// applyBackpressure takes in what an upstream says of itself in an answer. It goes before what the store
+// lists: the store may be away while an upstream leaves.
+func (f *Forwarder) applyBackpressure(x *exchange, a *attempt, r ResponseMetadata) {
+	if a.response.StatusCode == http.StatusMisdirectedRequest {
+		return // by another upstream that has the address now
+	}
+	first := a.placement.First
+	if r.Leaving && f.dispatcher.MarkLeaving(first) {
+		f.log.Info("upstream_leaving", zap.String("request", x.metadata.ID), zap.String("upstream", first.ID), zap.Stringer("address", first.Address))
+	}
+	if r.Backoff > 0 && f.dispatcher.SetBackoff(first, time.Now().Add(r.Backoff)) {
+		f.log.Info("upstream_pauses", zap.String("request", x.metadata.ID), zap.String("upstream", first.ID), zap.Stringer("address", first.Address),
+			zap.Duration("pause_ms", r.Backoff))
+	}
+}
--- a/forwarder/heed_test.go
+++ b/forwarder/backpressure_test.go
@@ -12,7 +12,7 @@
 // Entries passed these answers on and sent it calls for seconds more, of which its end cut some: what an
 // upstream says of itself changed no belief, only the store did. The entries' logs tell it by place lines
 // after an answer of an upstream that said so.
-func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
+func TestUpstreamThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
 			w.Leave()
@@ -25,16 +25,16 @@
 		}
 		refused := f.ask(request{path: "/safe/x", id: "last"})
 		f.is.Equal(refused.status, 503) // at once, as nobody is left
-		f.is.Equal(refused.took, time.Duration(0))
+		f.is.Equal(refused.duration, time.Duration(0))
 		f.instances[0].Started = f.instances[0].Started.Add(time.Minute)
 		f.plain[0].Restart()
-		f.board.Update(f.table, f.instances)
+		f.dispatcher.Update(f.table, f.instances)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "new"}).status, 200) // its next run does not leave
 	})
 }
 
 // Engines say so with the header of a stream, whose events go on.
-func TestLeavingEngineGetsNoStreams(t *testing.T) {
+func TestEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		stream := func(id string) answer { return f.ask(request{path: "/stream/x", id: id, usage: "2000,200"}) }
 		f.engines[0].Leave()
@@ -42,26 +42,26 @@
 		f.engines[2].SetFault(worker.Full)
 		for n := range 2 {
 			id := fmt.Sprint("told", n)
-			f.is.Equal(stream(id).body, whole(id, 1))
+			f.is.Equal(stream(id).body, wholeStream(id, 1))
 		}
 		f.is.Equal(len(f.engines[0].Runs()), 1)
 		f.is.Equal(len(f.engines[1].Runs()), 1)
 		f.is.Equal(stream("nowhere").status, 503)
 		// An upstream that lapses and is listed again is the same run.
-		f.board.Update(f.table, f.instances[:2])
-		f.board.Update(f.table, f.instances)
+		f.dispatcher.Update(f.table, f.instances[:2])
+		f.dispatcher.Update(f.table, f.instances)
 		f.is.Equal(stream("listed").status, 503)
 		f.engines[2].SetFault(worker.Sound)
 		for n := range 12 {
 			id := fmt.Sprint("r", n)
-			f.is.Equal(stream(id).body, whole(id, 1))
+			f.is.Equal(stream(id).body, wholeStream(id, 1))
 		}
 		f.is.Equal(len(f.engines[0].Runs())+len(f.engines[1].Runs()), 2)
 	})
 }
 
 // An upstream that turns a request away may say for how long it wants nothing.
-func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
+func TestPausingUpstreamGetsNothingMeanwhile(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
 			w.SetFault(worker.Pausing)
@@ -74,16 +74,16 @@
 		time.Sleep(time.Second)
 		refused := f.ask(request{path: "/safe/x", id: "second"})
 		f.is.Equal(refused.status, 503)
-		f.is.Equal(refused.took, time.Duration(0))
+		f.is.Equal(refused.duration, time.Duration(0))
 		f.is.Equal(refused.header.Get("Retry-After"), "2.000") // when the first of them takes some again
-		f.is.Equal(runs(f.plain, "second"), 0)
+		f.is.Equal(countRuns(f.plain, "second"), 0)
 		time.Sleep(worker.PauseTime - time.Second)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "third"}).status, 200)
 	})
 }
 
 // A pause of one upstream keeps nobody from the others.
-func TestBackoffAppliesToOneUpstreamOnly(t *testing.T) {
+func TestPauseIsThatOfOneUpstream(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.engines[0].SetFault(worker.Pausing)
 		f.engines[1].SetFault(worker.Pausing)
@@ -99,7 +99,7 @@
 
 // An upstream wanted nothing for three seconds, and its entry heard only then, as the store had been away, that
 // it had started anew before: what it said was said by the new run.
-func TestBackoffSurvivesLateRestartUpdate(t *testing.T) {
+func TestPauseOutlivesLateWordOfTheRun(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		time.Sleep(10 * time.Second)
 		for _, w := range f.plain {
@@ -110,8 +110,8 @@
 			w.SetFault(worker.Sound)
 			f.instances[i].Started = time.Now().Add(-5 * time.Second)
 		}
-		f.board.Update(f.table, f.instances)
+		f.dispatcher.Update(f.table, f.instances)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "second"}).status, 503)
-		f.is.Equal(runs(f.plain, "second"), 0)
+		f.is.Equal(countRuns(f.plain, "second"), 0)
 	})
 }
--- a/forwarder/ended_test.go
+++ b/forwarder/crash_test.go
@@ -9,13 +9,13 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// contentOf is what a request of the fixture's usual caller asks for.
-func contentOf(path, body string) quarantiner.Fingerprint {
+// fingerprintOf is what a request of the fixture's usual caller asks for.
+func fingerprintOf(path, body string) quarantiner.Fingerprint {
 	return quarantiner.FingerprintOf([]byte(http.MethodPost), []byte("h"), []byte(path), []byte("crew"), []byte(body))
 }
 
-// endWorking ends the processes of the engines that work on anything.
-func (f *fixture) endWorking() {
+// killWorkingEngines ends the processes of the engines that work on anything.
+func (f *fixture) killWorkingEngines() {
 	for i, w := range f.engines {
 		if w.Working() == 0 {
 			continue
@@ -27,7 +27,7 @@
 
 // An answer that breaks off as its upstream ends counts against the request, unless the upstream had
 // made events of it for long.
-func TestCrashCountsAgainstRequestJustBegun(t *testing.T) {
+func TestEndOfUpstreamCountsAgainstWhatItHadJustBegun(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		ran  time.Duration
@@ -38,44 +38,44 @@
 				for _, w := range f.engines {
 					w.Follow(&worker.Plan{Events: func(string) int { return 100 }})
 				}
-				time.AfterFunc(c.ran, f.endWorking)
+				time.AfterFunc(c.ran, f.killWorkingEngines)
 				a := f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
 				f.is.True(a.err != nil)
 				time.Sleep(time.Second)
-				f.is.Equal(f.quarantine.CrashCount(contentOf("/fixed/x", "b")), c.want)
+				f.is.Equal(f.quarantine.CrashCount(fingerprintOf("/fixed/x", "b")), c.want)
 			})
 		})
 	}
 }
 
 // An answer that an upstream breaks off and lives does not count.
-func TestBrokenResponseOfLiveUpstreamIsNoCrash(t *testing.T) {
+func TestBrokenAnswerOfALivingUpstreamCountsForNothing(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.engines, worker.Torn)
+		setFaults(f.engines, worker.Torn)
 		f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
 		time.Sleep(time.Second)
-		f.is.Equal(f.quarantine.CrashCount(contentOf("/fixed/x", "b")), 0)
+		f.is.Equal(f.quarantine.CrashCount(fingerprintOf("/fixed/x", "b")), 0)
 	})
 }
 
 // A request under which two upstreams have ended is not sent to a second one when its
 // first ends too, and is refused once it is quarantined, as long as that holds.
-func TestSuspectRequestIsNotRetriedAndQuarantinedIsRefused(t *testing.T) {
+func TestSuspectIsSentOnceAndQuarantinedNotAtAll(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		now, content := time.Now(), contentOf("/stream/x", "b")
+		now, content := time.Now(), fingerprintOf("/stream/x", "b")
 		for n := range 2 {
 			ended := now.Add(time.Duration(n-3) * time.Second)
 			f.quarantine.RecordCrash(now, quarantiner.Crash{Fingerprint: content, Incarnation: quarantiner.Incarnation(n), LastSent: ended.Add(-100 * time.Millisecond), Ended: ended})
 		}
-		time.AfterFunc(100*time.Millisecond, f.endWorking)
+		time.AfterFunc(100*time.Millisecond, f.killWorkingEngines)
 		f.ask(request{path: "/stream/x", id: "third", usage: "2000,200", body: "b"})
-		f.is.Equal(runs(f.engines, "third"), 1)
+		f.is.Equal(countRuns(f.engines, "third"), 1)
 		time.Sleep(2 * time.Second)
 		f.is.Equal(len(f.quarantine.Evaluate(time.Now())), 1)
 		fourth := f.ask(request{path: "/stream/x", id: "fourth", usage: "2000,200", body: "b"})
 		f.is.Equal(fourth.status, 503)
 		f.is.Equal(fourth.header.Get("Retry-After"), "300.000")
-		f.is.Equal(runs(f.engines, "fourth"), 0)
+		f.is.Equal(countRuns(f.engines, "fourth"), 0)
 		other := f.ask(request{path: "/safe/x", id: "other", body: "b"})
 		f.is.Equal(other.status, 200)
 	})
--- a/forwarder/failure.go
+++ b/forwarder/failure.go
@@ -38,8 +38,8 @@
 
 // Times after which a refused caller is asked to come back.
 const (
-	// soonRetry is for what another entry or upstream could serve at once.
-	soonRetry = 50 * time.Millisecond
+	// immediateRetry is for what another entry or upstream could serve at once.
+	immediateRetry = 50 * time.Millisecond
 	// fullRetry is for upstreams without room: several answers of plain
 	// services end in that time.
 	fullRetry = 150 * time.Millisecond
@@ -48,9 +48,9 @@
 	// unconfirmedRetry is for an entry that may have missed a change, where
 	// another may know better.
 	unconfirmedRetry = 100 * time.Millisecond
-	// lostRetry is for an entry that has no configuration and can't read one:
+	// storeLostRetry is for an entry that has no configuration and can't read one:
 	// outages of the store last seconds, and callers seldom ask a third time.
-	lostRetry = 2 * time.Second
+	storeLostRetry = 2 * time.Second
 )
 
 // failure is why a request gets no upstream's answer.
@@ -70,13 +70,13 @@
 
 func (f *failure) Unwrap() error { return f.cause }
 
-// notRun is a refusal of a request that did not run and never will.
-func notRun(reason string, retryAfter time.Duration, cause error) *failure {
+// notRunFailure is a refusal of a request that did not run and never will.
+func notRunFailure(reason string, retryAfter time.Duration, cause error) *failure {
 	return &failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter, cause: cause}
 }
 
-// unknown is the end of a request of which a part may have run.
-func unknown(reason string, cause error) *failure {
+// unknownOutcomeFailure is the end of a request of which a part may have run.
+func unknownOutcomeFailure(reason string, cause error) *failure {
 	status := http.StatusBadGateway
 	if reason == reasonDeadline {
 		status = http.StatusGatewayTimeout
@@ -99,23 +99,23 @@
 func (f *Forwarder) respond(next handler) handler {
 	return func(x *exchange) *failure {
 		fail := next(x)
-		f.finish(x, fail)
+		f.recordEnd(x, fail)
 		if fail == nil {
 			return nil
 		}
-		if x.begun || fail.reason == reasonCallerLeft {
+		if x.responseBegun || fail.reason == reasonCallerLeft {
 			// An answer that can't be finished must not look complete.
 			panic(http.ErrAbortHandler)
 		}
-		f.refuse(x, fail)
+		f.writeRefusal(x, fail)
 		return nil
 	}
 }
 
-func (f *Forwarder) refuse(x *exchange, fail *failure) {
-	f.asserter.Check(!promisesNotRun(fail.status) || x.pending == 0, asserter.NotRunAfterSend, "request %s: %s", x.call.ID, fail.reason)
+func (f *Forwarder) writeRefusal(x *exchange, fail *failure) {
+	f.asserter.Check(!promisesNotRun(fail.status) || x.pendingCount == 0, asserter.NotRunAfterSend, "request %s: %s", x.metadata.ID, fail.reason)
 	h := x.writer.Header()
-	f.protocol.WriteRefusal(h, x.call.ID, fail.retryAfter)
+	f.protocol.WriteRefusal(h, x.metadata.ID, fail.retryAfter)
 	h.Set("Content-Type", "application/json")
 	if !x.bodyRead {
 		h.Set("Connection", "close")
@@ -124,33 +124,33 @@
 	_ = json.NewEncoder(x.writer).Encode(struct {
 		Error  string `json:"error"`
 		NotRun bool   `json:"not_run"`
-	}{Error: fail.reason, NotRun: x.pending == 0})
+	}{Error: fail.reason, NotRun: x.pendingCount == 0})
 }
 
-// finish counts and logs the end of a request.
-func (f *Forwarder) finish(x *exchange, fail *failure) {
+// recordEnd counts and logs the end of a request.
+func (f *Forwarder) recordEnd(x *exchange, fail *failure) {
 	outcome := outcomeAnswered
 	if fail != nil {
 		outcome = fail.reason
 	}
-	f.metrics.finished(outcome, time.Since(x.arrived))
+	f.metrics.recordRequest(outcome, time.Since(x.arrivedAt))
 	fields := []zap.Field{
-		zap.String("request", x.call.ID), zap.String("outcome", outcome), zap.Int("status", x.status(fail)),
-		zap.Duration("took_ms", time.Since(x.arrived)), zap.Int("attempts", x.sent), zap.Int("prompt", x.call.PromptTokens), zap.Stringer("content", x.content),
+		zap.String("request", x.metadata.ID), zap.String("outcome", outcome), zap.Int("status", x.finalStatus(fail)),
+		zap.Duration("took_ms", time.Since(x.arrivedAt)), zap.Int("attempts", x.sentCount), zap.Int("prompt", x.metadata.PromptTokens), zap.Stringer("content", x.fingerprint),
 	}
-	if x.call.MaxAnswerTokens > 0 {
-		fields = append(fields, zap.Int("answer", x.call.MaxAnswerTokens), zap.Int("answer_hint", x.call.AnswerTokensHint), zap.Int("events", x.events))
+	if x.metadata.MaxAnswerTokens > 0 {
+		fields = append(fields, zap.Int("answer", x.metadata.MaxAnswerTokens), zap.Int("answer_hint", x.metadata.AnswerTokensHint), zap.Int("events", x.eventCount))
 	}
 	if x.route != nil {
 		fields = append(fields, zap.String("route", x.route.Name), zap.String("kind", x.route.Kind.String()))
 	}
 	if x.view != nil {
 		fields = append(fields, zap.Int64("config_revision", x.view.ConfigRevision))
-		fields = append(fields, x.view.stopFields(x.arrived)...)
+		fields = append(fields, x.view.stopLogFields(x.arrivedAt)...)
 	}
-	if !x.firstAt.IsZero() {
-		f.metrics.streamed(x.call.PromptTokens, x.firstAt.Sub(x.arrived), x.longestPause)
-		fields = append(fields, zap.Duration("first_ms", x.firstAt.Sub(x.arrived)), zap.Duration("longest_pause_ms", x.longestPause))
+	if !x.responseBegunAt.IsZero() {
+		f.metrics.recordStream(x.metadata.PromptTokens, x.responseBegunAt.Sub(x.arrivedAt), x.longestGap)
+		fields = append(fields, zap.Duration("first_ms", x.responseBegunAt.Sub(x.arrivedAt)), zap.Duration("longest_pause_ms", x.longestGap))
 	}
 	if fail == nil {
 		f.log.Info("request", fields...)
@@ -165,9 +165,9 @@
 	f.log.Warn("request", fields...)
 }
 
-func (x *exchange) status(fail *failure) int {
-	if fail != nil && !x.begun {
+func (x *exchange) finalStatus(fail *failure) int {
+	if fail != nil && !x.responseBegun {
 		return fail.status
 	}
-	return x.answered
+	return x.responseStatus
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -30,8 +30,8 @@
 	"github.com/sapphireramp/sapphireramp/sleeper"
 )
 
-// defaultPatience stands in where neither caller nor route names a time.
-const defaultPatience = 30 * time.Second
+// defaultTimeout stands in where neither caller nor route names a time.
+const defaultTimeout = 30 * time.Second
 
 // Config of a forwarder. Every field is needed.
 type Config struct {
@@ -55,30 +55,30 @@
 
 // Forwarder is the handler of callers' requests.
 type Forwarder struct {
-	protocol   Protocol
-	orders     ReservationClient
-	holdTime   time.Duration
-	maxIdle    time.Duration
-	view       func() *View
-	board      *dispatcher.Dispatcher
-	budget     *budgeter.Budgeter
-	quarantine *quarantiner.Quarantiner
-	upstreams  *http.Transport
-	presence   *connector.Presence
-	log        *zap.Logger
-	metrics    metrics
-	asserter   *asserter.Asserter
-	chain      handler
-	inFlight   atomic.Int64
+	protocol          Protocol
+	reservationClient ReservationClient
+	reservationTTL    time.Duration
+	maxIdle           time.Duration
+	view              func() *View
+	dispatcher        *dispatcher.Dispatcher
+	retryBudget       *budgeter.Budgeter
+	quarantine        *quarantiner.Quarantiner
+	upstreams         *http.Transport
+	presence          *connector.Presence
+	log               *zap.Logger
+	metrics           metrics
+	asserter          *asserter.Asserter
+	handler           handler
+	inFlight          atomic.Int64
 }
 
 // New returns a forwarder.
 func New(c Config) *Forwarder {
 	f := &Forwarder{
-		protocol: c.Protocol, orders: c.Reservations, holdTime: c.ReservationTTL, maxIdle: c.MaxIdle, view: c.View, board: c.Dispatcher, budget: c.RetryBudget, quarantine: c.Quarantine, log: c.Log,
+		protocol: c.Protocol, reservationClient: c.Reservations, reservationTTL: c.ReservationTTL, maxIdle: c.MaxIdle, view: c.View, dispatcher: c.Dispatcher, retryBudget: c.RetryBudget, quarantine: c.Quarantine, log: c.Log,
 		metrics: newMetrics(c.Scope), asserter: c.Asserter, upstreams: newTransport(c.Dial), presence: connector.NewPresence(c.Dial),
 	}
-	f.chain = chain(f.forward, f.respond, f.recoverPanic, f.open, f.limitHeader, f.match, f.readBody)
+	f.handler = chain(f.forward, f.respond, f.recoverPanic, f.requireConfig, f.limitHeader, f.matchRoute, f.readBody)
 	return f
 }
 
@@ -88,42 +88,42 @@
 // exchange is one request on its way through the filters.
 type exchange struct {
 	ctx context.Context
-	// callerLeft reports whether the caller closed its connection.
-	callerLeft func() bool
-	writer     http.ResponseWriter
-	request    *http.Request
-	arrived    time.Time
-	call       RequestMetadata
+	// hasCallerLeft reports whether the caller closed its connection.
+	hasCallerLeft func() bool
+	writer        http.ResponseWriter
+	request       *http.Request
+	arrivedAt     time.Time
+	metadata      RequestMetadata
 	// view is the one in force when the request arrived; nothing newer is
 	// used for it but to learn that an upstream leaves.
 	view         *View
 	route        *matcher.Route
 	organisation string
-	// rank is the organisation's, or the route's where none is known; 0 is the
+	// priority is the organisation's, or the route's where none is known; 0 is the
 	// most urgent.
-	rank     int
-	service  string
-	deadline time.Time
-	body     []byte
-	bodyRead bool
-	content  quarantiner.Fingerprint
+	priority    int
+	service     string
+	deadline    time.Time
+	body        []byte
+	bodyRead    bool
+	fingerprint quarantiner.Fingerprint
 
-	// sent counts upstreams that the request was sent to, pending those of
+	// sentCount counts upstreams that the request was sent to, pending those of
 	// them that have not stated that it did not run.
-	sent, pending int
-	avoid         []dispatcher.Instance
-	// demand is that of the last placement.
-	demand dispatcher.Demand
-	// alone is set once a group of engines has failed the request.
-	alone bool
-	// begun is true once a part of the answer was written to the caller.
-	begun        bool
-	answered     int
-	firstAt      time.Time
-	eventAt      time.Time
-	longestPause time.Duration
-	// events counts those passed on.
-	events int
+	sentCount, pendingCount int
+	failedUpstreams         []dispatcher.Instance
+	// lastDemand is that of the last placement.
+	lastDemand dispatcher.Demand
+	// groupFailed is set once a group of engines has failed the request.
+	groupFailed bool
+	// responseBegun is true once a part of the answer was written to the caller.
+	responseBegun   bool
+	responseStatus  int
+	responseBegunAt time.Time
+	lastEventAt     time.Time
+	longestGap      time.Duration
+	// eventCount counts those passed on.
+	eventCount int
 }
 
 type handler func(*exchange) *failure
@@ -142,8 +142,8 @@
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	x := &exchange{ctx: r.Context(), writer: w, request: r, arrived: time.Now(), call: f.protocol.ReadRequest(r)}
-	_ = f.chain(x)
+	x := &exchange{ctx: r.Context(), writer: w, request: r, arrivedAt: time.Now(), metadata: f.protocol.ReadRequest(r)}
+	_ = f.handler(x)
 }
 
 func (f *Forwarder) recoverPanic(next handler) handler {
@@ -153,25 +153,25 @@
 			if r == nil {
 				return
 			}
-			f.log.Error("panic", zap.String("request", x.call.ID), zap.Any("value", r), zap.ByteString("stack", debug.Stack()))
-			fail = unknown(reasonPanic, fmt.Errorf("panic: %v", r))
+			f.log.Error("panic", zap.String("request", x.metadata.ID), zap.Any("value", r), zap.ByteString("stack", debug.Stack()))
+			fail = unknownOutcomeFailure(reasonPanic, fmt.Errorf("panic: %v", r))
 		}()
 		return next(x)
 	}
 }
 
-// open refuses requests while the entry knows no configuration.
-func (f *Forwarder) open(next handler) handler {
+// requireConfig refuses requests while the entry knows no configuration.
+func (f *Forwarder) requireConfig(next handler) handler {
 	return func(x *exchange) *failure {
 		x.view = f.awaitConfig(x)
 		if x.view.Table == nil && x.view.Stopping {
 			return refuseStopping(x.view, nil)
 		}
 		if x.view.Table == nil && x.view.StoreUnavailable {
-			return notRun(reasonNoConfig, lostRetry, nil)
+			return notRunFailure(reasonNoConfig, storeLostRetry, nil)
 		}
 		if x.view.Table == nil {
-			return notRun(reasonNoConfig, configRetry, nil)
+			return notRunFailure(reasonNoConfig, configRetry, nil)
 		}
 		if x.view.Stopping {
 			x.writer.Header().Set("Connection", "close")
@@ -181,81 +181,81 @@
 }
 
 const (
-	// startWait is how long a request that meets an entry just after its start
+	// startupWait is how long a request that meets an entry just after its start
 	// waits for the configuration, which one read brings in a few milliseconds.
-	startWait = 150 * time.Millisecond
-	// startPoll is how often it looks.
-	startPoll = 5 * time.Millisecond
-	// lostWaitPart is the part of its caller's patience for which a request waits
+	startupWait = 150 * time.Millisecond
+	// startupPollInterval is how often it looks.
+	startupPollInterval = 5 * time.Millisecond
+	// storeLostWaitDivisor is the part of its caller's patience for which a request waits
 	// while the store can't be read, as the first entry that reads it tells all
 	// within 0.1 s. Most callers that meet an entry just started come from one
 	// that was lost, and do not ask a third time. A tenth leaves them the time to
 	// come back after a refusal.
-	lostWaitPart = 10
+	storeLostWaitDivisor = 10
 )
 
 // awaitConfig is the view in force, or the first one with a configuration
 // where that comes soon.
 func (f *Forwarder) awaitConfig(x *exchange) *View {
 	v := f.view()
-	for v.Table == nil && !v.Stopping && time.Since(x.arrived) < configWait(x, v) && sleeper.Sleep(x.ctx, startPoll) {
+	for v.Table == nil && !v.Stopping && time.Since(x.arrivedAt) < maxConfigWait(x, v) && sleeper.Sleep(x.ctx, startupPollInterval) {
 		v = f.view()
 	}
 	return v
 }
 
-// configWait is how long a request waits for the first configuration.
-func configWait(x *exchange, v *View) time.Duration {
+// maxConfigWait is how long a request waits for the first configuration.
+func maxConfigWait(x *exchange, v *View) time.Duration {
 	if v.StoreUnavailable {
-		return x.call.Timeout / lostWaitPart
+		return x.metadata.Timeout / storeLostWaitDivisor
 	}
-	return startWait
+	return startupWait
 }
 
-// match finds the route and the organisation of a request.
-func (f *Forwarder) match(next handler) handler {
+// matchRoute finds the route and the organisation of a request.
+func (f *Forwarder) matchRoute(next handler) handler {
 	return func(x *exchange) *failure {
 		table := x.view.Table
 		route, err := table.Route(x.request.Host, x.request.URL.EscapedPath())
 		if err != nil {
-			return x.denied(http.StatusNotFound, reasonNoRoute, err)
+			return x.denyByConfig(http.StatusNotFound, reasonNoRoute, err)
 		}
-		organisation, err := table.Organisation(route, x.call.APIKey)
+		organisation, err := table.Organisation(route, x.metadata.APIKey)
 		if err != nil {
-			return x.denied(http.StatusUnauthorized, reasonUnknownKey, err)
+			return x.denyByConfig(http.StatusUnauthorized, reasonUnknownKey, err)
 		}
-		x.route, x.rank = route, route.Priority
+		x.route, x.priority = route, route.Priority
 		if organisation != nil {
-			x.organisation, x.rank = organisation.Name, organisation.Priority
+			x.organisation, x.priority = organisation.Name, organisation.Priority
 		}
-		x.deadline = x.arrived.Add(patience(x))
+		x.deadline = x.arrivedAt.Add(requestTimeout(x))
 		x.service = route.PickService(rand.Float64())
-		if x.view.turnsAway(x) {
+		if x.view.refusesWhileStopping(x) {
 			return refuseStopping(x.view, nil)
 		}
 		return next(x)
 	}
 }
 
-// denied refuses a request that the configuration does not allow. An entry
+// denyByConfig refuses a request that the configuration does not allow. An entry
 // that may have missed a change says so, rather than that there is no such
 // route or key.
-func (x *exchange) denied(status int, reason string, cause error) *failure {
+func (x *exchange) denyByConfig(status int, reason string, cause error) *failure {
 	age := time.Since(x.view.ConfirmedAt)
 	if age > x.view.ConfirmationTTL {
-		return notRun(reasonUnconfirmed, unconfirmedRetry, fmt.Errorf("%w, confirmed %s ago", cause, age.Round(time.Millisecond)))
+		return notRunFailure(reasonUnconfirmed, unconfirmedRetry, fmt.Errorf("%w, confirmed %s ago", cause, age.Round(time.Millisecond)))
 	}
 	return &failure{status: status, reason: reason, cause: cause}
 }
 
-// patience is how long a request may be kept waiting.
-func patience(x *exchange) time.Duration {
-	d := defaultPatience
+// requestTimeout is how long a request may be kept waiting.
+func requestTimeout(x *exchange) time.Duration {
+	d := defaultTimeout
 	if x.route.Timeout > 0 {
 		d = x.route.Timeout
 	}
-	if x.call.Timeout > 0 {
-		d = min(d, x.call.Timeout)
+	if x.metadata.Timeout > 0 {
+		d = min(d, x.metadata.Timeout)
 	}
 	return d
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -39,7 +39,7 @@
 	is         *is.I
 	net        *network.Network
 	view       atomic.Pointer[forwarder.View]
-	board      *dispatcher.Dispatcher
+	dispatcher *dispatcher.Dispatcher
 	table      *matcher.Table
 	quarantine *quarantiner.Quarantiner
 	// instances are the workers, plain ones first.
@@ -79,7 +79,7 @@
 		f.is.NoErr(err)
 		f.table = table
 		f.view.Store(&forwarder.View{Table: table, MaxEntries: 1, ConfirmedAt: time.Now(), ConfirmationTTL: 1500 * time.Millisecond})
-		f.board = dispatcher.New("a", rand.New(rand.NewPCG(1, 2)))
+		f.dispatcher = dispatcher.New("a", rand.New(rand.NewPCG(1, 2)))
 		var servers []*http.Server
 		for i := range 5 {
 			w := worker.New(fmt.Sprintf("i-%d", i), 20*time.Millisecond, 10, 50*time.Millisecond)
@@ -94,11 +94,11 @@
 			f.instances = append(f.instances, dispatcher.Instance{ID: fmt.Sprintf("i-%d", i), Service: service, Address: address, DataCentre: "a", Slots: 6, Started: time.Now()})
 			servers = append(servers, f.serve(address, w))
 		}
-		f.board.Update(table, f.instances)
+		f.dispatcher.Update(table, f.instances)
 		invariants := asserter.New(func(name, detail string) { t.Errorf("%s: %s", name, detail) })
 		handler := forwarder.New(forwarder.Config{
 			Protocol: platform.Protocol(), Reservations: platform.Orders(&http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(entryHost), DisableKeepAlives: true}}),
-			ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second, View: f.view.Load, Dispatcher: f.board, Quarantine: f.quarantine,
+			ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second, View: f.view.Load, Dispatcher: f.dispatcher, Quarantine: f.quarantine,
 			RetryBudget: budgeter.New(budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}),
 			Dial:        f.net.Dialer(entryHost), Log: zap.NewNop(), Scope: tally.NoopScope, Asserter: invariants,
 		})
@@ -133,18 +133,18 @@
 	status int
 	header http.Header
 	body   string
-	// closes is true where the answer asks the caller to leave.
-	closes bool
-	err    error
-	took   time.Duration
+	// closesConnection is true where the answer asks the caller to leave.
+	closesConnection bool
+	err              error
+	duration         time.Duration
 }
 
 type request struct {
 	path, id, key, usage, lastEvent, body string
 	patience                              time.Duration
 	ctx                                   context.Context
-	// sending is sent in place of the body.
-	sending io.Reader
+	// bodyReader is sent in place of the body.
+	bodyReader io.Reader
 }
 
 func (f *fixture) ask(r request) answer {
@@ -156,7 +156,7 @@
 	if strings.HasPrefix(r.path, "/safe/") {
 		method = http.MethodGet
 	}
-	body := r.sending
+	body := r.bodyReader
 	if body == nil {
 		body = strings.NewReader(r.body)
 	}
@@ -181,14 +181,14 @@
 	began := time.Now()
 	response, err := f.client.Do(q)
 	if err != nil {
-		return answer{err: err, took: time.Since(began)}
+		return answer{err: err, duration: time.Since(began)}
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(text), closes: response.Close, err: err, took: time.Since(began)}
+	return answer{status: response.StatusCode, header: response.Header, body: string(text), closesConnection: response.Close, err: err, duration: time.Since(began)}
 }
 
-func whole(id string, from int) string {
+func wholeStream(id string, from int) string {
 	text := ""
 	for n := from; n <= 10; n++ {
 		text += worker.Event(id, n)
@@ -196,11 +196,11 @@
 	return text
 }
 
-func runs(workers []*worker.Worker, id string) int {
+func countRuns(workers []*worker.Worker, id string) int {
 	return worker.TimesRun(slices.Values(workers), id)
 }
 
-func setAll(workers []*worker.Worker, fault worker.Fault) {
+func setFaults(workers []*worker.Worker, fault worker.Fault) {
 	for _, w := range workers {
 		w.SetFault(fault)
 	}
@@ -214,7 +214,7 @@
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 200)
 		f.is.Equal(a.body, worker.Body("r1"))
-		f.is.Equal(runs(f.plain, "r1"), 1)
+		f.is.Equal(countRuns(f.plain, "r1"), 1)
 		for _, w := range f.plain {
 			for _, r := range w.Runs() {
 				f.is.Equal(r.Path, "/once/a%2Fb//c?x=1&y=%20")
@@ -228,7 +228,7 @@
 
 // What waits at an engine is ordered by the organisation first, then by how
 // soon the route wants its first event.
-func TestOrganisationPriorityPrecedesTarget(t *testing.T) {
+func TestOrganisationGoesBeforeTarget(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		var order []string
 		for _, c := range []request{
@@ -248,7 +248,7 @@
 	})
 }
 
-func TestEntryRefusesInvalidRequests(t *testing.T) {
+func TestRefusalsOfOurOwn(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, c := range []struct {
 			request request
@@ -263,7 +263,7 @@
 			f.is.NoErr(a.err)
 			f.is.Equal(a.status, c.status)
 			f.is.Equal(a.header.Get("X-Attempt-Id"), c.request.id)
-			f.is.Equal(runs(f.plain, c.request.id), 0)
+			f.is.Equal(countRuns(f.plain, c.request.id), 0)
 		}
 		f.view.Store(&forwarder.View{})
 		a := f.ask(request{path: "/once/", id: "r4"})
@@ -284,7 +284,7 @@
 			f.is.NoErr(a.err)
 			f.is.Equal(a.status, 503)
 			f.is.Equal(a.header.Get("Retry-After"), "0.100")
-			f.is.Equal(runs(f.plain, c.id), 0)
+			f.is.Equal(countRuns(f.plain, c.id), 0)
 		}
 		f.is.Equal(f.ask(request{path: "/once/x", id: "r2"}).status, 200) // what it knows it serves
 	})
@@ -293,7 +293,7 @@
 // A request that meets an entry in its first milliseconds waits for the
 // configuration; one whose entry can't read the store is refused at once, with
 // a time at which the store may be back.
-func TestRequestWaitsForConfigAfterStart(t *testing.T) {
+func TestEntryJustStarted(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		table := f.view.Load().Table
 		f.view.Store(&forwarder.View{})
@@ -304,14 +304,14 @@
 		a = f.ask(request{path: "/once/x", id: "r2"})
 		f.is.Equal(a.status, 503)
 		f.is.Equal(a.header.Get("Retry-After"), "2.000")
-		f.is.True(a.took < 10*time.Millisecond)
+		f.is.True(a.duration < 10*time.Millisecond)
 	})
 }
 
 // The pattern of a day that ends with all entries killed while the store is
 // down: callers of lost entries come back to ones just started, most of them for
 // the last time. They wait a tenth of their patience for the store, and no more.
-func TestRequestWaitsForUnavailableStore(t *testing.T) {
+func TestEntryStartedWithoutStore(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		known := f.view.Load()
 		f.view.Store(&forwarder.View{StoreUnavailable: true})
@@ -321,7 +321,7 @@
 		f.view.Store(&forwarder.View{StoreUnavailable: true})
 		a = f.ask(request{path: "/stream/x", id: "r2", usage: "1000,100", patience: 10 * time.Second})
 		f.is.Equal(a.status, 503)
-		f.is.True(a.took >= time.Second && a.took < 1100*time.Millisecond)
+		f.is.True(a.duration >= time.Second && a.duration < 1100*time.Millisecond)
 	})
 }
 
@@ -331,9 +331,9 @@
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
-				setAll(f.plain, fault)
+				setFaults(f.plain, fault)
 				a := f.ask(request{path: "/once/x", id: "r1"})
-				ran := runs(f.plain, "r1")
+				ran := countRuns(f.plain, "r1")
 				f.is.True(ran <= 1)
 				if a.err == nil && a.status == 503 {
 					f.is.Equal(ran, 0) // a refusal says that it did not run
@@ -343,7 +343,7 @@
 					f.is.Equal(a.body, worker.Body("r1"))
 					f.is.Equal(a.header.Get("X-Attempt-Id"), "r1")
 				}
-				f.is.True(a.took <= 2100*time.Millisecond) // the route's time
+				f.is.True(a.duration <= 2100*time.Millisecond) // the route's time
 			})
 		})
 	}
@@ -361,7 +361,7 @@
 					f.is.NoErr(a.err)
 					f.is.Equal(a.status, 200)
 					f.is.Equal(a.body, worker.Body(id))
-					f.is.True(runs(f.plain, id) <= 2)
+					f.is.True(countRuns(f.plain, id) <= 2)
 				}
 			})
 		})
@@ -370,20 +370,20 @@
 
 // An engine's own failure reaches the caller as it is where there is nobody
 // else to ask.
-func TestUpstreamFailureIsRelayed(t *testing.T) {
+func TestUpstreamsFailureIsPassedOn(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.plain, worker.Failing)
+		setFaults(f.plain, worker.Failing)
 		a := f.ask(request{path: "/safe/x", id: "r1"})
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 500)
 		f.is.True(a.header.Get("X-Engine-Stamp") != "")
-		f.is.Equal(runs(f.plain, "r1"), 2)
+		f.is.Equal(countRuns(f.plain, "r1"), 2)
 	})
 }
 
 // A stream that may be resumed is whole, once and in order, though the engine
 // that began it fails in the middle.
-func TestStreamResumesAtAnotherEngine(t *testing.T) {
+func TestStreamGoesOnElsewhere(t *testing.T) {
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
@@ -393,7 +393,7 @@
 					a := f.ask(request{path: "/stream/x", id: id, usage: "1000,100"})
 					f.is.NoErr(a.err)
 					f.is.Equal(a.status, 200)
-					f.is.Equal(a.body, whole(id, 1))
+					f.is.Equal(a.body, wholeStream(id, 1))
 				}
 			})
 		})
@@ -404,20 +404,20 @@
 	withForwarder(t, func(f *fixture) {
 		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", lastEvent: "6"})
 		f.is.NoErr(a.err)
-		f.is.Equal(a.body, whole("s1", 7))
+		f.is.Equal(a.body, wholeStream("s1", 7))
 	})
 }
 
 // A stream that may not be resumed is cut where its engine fails, and never
 // looks complete.
-func TestNonResumableStreamIsAborted(t *testing.T) {
+func TestBrokenStreamIsCut(t *testing.T) {
 	for _, fault := range []worker.Fault{worker.Torn, worker.Short} {
 		withForwarder(t, func(f *fixture) {
-			setAll(f.engines, fault)
+			setFaults(f.engines, fault)
 			a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
 			f.is.True(a.err != nil)
-			f.is.Equal(runs(f.engines, "s1"), 1)
-			f.is.True(strings.HasPrefix(whole("s1", 1), a.body))
+			f.is.Equal(countRuns(f.engines, "s1"), 1)
+			f.is.True(strings.HasPrefix(wholeStream("s1", 1), a.body))
 		})
 	}
 }
@@ -425,28 +425,28 @@
 // The last engine that may be asked is not given up for its silence: the
 // caller may wait longer than we would. mix --seed 391397223682 of
 // condor-sapphire broke LOST by that.
-func TestSilenceDoesNotEndLastAttempt(t *testing.T) {
+func TestSilenceEndsNoLastAttempt(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.engines, worker.Mute)
+		setFaults(f.engines, worker.Mute)
 		a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 504)
-		f.is.True(a.took >= 10*time.Second && a.took < 10100*time.Millisecond)
+		f.is.True(a.duration >= 10*time.Second && a.duration < 10100*time.Millisecond)
 		a = f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100"})
 		f.is.Equal(a.status, 504)
-		f.is.Equal(runs(f.engines, "s2"), 2) // the first was given up, the second not
-		f.is.True(a.took >= 10*time.Second && a.took < 10100*time.Millisecond)
+		f.is.Equal(countRuns(f.engines, "s2"), 2) // the first was given up, the second not
+		f.is.True(a.duration >= 10*time.Second && a.duration < 10100*time.Millisecond)
 	})
 }
 
 // A silent engine is not given up while no other would take the request: odd
 // day 10 of condor-sapphire broke LOST by that beside a SIGTERM.
-func TestSilenceDoesNotEndAttemptWithoutAlternative(t *testing.T) {
+func TestSilenceEndsNothingThatNobodyElseTakes(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.engines, worker.Slow)
-		f.board.Update(f.table, f.instances[:4]) // two engines
+		setFaults(f.engines, worker.Slow)
+		f.dispatcher.Update(f.table, f.instances[:4]) // two engines
 		block := func(id string) {
-			_, refusal := f.board.Place(time.Now(), dispatcher.Demand{
+			_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
 				Service: "lm", PromptTokens: 250000, Avoid: []dispatcher.Instance{{ID: id}}, FirstByteTarget: time.Hour, GapTarget: time.Hour, NoHelpers: true, Admitted: true,
 			})
 			f.is.True(refusal == nil)
@@ -461,25 +461,25 @@
 		}
 		a := <-done
 		f.is.NoErr(a.err)
-		f.is.Equal(a.body, whole("s1", 1))
-		f.is.Equal(runs(f.engines, "s1"), 1)
+		f.is.Equal(a.body, wholeStream("s1", 1))
+		f.is.Equal(countRuns(f.engines, "s1"), 1)
 	})
 }
 
 // At the route's time the caller has its final answer.
 func TestDeadlineIsKept(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.plain, worker.Mute)
+		setFaults(f.plain, worker.Mute)
 		a := f.ask(request{path: "/once/x", id: "r1", patience: 700 * time.Millisecond})
 		f.is.Equal(a.status, 504)
-		f.is.True(a.took >= 700*time.Millisecond && a.took < 800*time.Millisecond)
+		f.is.True(a.duration >= 700*time.Millisecond && a.duration < 800*time.Millisecond)
 	})
 }
 
 // Work ends at the upstream soon after its caller has left.
-func TestUpstreamWorkEndsWhenCallerLeaves(t *testing.T) {
+func TestCallerLeaves(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.engines, worker.Mute)
+		setFaults(f.engines, worker.Mute)
 		ctx, leave := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer leave()
 		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", ctx: ctx})
@@ -493,7 +493,7 @@
 
 // A prompt longer than one engine's memory is held by several, and all of it
 // is given back.
-func TestGroupMemoryIsReleased(t *testing.T) {
+func TestMemoryOfGroupIsGivenBack(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"}) }()
@@ -506,7 +506,7 @@
 		}
 		f.is.True(held >= 400000-315000)
 		a := <-done
-		f.is.Equal(a.body, whole("s1", 1))
+		f.is.Equal(a.body, wholeStream("s1", 1))
 		time.Sleep(time.Second)
 		for _, e := range f.engines {
 			f.is.Equal(len(e.Held()), 0)
@@ -516,12 +516,12 @@
 
 // A group of which one engine has no room is not begun, and what the others
 // set aside is given back.
-func TestReservationIsAllOrNothing(t *testing.T) {
+func TestGroupIsAllOrNothing(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setAll(f.engines, worker.Full)
+		setFaults(f.engines, worker.Full)
 		a := f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"})
 		f.is.Equal(a.status, 503)
-		f.is.Equal(runs(f.engines, "s1"), 0)
+		f.is.Equal(countRuns(f.engines, "s1"), 0)
 		time.Sleep(time.Second)
 		for _, e := range f.engines {
 			f.is.Equal(len(e.Held()), 0)
@@ -531,7 +531,7 @@
 
 // A helper that sets nothing aside is at fault, not the engine that would have
 // answered: the prompt goes on there with another helper.
-func TestFullHelperIsReplaced(t *testing.T) {
+func TestHelperWithoutRoomIsReplaced(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		long := request{path: "/long/x", id: "s1", usage: "400000,100"}
 		f.is.Equal(f.ask(long).status, 200)
@@ -552,8 +552,8 @@
 		long.id = "s2"
 		a := f.ask(long)
 		f.is.Equal(a.status, 200)
-		f.is.Equal(runs(f.engines[first:first+1], "s2"), 1)
-		for _, row := range f.board.Upstreams(time.Now()) {
+		f.is.Equal(countRuns(f.engines[first:first+1], "s2"), 1)
+		for _, row := range f.dispatcher.Upstreams(time.Now()) {
 			f.is.Equal(row.Load.FailureRate > 0, row.Instance.ID == f.instances[2+helper].ID)
 		}
 	})
@@ -562,10 +562,10 @@
 // Memory set aside for an engine that hangs is given back before it may no longer stay
 // unused, and the prompt is tried elsewhere; where a request uses it, the answer is awaited.
 // Day false-health-and-flaps of the grown fleet held 217,834 tokens for 10.5 s.
-func TestUnusedMemoryIsReleased(t *testing.T) {
+func TestUnusedMemoryIsGivenBack(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		withForwarder(t, func(f *fixture) {
-			setAll(f.engines, worker.Mute)
+			setFaults(f.engines, worker.Mute)
 			done := make(chan answer)
 			go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"}) }()
 			held := map[string]int{}
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -23,17 +23,17 @@
 	}
 }
 
-// lineExtra is what a header line has beside name and value: colon, space and
+// headerLineOverhead is what a header line has beside name and value: colon, space and
 // the end of the line.
-const lineExtra = 4
+const headerLineOverhead = 4
 
 // headerSize is about how many bytes the header of a request had.
 func headerSize(r *http.Request) int {
-	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + lineExtra
-	size += len("Host") + len(r.Host) + lineExtra
+	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + headerLineOverhead
+	size += len("Host") + len(r.Host) + headerLineOverhead
 	for name, values := range r.Header {
 		for _, v := range values {
-			size += len(name) + len(v) + lineExtra
+			size += len(name) + len(v) + headerLineOverhead
 		}
 	}
 	return size
@@ -58,7 +58,7 @@
 		}
 		body, err := io.ReadAll(from)
 		stop()
-		if cut := x.cutOff(x.ctx, f.view(), err); cut != nil {
+		if cut := x.shutdownFailure(x.ctx, f.view(), err); cut != nil {
 			return cut
 		}
 		_ = connection.SetReadDeadline(time.Time{})
@@ -72,7 +72,7 @@
 			return tooLarge
 		}
 		x.body, x.bodyRead = body, true
-		x.content = contentOf(x)
+		x.fingerprint = fingerprintOf(x)
 		return next(x)
 	}
 }
--- a/forwarder/metrics.go
+++ b/forwarder/metrics.go
@@ -13,17 +13,17 @@
 )
 
 type metrics struct {
-	scope tally.Scope
-	took  tally.Histogram
+	scope           tally.Scope
+	requestDuration tally.Histogram
 	// firstByte is by length of prompt.
-	firstByte    map[string]tally.Histogram
-	pause        tally.Histogram
-	denied       tally.Counter
-	reservations tally.Counter
+	firstByte     map[string]tally.Histogram
+	longestGap    tally.Histogram
+	retriesDenied tally.Counter
+	reservations  tally.Counter
 }
 
-// lengthOf is the class of a prompt's length.
-func lengthOf(prompt int) string {
+// promptLengthClass is the class of a prompt's length.
+func promptLengthClass(prompt int) string {
 	switch {
 	case prompt == 0:
 		return "none"
@@ -38,35 +38,35 @@
 func newMetrics(scope tally.Scope) metrics {
 	buckets := tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 	m := metrics{
-		scope:        scope,
-		took:         scope.Histogram("request_seconds", buckets),
-		firstByte:    map[string]tally.Histogram{},
-		pause:        scope.Histogram("longest_pause_seconds", buckets),
-		denied:       scope.Counter("retries_denied"),
-		reservations: scope.Counter("reservations"),
+		scope:           scope,
+		requestDuration: scope.Histogram("request_seconds", buckets),
+		firstByte:       map[string]tally.Histogram{},
+		longestGap:      scope.Histogram("longest_pause_seconds", buckets),
+		retriesDenied:   scope.Counter("retries_denied"),
+		reservations:    scope.Counter("reservations"),
 	}
-	m.requests(outcomeAnswered) // shown before the first one ends, as rates need it
+	m.requestCounter(outcomeAnswered) // shown before the first one ends, as rates need it
 	for _, length := range []string{"none", "short", "medium", "long"} {
 		m.firstByte[length] = scope.Tagged(map[string]string{"length": length}).Histogram("first_byte_seconds", buckets)
 	}
 	return m
 }
 
-func (m metrics) requests(outcome string) tally.Counter {
+func (m metrics) requestCounter(outcome string) tally.Counter {
 	return m.scope.Tagged(map[string]string{"outcome": outcome}).Counter("requests")
 }
 
-func (m metrics) finished(outcome string, took time.Duration) {
-	m.requests(outcome).Inc(1)
-	m.took.RecordDuration(took)
+func (m metrics) recordRequest(outcome string, took time.Duration) {
+	m.requestCounter(outcome).Inc(1)
+	m.requestDuration.RecordDuration(took)
 }
 
-// streamed records the times of a stream that had an event.
-func (m metrics) streamed(prompt int, first, pause time.Duration) {
-	m.firstByte[lengthOf(prompt)].RecordDuration(first)
-	m.pause.RecordDuration(pause)
+// recordStream records the times of a stream that had an event.
+func (m metrics) recordStream(prompt int, firstByte, longestGap time.Duration) {
+	m.firstByte[promptLengthClass(prompt)].RecordDuration(firstByte)
+	m.longestGap.RecordDuration(longestGap)
 }
 
-func (m metrics) attempted(v verdict) {
+func (m metrics) recordAttempt(v verdict) {
 	m.scope.Tagged(map[string]string{"verdict": string(v)}).Counter("attempts").Inc(1)
 }
--- a/forwarder/metrics_test.go
+++ b/forwarder/metrics_test.go
@@ -12,7 +12,7 @@
 )
 
 // An entry that was started anew and had no request yet shows how many it had: none.
-func TestRequestCounterStartsAtZero(t *testing.T) {
+func TestRequestsAreCountedFromNone(t *testing.T) {
 	is := is.New(t)
 	m := meter.New()
 	defer func() { _ = m.Close() }()
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -12,167 +12,167 @@
 	"github.com/sapphireramp/sapphireramp/splitter"
 )
 
-// readSize is how much of a stream is read at once; an event is under 1 KB.
-const readSize = 8 << 10
+// readBufferBytes is how much of a stream is read at once; an event is under 1 KB.
+const readBufferBytes = 8 << 10
 
-// errPartial is a stream that ends within an event.
-var errPartial = errors.New("the stream ends in the middle of an event")
+// errPartialEvent is a stream that ends within an event.
+var errPartialEvent = errors.New("the stream ends in the middle of an event")
 
-// errEmpty is a stream without an event.
-var errEmpty = errors.New("the stream ends without an event")
+// errEmptyStream is a stream without an event.
+var errEmptyStream = errors.New("the stream ends without an event")
 
-// stream serves a request that is answered by events. Where the route allows,
+// serveStream serves a request that is answered by events. Where the route allows,
 // a stream that breaks goes on at another engine within the same answer.
-func (f *Forwarder) stream(x *exchange) *failure {
-	events := splitter.New(x.call.LastEventID)
-	unsent := 0
+func (f *Forwarder) serveStream(x *exchange) *failure {
+	events := splitter.New(x.metadata.LastEventID)
+	unsentCount := 0
 	for {
-		p, fail := f.place(x, dispatcher.Demand{PromptTokens: x.call.PromptTokens, AnswerTokens: expectedAnswer(x)})
-		if fail != nil && x.pending > 0 {
-			return unknown(reasonFailed, fail.cause)
+		p, fail := f.place(x, dispatcher.Demand{PromptTokens: x.metadata.PromptTokens, AnswerTokens: expectedAnswerTokens(x)})
+		if fail != nil && x.pendingCount > 0 {
+			return unknownOutcomeFailure(reasonFailed, fail.cause)
 		}
 		if fail != nil {
 			return fail
 		}
 		a := f.send(x, p, events.LastID())
-		if a.verdict == verdictAnswered && a.response.StatusCode >= http.StatusMultipleChoices && !x.begun {
-			fail := f.pass(x, a)
-			f.close(x, a)
+		if a.verdict == verdictAnswered && a.response.StatusCode >= http.StatusMultipleChoices && !x.responseBegun {
+			fail := f.relayFailure(x, a)
+			f.endAttempt(x, a)
 			return fail
 		}
 		if a.verdict == verdictAnswered {
-			f.relay(x, a, events)
+			f.relayStream(x, a, events)
 		}
 		if a.verdict == verdictAnswered {
-			f.close(x, a)
+			f.endAttempt(x, a)
 			return nil
 		}
-		repeat := f.mayRepeat(x, a, unsent)
-		if !repeat && a.verdict == verdictFailed && !x.begun {
-			fail := f.pass(x, a)
-			f.close(x, a)
+		retry := f.allowRetry(x, a, unsentCount)
+		if !retry && a.verdict == verdictFailed && !x.responseBegun {
+			fail := f.relayFailure(x, a)
+			f.endAttempt(x, a)
 			return fail
 		}
-		f.close(x, a)
-		if !repeat && x.begun {
-			return unknown(reasonBroken, a.err)
+		f.endAttempt(x, a)
+		if !retry && x.responseBegun {
+			return unknownOutcomeFailure(reasonBroken, a.err)
 		}
-		if !repeat {
-			return ended(x, a)
+		if !retry {
+			return lastAttemptFailure(x, a)
 		}
 		if a.verdict == verdictUnsent {
-			unsent++
+			unsentCount++
 		}
-		x.alone = x.alone || failedAsGroup(p, a)
-		avoidFailed(x, a)
+		x.groupFailed = x.groupFailed || hasGroupFailed(p, a)
+		avoidFailedUpstream(x, a)
 		events.DiscardPartial()
 	}
 }
 
-// failedAsGroup reports whether a group of engines has failed a prompt that one of them
+// hasGroupFailed reports whether a group of engines has failed a prompt that one of them
 // could have served alone. One that needs the memory of several is tried with others.
-func failedAsGroup(p *dispatcher.Placement, a *attempt) bool {
-	return len(p.Helpers) > 0 && len(p.HelperMemoryTokens) == 0 && a.verdict != verdictUnsent && !a.lost()
+func hasGroupFailed(p *dispatcher.Placement, a *attempt) bool {
+	return len(p.Helpers) > 0 && len(p.HelperMemoryTokens) == 0 && a.verdict != verdictUnsent && !a.isLostToRestart()
 }
 
-// expectedAnswer is how many tokens the answer is expected to have.
-func expectedAnswer(x *exchange) int {
-	if x.call.AnswerTokensHint > 0 {
-		return min(x.call.AnswerTokensHint, x.call.MaxAnswerTokens)
+// expectedAnswerTokens is how many tokens the answer is expected to have.
+func expectedAnswerTokens(x *exchange) int {
+	if x.metadata.AnswerTokensHint > 0 {
+		return min(x.metadata.AnswerTokensHint, x.metadata.MaxAnswerTokens)
 	}
-	return x.call.MaxAnswerTokens
+	return x.metadata.MaxAnswerTokens
 }
 
-// firstEventPatience is how long the caller still waits for an event.
-func firstEventPatience(x *exchange) time.Duration {
-	return max(time.Millisecond, min(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget)-waited(x), time.Until(x.deadline)))
+// eventMaxWait is how long the caller still waits for an event.
+func eventMaxWait(x *exchange) time.Duration {
+	return max(time.Millisecond, min(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget)-waitedForEvent(x), time.Until(x.deadline)))
 }
 
-// waited is how long the caller has waited for its first event or the next.
-func waited(x *exchange) time.Duration {
-	if x.begun {
-		return time.Since(x.eventAt)
+// waitedForEvent is how long the caller has waited for its first event or the next.
+func waitedForEvent(x *exchange) time.Duration {
+	if x.responseBegun {
+		return time.Since(x.lastEventAt)
 	}
-	return time.Since(x.arrived)
+	return time.Since(x.arrivedAt)
 }
 
-// relay passes the events of an attempt on, and judges how the stream ended.
-func (f *Forwarder) relay(x *exchange, a *attempt, events *splitter.Splitter) {
+// relayStream passes the events of an attempt on, and judges how the stream ended.
+func (f *Forwarder) relayStream(x *exchange, a *attempt, events *splitter.Splitter) {
 	if a.response.StatusCode >= http.StatusMultipleChoices {
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", a.response.StatusCode)
 		return
 	}
-	buffer := make([]byte, readSize)
-	any := false
+	buffer := make([]byte, readBufferBytes)
+	begun := false
 	for {
 		n, err := a.response.Body.Read(buffer)
 		if n > 0 {
-			a.watchdog.hear()
+			a.watchdog.recordRead()
 		}
-		whole, gap := events.Feed(buffer[:n])
-		for _, e := range whole {
-			if any {
+		complete, splitErr := events.Feed(buffer[:n])
+		for _, e := range complete {
+			if begun {
 				a.placement.EventSeen(time.Now())
 			} else {
 				a.placement.FirstByteSeen(time.Now())
-				a.group.begin()
-				any = true
+				a.reservations.markBegun()
+				begun = true
 			}
-			if a.event(time.Now()) {
-				f.quarantine.RecordSuccess(time.Now(), x.content)
+			if a.recordEvent(time.Now()) {
+				f.quarantine.RecordSuccess(time.Now(), x.fingerprint)
 			}
-			if fail := f.passEvent(x, a, e); fail != nil {
+			if fail := f.writeEvent(x, a, e); fail != nil {
 				a.verdict, a.err = verdictBroken, fail
 				return
 			}
 		}
-		if len(whole) > 0 {
+		if len(complete) > 0 {
 			_ = http.NewResponseController(x.writer).Flush()
 		}
 		if err == nil {
-			err = gap
+			err = splitErr
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && gap == nil && events.HasPartial():
-			a.verdict, a.err = verdictBroken, errPartial
+		case errors.Is(err, io.EOF) && splitErr == nil && events.HasPartial():
+			a.verdict, a.err = verdictBroken, errPartialEvent
 			return
-		case errors.Is(err, io.EOF) && gap == nil && !any && !x.begun:
-			a.verdict, a.err = verdictBroken, errEmpty
+		case errors.Is(err, io.EOF) && splitErr == nil && !begun && !x.responseBegun:
+			a.verdict, a.err = verdictBroken, errEmptyStream
 			return
-		case errors.Is(err, io.EOF) && gap == nil:
+		case errors.Is(err, io.EOF) && splitErr == nil:
 			return
 		default:
-			a.breakOff(a.response.Request.Context(), fmt.Errorf("read stream: %w", causeOf(a.response.Request.Context(), err)))
-			a.cut = a.cut && gap == nil
+			a.markBroken(a.response.Request.Context(), fmt.Errorf("read stream: %w", cancellationCause(a.response.Request.Context(), err)))
+			a.connectionLost = a.connectionLost && splitErr == nil
 			return
 		}
 	}
 }
 
-// passEvent writes one event to the caller, after the header of the first
+// writeEvent writes one event to the caller, after the header of the first
 // upstream that had one.
-func (f *Forwarder) passEvent(x *exchange, a *attempt, e splitter.Event) error {
+func (f *Forwarder) writeEvent(x *exchange, a *attempt, e splitter.Event) error {
 	now := time.Now()
-	if !x.begun {
+	if !x.responseBegun {
 		copyHeaders(x.writer.Header(), a.response.Header)
 		x.writer.Header().Del("Content-Length")
-		x.begin(a.response.StatusCode)
+		x.writeHeader(a.response.StatusCode)
 	}
-	x.longestPause = max(x.longestPause, now.Sub(x.eventAt))
-	x.eventAt = now
-	x.events++
+	x.longestGap = max(x.longestGap, now.Sub(x.lastEventAt))
+	x.lastEventAt = now
+	x.eventCount++
 	if _, err := x.writer.Write(e.Raw); err != nil {
 		return fmt.Errorf("write to caller: %w", err)
 	}
 	return nil
 }
 
-// pass delivers an upstream's own failure as it is.
-func (f *Forwarder) pass(x *exchange, a *attempt) *failure {
-	answer := f.readPlain(x, a)
+// relayFailure delivers an upstream's own failure as it is.
+func (f *Forwarder) relayFailure(x *exchange, a *attempt) *failure {
+	answer := f.bufferResponse(x, a)
 	if answer == nil {
-		return ended(x, a)
+		return lastAttemptFailure(x, a)
 	}
-	return f.deliver(x, a, answer)
+	return f.writeResponse(x, a, answer)
 }
--- a/forwarder/transport.go
+++ b/forwarder/transport.go
@@ -14,8 +14,8 @@
 // region, and short beside the shortest targets, so that another can be tried.
 const dialTimeout = 250 * time.Millisecond
 
-// maxReplyHeader is the largest header of an upstream's answer in bytes.
-const maxReplyHeader = 64 << 10
+// maxResponseHeaderBytes is the largest header of an upstream's answer in bytes.
+const maxResponseHeaderBytes = 64 << 10
 
 // newTransport returns the client side towards upstreams. Every attempt has a
 // connection of its own: on a kept one, a late or second answer could meet
@@ -29,7 +29,7 @@
 		},
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxReplyHeader,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}
 }
 
@@ -41,14 +41,14 @@
 
 // copyHeaders copies all headers but those that concern one connection.
 func copyHeaders(to, from http.Header) {
-	named := map[string]bool{}
+	connectionHeaders := map[string]bool{}
 	for _, list := range from["Connection"] {
 		for _, name := range strings.Split(list, ",") {
-			named[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
+			connectionHeaders[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	for name, values := range from {
-		if hopHeaders[name] || named[name] {
+		if hopHeaders[name] || connectionHeaders[name] {
 			continue
 		}
 		to[name] = append([]string(nil), values...)
--- a/forwarder/wait_test.go
+++ b/forwarder/wait_test.go
@@ -8,9 +8,9 @@
 )
 
 // Waiting prompts take at most an eleventh of a processor each, however slow it is.
-func TestPollIntervalGrowsWithSearchTime(t *testing.T) {
+func TestWaitingPromptsLeaveTheProcessorToOthers(t *testing.T) {
 	is := is.New(t)
-	is.Equal(pollAfter(0), waitPoll)
-	is.Equal(pollAfter(time.Millisecond), waitPoll)
-	is.Equal(pollAfter(17*time.Millisecond), 170*time.Millisecond)
+	is.Equal(pollInterval(0), minPollInterval)
+	is.Equal(pollInterval(time.Millisecond), minPollInterval)
+	is.Equal(pollInterval(17*time.Millisecond), 170*time.Millisecond)
 }
--- a/forwarder/yield_test.go
+++ b/forwarder/yield_test.go
@@ -10,9 +10,9 @@
 
 // Another entry places a long prompt on the same engines at the same moment, and its caller has
 // waited longer: this entry's prompt is not sent behind it, but when the engines are free.
-func TestHeavyPromptYieldsItsPlacement(t *testing.T) {
+func TestPromptYieldsItsPlace(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		f.board.SetPeers(1, false)
+		f.dispatcher.SetPeers(1, false)
 		other := dispatcher.New("a", rand.New(rand.NewPCG(3, 4)))
 		other.Update(f.table, f.instances)
 		done := make(chan answer, 1)
@@ -22,15 +22,15 @@
 			Service: "lm", PromptTokens: 100_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Waited: time.Second, MaxWait: 9 * time.Second,
 		})
 		f.is.True(refusal == nil)
-		tell := func() { f.board.Import(time.Now(), dispatcher.WireIDOf("other"), other.Export(time.Now(), false)) }
+		tell := func() { f.dispatcher.Import(time.Now(), dispatcher.WireIDOf("other"), other.Export(time.Now(), false)) }
 		tell()
 		time.Sleep(100 * time.Millisecond)
-		f.is.Equal(runs(f.engines, "s1"), 0)
+		f.is.Equal(countRuns(f.engines, "s1"), 0)
 		p.End(time.Now(), dispatcher.Answered)
 		tell()
 		a := <-done
 		f.is.Equal(a.status, 200)
-		f.is.Equal(a.body, whole("s1", 1))
-		f.is.Equal(runs(f.engines, "s1"), 1)
+		f.is.Equal(a.body, wholeStream("s1", 1))
+		f.is.Equal(countRuns(f.engines, "s1"), 1)
 	})
 }
