--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -16,57 +16,64 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// verdict is what is known of an attempt after it.
+// verdict classifies an ended attempt by whether the upstream ran the request and whether a
+// complete response arrived.
 type verdict string
 
 const (
-	// verdictUnsent: no connection was had, so nothing arrived.
+	// verdictUnsent means that no connection was established, so the upstream received nothing.
 	verdictUnsent verdict = "unsent"
-	// verdictNotRun: the upstream states that it did not run the request.
+	// verdictNotRun means that the upstream states that it did not run the request.
 	verdictNotRun verdict = "not_run"
-	// verdictBroken: it may have run, and no whole answer came.
+	// verdictBroken means that the request may have run, and no complete response arrived.
 	verdictBroken verdict = "broken"
-	// verdictFailed: it ran and the upstream answered with a failure.
+	// verdictFailed means that the upstream ran the request and responded with a failure.
 	verdictFailed verdict = "failed"
-	// verdictAnswered: a whole answer came.
+	// verdictAnswered means that a complete response arrived or, before its body is read, that a
+	// valid response header did.
 	verdictAnswered verdict = "answered"
 )
 
 var (
-	errWrongRequest      = errors.New("the answer is another request's")
-	errUpstreamSilent    = errors.New("the upstream was silent for too long")
-	errUpstreamRestarted = errors.New("an upstream of the request has started anew")
+	errWrongRequest      = errors.New("the response belongs to another request")
+	errUpstreamSilent    = errors.New("the upstream sent nothing for too long")
+	errUpstreamRestarted = errors.New("an upstream of the request restarted")
 )
 
-// maxUnsentAttempts bounds the upstreams tried in vain for a connection.
+// maxUnsentAttempts bounds the attempts of one request that end without a connection to an
+// upstream.
 const maxUnsentAttempts = 4
 
-// attempt is one try at one upstream.
+// attempt is one send of a request to one upstream.
 type attempt struct {
 	placement *dispatcher.Placement
 	verdict   verdict
 	err       error
-	// connectionLost is true where the answer broke off by the connection's end, not by this entry.
+	// connectionLost is true if the response was cut short by the end of the connection, and not
+	// because this entry cancelled the attempt.
 	connectionLost bool
-	// startedAt is when the attempt began, firstEvent and lastEvent are when events of its answer
-	// came; zero before. events counts them, longestPause is the longest between two in
-	// nanoseconds.
+	// startedAt is when the attempt began. firstEventAt and lastEventAt are when the first and the
+	// latest event of the response arrived; zero before the first event.
 	startedAt, firstEventAt, lastEventAt time.Time
-	eventCount, longestGap               atomic.Int64
-	response                             *http.Response
-	// helperAtFault is true where a helper, and not the first engine, is why the
-	// attempt failed.
+	// eventCount is the number of events received, longestGap the longest time between two
+	// consecutive events in nanoseconds.
+	eventCount, longestGap atomic.Int64
+	response               *http.Response
+	// helperAtFault is true if the attempt failed because of a helper, and not because of the first
+	// upstream of the placement.
 	helperAtFault bool
-	// reservations is the memory reserved for the attempt; nil where it needs none.
+	// reservations holds the memory reserved at helpers for the attempt; nil if it needs none.
 	reservations *reservationGroup
-	// cancel ends the attempt with a cause.
+	// cancel cancels the attempt with a cause.
 	cancel context.CancelCauseFunc
-	// watchdog cancels the attempt when the upstream is silent; nil if unused.
+	// watchdog cancels the attempt if the upstream is silent for too long; nil if silence does not
+	// end it.
 	watchdog *watchdog
 }
 
-// send makes one attempt up to the header of the answer. The caller of send
-// ends the attempt with close.
+// send makes one attempt: it reserves memory at the helpers, connects, sends the request, and
+// classifies the response header. The caller must end the returned attempt with endAttempt,
+// whatever its verdict.
 func (f *Forwarder) send(x *exchange, p *dispatcher.Placement, lastEventID string) *attempt {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	a := &attempt{placement: p, cancel: cancel, startedAt: time.Now()}
@@ -79,7 +86,8 @@
 		f.blameFailedReservations(x, a)
 		return a
 	}
-	// Only the request's own connection counts, not those of orders about its memory.
+	// The trace covers the connection of the request itself, not the connections on which memory
+	// was reserved.
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
 	request, err := f.buildRequest(ctx, x, a, lastEventID)
@@ -102,7 +110,7 @@
 	return a
 }
 
-// cancellationCause is why a context ended, where that is why a call failed.
+// cancellationCause returns the cause of the cancellation of ctx, or err if ctx was not cancelled.
 func cancellationCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -110,7 +118,8 @@
 	return err
 }
 
-// buildRequest makes the request to the upstream of a placement.
+// buildRequest returns the HTTP request for an attempt, or context.DeadlineExceeded if the
+// request's deadline has passed.
 func (f *Forwarder) buildRequest(ctx context.Context, x *exchange, a *attempt, lastEventID string) (*http.Request, error) {
 	p := a.placement
 	address := p.First.Address.String()
@@ -121,7 +130,7 @@
 	request = request.WithContext(ctx)
 	copyHeaders(request.Header, x.request.Header)
 	if _, ok := request.Header["User-Agent"]; !ok {
-		request.Header["User-Agent"] = nil // the library would add its own
+		request.Header["User-Agent"] = nil // net/http would add its own
 	}
 	request.Header.Del("Content-Length")
 	request.Header.Del("Expect")
@@ -144,19 +153,20 @@
 }
 
 const (
-	// priorityLevels is how many ranks of organisations and routes are told apart; a
-	// lower one counts as the last of them.
+	// priorityLevels is the number of priorities of organisations and routes that engines
+	// distinguish; larger priority values count as the last level.
 	priorityLevels = 3
-	// targetClasses is how many classes of target are told apart within a rank.
+	// targetClasses is the number of classes of first-byte targets within a priority level.
 	targetClasses = 3
-	// shortTarget and mediumTarget are the longest targets of the first two.
+	// shortTarget and mediumTarget are the largest first-byte targets of the first and the second
+	// class.
 	shortTarget  = 500 * time.Millisecond
 	mediumTarget = 2 * time.Second
 )
 
-// enginePriority orders what waits at an engine, 0 first: by the rank of the
-// organisation, which goes before the route's, and within it the shorter the
-// target, the sooner.
+// enginePriority returns the scheduling priority of a request at an engine, 0 for the most urgent.
+// Requests are ordered by the priority of the organisation (of the route if there is no
+// organisation), then by first-byte target, shortest first.
 func enginePriority(x *exchange) int {
 	class := targetClasses - 1
 	switch target := x.route.FirstByteTarget; {
@@ -168,13 +178,14 @@
 	return min(max(x.priority, 0), priorityLevels-1)*targetClasses + class
 }
 
-// oneShotBody is a body that can't be rewound, so that the library never sends
-// a request again by itself.
+// oneShotBody is a request body without GetBody or Seek, so that http.Transport never sends a
+// request a second time by itself.
 type oneShotBody struct{ *bytes.Reader }
 
 func (oneShotBody) Close() error { return nil }
 
-// classify judges the header of an answer.
+// classify sets the verdict of an attempt from the status and header of the response, and applies
+// the backpressure that the header signals.
 func (f *Forwarder) classify(x *exchange, a *attempt) {
 	status := a.response.StatusCode
 	reply := f.protocol.ReadResponse(status, a.response.Header)
@@ -191,13 +202,14 @@
 	case status >= 500:
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", status)
 	case !reply.Stamped && status < 300:
-		a.verdict, a.err = verdictBroken, errors.New("the answer is not signed")
+		a.verdict, a.err = verdictBroken, errors.New("the response has no upstream stamp")
 	default:
 		a.verdict = verdictAnswered
 	}
 }
 
-// blameHelper notes a helper's fault.
+// blameHelper reports a failure of the helper at an address to the dispatcher, and excludes the
+// helper from further attempts of the request. An address that is not a helper's is ignored.
 func (f *Forwarder) blameHelper(x *exchange, a *attempt, address netip.AddrPort) {
 	for _, h := range a.placement.Helpers {
 		if h.Address == address {
@@ -208,17 +220,19 @@
 	}
 }
 
-// blameFailedReservations notes the helpers that set no memory aside.
+// blameFailedReservations blames the helpers at which memory could not be reserved.
 func (f *Forwarder) blameFailedReservations(x *exchange, a *attempt) {
 	for _, s := range reserveErrors(a.err) {
 		f.blameHelper(x, a, s.Engine)
 	}
 }
 
-// onUpstreamRestart ends the attempt as one of its upstreams is known to have started anew: no answer
-// comes from a run that is over, and where a partition hid its end callers would wait for the watchdog, up to
-// three quarters of their patience. A stream that goes on is made by the new run, of which this entry
-// heard late; it shows that within twice its longest pause, or within most.
+// onUpstreamRestart cancels the attempt after one of its upstreams restarted, since the incarnation
+// that ran the request is gone. Without this, a caller would wait for the watchdog where a
+// partition hides the end of the connection: up to three quarters of the caller's maximum wait.
+// If events have arrived, the response may come from the new incarnation and only the update about
+// the restart be late. The attempt then goes on if another event arrives within twice the longest
+// gap so far, at most maxGap.
 func (a *attempt) onUpstreamRestart(maxGap time.Duration) {
 	seen := a.eventCount.Load()
 	if seen == 0 {
@@ -235,21 +249,24 @@
 	})
 }
 
-// isLostToRestart reports whether the attempt ended because an upstream has started anew.
+// isLostToRestart reports whether the attempt was cancelled because one of its upstreams restarted.
 func (a *attempt) isLostToRestart() bool { return errors.Is(a.err, errUpstreamRestarted) }
 
-// isUpstreamBlameless reports whether the engine that was to answer is not to blame. Where an
-// upstream has started anew, its new run isn't either.
+// isUpstreamBlameless reports whether the failure of an attempt says nothing against its first
+// upstream: a helper was at fault, or an upstream restarted, for which its new incarnation is not
+// to blame.
 func (a *attempt) isUpstreamBlameless() bool { return a.helperAtFault || a.isLostToRestart() }
 
-// avoidFailedUpstream keeps the request from the upstream that failed an attempt.
+// avoidFailedUpstream excludes the first upstream of a failed attempt from further attempts of the
+// request, unless it is blameless.
 func avoidFailedUpstream(x *exchange, a *attempt) {
 	if !a.isUpstreamBlameless() {
 		x.failedUpstreams = append(x.failedUpstreams, a.placement.First)
 	}
 }
 
-// endAttempt ends an attempt and tells the board.
+// endAttempt releases the connection and the reservations of an attempt, reports its result to the
+// dispatcher and the quarantiner, and logs it if it failed.
 func (f *Forwarder) endAttempt(x *exchange, a *attempt) {
 	a.watchdog.stop()
 	if a.response != nil {
@@ -260,7 +277,8 @@
 	f.metrics.recordAttempt(a.verdict)
 	a.placement.End(time.Now(), dispatchResult(x, a))
 	f.detectCrash(x, a)
-	// A failure proves nothing: an upstream may fail what it has not begun.
+	// Only a success shows that upstreams survive the request: an upstream may fail a request that
+	// it has not begun.
 	if a.verdict == verdictAnswered && a.response.StatusCode < http.StatusMultipleChoices {
 		f.quarantine.RecordSuccess(time.Now(), x.fingerprint)
 	}
@@ -272,6 +290,7 @@
 		zap.Int("helpers", len(a.placement.Helpers)), zap.Duration("left_ms", time.Until(x.deadline)), zap.Stringer("content", x.fingerprint), zap.Error(a.err))
 }
 
+// dispatchResult returns the result of an ended attempt in the terms of the dispatcher.
 func dispatchResult(x *exchange, a *attempt) dispatcher.Result {
 	switch {
 	case x.hasCallerLeft(), a.isUpstreamBlameless():
--- a/forwarder/backpressure.go
+++ b/forwarder/backpressure.go
@@ -7,11 +7,12 @@
 	"go.uber.org/zap"
 )
 
-// applyBackpressure takes in what an upstream says of itself in an answer. It goes before what the store
-// lists: the store may be away while an upstream leaves.
+// applyBackpressure notifies the dispatcher if a response says that its upstream is leaving or asks
+// for a backoff. This overrides the instance list, since the store may be unavailable while an
+// upstream leaves.
 func (f *Forwarder) applyBackpressure(x *exchange, a *attempt, r ResponseMetadata) {
 	if a.response.StatusCode == http.StatusMisdirectedRequest {
-		return // by another upstream that has the address now
+		return // sent by another upstream that has taken over the address
 	}
 	first := a.placement.First
 	if r.Leaving && f.dispatcher.MarkLeaving(first) {
--- a/forwarder/backpressure_test.go
+++ b/forwarder/backpressure_test.go
@@ -8,11 +8,10 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// While the store was away an instance of a plain service said in its answers that it was leaving.
-// Entries passed these answers on and sent it calls for seconds more, of which its end cut some: what an
-// upstream says of itself changed no belief, only the store did. The entries' logs tell it by place lines
-// after an answer of an upstream that said so.
-func TestUpstreamThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+// While the store is unavailable, the instance list does not show that an upstream is leaving. An
+// entry that ignored the header in its responses sent it requests for seconds, some of which were
+// cut off by its exit.
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
 			w.Leave()
@@ -21,20 +20,20 @@
 			f.ask(request{path: "/safe/x", id: fmt.Sprint("r", n)})
 		}
 		for _, w := range f.plain {
-			f.is.Equal(len(w.Runs()), 1) // the one that told so
+			f.is.Equal(len(w.Runs()), 1) // the one whose response said that it leaves
 		}
 		refused := f.ask(request{path: "/safe/x", id: "last"})
-		f.is.Equal(refused.status, 503) // at once, as nobody is left
+		f.is.Equal(refused.status, 503) // without waiting: no upstream is left
 		f.is.Equal(refused.duration, time.Duration(0))
 		f.instances[0].Started = f.instances[0].Started.Add(time.Minute)
 		f.plain[0].Restart()
 		f.dispatcher.Update(f.table, f.instances)
-		f.is.Equal(f.ask(request{path: "/safe/x", id: "new"}).status, 200) // its next run does not leave
+		f.is.Equal(f.ask(request{path: "/safe/x", id: "new"}).status, 200) // the new incarnation is not leaving
 	})
 }
 
-// Engines say so with the header of a stream, whose events go on.
-func TestEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+// Engines announce that they leave in the header of a stream, whose events continue.
+func TestLeavingEngineGetsNoStreams(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		stream := func(id string) answer { return f.ask(request{path: "/stream/x", id: id, usage: "2000,200"}) }
 		f.engines[0].Leave()
@@ -47,7 +46,7 @@
 		f.is.Equal(len(f.engines[0].Runs()), 1)
 		f.is.Equal(len(f.engines[1].Runs()), 1)
 		f.is.Equal(stream("nowhere").status, 503)
-		// An upstream that lapses and is listed again is the same run.
+		// An upstream that disappears from the list and reappears is the same incarnation.
 		f.dispatcher.Update(f.table, f.instances[:2])
 		f.dispatcher.Update(f.table, f.instances)
 		f.is.Equal(stream("listed").status, 503)
@@ -60,8 +59,8 @@
 	})
 }
 
-// An upstream that turns a request away may say for how long it wants nothing.
-func TestPausingUpstreamGetsNothingMeanwhile(t *testing.T) {
+// An upstream that refuses a request may ask for a backoff in Retry-After.
+func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
 			w.SetFault(worker.Pausing)
@@ -75,15 +74,15 @@
 		refused := f.ask(request{path: "/safe/x", id: "second"})
 		f.is.Equal(refused.status, 503)
 		f.is.Equal(refused.duration, time.Duration(0))
-		f.is.Equal(refused.header.Get("Retry-After"), "2.000") // when the first of them takes some again
+		f.is.Equal(refused.header.Get("Retry-After"), "2.000") // when the first backoff ends
 		f.is.Equal(countRuns(f.plain, "second"), 0)
 		time.Sleep(worker.PauseTime - time.Second)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "third"}).status, 200)
 	})
 }
 
-// A pause of one upstream keeps nobody from the others.
-func TestPauseIsThatOfOneUpstream(t *testing.T) {
+// A backoff of some upstreams does not delay requests that others can serve.
+func TestBackoffAppliesToOneUpstreamOnly(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.engines[0].SetFault(worker.Pausing)
 		f.engines[1].SetFault(worker.Pausing)
@@ -97,9 +96,9 @@
 	})
 }
 
-// An upstream wanted nothing for three seconds, and its entry heard only then, as the store had been away, that
-// it had started anew before: what it said was said by the new run.
-func TestPauseOutlivesLateWordOfTheRun(t *testing.T) {
+// During a store outage, an entry gets the update about an upstream's restart only after the new
+// incarnation has asked it for a backoff. The late update must not reset that backoff.
+func TestBackoffSurvivesLateRestartUpdate(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		time.Sleep(10 * time.Second)
 		for _, w := range f.plain {
--- a/forwarder/crash.go
+++ b/forwarder/crash.go
@@ -10,7 +10,8 @@
 	"github.com/sapphireramp/sapphireramp/quarantiner"
 )
 
-// fingerprintOf names what a request asks for: of one organisation, to one path, with one body.
+// fingerprintOf returns the fingerprint of a request: a hash of method, host, URL, body, and
+// organisation, or API key if there is no organisation.
 func fingerprintOf(x *exchange) quarantiner.Fingerprint {
 	owner := x.organisation
 	if owner == "" {
@@ -20,15 +21,16 @@
 	return quarantiner.FingerprintOf([]byte(r.Method), []byte(r.Host), []byte(r.URL.RequestURI()), []byte(owner), x.body)
 }
 
-// markBroken notes that the answer of an attempt broke off.
+// markBroken notes that the response of an attempt ended early because of err. The connection
+// counts as lost unless ctx, the context of the attempt, was cancelled.
 func (a *attempt) markBroken(ctx context.Context, err error) {
 	a.verdict, a.err = verdictBroken, err
 	a.connectionLost = context.Cause(ctx) == nil
 }
 
-// detectCrash finds out whether an attempt broke off because its upstream has ended. The
-// request does not wait for that. An attempt that this entry ended as it heard of a new run may have
-// reached that run: it tells nothing.
+// detectCrash checks in the background whether an attempt lost its connection because the upstream
+// exited, and reports such a crash to the quarantiner. An attempt that this entry cancelled because
+// of an upstream's restart is ignored: it may have reached the new incarnation.
 func (f *Forwarder) detectCrash(x *exchange, a *attempt) {
 	if !a.connectionLost {
 		return
@@ -44,8 +46,8 @@
 	}()
 }
 
-// recordEvent notes an event of the answer, and reports whether by it the request is proven to be one that
-// its upstream can run.
+// recordEvent notes the arrival of an event of the response. It reports whether, with this event,
+// the upstream has run the request for long enough to show that the request does not crash it.
 func (a *attempt) recordEvent(now time.Time) bool {
 	before := a.isProven()
 	if a.firstEventAt.IsZero() {
@@ -57,11 +59,14 @@
 	return !before && a.isProven()
 }
 
+// isProven reports whether events of the response have arrived over at least
+// quarantiner.ProvenTime.
 func (a *attempt) isProven() bool {
 	return a.lastEventAt.Sub(a.firstEventAt) >= quarantiner.ProvenAfter
 }
 
-// checkQuarantine refuses requests that crash what runs them.
+// checkQuarantine returns a refusal if the request is quarantined for crashing upstreams, nil
+// otherwise.
 func (f *Forwarder) checkQuarantine(x *exchange) *dispatcher.Refusal {
 	now := time.Now()
 	until, ok := f.quarantine.QuarantinedUntil(now, x.fingerprint)
@@ -71,8 +76,8 @@
 	return &dispatcher.Refusal{Reason: reasonQuarantined, RetryAfter: until.Sub(now)}
 }
 
-// isSuspect reports whether an attempt broke off that is not to be made again elsewhere, since
-// upstreams have ended under the request before.
+// isSuspect reports whether an attempt must not be repeated at another upstream: it lost its
+// connection, and upstreams crashed before while running requests with the same fingerprint.
 func (f *Forwarder) isSuspect(x *exchange, a *attempt) bool {
 	return a.connectionLost && f.quarantine.IsSuspect(x.fingerprint)
 }
--- a/forwarder/crash_test.go
+++ b/forwarder/crash_test.go
@@ -9,12 +9,12 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// fingerprintOf is what a request of the fixture's usual caller asks for.
+// fingerprintOf returns the fingerprint of a request that the fixture sends with its default key.
 func fingerprintOf(path, body string) quarantiner.Fingerprint {
 	return quarantiner.FingerprintOf([]byte(http.MethodPost), []byte("h"), []byte(path), []byte("crew"), []byte(body))
 }
 
-// killWorkingEngines ends the processes of the engines that work on anything.
+// killWorkingEngines kills the processes of all engines that are running a request.
 func (f *fixture) killWorkingEngines() {
 	for i, w := range f.engines {
 		if w.Working() == 0 {
@@ -25,9 +25,9 @@
 	}
 }
 
-// An answer that breaks off as its upstream ends counts against the request, unless the upstream had
-// made events of it for long.
-func TestEndOfUpstreamCountsAgainstWhatItHadJustBegun(t *testing.T) {
+// A response that breaks off because its upstream exits counts as a crash caused by the request,
+// unless the upstream had already produced events of it for long.
+func TestCrashCountsAgainstRequestJustBegun(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		ran  time.Duration
@@ -48,8 +48,8 @@
 	}
 }
 
-// An answer that an upstream breaks off and lives does not count.
-func TestBrokenAnswerOfALivingUpstreamCountsForNothing(t *testing.T) {
+// A response that breaks off while the upstream lives on does not count as a crash.
+func TestBrokenResponseOfLiveUpstreamIsNoCrash(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Torn)
 		f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
@@ -58,9 +58,9 @@
 	})
 }
 
-// A request under which two upstreams have ended is not sent to a second one when its
-// first ends too, and is refused once it is quarantined, as long as that holds.
-func TestSuspectIsSentOnceAndQuarantinedNotAtAll(t *testing.T) {
+// A request during which two upstreams crashed is not retried when its next upstream crashes too.
+// From then on it is quarantined, and refused for as long as the quarantine lasts.
+func TestSuspectRequestIsNotRetriedAndQuarantinedIsRefused(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		now, content := time.Now(), fingerprintOf("/stream/x", "b")
 		for n := range 2 {
--- a/forwarder/failure.go
+++ b/forwarder/failure.go
@@ -12,10 +12,10 @@
 	"github.com/sapphireramp/sapphireramp/asserter"
 )
 
-// outcomeAnswered is the outcome of a request that an upstream answered.
+// outcomeAnswered is the logged outcome of a request that got the response of an upstream.
 const outcomeAnswered = "answered"
 
-// Reasons for which a request is not answered by an upstream.
+// Reasons, in logs and error responses, for which a request gets no response of an upstream.
 const (
 	reasonNoConfig       = "no_configuration"
 	reasonNoRoute        = "no_route"
@@ -36,29 +36,34 @@
 	reasonQuarantined    = "quarantined"
 )
 
-// Times after which a refused caller is asked to come back.
+// Values of Retry-After in responses to refused requests.
 const (
-	// immediateRetry is for what another entry or upstream could serve at once.
+	// immediateRetry is for requests that another entry or upstream could serve at once.
 	immediateRetry = 50 * time.Millisecond
-	// fullRetry is for upstreams without room: several answers of plain
-	// services end in that time.
+	// fullRetry is for upstreams without capacity: plain services complete several responses in
+	// that time.
 	fullRetry = 150 * time.Millisecond
-	// configRetry is how long an entry takes to learn its configuration.
+	// configRetry is for an entry without a configuration, which usually has one within that time.
 	configRetry = 300 * time.Millisecond
-	// unconfirmedRetry is for an entry that may have missed a change, where
-	// another may know better.
+	// unconfirmedRetry is for an entry that may have missed a configuration change which another
+	// entry may have received.
 	unconfirmedRetry = 100 * time.Millisecond
-	// storeLostRetry is for an entry that has no configuration and can't read one:
-	// outages of the store last seconds, and callers seldom ask a third time.
+	// storeLostRetry is for an entry that has no configuration and cannot read one: store outages
+	// last seconds, and callers rarely try a third time.
 	storeLostRetry = 2 * time.Second
 )
 
-// failure is why a request gets no upstream's answer.
+// failure describes why a request gets no response of an upstream, and which response it gets
+// instead.
 type failure struct {
-	status     int
-	reason     string
+	// status is the HTTP status of the response that the entry makes.
+	status int
+	// reason is one of the reason constants or of the reasons of a dispatcher refusal.
+	reason string
+	// retryAfter is the value of Retry-After; 0 for none.
 	retryAfter time.Duration
-	cause      error
+	// cause is the underlying error; nil if there is none.
+	cause error
 }
 
 func (f *failure) Error() string {
@@ -70,12 +75,13 @@
 
 func (f *failure) Unwrap() error { return f.cause }
 
-// notRunFailure is a refusal of a request that did not run and never will.
+// notRunFailure returns a failure with status 503 for a request that has not run and will not run.
 func notRunFailure(reason string, retryAfter time.Duration, cause error) *failure {
 	return &failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter, cause: cause}
 }
 
-// unknownOutcomeFailure is the end of a request of which a part may have run.
+// unknownOutcomeFailure returns a failure for a request that may have run, at least in part: status
+// 504 if its deadline has passed, 502 otherwise.
 func unknownOutcomeFailure(reason string, cause error) *failure {
 	status := http.StatusBadGateway
 	if reason == reasonDeadline {
@@ -84,8 +90,7 @@
 	return &failure{status: status, reason: reason, cause: cause}
 }
 
-// promisesNotRun reports whether callers take a status for the promise that
-// the request has not run.
+// promisesNotRun reports whether callers take a status as a promise that the request has not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -94,8 +99,8 @@
 	return false
 }
 
-// respond is the only filter that writes a failure to the caller. It logs how
-// each request ended.
+// respond returns a filter that records how each request ended and writes failures to the caller.
+// No other filter writes failures.
 func (f *Forwarder) respond(next handler) handler {
 	return func(x *exchange) *failure {
 		fail := next(x)
@@ -104,7 +109,7 @@
 			return nil
 		}
 		if x.responseBegun || fail.reason == reasonCallerLeft {
-			// An answer that can't be finished must not look complete.
+			// Aborts the connection, so that an incomplete response does not look complete.
 			panic(http.ErrAbortHandler)
 		}
 		f.writeRefusal(x, fail)
@@ -112,6 +117,7 @@
 	}
 }
 
+// writeRefusal writes the entry's own response for a failed request.
 func (f *Forwarder) writeRefusal(x *exchange, fail *failure) {
 	f.asserter.Check(!promisesNotRun(fail.status) || x.pendingCount == 0, asserter.NotRunAfterSend, "request %s: %s", x.metadata.ID, fail.reason)
 	h := x.writer.Header()
@@ -127,7 +133,7 @@
 	}{Error: fail.reason, NotRun: x.pendingCount == 0})
 }
 
-// recordEnd counts and logs the end of a request.
+// recordEnd counts and logs the end of a request; fail is nil if the request was answered.
 func (f *Forwarder) recordEnd(x *exchange, fail *failure) {
 	outcome := outcomeAnswered
 	if fail != nil {
@@ -165,6 +171,8 @@
 	f.log.Warn("request", fields...)
 }
 
+// finalStatus returns the status that the caller receives: that of the failure, unless a response
+// had begun.
 func (x *exchange) finalStatus(fail *failure) int {
 	if fail != nil && !x.responseBegun {
 		return fail.status
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -13,11 +13,12 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// maxBufferedBytes is the largest plain answer in bytes that is read whole before
-// it is passed on; the rest of a larger one is passed on as it comes.
+// maxBufferedBytes is the size up to which the body of a plain response is read completely before
+// it is written to the caller; the rest of a larger body is copied as it arrives.
 const maxBufferedBytes = 1 << 20
 
-// forward makes attempts until the request has its answer or can have none.
+// forward sends a request to upstreams until it is answered or no further attempt is allowed. It is
+// the handler behind all filters.
 func (f *Forwarder) forward(x *exchange) *failure {
 	ctx, cancel := context.WithDeadline(x.ctx, x.deadline)
 	defer cancel()
@@ -45,8 +46,9 @@
 	return fail
 }
 
-// allowRetry reports whether the request may be sent once more after an
-// attempt, and takes that out of the budget where it counts.
+// allowRetry reports whether a request may be sent once more after a failed attempt, and takes the
+// retry out of the retry budget. Attempts that had no connection cost no budget; they are bounded
+// by maxUnsentAttempts.
 func (f *Forwarder) allowRetry(x *exchange, a *attempt, unsentCount int) bool {
 	if x.ctx.Err() != nil {
 		return false
@@ -68,7 +70,7 @@
 	return true
 }
 
-// lastAttemptFailure is the failure of a request whose last attempt was a.
+// lastAttemptFailure returns the failure of a request whose last attempt was a.
 func lastAttemptFailure(x *exchange, a *attempt) *failure {
 	if x.pendingCount == 0 && a.verdict == verdictUnsent {
 		return notRunFailure(reasonUnreachable, fullRetry, a.err)
@@ -79,7 +81,7 @@
 	return unknownOutcomeFailure(reasonFailed, a.err)
 }
 
-// servePlain serves a request with a whole answer.
+// servePlain serves a request whose response is buffered, as opposed to a stream of events.
 func (f *Forwarder) servePlain(x *exchange) *failure {
 	unsentCount := 0
 	for {
@@ -109,15 +111,17 @@
 	}
 }
 
-// bufferedResponse is an upstream's answer, read up to the limit of the buffer.
+// bufferedResponse is the response of an upstream to a plain request, read up to maxBufferedBytes.
 type bufferedResponse struct {
+	// body is the part of the response body that was read; the whole body if rest is nil.
 	body []byte
-	// rest holds what is beyond the buffer; nil where the answer is whole.
+	// rest reads what follows body; nil if body is complete.
 	rest io.Reader
 }
 
-// bufferResponse reads the answer of an attempt that has one. An answer that
-// breaks off makes the attempt broken.
+// bufferResponse reads the response of an attempt that has a verdict of answered or failed, and
+// returns nil for other attempts. If the response breaks off, the verdict becomes broken and the
+// result is nil.
 func (f *Forwarder) bufferResponse(x *exchange, a *attempt) *bufferedResponse {
 	if a.verdict != verdictAnswered && a.verdict != verdictFailed {
 		return nil
@@ -135,12 +139,12 @@
 	return &bufferedResponse{body: body}
 }
 
-// writeResponse passes an upstream's whole answer on.
+// writeResponse writes the buffered response of an upstream to the caller.
 func (f *Forwarder) writeResponse(x *exchange, a *attempt, answer *bufferedResponse) *failure {
 	h := x.writer.Header()
 	copyHeaders(h, a.response.Header)
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // the library would guess one
+		h["Content-Type"] = nil // net/http would guess one from the body
 	}
 	length := a.response.ContentLength
 	if answer.rest == nil {
@@ -163,11 +167,12 @@
 	return nil
 }
 
+// canHaveBody reports whether a response with a status may have a body.
 func canHaveBody(status int) bool {
 	return status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeHeader writes the header of the answer to the caller.
+// writeHeader writes the header of the response to the caller.
 func (x *exchange) writeHeader(status int) {
 	x.writer.WriteHeader(status)
 	x.responseBegun, x.responseStatus = true, status
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,11 +1,11 @@
-// Package forwarder serves callers by passing their requests on to upstreams:
-// plain requests with buffered answers, and streams event by event. A request
-// passes a chain of filters; the last one makes attempts until one is
-// answered, the budget of attempts is used up, or the caller's time is over.
+// Package forwarder is the HTTP handler that passes the requests of callers on to upstreams: plain
+// requests with buffered responses, and streams event by event. A request passes through a chain of
+// filters. The handler behind them makes attempts until one is answered, no further attempt is
+// allowed, or the deadline passes.
 //
-// What was sent to an upstream counts as pending until the upstream states
-// that it did not run; only a request with nothing pending is ever refused
-// with a status that promises so.
+// An attempt counts as pending from the time it is sent until its upstream states that it did not
+// run the request. Only a request without pending attempts is refused with a status that promises
+// that it has not run.
 package forwarder
 
 import (
@@ -30,30 +30,34 @@
 	"github.com/sapphireramp/sapphireramp/sleeper"
 )
 
-// defaultTimeout stands in where neither caller nor route names a time.
+// defaultTimeout applies to requests for which neither the caller nor the route sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// Config of a forwarder. Every field is needed.
+// Config holds the settings and collaborators of a Forwarder. Every field is required.
 type Config struct {
 	Protocol     Protocol
 	Reservations ReservationClient
-	// ReservationTTL is the lease of memory reserved at engines: shorter than memory
-	// may stay set aside after the end of its request.
+	// ReservationTTL is the lease of memory reserved at engines. It must be shorter than the time
+	// for which memory may stay reserved after the end of its request.
 	ReservationTTL time.Duration
-	// MaxIdle is how long reserved memory may be unused by a request.
-	MaxIdle     time.Duration
-	View        func() *View
-	Dispatcher  *dispatcher.Dispatcher
+	// MaxIdle is for how long memory may stay reserved before a request uses it.
+	MaxIdle time.Duration
+	// View returns the current control state; it is called several times per request.
+	View func() *View
+	// Dispatcher chooses the upstreams of a request.
+	Dispatcher *dispatcher.Dispatcher
+	// RetryBudget limits the retries of each service.
 	RetryBudget *budgeter.Budgeter
-	// Quarantine says which requests are refused, since they crash upstreams.
+	// Quarantine decides which requests are refused because they crash upstreams.
 	Quarantine *quarantiner.Quarantiner
-	Dial       func(ctx context.Context, network, address string) (net.Conn, error)
-	Log        *zap.Logger
-	Scope      tally.Scope
-	Asserter   *asserter.Asserter
+	// Dial opens connections to upstreams.
+	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
+	Log      *zap.Logger
+	Scope    tally.Scope
+	Asserter *asserter.Asserter
 }
 
-// Forwarder is the handler of callers' requests.
+// Forwarder is an http.Handler that serves the requests of callers by upstreams.
 type Forwarder struct {
 	protocol          Protocol
 	reservationClient ReservationClient
@@ -72,7 +76,7 @@
 	inFlight          atomic.Int64
 }
 
-// New returns a forwarder.
+// New returns a Forwarder with the configuration c.
 func New(c Config) *Forwarder {
 	f := &Forwarder{
 		protocol: c.Protocol, reservationClient: c.Reservations, reservationTTL: c.ReservationTTL, maxIdle: c.MaxIdle, view: c.View, dispatcher: c.Dispatcher, retryBudget: c.RetryBudget, quarantine: c.Quarantine, log: c.Log,
@@ -82,55 +86,68 @@
 	return f
 }
 
-// InFlight is how many requests are being served.
+// InFlight returns the number of requests being served.
 func (f *Forwarder) InFlight() int { return int(f.inFlight.Load()) }
 
-// exchange is one request on its way through the filters.
+// exchange is the state of one request on its way through the filters.
 type exchange struct {
+	// ctx is cancelled when the caller disconnects or the entry shuts down and, within forward, at
+	// the deadline of the request.
 	ctx context.Context
-	// hasCallerLeft reports whether the caller closed its connection.
+	// hasCallerLeft reports whether the caller's connection or the entry has ended; set by forward.
 	hasCallerLeft func() bool
 	writer        http.ResponseWriter
 	request       *http.Request
 	arrivedAt     time.Time
 	metadata      RequestMetadata
-	// view is the one in force when the request arrived; nothing newer is
-	// used for it but to learn that an upstream leaves.
+	// view is the one in force when the request arrived. A newer one is only used for what concerns
+	// the shutdown of the entry and the number of entries.
 	view         *View
 	route        *matcher.Route
 	organisation string
-	// priority is the organisation's, or the route's where none is known; 0 is the
-	// most urgent.
-	priority    int
-	service     string
-	deadline    time.Time
-	body        []byte
-	bodyRead    bool
+	// priority is that of the organisation, or that of the route if there is no organisation; 0 is
+	// the most urgent.
+	priority int
+	// service is the one chosen among the services of the route.
+	service  string
+	deadline time.Time
+	body     []byte
+	// bodyRead is true once the whole body has been read into body.
+	bodyRead bool
+	// fingerprint identifies requests with equal content; zero until the body has been read.
 	fingerprint quarantiner.Fingerprint
 
-	// sentCount counts upstreams that the request was sent to, pending those of
-	// them that have not stated that it did not run.
+	// sentCount is the number of attempts that reached an upstream; pendingCount is how many of
+	// them may have run, since their upstream has not stated otherwise.
 	sentCount, pendingCount int
-	failedUpstreams         []dispatcher.Instance
-	// lastDemand is that of the last placement.
+	// failedUpstreams are the upstreams that get no further attempt of this request.
+	failedUpstreams []dispatcher.Instance
+	// lastDemand is the demand of the latest search for a placement.
 	lastDemand dispatcher.Demand
-	// groupFailed is set once a group of engines has failed the request.
+	// groupFailed is true once a group of engines has failed the request; it is then sent to a
+	// single engine.
 	groupFailed bool
-	// responseBegun is true once a part of the answer was written to the caller.
+	// responseBegun is true once the response header has been written to the caller, with status
+	// responseStatus and at the time responseBegunAt.
 	responseBegun   bool
 	responseStatus  int
 	responseBegunAt time.Time
-	lastEventAt     time.Time
-	longestGap      time.Duration
-	// eventCount counts those passed on.
+	// lastEventAt is when the latest event was written to the caller; equal to responseBegunAt
+	// before the first event.
+	lastEventAt time.Time
+	// longestGap is the longest time between two consecutive events written to the caller.
+	longestGap time.Duration
+	// eventCount is the number of events written to the caller.
 	eventCount int
 }
 
+// handler serves an exchange. A nil failure means that nothing is left to report to the caller.
 type handler func(*exchange) *failure
 
+// filter wraps a handler with a step that comes before or after it.
 type filter func(handler) handler
 
-// chain puts filters before a handler, the first outermost.
+// chain wraps a handler with filters; the first filter is the outermost.
 func chain(h handler, filters ...filter) handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		h = filters[i](h)
@@ -138,7 +155,7 @@
 	return h
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request of a caller.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
@@ -146,6 +163,7 @@
 	_ = f.handler(x)
 }
 
+// recoverPanic returns a filter that logs a panic and turns it into a failure.
 func (f *Forwarder) recoverPanic(next handler) handler {
 	return func(x *exchange) (fail *failure) {
 		defer func() {
@@ -160,7 +178,7 @@
 	}
 }
 
-// requireConfig refuses requests while the entry knows no configuration.
+// requireConfig returns a filter that refuses requests while the entry has no configuration.
 func (f *Forwarder) requireConfig(next handler) handler {
 	return func(x *exchange) *failure {
 		x.view = f.awaitConfig(x)
@@ -181,21 +199,23 @@
 }
 
 const (
-	// startupWait is how long a request that meets an entry just after its start
-	// waits for the configuration, which one read brings in a few milliseconds.
+	// startupWait is how long a request that reaches an entry just after its start waits for the
+	// configuration, which one read from the store brings within a few milliseconds.
 	startupWait = 150 * time.Millisecond
-	// startupPollInterval is how often it looks.
+	// startupPollInterval is the interval between two checks for the configuration during that
+	// wait.
 	startupPollInterval = 5 * time.Millisecond
-	// storeLostWaitDivisor is the part of its caller's patience for which a request waits
-	// while the store can't be read, as the first entry that reads it tells all
-	// within 0.1 s. Most callers that meet an entry just started come from one
-	// that was lost, and do not ask a third time. A tenth leaves them the time to
-	// come back after a refusal.
+	// storeLostWaitDivisor sets the fraction of the caller's timeout for which a request waits for
+	// the configuration while the store is unavailable: the first entry that reads the store
+	// updates all others within 0.1 s. Most callers that reach a newly started entry come from one
+	// that was lost, and rarely try a third time. A tenth leaves them time to come back after a
+	// refusal.
 	storeLostWaitDivisor = 10
 )
 
-// awaitConfig is the view in force, or the first one with a configuration
-// where that comes soon.
+// awaitConfig returns the current view or, if it has no configuration, the first that has one
+// within maxConfigWait. A view without a configuration is returned if that time passes, the caller
+// leaves or the entry is stopping.
 func (f *Forwarder) awaitConfig(x *exchange) *View {
 	v := f.view()
 	for v.Table == nil && !v.Stopping && time.Since(x.arrivedAt) < maxConfigWait(x, v) && sleeper.Sleep(x.ctx, startupPollInterval) {
@@ -204,7 +224,7 @@
 	return v
 }
 
-// maxConfigWait is how long a request waits for the first configuration.
+// maxConfigWait returns how long after its arrival a request waits for the first configuration.
 func maxConfigWait(x *exchange, v *View) time.Duration {
 	if v.StoreUnavailable {
 		return x.metadata.Timeout / storeLostWaitDivisor
@@ -212,7 +232,8 @@
 	return startupWait
 }
 
-// matchRoute finds the route and the organisation of a request.
+// matchRoute returns a filter that finds the route, organisation, deadline and service of a
+// request.
 func (f *Forwarder) matchRoute(next handler) handler {
 	return func(x *exchange) *failure {
 		table := x.view.Table
@@ -237,9 +258,8 @@
 	}
 }
 
-// denyByConfig refuses a request that the configuration does not allow. An entry
-// that may have missed a change says so, rather than that there is no such
-// route or key.
+// denyByConfig returns the failure of a request that the configuration does not allow. An entry
+// that may have missed a configuration change reports that instead of a missing route or key.
 func (x *exchange) denyByConfig(status int, reason string, cause error) *failure {
 	age := time.Since(x.view.ConfirmedAt)
 	if age > x.view.ConfirmationTTL {
@@ -248,7 +268,8 @@
 	return &failure{status: status, reason: reason, cause: cause}
 }
 
-// requestTimeout is how long a request may be kept waiting.
+// requestTimeout returns the time from arrival to the deadline of a request: the timeout of its
+// route, or a shorter one set by the caller.
 func requestTimeout(x *exchange) time.Duration {
 	d := defaultTimeout
 	if x.route.Timeout > 0 {
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -34,7 +34,7 @@
 	callerHost = netip.MustParseAddr("10.9.0.1")
 )
 
-// fixture is a forwarder before two plain workers and three engines.
+// fixture runs a Forwarder with two plain upstreams and three engines on a simulated network.
 type fixture struct {
 	is         *is.I
 	net        *network.Network
@@ -42,7 +42,7 @@
 	dispatcher *dispatcher.Dispatcher
 	table      *matcher.Table
 	quarantine *quarantiner.Quarantiner
-	// instances are the workers, plain ones first.
+	// instances lists all upstreams, the plain ones first.
 	instances []dispatcher.Instance
 	client    *http.Client
 	plain     []*worker.Worker
@@ -71,7 +71,7 @@
 	}
 }
 
-// withForwarder runs a test in virtual time.
+// withForwarder runs a test with a fixture in virtual time.
 func withForwarder(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{is: is.New(t), net: network.New(), quarantine: quarantiner.New()}
@@ -113,13 +113,14 @@
 			for _, h := range []netip.Addr{entryHost, callerHost} {
 				f.net.Kill(h)
 			}
-			time.Sleep(time.Second) // questions to upstreams whose answers broke off
+			time.Sleep(time.Second) // until crash detection has ended
 			synctest.Wait()
 		}()
 		test(f)
 	})
 }
 
+// serve starts an HTTP server on the simulated network.
 func (f *fixture) serve(address netip.AddrPort, h http.Handler) *http.Server {
 	listener, err := f.net.Listen(address)
 	f.is.NoErr(err)
@@ -128,25 +129,27 @@
 	return server
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// closesConnection is true where the answer asks the caller to leave.
+	// closesConnection is true if the response asks the caller to close the connection.
 	closesConnection bool
 	err              error
 	duration         time.Duration
 }
 
+// request describes a request of a test; zero fields are not sent or have a default.
 type request struct {
-	path, id, key, usage, lastEvent, body string
-	patience                              time.Duration
-	ctx                                   context.Context
-	// bodyReader is sent in place of the body.
+	path, id, key, usage, lastEventID, body string
+	timeout                                 time.Duration
+	ctx                                     context.Context
+	// bodyReader is sent instead of body if it is not nil.
 	bodyReader io.Reader
 }
 
+// ask sends a request to the entry and returns the complete answer.
 func (f *fixture) ask(r request) answer {
 	ctx := r.ctx
 	if ctx == nil {
@@ -172,11 +175,11 @@
 	if r.usage != "" {
 		q.Header.Set("X-Token-Usage", r.usage)
 	}
-	if r.lastEvent != "" {
-		q.Header.Set("Last-Event-Id", r.lastEvent)
+	if r.lastEventID != "" {
+		q.Header.Set("Last-Event-Id", r.lastEventID)
 	}
-	if r.patience > 0 {
-		q.Header.Set("X-Deadline-Ms", fmt.Sprint(r.patience.Milliseconds()))
+	if r.timeout > 0 {
+		q.Header.Set("X-Deadline-Ms", fmt.Sprint(r.timeout.Milliseconds()))
 	}
 	began := time.Now()
 	response, err := f.client.Do(q)
@@ -188,6 +191,7 @@
 	return answer{status: response.StatusCode, header: response.Header, body: string(text), closesConnection: response.Close, err: err, duration: time.Since(began)}
 }
 
+// wholeStream returns the events of a worker's complete stream, from the event with a number on.
 func wholeStream(id string, from int) string {
 	text := ""
 	for n := from; n <= 10; n++ {
@@ -196,18 +200,20 @@
 	return text
 }
 
+// countRuns returns how many times workers have run the request with an id.
 func countRuns(workers []*worker.Worker, id string) int {
 	return worker.TimesRun(slices.Values(workers), id)
 }
 
+// setFaults sets the same fault in all workers.
 func setFaults(workers []*worker.Worker, fault worker.Fault) {
 	for _, w := range workers {
 		w.SetFault(fault)
 	}
 }
 
-// What reaches the upstream is what the caller sent, with the key taken out
-// and the organisation put in.
+// The upstream receives what the caller sent, except that the API key is replaced by the name of
+// the organisation.
 func TestRequestReachesUpstreamUnchanged(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		a := f.ask(request{path: "/once/a%2Fb//c?x=1&y=%20", id: "r1", body: "order"})
@@ -226,9 +232,9 @@
 	})
 }
 
-// What waits at an engine is ordered by the organisation first, then by how
-// soon the route wants its first event.
-func TestOrganisationGoesBeforeTarget(t *testing.T) {
+// Requests that wait at an engine are ordered by the priority of the organisation first, then by
+// the first-byte target of the route.
+func TestOrganisationPriorityPrecedesTarget(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		var order []string
 		for _, c := range []request{
@@ -248,7 +254,7 @@
 	})
 }
 
-func TestRefusalsOfOurOwn(t *testing.T) {
+func TestEntryRefusesInvalidRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, c := range []struct {
 			request request
@@ -267,14 +273,13 @@
 		}
 		f.view.Store(&forwarder.View{})
 		a := f.ask(request{path: "/once/", id: "r4"})
-		f.is.Equal(a.status, 503) // a process that knows no configuration yet
+		f.is.Equal(a.status, 503) // the entry has no configuration
 		f.is.True(a.header.Get("Retry-After") != "")
 	})
 }
 
-// An entry that may have missed a change of the configuration does not say
-// that a route or a key doesn't exist: cut off from the store and from others,
-// or just awake after a pause.
+// An entry that may have missed a configuration change, because it was cut off from the store and
+// its peers or was suspended, must not claim that a route or a key does not exist.
 func TestUnconfirmedEntryDeniesNothing(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		time.Sleep(1600 * time.Millisecond)
@@ -286,14 +291,14 @@
 			f.is.Equal(a.header.Get("Retry-After"), "0.100")
 			f.is.Equal(countRuns(f.plain, c.id), 0)
 		}
-		f.is.Equal(f.ask(request{path: "/once/x", id: "r2"}).status, 200) // what it knows it serves
+		f.is.Equal(f.ask(request{path: "/once/x", id: "r2"}).status, 200) // a known route is served
 	})
 }
 
-// A request that meets an entry in its first milliseconds waits for the
-// configuration; one whose entry can't read the store is refused at once, with
-// a time at which the store may be back.
-func TestEntryJustStarted(t *testing.T) {
+// A request that reaches an entry within milliseconds of its start waits for the configuration. If
+// the store is unavailable, a request without a timeout is refused at once, with a Retry-After by
+// which the store may be back.
+func TestRequestWaitsForConfigAfterStart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		table := f.view.Load().Table
 		f.view.Store(&forwarder.View{})
@@ -308,25 +313,24 @@
 	})
 }
 
-// The pattern of a day that ends with all entries killed while the store is
-// down: callers of lost entries come back to ones just started, most of them for
-// the last time. They wait a tenth of their patience for the store, and no more.
-func TestEntryStartedWithoutStore(t *testing.T) {
+// If all entries crash while the store is down, their callers reach newly started entries, most of
+// them with their last try. They wait for the store for a tenth of their timeout, and no longer.
+func TestRequestWaitsForUnavailableStore(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		known := f.view.Load()
 		f.view.Store(&forwarder.View{StoreUnavailable: true})
 		time.AfterFunc(400*time.Millisecond, func() { f.view.Store(known) })
-		a := f.ask(request{path: "/stream/x", id: "r1", usage: "1000,100", patience: 10 * time.Second})
+		a := f.ask(request{path: "/stream/x", id: "r1", usage: "1000,100", timeout: 10 * time.Second})
 		f.is.Equal(a.status, 200)
 		f.view.Store(&forwarder.View{StoreUnavailable: true})
-		a = f.ask(request{path: "/stream/x", id: "r2", usage: "1000,100", patience: 10 * time.Second})
+		a = f.ask(request{path: "/stream/x", id: "r2", usage: "1000,100", timeout: 10 * time.Second})
 		f.is.Equal(a.status, 503)
 		f.is.True(a.duration >= time.Second && a.duration < 1100*time.Millisecond)
 	})
 }
 
-// A request that may run at most once never runs twice, whatever the upstream
-// does, and is called not run only where it did not.
+// A request that may run at most once never runs twice, whatever fault the upstream has, and is
+// reported as not run only if it did not run.
 func TestAtMostOnceUnderEveryFault(t *testing.T) {
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
@@ -336,20 +340,20 @@
 				ran := countRuns(f.plain, "r1")
 				f.is.True(ran <= 1)
 				if a.err == nil && a.status == 503 {
-					f.is.Equal(ran, 0) // a refusal says that it did not run
+					f.is.Equal(ran, 0) // a refusal promises that it did not run
 					f.is.True(a.header.Get("Retry-After") != "")
 				}
 				if a.err == nil && a.status == 200 {
 					f.is.Equal(a.body, worker.Body("r1"))
 					f.is.Equal(a.header.Get("X-Attempt-Id"), "r1")
 				}
-				f.is.True(a.duration <= 2100*time.Millisecond) // the route's time
+				f.is.True(a.duration <= 2100*time.Millisecond) // the route's timeout and slack
 			})
 		})
 	}
 }
 
-// An idempotent request survives one upstream with any fault.
+// An idempotent request succeeds although one of two upstreams has any of the faults.
 func TestIdempotentSurvivesOneFaultyUpstream(t *testing.T) {
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
@@ -368,9 +372,9 @@
 	}
 }
 
-// An engine's own failure reaches the caller as it is where there is nobody
-// else to ask.
-func TestUpstreamsFailureIsPassedOn(t *testing.T) {
+// A failure response of an upstream reaches the caller unchanged if no other upstream is left to
+// try.
+func TestUpstreamFailureIsRelayed(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.plain, worker.Failing)
 		a := f.ask(request{path: "/safe/x", id: "r1"})
@@ -381,9 +385,9 @@
 	})
 }
 
-// A stream that may be resumed is whole, once and in order, though the engine
-// that began it fails in the middle.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A resumable stream reaches the caller complete and in order, without duplicates, although the
+// engine that began it fails in the middle.
+func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
@@ -402,15 +406,15 @@
 
 func TestCallerResumesStream(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", lastEvent: "6"})
+		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", lastEventID: "6"})
 		f.is.NoErr(a.err)
 		f.is.Equal(a.body, wholeStream("s1", 7))
 	})
 }
 
-// A stream that may not be resumed is cut where its engine fails, and never
-// looks complete.
-func TestBrokenStreamIsCut(t *testing.T) {
+// A stream that may not be resumed is aborted when its engine fails, so that it never looks
+// complete.
+func TestNonResumableStreamIsAborted(t *testing.T) {
 	for _, fault := range []worker.Fault{worker.Torn, worker.Short} {
 		withForwarder(t, func(f *fixture) {
 			setFaults(f.engines, fault)
@@ -422,10 +426,9 @@
 	}
 }
 
-// The last engine that may be asked is not given up for its silence: the
-// caller may wait longer than we would. mix --seed 391397223682 of
-// condor-sapphire broke LOST by that.
-func TestSilenceEndsNoLastAttempt(t *testing.T) {
+// The last engine that may be tried is not given up for its silence: the caller may wait for longer
+// than the watchdog. A soak run (mix, seed 391397223682) lost a request that way.
+func TestSilenceDoesNotEndLastAttempt(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Mute)
 		a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
@@ -434,14 +437,14 @@
 		f.is.True(a.duration >= 10*time.Second && a.duration < 10100*time.Millisecond)
 		a = f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100"})
 		f.is.Equal(a.status, 504)
-		f.is.Equal(countRuns(f.engines, "s2"), 2) // the first was given up, the second not
+		f.is.Equal(countRuns(f.engines, "s2"), 2) // the first attempt was given up, the second was not
 		f.is.True(a.duration >= 10*time.Second && a.duration < 10100*time.Millisecond)
 	})
 }
 
-// A silent engine is not given up while no other would take the request: odd
-// day 10 of condor-sapphire broke LOST by that beside a SIGTERM.
-func TestSilenceEndsNothingThatNobodyElseTakes(t *testing.T) {
+// A silent engine is not given up while no other engine accepts the request. A soak run (odd day
+// 10) lost a request that way during a shutdown.
+func TestSilenceDoesNotEndAttemptWithoutAlternative(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Slow)
 		f.dispatcher.Update(f.table, f.instances[:4]) // two engines
@@ -466,18 +469,18 @@
 	})
 }
 
-// At the route's time the caller has its final answer.
+// The caller has the final response by the deadline.
 func TestDeadlineIsKept(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.plain, worker.Mute)
-		a := f.ask(request{path: "/once/x", id: "r1", patience: 700 * time.Millisecond})
+		a := f.ask(request{path: "/once/x", id: "r1", timeout: 700 * time.Millisecond})
 		f.is.Equal(a.status, 504)
 		f.is.True(a.duration >= 700*time.Millisecond && a.duration < 800*time.Millisecond)
 	})
 }
 
-// Work ends at the upstream soon after its caller has left.
-func TestCallerLeaves(t *testing.T) {
+// Upstreams stop working on a request soon after its caller has disconnected.
+func TestUpstreamWorkEndsWhenCallerLeaves(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Mute)
 		ctx, leave := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -491,13 +494,13 @@
 	})
 }
 
-// A prompt longer than one engine's memory is held by several, and all of it
-// is given back.
-func TestMemoryOfGroupIsGivenBack(t *testing.T) {
+// A prompt longer than the memory of one engine is held by several engines, and all of their memory
+// is released afterwards.
+func TestGroupMemoryIsReleased(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"}) }()
-		time.Sleep(200 * time.Millisecond) // within the 500 ms of the answer
+		time.Sleep(200 * time.Millisecond) // the response takes 500 ms
 		held := 0
 		for _, e := range f.engines {
 			for _, tokens := range e.Held() {
@@ -514,9 +517,9 @@
 	})
 }
 
-// A group of which one engine has no room is not begun, and what the others
-// set aside is given back.
-func TestGroupIsAllOrNothing(t *testing.T) {
+// If one engine of a group has no memory left, the request is not sent, and the memory reserved at
+// the other engines is released.
+func TestReservationIsAllOrNothing(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Full)
 		a := f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"})
@@ -529,9 +532,9 @@
 	})
 }
 
-// A helper that sets nothing aside is at fault, not the engine that would have
-// answered: the prompt goes on there with another helper.
-func TestHelperWithoutRoomIsReplaced(t *testing.T) {
+// A helper that does not reserve memory is at fault, not the engine that was to answer: the prompt
+// is sent to the same engine with another helper.
+func TestFullHelperIsReplaced(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		long := request{path: "/long/x", id: "s1", usage: "400000,100"}
 		f.is.Equal(f.ask(long).status, 200)
@@ -559,10 +562,10 @@
 	})
 }
 
-// Memory set aside for an engine that hangs is given back before it may no longer stay
-// unused, and the prompt is tried elsewhere; where a request uses it, the answer is awaited.
-// Day false-health-and-flaps of the grown fleet held 217,834 tokens for 10.5 s.
-func TestUnusedMemoryIsGivenBack(t *testing.T) {
+// Memory reserved for a request whose engine hangs is released before the maximum idle time, and
+// the prompt is tried elsewhere. If a request uses the memory, the entry keeps waiting. A soak run
+// (false-health-and-flaps) kept 217,834 unused tokens reserved for 10.5 s.
+func TestUnusedMemoryIsReleased(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		withForwarder(t, func(f *fixture) {
 			setFaults(f.engines, worker.Mute)
--- a/forwarder/group.go
+++ b/forwarder/group.go
@@ -17,48 +17,52 @@
 )
 
 const (
-	// reservationTimeout bounds an order to an engine: many times what an answer
-	// takes, and short beside the targets of prompts that need reservations.
+	// reservationTimeout bounds a call to an engine about a reservation: it is many times the usual
+	// response time, and short compared with the latency targets of prompts that need reservations.
 	reservationTimeout = 300 * time.Millisecond
-	// renewalsPerTTL is how often memory is renewed in the time of its lease, so
-	// that one lost order does not end it.
+	// renewalsPerTTL is how often a reservation is renewed within its TTL, so that one lost renewal
+	// does not end it.
 	renewalsPerTTL = 3
-	// idleFraction is the part of the time for which memory may be unused after which an
-	// engine is asked whether a request uses it. What is left is one more renewal.
+	// idleFraction is the fraction of the maximum idle time after which the entry asks an engine
+	// whether a request uses its reservation. The remainder leaves time for one more renewal.
 	idleFraction = 0.75
 )
 
-// reservationGroup is the memory reserved at several engines for one attempt. All methods
-// may be called on nil, which holds none.
+// reservationGroup is the memory reserved at several engines for one attempt. All methods accept a
+// nil receiver, which holds no reservations.
 type reservationGroup struct {
 	requestID    string
 	reservations []reservation
-	// stopRenewal ends the renewals, which have ended when renewed is done.
+	// stopRenewal stops the renewals; the goroutine that makes them has ended when renewal.Wait
+	// returns.
 	stopRenewal context.CancelFunc
 	renewal     sync.WaitGroup
-	// reservedAt is when the memory was set aside, begun true once the answer's first
-	// event was seen: all of it is used then.
-	reservedAt    time.Time
+	// reservedAt is when the memory was reserved.
+	reservedAt time.Time
+	// responseBegun is true once the first event of the response has arrived: all reserved memory
+	// is in use then.
 	responseBegun atomic.Bool
-	// cancelAttempt ends the attempt with a cause.
+	// cancelAttempt cancels the attempt with a cause.
 	cancelAttempt context.CancelCauseFunc
 }
 
-// errMemoryUnused ends an attempt whose memory no request uses.
-var errMemoryUnused = errors.New("the engine does not begin, and memory set aside for it may not stay unused")
+// errMemoryUnused cancels an attempt whose reservations no request uses.
+var errMemoryUnused = errors.New("the engine has not begun the request, and reserved memory may not stay unused any longer")
 
-// markBegun notes that the first event of the answer was seen.
+// markBegun notes that the first event of the response has arrived.
 func (g *reservationGroup) markBegun() {
 	if g != nil {
 		g.responseBegun.Store(true)
 	}
 }
 
-// ReserveError is an engine that set no memory aside.
+// ReserveError is returned if an engine did not reserve memory.
 type ReserveError struct {
+	// Engine is the address of the engine, Tokens the memory requested from it.
 	Engine netip.AddrPort
 	Tokens int
-	Cause  error
+	// Cause is the error of the call to the engine.
+	Cause error
 }
 
 func (e ReserveError) Error() string {
@@ -67,14 +71,16 @@
 
 func (e ReserveError) Unwrap() error { return e.Cause }
 
+// reservation is memory for some tokens, reserved at one engine under an id.
 type reservation struct {
 	engine netip.AddrPort
 	id     string
 	tokens int
 }
 
-// reserve sets aside the memory that an attempt needs at its helpers: all of
-// it or none.
+// reserve reserves the memory that an attempt needs at its helpers, all of it or none, and renews
+// it until the group is released. It returns nil if no memory is needed, and joined ReserveErrors
+// if a helper did not reserve.
 func (f *Forwarder) reserve(ctx context.Context, x *exchange, p *dispatcher.Placement, cancelAttempt context.CancelCauseFunc) (*reservationGroup, error) {
 	if len(p.HelperMemoryTokens) == 0 {
 		return nil, nil
@@ -109,7 +115,7 @@
 	return g, nil
 }
 
-// reserveErrors are the engines that set no memory aside, of an error of reserve.
+// reserveErrors returns the ReserveErrors, one per engine, that an error of reserve joins.
 func reserveErrors(err error) []ReserveError {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
@@ -125,6 +131,7 @@
 	return out
 }
 
+// reserveOne makes or renews one reservation.
 func (f *Forwarder) reserveOne(ctx context.Context, s reservation) error {
 	ctx, cancel := context.WithTimeout(ctx, reservationTimeout)
 	defer cancel()
@@ -134,7 +141,8 @@
 	return nil
 }
 
-// renewReservations keeps the leases alive until the group is released.
+// renewReservations renews the reservations of a group until ctx is cancelled or the attempt is
+// given up because its memory stays unused.
 func (f *Forwarder) renewReservations(ctx context.Context, g *reservationGroup) {
 	for sleeper.Sleep(ctx, f.reservationTTL/renewalsPerTTL) {
 		for _, s := range g.reservations {
@@ -150,8 +158,9 @@
 	}
 }
 
-// isMemoryUnused reports whether the memory of a group has been set aside for long and no request
-// uses it, as where the engine that is to answer hangs.
+// isMemoryUnused reports whether the reservations of a group have been idle for nearly the maximum
+// idle time, as happens if the engine that is to answer hangs. If the engine can't be asked, they
+// count as unused.
 func (f *Forwarder) isMemoryUnused(ctx context.Context, g *reservationGroup) bool {
 	if g.responseBegun.Load() || time.Since(g.reservedAt) < time.Duration(idleFraction*float64(f.maxIdle)) {
 		return false
@@ -165,8 +174,8 @@
 	return !used && !g.responseBegun.Load()
 }
 
-// releaseReservations gives the memory of a group back, without making the request wait.
-// What can't be released ends with its lease.
+// releaseReservations releases the memory of a group in the background. A reservation that can't be
+// released ends with its lease.
 func (f *Forwarder) releaseReservations(g *reservationGroup) {
 	if g == nil {
 		return
@@ -188,8 +197,8 @@
 	}()
 }
 
-// withReservations lists the engines that help, with the memory that each holds.
-// Tickets are filled in the order of the list.
+// withReservations returns the instances as helpers, in the same order, with the IDs of the
+// reservations that the group holds at them.
 func (g *reservationGroup) withReservations(instances []dispatcher.Instance) []Helper {
 	var out []Helper
 	for _, i := range instances {
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// limitHeader refuses requests whose header is longer than the configuration
+// limitHeader returns a filter that refuses requests whose header is larger than the configuration
 // allows.
 func (f *Forwarder) limitHeader(next handler) handler {
 	return func(x *exchange) *failure {
@@ -23,11 +23,11 @@
 	}
 }
 
-// headerLineOverhead is what a header line has beside name and value: colon, space and
-// the end of the line.
+// headerLineOverhead is the size in bytes of what a header line has besides name and value: colon,
+// space, CR and LF.
 const headerLineOverhead = 4
 
-// headerSize is about how many bytes the header of a request had.
+// headerSize returns the approximate size in bytes of the header of a request as it was sent.
 func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + headerLineOverhead
 	size += len("Host") + len(r.Host) + headerLineOverhead
@@ -39,8 +39,8 @@
 	return size
 }
 
-// readBody reads the whole body, so that an attempt can be repeated and an
-// upstream that answers early never meets half of it.
+// readBody returns a filter that reads the whole body before the first attempt, so that an attempt
+// can be repeated and an upstream that responds early never gets half a body.
 func (f *Forwarder) readBody(next handler) handler {
 	return func(x *exchange) *failure {
 		limit := x.view.Table.Config.Limits.BodyBytes
@@ -50,7 +50,8 @@
 		}
 		connection := http.NewResponseController(x.writer)
 		_ = connection.SetReadDeadline(x.deadline)
-		// The end of the entry ends the wait for the rest, so that it can be told.
+		// Interrupts the read when the request is cancelled, also by the shutdown of the entry, so
+		// that its caller can still be sent a refusal.
 		stop := context.AfterFunc(x.ctx, func() { _ = connection.SetReadDeadline(time.Now()) })
 		from := io.Reader(x.request.Body)
 		if limit > 0 {
--- a/forwarder/metrics.go
+++ b/forwarder/metrics.go
@@ -6,23 +6,25 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Lengths of prompts, by which times are told apart.
+// Upper bounds in tokens of the classes of prompt length by which first-byte times are recorded.
 const (
 	shortPrompt  = 16_000
 	mediumPrompt = 110_000
 )
 
+// metrics holds the metrics that a Forwarder updates.
 type metrics struct {
 	scope           tally.Scope
 	requestDuration tally.Histogram
-	// firstByte is by length of prompt.
+	// firstByte holds a histogram for each class of prompt length.
 	firstByte     map[string]tally.Histogram
 	longestGap    tally.Histogram
 	retriesDenied tally.Counter
 	reservations  tally.Counter
 }
 
-// promptLengthClass is the class of a prompt's length.
+// promptLengthClass returns the class of a prompt's length in tokens, the value of the label
+// length.
 func promptLengthClass(prompt int) string {
 	switch {
 	case prompt == 0:
@@ -45,28 +47,32 @@
 		retriesDenied:   scope.Counter("retries_denied"),
 		reservations:    scope.Counter("reservations"),
 	}
-	m.requestCounter(outcomeAnswered) // shown before the first one ends, as rates need it
+	m.requestCounter(outcomeAnswered) // exported as 0 from the start, so that rates include the first request
 	for _, length := range []string{"none", "short", "medium", "long"} {
 		m.firstByte[length] = scope.Tagged(map[string]string{"length": length}).Histogram("first_byte_seconds", buckets)
 	}
 	return m
 }
 
+// requestCounter returns the counter of requests with an outcome.
 func (m metrics) requestCounter(outcome string) tally.Counter {
 	return m.scope.Tagged(map[string]string{"outcome": outcome}).Counter("requests")
 }
 
+// recordRequest records the outcome and duration of a request.
 func (m metrics) recordRequest(outcome string, took time.Duration) {
 	m.requestCounter(outcome).Inc(1)
 	m.requestDuration.RecordDuration(took)
 }
 
-// recordStream records the times of a stream that had an event.
+// recordStream records the time to the first byte of a response, by the length of the prompt in
+// tokens, and the longest gap between its events.
 func (m metrics) recordStream(prompt int, firstByte, longestGap time.Duration) {
 	m.firstByte[promptLengthClass(prompt)].RecordDuration(firstByte)
 	m.longestGap.RecordDuration(longestGap)
 }
 
+// recordAttempt counts an attempt by its verdict.
 func (m metrics) recordAttempt(v verdict) {
 	m.scope.Tagged(map[string]string{"verdict": string(v)}).Counter("attempts").Inc(1)
 }
--- a/forwarder/metrics_test.go
+++ b/forwarder/metrics_test.go
@@ -11,8 +11,8 @@
 	"github.com/sapphireramp/sapphireramp/meter"
 )
 
-// An entry that was started anew and had no request yet shows how many it had: none.
-func TestRequestsAreCountedFromNone(t *testing.T) {
+// A restarted entry that has had no request yet exports its request count as 0.
+func TestRequestCounterStartsAtZero(t *testing.T) {
 	is := is.New(t)
 	m := meter.New()
 	defer func() { _ = m.Close() }()
--- a/forwarder/place.go
+++ b/forwarder/place.go
@@ -11,22 +11,26 @@
 )
 
 const (
-	// waitDivisor is the part of its target for which a request waits for a place
-	// before it is refused: a backlog falls that much in the time, and the
-	// caller, who seldom asks a third time, keeps its second try.
+	// waitDivisor sets the fraction of the first-byte target for which a request waits for a
+	// placement before it is refused. A backlog shrinks by that much meanwhile, and a refused
+	// caller, who rarely tries a third time, keeps enough time for a second try.
 	waitDivisor = 8
-	// minPollInterval is how often it looks, at most.
+	// minPollInterval is the shortest interval between two searches for a placement.
 	minPollInterval = 25 * time.Millisecond
-	// pollBackoffFactor is how many times as long as a look took it waits for the next one: a few waiting
-	// prompts would otherwise leave a slow instance no time for anything else.
+	// pollBackoffFactor is the least ratio of the interval between two searches to the duration of
+	// a search: a few waiting prompts would otherwise leave a slow machine no CPU time for anything
+	// else.
 	pollBackoffFactor = 10
-	// maxYields is how often a request gives its place up to another entry's: as often as
-	// entries meet that each hold a few long prompts until engines have less to do.
+	// maxYields is how often a request gives up its placement to a request of another entry.
+	// Entries that each hold a few long prompts until engines are less loaded collide about that
+	// often.
 	maxYields = 3
 )
 
-// mayWait reports whether a request that has no place yet may get one soon, here. Nothing waits for
-// one at an entry that may end before the answer does.
+// mayWait reports whether a refused request may get a placement soon and waits for it at this
+// entry: the refusal is temporary, and the prompt has time to spare or has waited for less than the
+// allowed fraction of its target. A request that must end before a stopping entry exits never
+// waits.
 func (f *Forwarder) mayWait(x *exchange, r *dispatcher.Refusal) bool {
 	if x.lastDemand.EndWithin > 0 {
 		return false
@@ -34,7 +38,7 @@
 	return r.Temporary && (r.Deferrable || time.Since(x.arrivedAt) < x.route.FirstByteTarget/waitDivisor)
 }
 
-// place finds the next upstream for a request.
+// place finds the upstreams for the next attempt of a request, and logs them.
 func (f *Forwarder) place(x *exchange, d dispatcher.Demand) (*dispatcher.Placement, *failure) {
 	d.Service, d.Avoid, d.NoHelpers = x.service, x.failedUpstreams, x.groupFailed
 	d.FirstByteTarget, d.GapTarget = x.route.FirstByteTarget, x.route.GapTarget
@@ -56,7 +60,8 @@
 	return p, nil
 }
 
-// awaitPlacement asks for a place until there is one, or the request is not to wait for one here.
+// awaitPlacement searches for a placement repeatedly until it finds one or the request may not wait
+// any longer.
 func (f *Forwarder) awaitPlacement(x *exchange, d dispatcher.Demand) (*dispatcher.Placement, *dispatcher.Refusal) {
 	x.lastDemand = f.withCurrentTimes(x, d)
 	p, refusal, searchTime := f.tryPlace(x)
@@ -71,7 +76,7 @@
 	return p, refusal
 }
 
-// withCurrentTimes returns a demand with its times as they are now.
+// withCurrentTimes returns a demand with its waiting times and limits as of now.
 func (f *Forwarder) withCurrentTimes(x *exchange, d dispatcher.Demand) dispatcher.Demand {
 	d.Remaining = time.Until(x.deadline)
 	if x.isStream() {
@@ -80,9 +85,10 @@
 	return x.limitIfStopping(f.view(), d)
 }
 
-// yieldsPlacement lets other entries learn of a heavy prompt's place before it is used, and gives it up
-// where one of them took it at the same moment and goes first: the second of two on the same engines begins seconds late,
-// and its passes stop all answers there.
+// yieldsPlacement waits until other entries have received the load update about a heavy prompt's
+// placement. It gives up the placement, and returns true, if another entry chose the same engines
+// at the same moment and its request has precedence: the second of two heavy prompts on the same
+// engines would begin seconds late, and its forward passes would stall all streams there.
 func (f *Forwarder) yieldsPlacement(x *exchange, p *dispatcher.Placement) bool {
 	if !p.ShouldSettle() || !sleeper.Sleep(x.ctx, dispatcher.SettleDelay) || !p.ShouldYield(time.Now()) {
 		return false
@@ -93,12 +99,14 @@
 	return true
 }
 
-// pollInterval is how long after a look that took some time the next one is.
+// pollInterval returns the interval between two searches for a placement, of which the first took
+// searchTime.
 func pollInterval(searchTime time.Duration) time.Duration {
 	return max(minPollInterval, pollBackoffFactor*searchTime)
 }
 
-// tryPlace asks the board for a place, and tells how long that took.
+// tryPlace searches once for a placement, and returns the placement or a refusal, and how long the
+// search took.
 func (f *Forwarder) tryPlace(x *exchange) (*dispatcher.Placement, *dispatcher.Refusal, time.Duration) {
 	if refusal := f.checkQuarantine(x); refusal != nil {
 		return nil, refusal, 0
@@ -108,7 +116,7 @@
 	return p, refusal, time.Since(began)
 }
 
-// joinIDs joins the IDs of instances, for the log.
+// joinIDs returns the IDs of instances separated by commas, for the log.
 func joinIDs(instances []dispatcher.Instance) string {
 	names := make([]string, len(instances))
 	for i, h := range instances {
--- a/forwarder/protocol.go
+++ b/forwarder/protocol.go
@@ -9,105 +9,114 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// RequestMetadata is what a caller says of its request beside method, path and body.
+// RequestMetadata holds what a caller states about its request in headers.
 type RequestMetadata struct {
-	// ID is the caller's, unique for each time that it sends a request.
+	// ID is set by the caller, which uses a new one each time that it sends the request.
 	ID string
-	// Timeout is how long the caller waits; 0 where it doesn't say.
+	// Timeout is how long the caller waits for the response; 0 if not stated.
 	Timeout time.Duration
-	// APIKey identifies the organisation; empty where the caller sent none.
+	// APIKey identifies the organisation; empty if the caller sent none.
 	APIKey string
-	// LastEventID is the id of the last event that the caller has of a stream
-	// that it resumes.
+	// LastEventID is the id of the last event that the caller received of a stream that it resumes;
+	// empty otherwise.
 	LastEventID string
-	// PromptTokens and MaxAnswerTokens are token counts, 0 where the request has no prompt.
-	// MaxAnswerTokens is the most that may be decoded.
+	// PromptTokens is the length of the prompt, MaxAnswerTokens the most tokens that may be
+	// generated; both 0 if the request has no prompt.
 	PromptTokens, MaxAnswerTokens int
-	// AnswerTokensHint is the caller's estimate of the answer's tokens, 0 for none.
+	// AnswerTokensHint is the caller's estimate of the length of the answer in tokens; 0 for none.
 	AnswerTokensHint int
 }
 
-// AttemptMetadata is what is said to an upstream beside what the caller sent.
+// AttemptMetadata holds what the forwarder adds to a request that it sends to an upstream.
 type AttemptMetadata struct {
-	// InstanceID is the only run of an upstream that may take the attempt.
+	// InstanceID is the ID of the only upstream that may run the request: another one may have
+	// taken over its address.
 	InstanceID string
-	// Remaining is how long the caller still waits.
+	// Remaining is the time left until the deadline of the request.
 	Remaining time.Duration
-	// Organisation that the request is for; empty on public routes.
+	// Organisation is the name of the organisation that sent the request; empty on public routes.
 	Organisation string
-	// LastEventID is the event after which a stream goes on; empty for all.
+	// LastEventID is the id of the event after which the stream resumes; empty for all events.
 	LastEventID string
-	// Helpers prefill parts of the prompt.
+	// Helpers are the engines that prefill shards of the prompt.
 	Helpers []Helper
-	// Priority among what waits at the engine, 0 first.
+	// Priority orders the requests that wait at an engine; 0 is the most urgent.
 	Priority int
 }
 
-// Helper is an engine that prefills a part of a prompt.
+// Helper is an engine that prefills a shard of a prompt for the engine that answers.
 type Helper struct {
 	Address netip.AddrPort
-	// ReservationID is the id of memory reserved there for the prompt; empty where
-	// the helper only prefills.
+	// ReservationID is the id of the memory reserved at the helper for the prompt; empty if the
+	// helper only prefills and holds nothing.
 	ReservationID string
 }
 
-// ReservationClient are what engines are told besides requests. A failure means that the
-// order may or may not have been carried out, now or later.
+// ReservationClient holds the functions that manage memory reservations at engines. After an error,
+// the call may or may not have taken effect, or may take effect later.
 type ReservationClient struct {
-	// Reserve sets memory aside under an id for a time, or renews it.
+	// Reserve reserves memory for tokens under an id for the duration hold, or renews the
+	// reservation with that id.
 	Reserve func(ctx context.Context, engine netip.AddrPort, id string, tokens int, hold time.Duration) error
-	// Release gives it back.
+	// Release ends the reservation with an id.
 	Release func(ctx context.Context, engine netip.AddrPort, id string) error
-	// InUse reports whether a request uses the memory.
+	// InUse reports whether a request uses the memory reserved under an id.
 	InUse func(ctx context.Context, engine netip.AddrPort, id string) (bool, error)
 }
 
-// ResponseMetadata is what an upstream says beside status and body.
+// ResponseMetadata holds what an upstream states in the status and headers of a response.
 type ResponseMetadata struct {
-	// RequestID is the ID of the request that this answers; empty where the
-	// upstream doesn't say.
+	// RequestID is the ID of the request that the response belongs to; empty if not stated.
 	RequestID string
-	// NotRun is true where the upstream states that it did not and will not
-	// run the request.
+	// NotRun is true if the upstream states that it did not and will not run the request.
 	NotRun bool
-	// Stamped is true where a run of the request made this answer.
+	// Stamped is true if the response carries the stamp that an upstream sets when it has run the
+	// request.
 	Stamped bool
-	// FaultyAddress is the upstream at fault, where it is another than the one asked.
+	// FaultyAddress is the address of the upstream at fault; invalid (zero) if the response names
+	// none.
 	FaultyAddress netip.AddrPort
-	// Leaving is true where the upstream is about to end and wants no more requests.
+	// Leaving is true if the upstream is about to exit and accepts no more requests.
 	Leaving bool
-	// Backoff is for how long the upstream wants none from this entry; 0 for no such wish.
+	// Backoff is for how long the upstream asks this entry to send nothing; 0 for none.
 	Backoff time.Duration
 }
 
-// Protocol reads and writes the headers that callers and upstreams speak.
+// Protocol reads and writes the headers that callers and upstreams use.
 type Protocol struct {
-	ReadRequest  func(*http.Request) RequestMetadata
+	// ReadRequest returns the metadata in a caller's request.
+	ReadRequest func(*http.Request) RequestMetadata
+	// WriteAttempt sets the headers of a request to an upstream.
 	WriteAttempt func(http.Header, AttemptMetadata)
+	// ReadResponse returns the metadata in an upstream's response.
 	ReadResponse func(status int, h http.Header) ResponseMetadata
-	// WriteRefusal adds the headers of an answer of this entry's own.
+	// WriteRefusal sets the headers of a response that the entry itself makes; a retryAfter of 0
+	// sets no Retry-After.
 	WriteRefusal func(h http.Header, callID string, retryAfter time.Duration)
 }
 
-// View is the control state that requests are served by. It is never changed.
+// View is an immutable snapshot of the control state by which requests are served.
 type View struct {
-	// Table is nil before the first configuration is known.
+	// Table routes requests; nil before the first configuration is known.
 	Table *matcher.Table
-	// ConfigRevision and ConfirmedAt say how old the belief is, for the log.
+	// ConfigRevision is the logged revision of the configuration. ConfirmedAt is when configuration and
+	// instance list were last known to be current.
 	ConfigRevision int64
 	ConfirmedAt    time.Time
-	// ConfirmationTTL is how long after ConfirmedAt no change that this entry does
-	// not know can have to be in force.
+	// ConfirmationTTL is for how long after ConfirmedAt the entry may deny requests by its
+	// configuration: no change that it has missed needs to be in force sooner.
 	ConfirmationTTL time.Duration
-	// StoreUnavailable is true while the last call to the store failed.
+	// StoreUnavailable is true while the latest call to the store has failed.
 	StoreUnavailable bool
-	// MaxEntries is the most entries that may share the retry budget.
+	// MaxEntries is the largest number of entries that may share the retry budget.
 	MaxEntries int
-	// Stopping entries ask callers to leave, and take what is over before they end.
+	// Stopping is true while the entry shuts down: it asks callers to close their connections, and
+	// accepts only requests that end before it exits.
 	Stopping bool
-	// OtherEntries is how many other entries take callers, as far as is known.
+	// OtherEntries is the number of other entries that accept callers, as far as this entry knows.
 	OtherEntries int
-	// StopBy is when a stopping entry ends, AddressValidUntil until when callers may use its address, as
-	// they have it from the directory; zero otherwise.
+	// StopBy is when a stopping entry exits. AddressValidUntil is until when callers may use the
+	// address of a stopping entry that they got from the directory. Both are zero unless the entry
+	// is stopping.
 	StopBy, AddressValidUntil time.Time
 }
--- a/forwarder/restart_test.go
+++ b/forwarder/restart_test.go
@@ -9,15 +9,15 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// restartEngine has an engine start again under its ID, behind a partition that hides the end of
-// its connections, and lists the new run.
+// restartEngine restarts an engine under the same ID and lists its new incarnation. Connections to
+// the old incarnation stay open, as behind a partition.
 func (f *fixture) restartEngine(i int) {
 	f.engines[i].Restart()
 	f.instances[2+i].Started = time.Now().Add(time.Millisecond)
 	f.dispatcher.Update(f.table, f.instances)
 }
 
-// runningEngine is the engine that works on a request.
+// runningEngine returns the index of the engine that runs a request.
 func (f *fixture) runningEngine(id string) int {
 	f.is.Helper()
 	i := slices.IndexFunc(f.engines, func(w *worker.Worker) bool { return worker.TimesRun(slices.Values([]*worker.Worker{w}), id) > 0 })
@@ -25,10 +25,10 @@
 	return i
 }
 
-// A stream whose engine starts anew goes on at another at once, though its connection says
-// nothing; one that may not go on ends at once. Nobody waits for the watchdog, which would
-// take a second and a half here.
-func TestStreamOfALostRunGoesOn(t *testing.T) {
+// A resumable stream whose engine restarts resumes at another engine at once, although its
+// connection stays silent; a stream that may not be resumed ends at once. Neither waits for the
+// watchdog, which would take 1.5 s here.
+func TestStreamContinuesAfterEngineRestart(t *testing.T) {
 	for _, c := range []struct {
 		path   string
 		status int
@@ -37,7 +37,7 @@
 		withForwarder(t, func(f *fixture) {
 			done := make(chan answer)
 			go func() { done <- f.ask(request{path: c.path, id: "s1", usage: "1000,100"}) }()
-			time.Sleep(200 * time.Millisecond) // four of ten events
+			time.Sleep(200 * time.Millisecond) // 4 of 10 events have arrived
 			f.restartEngine(f.runningEngine("s1"))
 			a := <-done
 			f.is.Equal(a.status, c.status)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Two ids have one address, as where an upstream left it to another: a request meant for the one
-// that is not there any more has not run, and is served elsewhere.
+// Two IDs share an address if an upstream has taken over that of another. A request for the one
+// that is gone has not run, and is sent elsewhere.
 func TestTwoIDsWithOneAddress(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		other := f.instances[0]
@@ -65,8 +65,9 @@
 	})
 }
 
-// What may run once has its honest answer at once when its upstream starts anew: it may have run.
-func TestCallOfALostRunEnds(t *testing.T) {
+// A request that may run at most once fails with an unknown outcome as soon as its upstream
+// restarts, since it may have run.
+func TestAtMostOnceRequestEndsOnUpstreamRestart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.plain, worker.Mute)
 		done := make(chan answer)
@@ -86,9 +87,9 @@
 	})
 }
 
-// A group of which one helper starts anew begins again with memory set aside anew, and what
-// the others held is given back.
-func TestGroupOfALostRunBeginsAgain(t *testing.T) {
+// If a helper of a group restarts, the request starts over with new reservations, and the old ones
+// are released.
+func TestGroupStartsOverAfterHelperRestart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Slow)
 		done := make(chan answer)
@@ -109,10 +110,10 @@
 	})
 }
 
-// A stream broke off at a sound upstream: its entry heard of the upstream's new run late, as the store
-// had been away, when the stream had been sent to that run already, and ended what the run before had.
-// Found by the virtual soak: the run went on when its caller's connection ended.
-func TestStreamThatTheNewRunAnswersGoesOn(t *testing.T) {
+// During a store outage, an entry gets the update about an upstream's restart late, when a stream
+// has already reached the new incarnation. The entry must not cancel that stream. Found by the soak
+// test: the upstream went on with the request after the entry had cut the connection.
+func TestStreamFromNewIncarnationContinues(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		time.AfterFunc(200*time.Millisecond, func() {
 			for i := range f.instances {
@@ -126,9 +127,10 @@
 	})
 }
 
-// A call got 502 from a sound upstream, 17 ms after it had reached it: its entry heard only then, as the store had
-// been away, that the upstream had started anew, some seconds before. Found by the virtual soak.
-func TestCallSentLongAfterTheNewRunBeganIsAnswered(t *testing.T) {
+// During a store outage, an entry got the update about an upstream's restart seconds late, and
+// failed a request with 502 that had reached the healthy new incarnation 17 ms before. Found by the
+// soak test.
+func TestRequestToNewIncarnationIsAnswered(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.plain, worker.Slow)
 		time.Sleep(10 * time.Second)
--- a/forwarder/stop.go
+++ b/forwarder/stop.go
@@ -11,15 +11,16 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// restartDuration is how long an entry takes, once it takes no more callers, to finish what most
-// of them asked for and to start again.
+// restartDuration is how long an entry needs to finish most of its requests after it stopped
+// accepting callers, and to start again.
 const restartDuration = 2 * time.Second
 
-// ErrShutdown is the cause for which the requests end that are still in progress when their entry does.
-var ErrShutdown = errors.New("the entry ends")
+// ErrShutdown is the cause with which the requests still in progress are cancelled when their entry
+// exits.
+var ErrShutdown = errors.New("the entry exits")
 
-// shutdownFailure is the failure of a request that the end of its entry cut off; nil where that is not
-// why it ended.
+// shutdownFailure returns the failure of a request that was cancelled because its entry exits, nil
+// for any other request. caller is the context of the caller's request.
 func (x *exchange) shutdownFailure(caller context.Context, v *View, cause error) *failure {
 	if !errors.Is(context.Cause(caller), ErrShutdown) {
 		return nil
@@ -30,25 +31,27 @@
 	return unknownOutcomeFailure(reasonCutOff, cause)
 }
 
-// mayOutlastEntry reports whether a request may still be in progress when a stopping entry
-// ends. Only the time limit of the request says for sure that it is not: nobody knows how long
-// an answer gets before its last event.
+// mayOutlastEntry reports whether a request may still be in progress when a stopping entry exits.
+// Only the deadline of the request bounds that for certain: the length of a response is unknown
+// until its last event.
 func (x *exchange) mayOutlastEntry(v *View) bool { return v.Stopping && x.deadline.After(v.StopBy) }
 
-// refusesWhileStopping reports whether an entry that stops refuses a request whatever it asks for: one that may
-// be in progress when the entry ends, by a caller that can't have the address from the directory any
-// more. The forecast is no bound, also where no other entry takes callers.
+// refusesWhileStopping reports whether a stopping entry refuses a request without a search for a
+// placement: the request may outlast the entry, and its caller can't have got the address from the
+// directory any more. The predicted end of the response is no safe bound, even if no other entry
+// accepts callers.
 func (v *View) refusesWhileStopping(x *exchange) bool {
 	return x.mayOutlastEntry(v) && x.arrivedAt.After(v.AddressValidUntil.Add(-stopSignalDelay))
 }
 
-// stopSignalDelay is how long an order to stop takes to be heeded on an instance that has much to do.
+// stopSignalDelay is how long a busy machine may take to handle a stop signal.
 const stopSignalDelay = 100 * time.Millisecond
 
-// limitIfStopping has the board place a request only where the longest answer that it allows ends, as far as
-// can be foreseen, before a stopping entry does. A refused caller may meet another entry that
-// stops, and seldom asks a third time, so what ends in time is served. An answer that has begun goes on
-// as long as it can, and so does a call that may have run: it is answered whole, or told so at the end.
+// limitIfStopping makes the dispatcher place a request at a stopping entry only if the longest
+// allowed response is predicted to end before the entry exits. Whatever ends in time is served,
+// since a refused caller may reach another stopping entry and rarely tries a third time. There is
+// no limit for a response that has begun, nor for a plain request that may have run: these go on
+// for as long as possible, and the caller gets the whole response or a failure at the exit.
 func (x *exchange) limitIfStopping(v *View, d dispatcher.Demand) dispatcher.Demand {
 	if !x.mayOutlastEntry(v) || x.responseBegun || x.pendingCount > 0 && !x.isStream() {
 		return d
@@ -56,18 +59,21 @@
 	return x.limitToStop(v, d)
 }
 
+// isStream reports whether the request is answered by a stream of events.
 func (x *exchange) isStream() bool { return x.route.Kind == matcher.Stream }
 
-// limitToStop bounds a demand by the end of a stopping entry. All entries are told of that end as
-// they are of the caller's, so that long prompts are kept from the answer's engine.
+// limitToStop limits a demand to the time that remains until a stopping entry exits. The limit is
+// broadcast to all entries like the deadline of a request, so that they place no long prompts on
+// the engine that answers.
 func (x *exchange) limitToStop(v *View, d dispatcher.Demand) dispatcher.Demand {
 	d.MaxAnswerTokens, d.EndWithin = x.metadata.MaxAnswerTokens, max(1, time.Until(v.StopBy))
 	d.Remaining = min(d.Remaining, d.EndWithin)
 	return d
 }
 
-// stopRetryAfter is when a caller that a stopping entry refuses is served: by another entry at
-// once, or by this one when it has started again, soon after nobody has its address any more.
+// stopRetryAfter returns after what time a caller refused by a stopping entry can be served: at
+// once if another entry accepts callers, otherwise once this entry has restarted, soon after its
+// address has become invalid.
 func (v *View) stopRetryAfter() time.Duration {
 	if v.OtherEntries > 0 {
 		return immediateRetry
@@ -75,12 +81,13 @@
 	return max(0, time.Until(v.AddressValidUntil)) + restartDuration
 }
 
-// refuseStopping is the refusal of a stopping entry.
+// refuseStopping returns the refusal of a stopping entry.
 func refuseStopping(v *View, cause error) *failure {
 	return notRunFailure(reasonStopping, v.stopRetryAfter(), cause)
 }
 
-// stopLogFields tell, for the log, how long before the end of a stopping entry something was.
+// stopLogFields returns, for a stopping entry, the log field with the time from at until the entry
+// exits, and nil for any other entry.
 func (v *View) stopLogFields(at time.Time) []zap.Field {
 	if !v.Stopping {
 		return nil
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -12,15 +12,15 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// startStopping has the entry of a test stop: it ends after a time, so many others take callers, and
-// callers may use its address for three seconds.
-func (f *fixture) startStopping(left time.Duration, others int) {
+// startStopping makes the entry stop: it exits after untilExit, otherEntries others accept callers,
+// and callers may use its address for another 3 s.
+func (f *fixture) startStopping(untilExit time.Duration, otherEntries int) {
 	v := *f.view.Load()
-	v.Stopping, v.StopBy, v.OtherEntries, v.AddressValidUntil = true, time.Now().Add(left), others, time.Now().Add(3*time.Second)
+	v.Stopping, v.StopBy, v.OtherEntries, v.AddressValidUntil = true, time.Now().Add(untilExit), otherEntries, time.Now().Add(3*time.Second)
 	f.view.Store(&v)
 }
 
-// retryAfter is the time after which an answer asks its caller to return.
+// retryAfter returns the Retry-After of an answer.
 func (f *fixture) retryAfter(a answer) time.Duration {
 	f.is.Helper()
 	seconds, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
@@ -28,9 +28,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// A stopping entry asks callers to leave, and begins nothing that it can't
-// finish.
-func TestStoppingEntry(t *testing.T) {
+// A stopping entry asks callers to close their connections, and refuses requests that may outlast
+// it.
+func TestStoppingEntryClosesConnections(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		stopping := *f.view.Load()
 		stopping.Stopping, stopping.StopBy, stopping.OtherEntries = true, time.Now().Add(2*time.Second), 1
@@ -44,9 +44,9 @@
 	})
 }
 
-// A request that waits for its turn does not wait on at an entry that stops: it is begun where
-// it can end in time, and else its caller is told at once to go elsewhere.
-func TestHeldRequestAtAStoppingEntry(t *testing.T) {
+// A request that waits for a placement stops waiting when its entry begins to stop: it is sent if
+// it can end in time, and refused at once otherwise.
+func TestWaitingRequestAtStoppingEntry(t *testing.T) {
 	for _, left := range []time.Duration{8 * time.Second, 2 * time.Second} {
 		withForwarder(t, func(f *fixture) {
 			for range 2 {
@@ -72,16 +72,17 @@
 	}
 }
 
-// A stopping entry begins only what ends before it does: by the time limit of the request, or, for
-// callers that may still have its address, by what the longest answer that the request allows takes. All others
-// are told at once where to go. A stream was once begun where its target and three seconds were
-// left, as most answers end in that time; longer ones were cut in the middle.
+// A stopping entry accepts only requests that end before it exits. The deadline of the request
+// bounds that or, for callers that may still have the entry's address, the predicted time for the
+// longest allowed response. All other requests are refused at once with a Retry-After. Streams were
+// once accepted if the target and 3 s were left, as most responses end in that time; longer ones
+// were cut off.
 func TestStoppingEntryBeginsOnlyWhatEndsInTime(t *testing.T) {
-	const long, brief = "1000,4500", "1000,100" // 4.3 s and 0.1 s of decoding at an idle engine
+	const long, brief = "1000,4500", "1000,100" // an idle engine decodes for 4.3 s and 0.1 s
 	for _, c := range []struct {
 		path, usage    string
 		patience, left time.Duration
-		// after the order to stop it is asked.
+		// after is the time from the stop signal to the request.
 		after time.Duration
 		begun bool
 	}{
@@ -105,7 +106,7 @@
 			withForwarder(t, func(f *fixture) {
 				f.startStopping(c.left, 1)
 				time.Sleep(c.after)
-				a := f.ask(request{path: c.path, id: "r1", usage: c.usage, patience: c.patience})
+				a := f.ask(request{path: c.path, id: "r1", usage: c.usage, timeout: c.patience})
 				ran := countRuns(f.engines, "r1") + countRuns(f.plain, "r1")
 				f.is.True(a.closesConnection)
 				if c.begun {
@@ -122,9 +123,9 @@
 	}
 }
 
-// Where no other entry takes callers, one that stops serves them while their answers surely end in
-// time, and else tells them when it has started again.
-func TestLastEntryThatStops(t *testing.T) {
+// If no other entry accepts callers, a stopping entry serves requests that are predicted to end in
+// time, and gives other callers a Retry-After at which it has restarted.
+func TestLastStoppingEntryServesShortRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.startStopping(5*time.Second, 0)
 		short := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100"})
@@ -139,9 +140,9 @@
 	})
 }
 
-// A request whose body was still on its way when its entry was told to stop has not been passed on:
-// it is refused, and can be served elsewhere.
-func TestSlowBodyAtAStoppingEntry(t *testing.T) {
+// A request whose body is still being received when its entry begins to stop has not reached an
+// upstream: it is refused, and can be served by another entry.
+func TestStoppingEntryRefusesSlowBody(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		body, send := io.Pipe()
 		done := make(chan answer)
@@ -158,9 +159,9 @@
 	})
 }
 
-// A stream that broke at its engine goes on at another, also at an entry that stops: nothing that
-// has begun can be refused any more, and all that is left to lose is the rest.
-func TestBrokenStreamGoesOnAtAStoppingEntry(t *testing.T) {
+// A stream that breaks off resumes at another engine even while its entry is stopping: a response
+// that has begun can't be refused any more, and without a new attempt the rest is lost for certain.
+func TestBrokenStreamResumesAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
@@ -173,9 +174,9 @@
 	})
 }
 
-// What a stopping entry begins has to end before it does: all entries hear of that, so that they keep
-// from its engine what would hold it up.
-func TestEndOfAStoppingEntryIsTold(t *testing.T) {
+// The exit of a stopping entry is broadcast as the deadline of its requests, so that no entry
+// places work on their engines that would delay them.
+func TestStopDeadlineIsBroadcast(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.startStopping(7300*time.Millisecond, 1)
 		done := make(chan answer)
@@ -188,9 +189,10 @@
 	})
 }
 
-// A stopping entry gives up on an engine that is silent before its first event only where another can
-// end the answer in time: the caller would be told of a failure, where the engine was only slow.
-func TestSilenceNearTheEndOfAnEntry(t *testing.T) {
+// A stopping entry gives up an engine that is silent before its first event only if another engine
+// can complete the response before the entry exits. Otherwise the caller would get a failure
+// although the engine may only be slow.
+func TestSilentEngineIsKeptIfNoOtherEndsInTime(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.Slow)
 		done := make(chan answer)
@@ -204,14 +206,14 @@
 	})
 }
 
-// A call is in progress at an upstream that says nothing when its entry is told to stop. Another
-// upstream answers in 20 ms and seconds are left, but the call stays where it is until
-// its time or its entry is over, as its time limit is later than the end of the entry.
-func TestSilentCallGoesElsewhereAtAStop(t *testing.T) {
+// A plain request at a silent upstream is retried while its entry is stopping. It used to stay at
+// that upstream until its deadline or the entry's exit, because its deadline is later than the
+// exit, although another upstream responds in 20 ms and seconds were left.
+func TestSilentRequestIsRetriedAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.plain, worker.Mute)
 		done := make(chan answer)
-		go func() { done <- f.ask(request{path: "/safe/x", id: "r1", patience: 2 * time.Second}) }()
+		go func() { done <- f.ask(request{path: "/safe/x", id: "r1", timeout: 2 * time.Second}) }()
 		time.Sleep(10 * time.Millisecond)
 		setFaults(f.plain, worker.Sound)
 		f.startStopping(1900*time.Millisecond, 1)
@@ -222,10 +224,11 @@
 	})
 }
 
-// A stream that has eight of its ten events is in progress at an engine that turns silent. The
-// two that are left take 0.9 s elsewhere by the longest forecast, and 4 s are left when the
-// silence has lasted too long, but all ten are reckoned with: it stays until its entry is over.
-func TestSilentStreamGoesOnElsewhereAtAStop(t *testing.T) {
+// A stream with 8 of its 10 events whose engine becomes silent resumes at another engine while its
+// entry is stopping. The last two events are predicted to take at most 0.9 s there, and 4 s are
+// left after the allowed silence. The stream used to stay until the exit, because all ten events
+// were counted.
+func TestSilentStreamResumesAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		const left = 6 * time.Second
 		done := make(chan answer, 1)
@@ -243,9 +246,9 @@
 	})
 }
 
-// A stopping entry admits what it would admit otherwise: a prompt that costs others more than it is worth
-// is not begun because its entry stops.
-func TestStoppingEntryRefusesWhatCostsTooMuch(t *testing.T) {
+// A stopping entry has the usual admission rules: a prompt whose cost to other requests exceeds its
+// value is refused, also if it would end in time.
+func TestStoppingEntryRefusesTooCostlyPrompt(t *testing.T) {
 	for _, patience := range []time.Duration{2 * time.Second, 10 * time.Second} {
 		withForwarder(t, func(f *fixture) {
 			for range 6 {
@@ -255,36 +258,37 @@
 				f.is.True(refusal == nil)
 			}
 			f.startStopping(7300*time.Millisecond, 1)
-			a := f.ask(request{path: "/long/x", id: "s1", usage: "90000,100", patience: patience})
+			a := f.ask(request{path: "/long/x", id: "s1", usage: "90000,100", timeout: patience})
 			f.is.Equal(a.status, 503)
 			f.is.Equal(countRuns(f.engines, "s1"), 0)
 		})
 	}
 }
 
-// An entry that is told to stop before it knows a configuration refuses at once: it will not serve.
+// An entry that begins to stop before it has a configuration refuses requests at once.
 func TestStoppingEntryWithoutConfiguration(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.view.Store(&forwarder.View{Stopping: true, StopBy: time.Now().Add(7 * time.Second), OtherEntries: 1, StoreUnavailable: true})
-		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", patience: 10 * time.Second})
+		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", timeout: 10 * time.Second})
 		f.is.Equal(a.status, 503)
 		f.is.True(a.duration < 20*time.Millisecond)
 		f.is.Equal(f.retryAfter(a), 50*time.Millisecond)
 	})
 }
 
-// A day of stops in series lost an answer that the last of seven entries had begun 3.04 s after its order to
-// stop: no other took callers at that moment, so the forecast alone decided, which is no bound. Once nobody can have
-// its address any more, an entry begins only what surely ends before it does, with others or without.
-func TestLastEntryBeginsNothingUnsureOnceItIsForgotten(t *testing.T) {
+// Once no caller can have the entry's address any more, a stopping entry accepts only requests
+// whose deadline is before its exit, even if no other entry accepts callers. In a soak run in which
+// seven entries were stopped in turn, the last one accepted a stream 3.04 s after its stop signal
+// because of the prediction alone, and cut it off.
+func TestLastStoppingEntryRefusesUnboundedRequestsOnceAddressExpired(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.startStopping(7*time.Second, 0)
 		time.Sleep(3 * time.Second)
 		late := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100"})
 		f.is.Equal(late.status, 503)
 		f.is.Equal(countRuns(f.engines, "s1"), 0)
-		f.is.True(f.retryAfter(late) > time.Second) // when it has started again
-		sure := f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100", patience: 2 * time.Second})
+		f.is.True(f.retryAfter(late) > time.Second) // once the entry has restarted
+		sure := f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100", timeout: 2 * time.Second})
 		f.is.Equal(sure.status, 200)
 		f.is.Equal(sure.body, wholeStream("s2", 1))
 	})
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -12,17 +12,17 @@
 	"github.com/sapphireramp/sapphireramp/splitter"
 )
 
-// readBufferBytes is how much of a stream is read at once; an event is under 1 KB.
+// readBufferBytes is the most that is read from a stream at once; events are smaller than 1 KB.
 const readBufferBytes = 8 << 10
 
-// errPartialEvent is a stream that ends within an event.
-var errPartialEvent = errors.New("the stream ends in the middle of an event")
+// errPartialEvent is the error of a stream that ends within an event.
+var errPartialEvent = errors.New("the stream ended within an event")
 
-// errEmptyStream is a stream without an event.
-var errEmptyStream = errors.New("the stream ends without an event")
+// errEmptyStream is the error of a stream that ends before its first event.
+var errEmptyStream = errors.New("the stream ended without an event")
 
-// serveStream serves a request that is answered by events. Where the route allows,
-// a stream that breaks goes on at another engine within the same answer.
+// serveStream serves a request that is answered by a stream of events. Where the route allows it, a
+// stream that breaks off resumes at another engine within the same response to the caller.
 func (f *Forwarder) serveStream(x *exchange) *failure {
 	events := splitter.New(x.metadata.LastEventID)
 	unsentCount := 0
@@ -69,13 +69,15 @@
 	}
 }
 
-// hasGroupFailed reports whether a group of engines has failed a prompt that one of them
-// could have served alone. One that needs the memory of several is tried with others.
+// hasGroupFailed reports whether a group of engines failed an attempt at a prompt that one of them
+// could have served alone. A prompt that needs the memory of several engines is tried again with
+// other engines instead.
 func hasGroupFailed(p *dispatcher.Placement, a *attempt) bool {
 	return len(p.Helpers) > 0 && len(p.HelperMemoryTokens) == 0 && a.verdict != verdictUnsent && !a.isLostToRestart()
 }
 
-// expectedAnswerTokens is how many tokens the answer is expected to have.
+// expectedAnswerTokens returns the expected length of the answer in tokens: the caller's estimate,
+// or the longest allowed answer.
 func expectedAnswerTokens(x *exchange) int {
 	if x.metadata.AnswerTokensHint > 0 {
 		return min(x.metadata.AnswerTokensHint, x.metadata.MaxAnswerTokens)
@@ -83,12 +85,13 @@
 	return x.metadata.MaxAnswerTokens
 }
 
-// eventMaxWait is how long the caller still waits for an event.
+// eventMaxWait returns how long the caller still waits for the first or next event, at least 1 ms.
 func eventMaxWait(x *exchange) time.Duration {
 	return max(time.Millisecond, min(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget)-waitedForEvent(x), time.Until(x.deadline)))
 }
 
-// waitedForEvent is how long the caller has waited for its first event or the next.
+// waitedForEvent returns how long the caller has waited for the first event, or for the next one
+// since the last.
 func waitedForEvent(x *exchange) time.Duration {
 	if x.responseBegun {
 		return time.Since(x.lastEventAt)
@@ -96,7 +99,8 @@
 	return time.Since(x.arrivedAt)
 }
 
-// relayStream passes the events of an attempt on, and judges how the stream ended.
+// relayStream writes the events of an attempt to the caller as they arrive, and sets the verdict by
+// how the stream ended.
 func (f *Forwarder) relayStream(x *exchange, a *attempt, events *splitter.Splitter) {
 	if a.response.StatusCode >= http.StatusMultipleChoices {
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", a.response.StatusCode)
@@ -150,8 +154,8 @@
 	}
 }
 
-// writeEvent writes one event to the caller, after the header of the first
-// upstream that had one.
+// writeEvent writes one event to the caller, and before the first event the response header of the
+// upstream that sent it.
 func (f *Forwarder) writeEvent(x *exchange, a *attempt, e splitter.Event) error {
 	now := time.Now()
 	if !x.responseBegun {
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// relayFailure delivers an upstream's own failure as it is.
+// relayFailure writes the failure response of an upstream to the caller unchanged.
 func (f *Forwarder) relayFailure(x *exchange, a *attempt) *failure {
 	answer := f.bufferResponse(x, a)
 	if answer == nil {
--- a/forwarder/transport.go
+++ b/forwarder/transport.go
@@ -10,16 +10,18 @@
 	"time"
 )
 
-// dialTimeout bounds a connection to an upstream: many round trips within a
-// region, and short beside the shortest targets, so that another can be tried.
+// dialTimeout bounds the establishment of a connection to an upstream: it is many round trips
+// within a region, and short compared with the shortest targets, so that another upstream can be
+// tried in time.
 const dialTimeout = 250 * time.Millisecond
 
-// maxResponseHeaderBytes is the largest header of an upstream's answer in bytes.
+// maxResponseHeaderBytes is the largest accepted header of an upstream's response.
 const maxResponseHeaderBytes = 64 << 10
 
-// newTransport returns the client side towards upstreams. Every attempt has a
-// connection of its own: on a kept one, a late or second answer could meet
-// the next request, and a request that meets its end may or may not have run.
+// newTransport returns the HTTP transport for requests to upstreams. Every attempt has a connection
+// of its own: on a reused one, a late or second response could be taken for that of the next
+// request, and a request that is sent while the upstream closes the connection may or may not have
+// run.
 func newTransport(dial func(context.Context, string, string) (net.Conn, error)) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -33,13 +35,14 @@
 	}
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders are the headers that apply to a single connection and are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// copyHeaders copies all headers but those that concern one connection.
+// copyHeaders copies all headers except those that apply to a single connection, among them those
+// that Connection names.
 func copyHeaders(to, from http.Header) {
 	connectionHeaders := map[string]bool{}
 	for _, list := range from["Connection"] {
@@ -55,8 +58,8 @@
 	}
 }
 
-// upstreamURL is the URL of a request at an upstream, with the path as the caller
-// wrote it.
+// upstreamURL returns the URL of a request at an upstream, with the path exactly as the caller sent
+// it.
 func upstreamURL(r *http.Request, address string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
 	raw, _, _ := strings.Cut(r.RequestURI, "?")
--- a/forwarder/wait_test.go
+++ b/forwarder/wait_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Waiting prompts take at most an eleventh of a processor each, however slow it is.
-func TestWaitingPromptsLeaveTheProcessorToOthers(t *testing.T) {
+// A waiting prompt uses at most an eleventh of a CPU for searches, however slow the machine.
+func TestPollIntervalGrowsWithSearchTime(t *testing.T) {
 	is := is.New(t)
 	is.Equal(pollInterval(0), minPollInterval)
 	is.Equal(pollInterval(time.Millisecond), minPollInterval)
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -9,47 +9,52 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Limits of silence, beyond which an upstream counts as gone where the request
-// may be sent elsewhere.
+// Limits of an upstream's silence, after which an attempt is given up if the request can be sent to
+// another upstream.
 const (
-	// silenceFraction is the part of a caller's patience that is spent on one
-	// upstream's silence. What is left is for the next, which takes a fifth of
-	// a second for a short prompt. Less would send many prompts twice whose
-	// engine only prefills, just when engines have most to do.
+	// silenceFraction is the fraction of the time after which the caller abandons a stream for
+	// which one upstream may be silent. The rest is for the next upstream, which takes 0.2 s for a
+	// short prompt. A smaller fraction would send many prompts twice while their engine only
+	// prefills, just when engines are busiest.
 	silenceFraction = 0.75
-	// busySilenceFraction is the part that is spent on an upstream that is expected to be
-	// silent because it prefills.
+	// busySilenceFraction replaces silenceFraction for an upstream that is expected to be silent
+	// because it prefills.
 	busySilenceFraction = 0.85
-	// busyPrefillFactor is how much longer than expected prefill may take.
+	// busyPrefillFactor is how many times as long as expected a prefill may take.
 	busyPrefillFactor = 1.5
-	// recheckInterval is after what time a request that nobody else would take is
-	// offered to others again.
+	// recheckInterval is how often the watchdog of a silent upstream checks again whether another
+	// upstream accepts the request, after none did.
 	recheckInterval = 100 * time.Millisecond
-	// plainSilenceFactor is the silence of a plain service in targets: work takes a
-	// fifth of the target as a rule, and one answer in a hundred five times that.
+	// plainSilenceFactor is the allowed silence of a plain service as a multiple of the first-byte
+	// target: a response usually takes a fifth of the target, and one in a hundred takes five times
+	// as long.
 	plainSilenceFactor = 2
 )
 
-// watchdog ends an attempt whose upstream is silent for too long. All methods
-// may be called on nil.
+// watchdog ends an attempt whose upstream is silent for too long. The methods called during the
+// attempt accept a nil receiver, which watches nothing.
 type watchdog struct {
 	lock  sync.Mutex
 	timer *time.Timer
-	// lastReadAt is when the upstream last said something.
+	// lastReadAt is when the upstream last sent anything; the start of the attempt before that.
 	lastReadAt time.Time
-	// silenceLimit is the silence allowed at any time, most that allowed while busy
-	// says that the upstream has something to prefill.
+	// silenceLimit is the silence that is always allowed, busySilenceLimit the longest that is
+	// allowed while the upstream is expected to be busy.
 	silenceLimit, busySilenceLimit time.Duration
-	expectedBusy                   func() time.Duration
-	// responseBegun is true once a part of the answer was heard, of this attempt or an earlier one.
+	// expectedBusy returns for how long the upstream is expected to be busy with prefill.
+	expectedBusy func() time.Duration
+	// responseBegun is true once a part of the response has arrived, in this attempt or an earlier
+	// one.
 	responseBegun bool
-	// acceptedElsewhere reports whether another upstream would take the request, begun or not.
+	// acceptedElsewhere reports whether another upstream would accept the request, whose response
+	// has begun or not.
 	acceptedElsewhere func(begun bool) bool
-	expire            func()
+	// expire cancels the attempt.
+	expire func()
 }
 
-// startWatchdog starts a watchdog for an attempt. Where the request could not be sent
-// elsewhere there is none: silence is no reason to end an answer sooner.
+// startWatchdog starts the watchdog of an attempt. It returns nil if the request could not be sent
+// to another upstream: silence is then no reason to end the attempt before the deadline.
 func (f *Forwarder) startWatchdog(x *exchange, p *dispatcher.Placement, expire func()) *watchdog {
 	if !x.route.IsRepeatable() || x.sentCount+1 >= x.route.MaxAttempts {
 		return nil
@@ -70,7 +75,8 @@
 	return w
 }
 
-// checkSilence expires the watchdog, unless the upstream was heard or is busy.
+// checkSilence expires the watchdog if the upstream has been silent for longer than allowed and
+// another upstream accepts the request, and otherwise schedules the next check.
 func (w *watchdog) checkSilence() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -86,22 +92,22 @@
 	w.expire()
 }
 
-// isAcceptedElsewhere reports whether another upstream would take the request in
-// the time that its caller still waits, and the budget allows that.
+// isAcceptedElsewhere reports whether another upstream than that of a placement would accept the
+// request within the time that its caller still waits, and the retry budget allows the retry.
 func (f *Forwarder) isAcceptedElsewhere(x *exchange, p *dispatcher.Placement, begun bool) bool {
 	d := x.lastDemand
 	d.Avoid = append(slices.Clone(d.Avoid), p.First)
 	d.Admitted = false
 	now, v := time.Now(), f.view()
 	if x.mayOutlastEntry(v) && x.isStream() && !begun {
-		// What could not end there before this entry does stays where it is. Once it has begun
-		// its caller leaves an engine that stays silent anyway.
+		// Before its first event, a stream stays where it is if another engine could not complete
+		// it before this entry exits. After that the caller abandons a silent engine anyway.
 		d = x.limitToStop(v, d)
 	}
 	return f.dispatcher.Accepts(now, d) && f.retryBudget.Left(now, x.service, v.MaxEntries)
 }
 
-// recordRead notes that the upstream said something.
+// recordRead notes that the upstream sent something.
 func (w *watchdog) recordRead() {
 	if w == nil {
 		return
@@ -111,6 +117,7 @@
 	w.lastReadAt, w.responseBegun = time.Now(), true
 }
 
+// stop stops the watchdog.
 func (w *watchdog) stop() {
 	if w == nil {
 		return
--- a/forwarder/yield_test.go
+++ b/forwarder/yield_test.go
@@ -8,9 +8,10 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// Another entry places a long prompt on the same engines at the same moment, and its caller has
-// waited longer: this entry's prompt is not sent behind it, but when the engines are free.
-func TestPromptYieldsItsPlace(t *testing.T) {
+// Another entry places a heavy prompt on the same engines at the same moment, and its caller has
+// waited for longer. This entry's prompt is then not queued behind it, but sent once the engines
+// are free.
+func TestHeavyPromptYieldsItsPlacement(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		f.dispatcher.SetPeers(1, false)
 		other := dispatcher.New("a", rand.New(rand.NewPCG(3, 4)))
