--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -9,8 +9,8 @@
 	"strconv"
 )
 
-// maxEvent is the largest event in bytes; the largest seen are under 1 KB.
-const maxEvent = 1 << 20
+// maxEventBytes is the largest event in bytes; the largest seen are under 1 KB.
+const maxEventBytes = 1 << 20
 
 // ErrEventTooLarge says that an event has no end within the size limit.
 var ErrEventTooLarge = errors.New("event is too large")
@@ -35,73 +35,73 @@
 
 // Splitter cuts one stream. It is not safe for concurrent use.
 type Splitter struct {
-	rest []byte
-	// last is the id of the last event passed on; started is false before the
+	buffer []byte
+	// lastID is the id of the last event passed on; started is false before the
 	// first is known.
-	last    int64
-	started bool
+	lastID    int64
+	hasLastID bool
 }
 
 // New returns a splitter of a stream that goes on after an event id; empty
 // for a stream from its beginning.
-func New(after string) *Splitter {
-	last, err := strconv.ParseInt(after, 10, 64)
-	return &Splitter{last: last, started: err == nil}
+func New(lastEventID string) *Splitter {
+	lastID, err := strconv.ParseInt(lastEventID, 10, 64)
+	return &Splitter{lastID: lastID, hasLastID: err == nil}
 }
 
 // Feed takes in bytes and returns the events that they complete. An event
 // that was passed on before is dropped; one that leaves a gap is an error.
 func (s *Splitter) Feed(p []byte) ([]Event, error) {
-	s.rest = append(s.rest, p...)
+	s.buffer = append(s.buffer, p...)
 	var out []Event
 	for {
-		end := eventEnd(s.rest)
+		end := eventEnd(s.buffer)
 		if end < 0 {
-			if len(s.rest) > maxEvent {
+			if len(s.buffer) > maxEventBytes {
 				return out, ErrEventTooLarge
 			}
 			return out, nil
 		}
-		e := parse(bytes.Clone(s.rest[:end]))
-		s.rest = s.rest[end:]
-		fresh, err := s.follows(e)
+		e := parseEvent(bytes.Clone(s.buffer[:end]))
+		s.buffer = s.buffer[end:]
+		isNew, err := s.checkOrder(e)
 		if err != nil {
 			return out, err
 		}
-		if fresh {
+		if isNew {
 			out = append(out, e)
 		}
 	}
 }
 
-func (s *Splitter) follows(e Event) (bool, error) {
+func (s *Splitter) checkOrder(e Event) (bool, error) {
 	if !e.HasID {
 		return true, nil
 	}
-	if s.started && e.ID <= s.last {
+	if s.hasLastID && e.ID <= s.lastID {
 		return false, nil
 	}
-	if s.started && e.ID != s.last+1 {
-		return false, GapError{After: s.last, Got: e.ID}
+	if s.hasLastID && e.ID != s.lastID+1 {
+		return false, GapError{After: s.lastID, Got: e.ID}
 	}
-	s.last, s.started = e.ID, true
+	s.lastID, s.hasLastID = e.ID, true
 	return true, nil
 }
 
 // LastID is the id of the last event passed on, as text; empty before the first.
 func (s *Splitter) LastID() string {
-	if !s.started {
+	if !s.hasLastID {
 		return ""
 	}
-	return strconv.FormatInt(s.last, 10)
+	return strconv.FormatInt(s.lastID, 10)
 }
 
 // HasPartial reports whether bytes of an unfinished event are left.
-func (s *Splitter) HasPartial() bool { return len(s.rest) > 0 }
+func (s *Splitter) HasPartial() bool { return len(s.buffer) > 0 }
 
 // DiscardPartial drops an unfinished event, where the stream goes on from another
 // source.
-func (s *Splitter) DiscardPartial() { s.rest = nil }
+func (s *Splitter) DiscardPartial() { s.buffer = nil }
 
 // eventEnd is the length of the first whole event, or -1.
 func eventEnd(p []byte) int {
@@ -115,7 +115,7 @@
 	return end
 }
 
-func parse(raw []byte) Event {
+func parseEvent(raw []byte) Event {
 	e := Event{Raw: raw}
 	for line := range bytes.Lines(raw) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -52,7 +52,7 @@
 
 // A run that goes on after an event may repeat what was passed on; that is
 // dropped, and a gap is an error.
-func TestResumedStreamDropsRepeatsAndDetectsGaps(t *testing.T) {
+func TestResumedStream(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New("4")
 	events, err := s.Feed([]byte(event(3) + event(4) + event(5)))
@@ -76,7 +76,7 @@
 	is.Equal(string(events[0].Raw), event(2))
 }
 
-func TestTooLargeEventIsRefused(t *testing.T) {
+func TestEndlessEvent(t *testing.T) {
 	is := is.New(t)
 	_, err := splitter.New("").Feed([]byte(strings.Repeat("x", 2<<20)))
 	is.True(errors.Is(err, splitter.ErrEventTooLarge))
