--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -1,5 +1,5 @@
-// Package splitter cuts a text/event-stream into whole events, byte for byte,
-// and checks that their ids follow each other.
+// Package splitter splits a text/event-stream into complete events, whose bytes stay unchanged, and
+// checks that their ids are consecutive.
 package splitter
 
 import (
@@ -9,48 +9,52 @@
 	"strconv"
 )
 
-// maxEventBytes is the largest event in bytes; the largest seen are under 1 KB.
+// maxEventBytes is the largest accepted event; real events are smaller than 1 KB.
 const maxEventBytes = 1 << 20
 
-// ErrEventTooLarge says that an event has no end within the size limit.
-var ErrEventTooLarge = errors.New("event is too large")
+// ErrEventTooLarge is returned for an event that does not end within 1 MiB.
+var ErrEventTooLarge = errors.New("event exceeds 1 MiB")
 
-// GapError says that events are missing.
+// GapError is returned if events are missing between the event with id After and the next one
+// received, with id Got.
 type GapError struct {
 	After, Got int64
 }
 
 func (e GapError) Error() string {
-	return fmt.Sprintf("event %d follows event %d", e.Got, e.After)
+	return fmt.Sprintf("event %d follows event %d: events are missing", e.Got, e.After)
 }
 
-// Event is one whole event with the blank line that ends it.
+// Event is one complete event.
 type Event struct {
+	// Raw holds the bytes of the event, including the blank line that ends it.
 	Raw []byte
-	// ID is that of the event; Numbered is false where it has none, or none
-	// that is a number.
+	// ID is the numeric id of the event. HasID is false if the event has no id or one that is not a
+	// number.
 	ID    int64
 	HasID bool
 }
 
-// Splitter cuts one stream. It is not safe for concurrent use.
+// Splitter splits one stream into events. It is not safe for concurrent use.
 type Splitter struct {
+	// buffer holds the bytes of the stream that are not yet part of a complete event.
 	buffer []byte
-	// lastID is the id of the last event passed on; started is false before the
-	// first is known.
+	// lastID is the id of the last event returned by Feed, or the one given to New; valid if
+	// hasLastID is true.
 	lastID    int64
 	hasLastID bool
 }
 
-// New returns a splitter of a stream that goes on after an event id; empty
-// for a stream from its beginning.
+// New returns a Splitter for a stream that resumes after the event with id lastEventID, or for a
+// whole stream if lastEventID is empty or not a number.
 func New(lastEventID string) *Splitter {
 	lastID, err := strconv.ParseInt(lastEventID, 10, 64)
 	return &Splitter{lastID: lastID, hasLastID: err == nil}
 }
 
-// Feed takes in bytes and returns the events that they complete. An event
-// that was passed on before is dropped; one that leaves a gap is an error.
+// Feed appends the next bytes of the stream and returns the events that they complete. Events up to
+// the last id returned are dropped as repeats. The error is a GapError if events are missing, or
+// ErrEventTooLarge; events that precede the error are returned with it.
 func (s *Splitter) Feed(p []byte) ([]Event, error) {
 	s.buffer = append(s.buffer, p...)
 	var out []Event
@@ -74,6 +78,8 @@
 	}
 }
 
+// checkOrder reports whether an event is new. It returns a GapError if its id is not the next one.
+// Events without an id are always new.
 func (s *Splitter) checkOrder(e Event) (bool, error) {
 	if !e.HasID {
 		return true, nil
@@ -88,7 +94,8 @@
 	return true, nil
 }
 
-// LastID is the id of the last event passed on, as text; empty before the first.
+// LastID returns the id of the last event as text, for a request that resumes the stream after it;
+// empty if no id is known.
 func (s *Splitter) LastID() string {
 	if !s.hasLastID {
 		return ""
@@ -96,14 +103,14 @@
 	return strconv.FormatInt(s.lastID, 10)
 }
 
-// HasPartial reports whether bytes of an unfinished event are left.
+// HasPartial reports whether the stream has ended, so far, within an event.
 func (s *Splitter) HasPartial() bool { return len(s.buffer) > 0 }
 
-// DiscardPartial drops an unfinished event, where the stream goes on from another
+// DiscardPartial drops the bytes of an incomplete event, so that the stream can resume from another
 // source.
 func (s *Splitter) DiscardPartial() { s.buffer = nil }
 
-// eventEnd is the length of the first whole event, or -1.
+// eventEnd returns the length of the first complete event in p, or -1 if there is none.
 func eventEnd(p []byte) int {
 	end := -1
 	for _, blank := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -115,6 +122,7 @@
 	return end
 }
 
+// parseEvent returns the event in raw, with the id in its last id line.
 func parseEvent(raw []byte) Event {
 	e := Event{Raw: raw}
 	for line := range bytes.Lines(raw) {
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -12,6 +12,7 @@
 	"github.com/sapphireramp/sapphireramp/splitter"
 )
 
+// event returns a complete event with an id.
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: word\n\n", id) }
 
 func Example() {
@@ -21,8 +22,8 @@
 	// Output: 1 1 true
 }
 
-// However a stream is cut into reads, the bytes passed on are those of its
-// whole events.
+// However a stream is divided into reads, the events returned have the bytes of its complete
+// events.
 func TestBytesUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "events")
@@ -50,9 +51,9 @@
 	})
 }
 
-// A run that goes on after an event may repeat what was passed on; that is
-// dropped, and a gap is an error.
-func TestResumedStream(t *testing.T) {
+// An upstream that resumes a stream may repeat events, which are dropped; a missing event is an
+// error.
+func TestResumedStreamDropsRepeatsAndDetectsGaps(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New("4")
 	events, err := s.Feed([]byte(event(3) + event(4) + event(5)))
@@ -76,7 +77,7 @@
 	is.Equal(string(events[0].Raw), event(2))
 }
 
-func TestEndlessEvent(t *testing.T) {
+func TestTooLargeEventIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := splitter.New("").Feed([]byte(strings.Repeat("x", 2<<20)))
 	is.True(errors.Is(err, splitter.ErrEventTooLarge))
