--- a/decoder/decoder.go
+++ b/decoder/decoder.go
@@ -38,11 +38,11 @@
 }
 
 // Require adds a fault unless holds is true.
-func (e *FieldErrors) Require(holds bool, field string, value any, limit string) {
+func (e *FieldErrors) Require(holds bool, field string, value any, requirement string) {
 	if holds {
 		return
 	}
-	*e = append(*e, FieldError{Field: field, Value: fmt.Sprint(value), Requirement: limit})
+	*e = append(*e, FieldError{Field: field, Value: fmt.Sprint(value), Requirement: requirement})
 }
 
 // Err returns the collected faults, or nil where there are none.
@@ -62,13 +62,13 @@
 	return fmt.Sprintf("size: %d bytes: must be at most %d", e.Size, e.Limit)
 }
 
-// errSecondDocument is returned for input after the first YAML document.
-var errSecondDocument = errors.New("input: more than one YAML document: must be one")
+// errMultipleDocuments is returned for input after the first YAML document.
+var errMultipleDocuments = errors.New("input: more than one YAML document: must be one")
 
 // Decode reads one YAML document of at most limit bytes into target.
-func Decode(data []byte, limit int, target any) error {
-	if len(data) > limit {
-		return TooLargeError{Size: len(data), Limit: limit}
+func Decode(data []byte, maxBytes int, target any) error {
+	if len(data) > maxBytes {
+		return TooLargeError{Size: len(data), Limit: maxBytes}
 	}
 	d := yaml.NewDecoder(bytes.NewReader(data))
 	d.KnownFields(true)
@@ -77,10 +77,10 @@
 		return fmt.Errorf("input: empty: must be a YAML document")
 	}
 	if err != nil {
-		return fmt.Errorf("read yaml: %w", named(data, err))
+		return fmt.Errorf("read yaml: %w", nameFields(data, err))
 	}
 	if d.Decode(&yaml.Node{}) != io.EOF {
-		return errSecondDocument
+		return errMultipleDocuments
 	}
 	return nil
 }
--- a/decoder/decoder_test.go
+++ b/decoder/decoder_test.go
@@ -20,7 +20,7 @@
 }
 
 // A value of the wrong type is named by its field, not by a line alone.
-func TestTypeErrorsNameFields(t *testing.T) {
+func TestTypeFaultsNameFields(t *testing.T) {
 	is := is.New(t)
 	text := "Count: -1\nWait: soon\nItems:\n  - {Size: 1, Ready: true}\n  - {Size: many, Ready: perhaps}\n"
 	err := decoder.Decode([]byte(text), 1000, &target{})
@@ -34,7 +34,7 @@
 	is.Equal(faults[0].Error(), `Count: "-1": must be a whole number of at least 0`)
 }
 
-func TestRefusesAllButOneValidDocument(t *testing.T) {
+func TestRefusesWhatIsNotOneDocument(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "Count: 1\n---\nCount: 2\n", "Count: 1\nCount: 2\n", "Other: 1\n", "Count: ["} {
 		is.True(decoder.Decode([]byte(text), 1000, &target{}) != nil)
--- a/decoder/position.go
+++ b/decoder/position.go
@@ -10,16 +10,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// typeFault is how the YAML library words a value of the wrong type.
-var typeFault = regexp.MustCompile("^line ([0-9]+): cannot unmarshal (\\S+)(?: `(.*)`)? into (\\S+)$")
+// typeErrorPattern is how the YAML library words a value of the wrong type.
+var typeErrorPattern = regexp.MustCompile("^line ([0-9]+): cannot unmarshal (\\S+)(?: `(.*)`)? into (\\S+)$")
 
-// shownLength is how much of a value the YAML library shows before it cuts it
+// truncatedLength is how much of a value the YAML library shows before it cuts it
 // off with "...".
-const shownLength = 7
+const truncatedLength = 7
 
-// named turns the YAML library's faults, which name lines, into faults that
+// nameFields turns the YAML library's faults, which name lines, into faults that
 // name fields. What it can't place stays as it is.
-func named(data []byte, err error) error {
+func nameFields(data []byte, err error) error {
 	var types *yaml.TypeError
 	if !errors.As(err, &types) {
 		return err
@@ -29,11 +29,11 @@
 		return err
 	}
 	var scalars []scalar
-	walk(&root, "", &scalars)
+	collectScalars(&root, "", &scalars)
 	var faults FieldErrors
 	var rest []string
 	for _, text := range types.Errors {
-		fault, ok := place(text, scalars)
+		fault, ok := locateField(text, scalars)
 		if ok {
 			faults = append(faults, fault)
 			continue
@@ -56,28 +56,28 @@
 	value string
 }
 
-func walk(n *yaml.Node, path string, out *[]scalar) {
+func collectScalars(n *yaml.Node, path string, out *[]scalar) {
 	switch n.Kind {
 	case yaml.DocumentNode:
 		for _, c := range n.Content {
-			walk(c, path, out)
+			collectScalars(c, path, out)
 		}
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(n.Content); i += 2 {
-			walk(n.Content[i+1], strings.TrimPrefix(path+"."+n.Content[i].Value, "."), out)
+			collectScalars(n.Content[i+1], strings.TrimPrefix(path+"."+n.Content[i].Value, "."), out)
 		}
 	case yaml.SequenceNode:
 		for i, c := range n.Content {
-			walk(c, fmt.Sprintf("%s[%d]", path, i), out)
+			collectScalars(c, fmt.Sprintf("%s[%d]", path, i), out)
 		}
 	}
 	*out = append(*out, scalar{line: n.Line, path: path, value: n.Value})
 }
 
-// place finds the field that a fault is about: the one on its line with the
+// locateField finds the field that a fault is about: the one on its line with the
 // value that it shows.
-func place(text string, scalars []scalar) (FieldError, bool) {
-	parts := typeFault.FindStringSubmatch(text)
+func locateField(text string, scalars []scalar) (FieldError, bool) {
+	parts := typeErrorPattern.FindStringSubmatch(text)
 	if parts == nil {
 		return FieldError{}, false
 	}
@@ -87,28 +87,28 @@
 		if s.line != line || s.path == "" {
 			continue
 		}
-		if s.value == parts[3] || (len(shown) >= shownLength && strings.HasPrefix(s.value, shown)) {
-			return FieldError{Field: s.path, Value: s.value, Requirement: kind(parts[4])}, true
+		if s.value == parts[3] || (len(shown) >= truncatedLength && strings.HasPrefix(s.value, shown)) {
+			return FieldError{Field: s.path, Value: s.value, Requirement: describeType(parts[4])}, true
 		}
 	}
 	return FieldError{}, false
 }
 
-// kind words the type that a field has.
-func kind(name string) string {
+// describeType words the type that a field has.
+func describeType(typeName string) string {
 	switch {
-	case strings.HasPrefix(name, "uint"):
+	case strings.HasPrefix(typeName, "uint"):
 		return "a whole number of at least 0"
-	case strings.HasPrefix(name, "int"):
+	case strings.HasPrefix(typeName, "int"):
 		return "a whole number"
-	case name == "bool":
+	case typeName == "bool":
 		return "true or false"
-	case name == "string":
+	case typeName == "string":
 		return "text"
-	case name == "time.Duration":
+	case typeName == "time.Duration":
 		return "a time such as 1.5s"
-	case strings.HasPrefix(name, "[]"):
+	case strings.HasPrefix(typeName, "[]"):
 		return "a list"
 	}
-	return "of type " + name
+	return "of type " + typeName
 }
