--- a/decoder/decoder.go
+++ b/decoder/decoder.go
@@ -1,5 +1,5 @@
-// Package decoder reads YAML strictly: unknown keys and repeated keys are
-// refused, and every fault is reported at once.
+// Package decoder decodes YAML strictly: unknown keys and duplicate keys are errors, and all
+// invalid fields are reported at once.
 package decoder
 
 import (
@@ -12,13 +12,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// FieldError is one fault of a document or of settings.
+// FieldError describes one invalid field of a document, of settings or of a form.
 type FieldError struct {
 	// Field is the path of the field, such as Engines[2].MemoryTokens.
 	Field string
-	// Value is the value found, as text.
+	// Value is the invalid value as text.
 	Value string
-	// Requirement says what would be accepted.
+	// Requirement describes the accepted values, worded to follow "must be".
 	Requirement string
 }
 
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s: %q: must be %s", e.Field, e.Value, e.Requirement)
 }
 
-// FieldErrors collects every fault of one input.
+// FieldErrors collects the errors of all invalid fields of one input.
 type FieldErrors []FieldError
 
 func (e FieldErrors) Error() string {
@@ -37,7 +37,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Require adds a fault unless holds is true.
+// Require adds an error for a field unless the condition holds.
 func (e *FieldErrors) Require(holds bool, field string, value any, requirement string) {
 	if holds {
 		return
@@ -45,7 +45,7 @@
 	*e = append(*e, FieldError{Field: field, Value: fmt.Sprint(value), Requirement: requirement})
 }
 
-// Err returns the collected faults, or nil where there are none.
+// Err returns e as an error, or nil if e is empty.
 func (e FieldErrors) Err() error {
 	if len(e) == 0 {
 		return nil
@@ -53,7 +53,7 @@
 	return e
 }
 
-// TooLargeError says that an input is over its size limit.
+// TooLargeError is returned for an input of Size bytes where at most Limit are allowed.
 type TooLargeError struct {
 	Size, Limit int
 }
@@ -62,10 +62,12 @@
 	return fmt.Sprintf("size: %d bytes: must be at most %d", e.Size, e.Limit)
 }
 
-// errMultipleDocuments is returned for input after the first YAML document.
+// errMultipleDocuments is returned for an input with more than one YAML document.
 var errMultipleDocuments = errors.New("input: more than one YAML document: must be one")
 
-// Decode reads one YAML document of at most limit bytes into target.
+// Decode decodes the single YAML document in data, of at most maxBytes bytes, into target, which
+// must be a pointer. The error is a TooLargeError for a larger input, and wraps FieldErrors if
+// values have the wrong type.
 func Decode(data []byte, maxBytes int, target any) error {
 	if len(data) > maxBytes {
 		return TooLargeError{Size: len(data), Limit: maxBytes}
--- a/decoder/decoder_test.go
+++ b/decoder/decoder_test.go
@@ -19,8 +19,8 @@
 	} `yaml:"Items"`
 }
 
-// A value of the wrong type is named by its field, not by a line alone.
-func TestTypeFaultsNameFields(t *testing.T) {
+// An error about a value of the wrong type names the field, which the YAML library does not.
+func TestTypeErrorsNameFields(t *testing.T) {
 	is := is.New(t)
 	text := "Count: -1\nWait: soon\nItems:\n  - {Size: 1, Ready: true}\n  - {Size: many, Ready: perhaps}\n"
 	err := decoder.Decode([]byte(text), 1000, &target{})
@@ -34,7 +34,7 @@
 	is.Equal(faults[0].Error(), `Count: "-1": must be a whole number of at least 0`)
 }
 
-func TestRefusesWhatIsNotOneDocument(t *testing.T) {
+func TestRefusesAllButOneValidDocument(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "Count: 1\n---\nCount: 2\n", "Count: 1\nCount: 2\n", "Other: 1\n", "Count: ["} {
 		is.True(decoder.Decode([]byte(text), 1000, &target{}) != nil)
--- a/decoder/position.go
+++ b/decoder/position.go
@@ -10,15 +10,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// typeErrorPattern is how the YAML library words a value of the wrong type.
+// typeErrorPattern matches the error texts of the YAML library for values of the wrong type. Its
+// groups are the line, the YAML tag, the value and the Go type.
 var typeErrorPattern = regexp.MustCompile("^line ([0-9]+): cannot unmarshal (\\S+)(?: `(.*)`)? into (\\S+)$")
 
-// truncatedLength is how much of a value the YAML library shows before it cuts it
-// off with "...".
+// truncatedLength is the number of bytes of a long value that the YAML library shows, followed by
+// "...".
 const truncatedLength = 7
 
-// nameFields turns the YAML library's faults, which name lines, into faults that
-// name fields. What it can't place stays as it is.
+// nameFields replaces the errors of the YAML library about wrong types, which name lines, by
+// FieldErrors, which name fields. Errors whose field is not found keep their text.
 func nameFields(data []byte, err error) error {
 	var types *yaml.TypeError
 	if !errors.As(err, &types) {
@@ -49,13 +50,14 @@
 	return fmt.Errorf("%w\n%s", faults, strings.Join(rest, "\n"))
 }
 
-// scalar is one value of a document and where it stands.
+// scalar is one value of a document, with its line and the path of its field.
 type scalar struct {
 	line  int
 	path  string
 	value string
 }
 
+// collectScalars appends the values at and below a node, whose path is given, to out.
 func collectScalars(n *yaml.Node, path string, out *[]scalar) {
 	switch n.Kind {
 	case yaml.DocumentNode:
@@ -74,8 +76,8 @@
 	*out = append(*out, scalar{line: n.Line, path: path, value: n.Value})
 }
 
-// locateField finds the field that a fault is about: the one on its line with the
-// value that it shows.
+// locateField returns the error of the field that an error text of the YAML library is about: the
+// field on the same line with the same value. It returns false if there is none.
 func locateField(text string, scalars []scalar) (FieldError, bool) {
 	parts := typeErrorPattern.FindStringSubmatch(text)
 	if parts == nil {
@@ -94,7 +96,7 @@
 	return FieldError{}, false
 }
 
-// describeType words the type that a field has.
+// describeType describes the accepted values of a Go type, worded to follow "must be".
 func describeType(typeName string) string {
 	switch {
 	case strings.HasPrefix(typeName, "uint"):
