--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -19,9 +19,9 @@
 type upstream struct {
 	// incarnation is the greatest heard of; it never goes back.
 	incarnation uint64
-	// left is the greatest incarnation known to be leaving.
-	left    uint64
-	leaving bool
+	// leavingIncarnation is the greatest incarnation known to be leaving.
+	leavingIncarnation uint64
+	leaving            bool
 	// listLeaving is what the newest list said.
 	listLeaving bool
 	listed      bool
@@ -37,7 +37,7 @@
 	return &Drainer{upstreams: map[string]*upstream{}}
 }
 
-func (d *Drainer) upstream(name string) *upstream {
+func (d *Drainer) ensureUpstream(name string) *upstream {
 	u, ok := d.upstreams[name]
 	if !ok {
 		u = &upstream{}
@@ -50,51 +50,51 @@
 // listed and is no longer counts as leaving. It returns the names that began
 // to leave.
 func (d *Drainer) UpdateList(instances []api.Instance) []string {
-	state := make(map[string]string, len(instances))
+	states := make(map[string]string, len(instances))
 	for _, i := range instances {
 		if i.Kind == api.KindEntry {
 			continue
 		}
-		state[i.Name] = i.State
-		d.upstream(i.Name).listed = true
+		states[i.Name] = i.State
+		d.ensureUpstream(i.Name).listed = true
 	}
-	var began []string
+	var startedLeaving []string
 	for name, u := range d.upstreams {
 		if !u.listed {
 			continue
 		}
-		was := !d.IsUsable(name)
-		u.listLeaving = state[name] != api.InstanceLive
+		wasLeaving := !d.IsUsable(name)
+		u.listLeaving = states[name] != api.InstanceLive
 		if u.listLeaving {
-			u.leave(u.incarnation)
+			u.markLeaving(u.incarnation)
 		}
-		if u.listLeaving && !was {
-			began = append(began, name)
+		if u.listLeaving && !wasLeaving {
+			startedLeaving = append(startedLeaving, name)
 		}
 	}
-	return began
+	return startedLeaving
 }
 
-func (u *upstream) leave(incarnation uint64) {
+func (u *upstream) markLeaving(incarnation uint64) {
 	u.leaving = true
-	u.left = max(u.left, incarnation)
+	u.leavingIncarnation = max(u.leavingIncarnation, incarnation)
 }
 
 // MarkLeaving takes in word that an incarnation of an upstream is leaving, and
 // reports whether that was news.
 func (d *Drainer) MarkLeaving(name string, incarnation uint64) bool {
-	u := d.upstream(name)
+	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
-	if u.leaving && incarnation <= u.left {
+	if u.leaving && incarnation <= u.leavingIncarnation {
 		return false
 	}
-	u.leave(incarnation)
+	u.markLeaving(incarnation)
 	return true
 }
 
 // ObserveIncarnation takes in the incarnation that an upstream itself reported.
 func (d *Drainer) ObserveIncarnation(name string, incarnation uint64) {
-	u := d.upstream(name)
+	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
 }
 
@@ -105,7 +105,7 @@
 	if !ok || !u.listed || u.listLeaving {
 		return false
 	}
-	return !u.leaving || u.incarnation > u.left
+	return !u.leaving || u.incarnation > u.leavingIncarnation
 }
 
 // WasListed reports whether any list ever named the upstream.
