--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -1,42 +1,51 @@
-// Package drainer remembers which upstreams are leaving. Word from any one
-// source is enough, and it holds until the upstream returns as a new
-// incarnation: a lagging list that still shows an upstream as live does not
-// bring it back.
+// Package drainer tracks which upstreams are leaving. A notice from any one source is enough to
+// stop sending work to an upstream, and stays valid until a new incarnation of the upstream
+// appears: an outdated instance list that still shows the old one as live does not make it usable
+// again.
 package drainer
 
 import "github.com/sapphireramp/sapphireramp/api"
 
-// Source of the notice that an upstream is leaving.
+// Source is the origin of a notice that an upstream is leaving.
 type Source string
 
-// The sources.
+// Sources of leaving notices.
 const (
-	FromList     Source = "list"
+	// FromList means that the instance list shows the upstream as leaving, or no longer contains
+	// it.
+	FromList Source = "list"
+	// FromUpstream means that the upstream itself reported that it is leaving.
 	FromUpstream Source = "upstream"
-	FromPeer     Source = "peer"
+	// FromPeer means that another entry reported it.
+	FromPeer Source = "peer"
 )
 
+// upstream is the state kept of one upstream.
 type upstream struct {
-	// incarnation is the greatest heard of; it never goes back.
+	// incarnation is the latest known incarnation, 0 if none is known; it never decreases.
 	incarnation uint64
-	// leavingIncarnation is the greatest incarnation known to be leaving.
+	// leavingIncarnation is the latest incarnation known to be leaving, valid if leaving is true.
 	leavingIncarnation uint64
-	leaving            bool
-	// listLeaving is what the newest list said.
+	// leaving is true once any incarnation was reported to be leaving; it is never reset.
+	leaving bool
+	// listLeaving is true if the latest instance list shows the upstream as leaving or does not
+	// contain it.
 	listLeaving bool
-	listed      bool
+	// listed is true once any instance list has contained the upstream.
+	listed bool
 }
 
-// Drainer holds the belief about upstreams. It is not safe for concurrent use.
+// Drainer tracks which upstreams are leaving. It is not safe for concurrent use.
 type Drainer struct {
 	upstreams map[string]*upstream
 }
 
-// New returns a drainer that knows of no upstream.
+// New returns a Drainer without upstreams.
 func New() *Drainer {
 	return &Drainer{upstreams: map[string]*upstream{}}
 }
 
+// ensureUpstream returns the state of an upstream, and adds it if it is new.
 func (d *Drainer) ensureUpstream(name string) *upstream {
 	u, ok := d.upstreams[name]
 	if !ok {
@@ -46,9 +55,9 @@
 	return u
 }
 
-// UpdateList takes over the upstreams of an instance list. An upstream that was
-// listed and is no longer counts as leaving. It returns the names that began
-// to leave.
+// UpdateList replaces the instance list. Upstreams that are not live in the list count as leaving,
+// also those that an earlier list contained and this one does not; entries in the list are ignored.
+// It returns the names of the upstreams that became unusable by this list.
 func (d *Drainer) UpdateList(instances []api.Instance) []string {
 	states := make(map[string]string, len(instances))
 	for _, i := range instances {
@@ -75,13 +84,14 @@
 	return startedLeaving
 }
 
+// markLeaving notes that an incarnation and all earlier ones are leaving.
 func (u *upstream) markLeaving(incarnation uint64) {
 	u.leaving = true
 	u.leavingIncarnation = max(u.leavingIncarnation, incarnation)
 }
 
-// MarkLeaving takes in word that an incarnation of an upstream is leaving, and
-// reports whether that was news.
+// MarkLeaving notes that an incarnation of an upstream is leaving. It reports whether that was not
+// known before.
 func (d *Drainer) MarkLeaving(name string, incarnation uint64) bool {
 	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
@@ -92,14 +102,16 @@
 	return true
 }
 
-// ObserveIncarnation takes in the incarnation that an upstream itself reported.
+// ObserveIncarnation notes an incarnation that the upstream itself reported. One that is later than
+// the incarnation known to be leaving makes the upstream usable again, unless the list still shows
+// it as leaving.
 func (d *Drainer) ObserveIncarnation(name string, incarnation uint64) {
 	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
 }
 
-// IsUsable reports whether new work may be sent to the upstream. An upstream
-// never listed is not usable.
+// IsUsable reports whether new work may be sent to an upstream: the latest list shows it as live,
+// and its latest incarnation is not leaving.
 func (d *Drainer) IsUsable(name string) bool {
 	u, ok := d.upstreams[name]
 	if !ok || !u.listed || u.listLeaving {
@@ -108,13 +120,13 @@
 	return !u.leaving || u.incarnation > u.leavingIncarnation
 }
 
-// WasListed reports whether any list ever named the upstream.
+// WasListed reports whether any list has contained the upstream.
 func (d *Drainer) WasListed(name string) bool {
 	u, ok := d.upstreams[name]
 	return ok && u.listed
 }
 
-// LatestIncarnation is the greatest incarnation heard of, 0 when none.
+// LatestIncarnation returns the latest known incarnation of an upstream, 0 if none is known.
 func (d *Drainer) LatestIncarnation(name string) uint64 {
 	u, ok := d.upstreams[name]
 	if !ok {
--- a/drainer/example_test.go
+++ b/drainer/example_test.go
@@ -14,7 +14,7 @@
 	d.UpdateList(list)
 	d.ObserveIncarnation("engine-1", 7)
 	fmt.Println(d.IsUsable("engine-1"))
-	// A peer says that it is leaving; the list, which lags, still shows it.
+	// A peer reports that engine-1 is leaving; an outdated list still shows it as live.
 	fmt.Println(d.MarkLeaving("engine-1", 7), d.MarkLeaving("engine-1", 7))
 	d.UpdateList(list)
 	fmt.Println(d.IsUsable("engine-1"))
