--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -178,8 +178,8 @@
 	return min(max(x.priority, 0), priorityLevels-1)*targetClasses + class
 }
 
-// oneShotBody is a request body without GetBody or Seek, so that http.Transport never sends a
-// request a second time by itself.
+// oneShotBody is a request body that http.Transport cannot rewind, so that it never sends a request
+// a second time by itself.
 type oneShotBody struct{ *bytes.Reader }
 
 func (oneShotBody) Close() error { return nil }
--- a/forwarder/backpressure_test.go
+++ b/forwarder/backpressure_test.go
@@ -10,7 +10,8 @@
 
 // While the store is unavailable, the instance list does not show that an upstream is leaving. An
 // entry that ignored the header in its responses sent it requests for seconds, some of which were
-// cut off by its exit.
+// cut off by its exit. The entry's log shows such a fault by place lines that follow a response
+// with the header.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -35,7 +35,9 @@
 
 // Config holds the settings and collaborators of a Forwarder. Every field is required.
 type Config struct {
-	Protocol     Protocol
+	// Protocol reads and writes the headers of requests and responses.
+	Protocol Protocol
+	// Reservations manages memory at engines for prompts longer than the memory of one engine.
 	Reservations ReservationClient
 	// ReservationTTL is the lease of memory reserved at engines. It must be shorter than the time
 	// for which memory may stay reserved after the end of its request.
@@ -51,9 +53,11 @@
 	// Quarantine decides which requests are refused because they crash upstreams.
 	Quarantine *quarantiner.Quarantiner
 	// Dial opens connections to upstreams.
-	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	Log      *zap.Logger
-	Scope    tally.Scope
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
+	Log  *zap.Logger
+	// Scope receives the metrics of the forwarder.
+	Scope tally.Scope
+	// Asserter reports violated invariants.
 	Asserter *asserter.Asserter
 }
 
@@ -102,14 +106,16 @@
 	metadata      RequestMetadata
 	// view is the one in force when the request arrived. A newer one is only used for what concerns
 	// the shutdown of the entry and the number of entries.
-	view         *View
-	route        *matcher.Route
+	view  *View
+	route *matcher.Route
+	// organisation is the name of the organisation that sent the request; empty on public routes.
 	organisation string
 	// priority is that of the organisation, or that of the route if there is no organisation; 0 is
 	// the most urgent.
 	priority int
 	// service is the one chosen among the services of the route.
-	service  string
+	service string
+	// deadline is when the caller stops waiting for the response.
 	deadline time.Time
 	body     []byte
 	// bodyRead is true once the whole body has been read into body.
--- a/forwarder/group.go
+++ b/forwarder/group.go
@@ -74,6 +74,7 @@
 // reservation is memory for some tokens, reserved at one engine under an id.
 type reservation struct {
 	engine netip.AddrPort
+	// id is a random id under which the engine holds the reservation.
 	id     string
 	tokens int
 }
--- a/forwarder/protocol.go
+++ b/forwarder/protocol.go
@@ -46,6 +46,7 @@
 
 // Helper is an engine that prefills a shard of a prompt for the engine that answers.
 type Helper struct {
+	// Address is where the helper receives requests.
 	Address netip.AddrPort
 	// ReservationID is the id of the memory reserved at the helper for the prompt; empty if the
 	// helper only prefills and holds nothing.
