--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -70,7 +70,7 @@
 			s, err := platform.LoadSettings()
 			return changeable(s), err
 		},
-		Store:    controller.Store{Read: store.Read, Watch: store.Watch, Decode: platform.DecodeConfig},
+		Store:    controller.Store{Read: store.Read, Watch: store.Watch, DecodeConfig: platform.DecodeConfig},
 		Protocol: platform.Protocol(), Orders: platform.Orders(orders),
 		InForce:          settings.InForce,
 		Speed:            settings.Speed,
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -40,8 +40,8 @@
 	used  time.Time
 }
 
-// New returns a pool without connections.
-func New(dial DialFunc) *Pool {
+// NewPool returns a pool without connections.
+func NewPool(dial DialFunc) *Pool {
 	return &Pool{dial: dial, clients: map[netip.AddrPort]*client{}}
 }
 
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opened := &client{Client: rpc.NewClient(NewQueued(connection)), calls: 1}
+	opened := &client{Client: rpc.NewClient(NewQueuedConn(connection)), calls: 1}
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.closeIdle(time.Now())
--- a/connector/pool_test.go
+++ b/connector/pool_test.go
@@ -53,11 +53,11 @@
 // A fleet of a thousand entries, each of which calls another one each 0.1 s: an entry held a connection to
 // every other one for as long as it ran, with a queue, buffers and codecs of some 50 KB at either end, most
 // of its memory.
-func TestConnectionsWithoutCallsAreClosed(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var peers fakePeers
-		p := New(peers.dial)
+		p := NewPool(peers.dial)
 		defer p.Close()
 		const size, period = 1000, 100 * time.Millisecond
 		for i := range 2 * size {
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var peers fakePeers
-		p := New(peers.dial)
+		p := NewPool(peers.dial)
 		defer p.Close()
 		ended := make(chan error)
 		go func() { ended <- call(p, 0, 3*idleTime, 4*idleTime) }()
--- a/connector/presence.go
+++ b/connector/presence.go
@@ -19,18 +19,18 @@
 	goneTimeout = 250 * time.Millisecond
 )
 
-// Presence finds out whether processes have ended whose connections broke.
-type Presence struct {
+// ExitDetector finds out whether processes have ended whose connections broke.
+type ExitDetector struct {
 	dial      DialFunc
 	questions singleflight.Group
 }
 
-// NewPresence returns a Presence that connects by dial.
-func NewPresence(dial DialFunc) *Presence { return &Presence{dial: dial} }
+// NewExitDetector returns a Presence that connects by dial.
+func NewExitDetector(dial DialFunc) *ExitDetector { return &ExitDetector{dial: dial} }
 
-// Gone reports whether nobody listens at an address any more, shortly after a connection
+// HasExited reports whether nobody listens at an address any more, shortly after a connection
 // to it broke. Those who ask at the same moment share one question.
-func (p *Presence) Gone(address string) bool {
+func (p *ExitDetector) HasExited(address string) bool {
 	gone, _, _ := p.questions.Do(address, func() (any, error) {
 		sleeper.Sleep(context.Background(), goneWait)
 		ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
--- a/connector/queue.go
+++ b/connector/queue.go
@@ -27,8 +27,8 @@
 	once   sync.Once
 }
 
-// NewQueued returns a connection whose writes never block.
-func NewQueued(c net.Conn) net.Conn {
+// NewQueuedConn returns a connection whose writes never block.
+func NewQueuedConn(c net.Conn) net.Conn {
 	q := &queuedConn{Conn: c, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go q.drain()
 	return q
--- a/connector/queue_test.go
+++ b/connector/queue_test.go
@@ -16,7 +16,7 @@
 		is := is.New(t)
 		near, far := net.Pipe()
 		defer func() { _ = far.Close() }()
-		q := NewQueued(near)
+		q := NewQueuedConn(near)
 		var err error
 		for range 2 * maxQueued {
 			if _, err = q.Write([]byte("message")); err != nil {
@@ -30,7 +30,7 @@
 }
 
 // A heartbeat in 0.2 s has one message under way: a thousand connections without any took 24 MB for queues.
-func TestIdleQueueTakesLittleMemory(t *testing.T) {
+func TestIdleQueueUsesLittleMemory(t *testing.T) {
 	is := is.New(t)
 	const connections, most = 1000, 4 << 10
 	held := make([]net.Conn, connections)
@@ -38,7 +38,7 @@
 	runtime.ReadMemStats(&before)
 	for i := range held {
 		near, far := net.Pipe()
-		held[i] = NewQueued(near)
+		held[i] = NewQueuedConn(near)
 		_ = far.Close()
 	}
 	runtime.ReadMemStats(&after)
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -38,17 +38,17 @@
 	unreadable := 0
 	for _, change := range changes {
 		s.dirty = true
-		if change.What == follower.Faulty {
+		if change.Kind == follower.KindUnreadable {
 			if unreadable++; unreadable > mostUnreadable {
 				continue
 			}
 		}
 		event := "upstream"
-		if change.What == follower.Config {
+		if change.Kind == follower.KindConfig {
 			event = "configuration"
 		}
-		s.controller.config.Log.Info(event, zap.String("id", change.ID), zap.String("change", change.What),
-			zap.Int64("revision", change.Revision), zap.String("source", source), zap.Error(change.Reason))
+		s.controller.config.Log.Info(event, zap.String("id", change.ID), zap.String("change", change.Kind),
+			zap.Int64("revision", change.Revision), zap.String("source", source), zap.Error(change.Err))
 	}
 	if unreadable > mostUnreadable {
 		s.controller.config.Log.Warn("upstreams_unreadable", zap.Int("count", unreadable), zap.Int("logged", mostUnreadable), zap.String("source", source))
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -35,8 +35,8 @@
 	Read func(context.Context) (follower.State, error)
 	// Watch waits for changes after a revision, for a time at most.
 	Watch func(ctx context.Context, after int64, wait time.Duration) (follower.State, error)
-	// Decode reads a configuration as the store holds it.
-	Decode func([]byte) (*matcher.Table, error)
+	// DecodeConfig reads a configuration as the store holds it.
+	DecodeConfig func([]byte) (*matcher.Table, error)
 }
 
 // Config of a controller. Every field is needed.
@@ -45,18 +45,18 @@
 	DataCentre string
 	// Incarnation is greater than that of any earlier run under this name.
 	Incarnation uint64
-	// Callers is the address that callers are told, Peers and Shares are where
+	// CallerAddress is the address that callers are told, PeerAddress and LoadAddress are where
 	// other entries reach this one.
-	Callers, Peers, Shares netip.AddrPort
-	Store                  Store
-	// InForce is how soon a change in the store has to be in force here.
-	InForce time.Duration
+	CallerAddress, PeerAddress, LoadAddress netip.AddrPort
+	Store                                   Store
+	// MaxPropagation is how soon a change in the store has to be in force here.
+	MaxPropagation time.Duration
 	// Speed is that of this entry in processor cores; 0 where it is not known.
 	Speed float64
 	// SinceBoot is the time since the instance booted, with the time that it was
 	// suspended; SinceBoot of this package, or a clock that tests advance.
-	SinceBoot func() time.Duration
-	Board     *dispatcher.Dispatcher
+	SinceBoot  func() time.Duration
+	Dispatcher *dispatcher.Dispatcher
 	// Quarantine is what entries tell each other of requests that crash upstreams.
 	Quarantine *quarantiner.Quarantiner
 	Dial       connector.DialFunc
@@ -153,7 +153,7 @@
 // New returns a controller that knows nothing yet.
 func New(c Config) *Controller {
 	ctl := &Controller{
-		config: c, control: sequencer.New[*state](), pool: connector.New(c.Dial), fetches: connector.New(c.Dial),
+		config: c, control: sequencer.New[*state](), pool: connector.NewPool(c.Dial), fetches: connector.NewPool(c.Dial),
 		pushes: make(chan struct{}, 1), meetings: make(chan struct{}, 1), metrics: newMetrics(c.Scope),
 	}
 	ctl.news.measure(c.Scope)
@@ -170,7 +170,7 @@
 		seeds: seeds, started: now, lastTick: now, lastBoot: c.config.SinceBoot(),
 		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, SuspectAfter: suspectTime}),
 	}
-	s.follower.BoundRemovals(c.config.InForce)
+	s.follower.SetRemovalBound(c.config.MaxPropagation)
 	c.goRun(func() { c.follow(ctx) })
 	c.goRun(func() { c.beat(ctx) })
 	c.goRun(func() { c.tellShares(ctx, shares) })
@@ -219,13 +219,13 @@
 	if paused > wokeAfter {
 		s.controller.config.Log.Warn("woke", zap.Duration("paused_ms", paused))
 		s.prober.ResetSilence(now)
-		s.follower.Unconfirmed()
+		s.follower.ClearConfirmation()
 		s.dirty = true
 	}
 	s.membersChanged(s.prober.Tick(now))
 	s.logStore(s.follower.Tick(now), "hold_ended")
 	s.logQuarantined(now, s.controller.config.Quarantine.Evaluate(now), "own")
-	if age, ok := s.follower.ConfirmedAge(now); ok {
+	if age, ok := s.follower.ConfirmationAge(now); ok {
 		s.controller.metrics.listAge.Update(age.Seconds())
 	}
 	shown := s.controller.current.Load().ConfirmedAt
@@ -256,12 +256,12 @@
 // View is what requests are served by.
 func (c *Controller) View() *forwarder.View { return &c.current.Load().View }
 
-// Ready reports whether this entry takes callers.
-func (c *Controller) Ready() bool { return c.current.Load().ready }
+// IsReady reports whether this entry takes callers.
+func (c *Controller) IsReady() bool { return c.current.Load().ready }
 
-// Stop tells callers and other entries that this entry ends at a time. Callers may use its
+// AnnounceShutdown tells callers and other entries that this entry ends at a time. Callers may use its
 // address until knownUntil. When it returns, this entry is no longer ready.
-func (c *Controller) Stop(knownUntil, by time.Time) {
+func (c *Controller) AnnounceShutdown(knownUntil, by time.Time) {
 	c.do(func(s *state) {
 		s.stopping, s.knownUntil, s.stopBy = true, knownUntil, by
 		s.publish()
@@ -269,8 +269,8 @@
 	c.push()
 }
 
-// Reseed takes over new seeds.
-func (c *Controller) Reseed(seeds []netip.AddrPort) {
+// SetSeeds takes over new seeds.
+func (c *Controller) SetSeeds(seeds []netip.AddrPort) {
 	c.do(func(s *state) { s.seeds, s.dirty = seeds, true })
 }
 
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -50,13 +50,13 @@
 }
 
 // Fetch answers with what this entry believes of the store.
-func (p *Peer) Fetch(args FetchArgs, reply *FetchReply) error {
+func (p *PeerService) Fetch(args FetchArgs, reply *FetchReply) error {
 	p.controller.do(func(s *state) {
 		now := time.Now()
-		age, ok := s.follower.ConfirmedAge(now)
-		reply.Known = ok && s.follower.Known()
+		age, ok := s.follower.ConfirmationAge(now)
+		reply.Known = ok && s.follower.HasState()
 		reply.Confirmed = age
-		reply.State, reply.Whole = s.follower.Since(args.Have, args.HaveConfig)
+		reply.State, reply.Whole = s.follower.ChangesSince(args.Have, args.HaveConfig)
 		reply.Disturbed = s.disturbed(now)
 	})
 	if reply.State.Config == nil {
@@ -73,7 +73,7 @@
 
 // disturbed is how long ago the store failed this entry or one that told it.
 func (s *state) disturbed(now time.Time) time.Duration {
-	age, ever := s.follower.DisturbedAge(now)
+	age, ever := s.follower.FailureAge(now)
 	if !ever {
 		return neverDisturbed
 	}
@@ -83,7 +83,7 @@
 // hearDisturbed takes in how long ago the store failed another entry.
 func (s *state) hearDisturbed(now time.Time, age time.Duration) {
 	if age >= 0 {
-		s.follower.Disturbed(now.Add(-age))
+		s.follower.RecordFailure(now.Add(-age))
 	}
 }
 
@@ -149,10 +149,10 @@
 	now := time.Now()
 	c.do(func(s *state) { s.hearDisturbed(now, reply.Disturbed) })
 	c.take(reply.State, source, func(s *state, now time.Time, got follower.State) []follower.Change {
-		defer s.follower.Confirmed(now.Add(-reply.Confirmed))
+		defer s.follower.Confirm(now.Add(-reply.Confirmed))
 		if reply.Whole {
-			return s.follower.Replace(now, got)
+			return s.follower.ApplySnapshot(now, got)
 		}
-		return s.follower.Apply(now, got)
+		return s.follower.ApplyChanges(now, got)
 	})
 }
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -118,9 +118,9 @@
 	e := &entry{board: board, quarantine: quarantiner.New(), host: host, ended: make(chan struct{})}
 	config := controller.Config{
 		Name: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), Incarnation: uint64(f.started),
-		Callers: netip.AddrPortFrom(host, 80), Peers: netip.AddrPortFrom(host, 81), Shares: netip.AddrPortFrom(host, 82),
-		Store: controller.Store{Read: reader.Read, Watch: reader.Watch, Decode: platform.DecodeConfig}, InForce: 2 * time.Second,
-		SinceBoot: sinceEpoch, Board: board, Quarantine: e.quarantine, Dial: f.net.Dialer(host), Log: zap.NewNop(), Scope: tally.NoopScope,
+		CallerAddress: netip.AddrPortFrom(host, 80), PeerAddress: netip.AddrPortFrom(host, 81), LoadAddress: netip.AddrPortFrom(host, 82),
+		Store: controller.Store{Read: reader.Read, Watch: reader.Watch, DecodeConfig: platform.DecodeConfig}, MaxPropagation: 2 * time.Second,
+		SinceBoot: sinceEpoch, Dispatcher: board, Quarantine: e.quarantine, Dial: f.net.Dialer(host), Log: zap.NewNop(), Scope: tally.NoopScope,
 		Asserter: asserter.New(func(name, detail string) { f.t.Errorf("%s: %s", name, detail) }),
 	}
 	if f.speed != nil {
@@ -216,11 +216,11 @@
 }
 
 // All entries know each other and the store soon after their start.
-func TestFleetForms(t *testing.T) {
+func TestEntriesDiscoverEachOther(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		for _, e := range f.entries {
-			f.is.True(e.Ready())
-			f.is.Equal(len(e.Addresses("dc-0")), 7)
+			f.is.True(e.IsReady())
+			f.is.Equal(len(e.CallerAddresses("dc-0")), 7)
 			f.is.Equal(e.board.UpstreamCount("app"), 3)
 		}
 	})
@@ -228,7 +228,7 @@
 
 // A change of the configuration and an upstream's leaving are in force
 // everywhere well within two seconds, though most entries read no store.
-func TestChangesSpread(t *testing.T) {
+func TestChangesReachAllEntries(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.configure(2)
 		f.within(time.Second, "version 2", version(2))
@@ -240,7 +240,7 @@
 }
 
 // Two entries read the store for all: calls don't grow with the fleet.
-func TestFewEntriesReadTheStore(t *testing.T) {
+func TestStoreCallsDoNotGrowWithTheFleet(t *testing.T) {
 	withFleet(t, 12, func(f *fleet) {
 		before := f.store.Calls()
 		time.Sleep(10 * time.Second)
@@ -253,7 +253,7 @@
 
 // An entry that the store turns away, in each of its ways, learns from the
 // others.
-func TestEntryCutOffFromStore(t *testing.T) {
+func TestEntriesCutOffFromStoreGetChanges(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		for i := range f.entries[1:] {
 			f.net.Cut(f.entries[i].host, storeAddress.Addr())
@@ -264,7 +264,7 @@
 }
 
 // Entries that hear nobody read for themselves.
-func TestPartedEntriesReadForThemselves(t *testing.T) {
+func TestPartitionedEntriesReadTheStore(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		for i := range f.entries {
 			for j := range f.entries {
@@ -357,23 +357,23 @@
 		f.net.Kill(dead.host)
 		dead.end()
 		f.entries = f.entries[:4]
-		f.within(2500*time.Millisecond, "dead entry left out", func(e *entry) bool { return len(e.Addresses("dc-0")) == 4 })
+		f.within(2500*time.Millisecond, "dead entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
 		f.entries = append(f.entries, f.start(4))
-		f.within(2*time.Second, "new incarnation listed", func(e *entry) bool { return len(e.Addresses("dc-0")) == 5 })
+		f.within(2*time.Second, "new incarnation listed", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 5 })
 	})
 }
 
 // A stopping entry is left out at once.
 func TestStoppingEntryLeavesDirectory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
-		f.entries[0].Stop(time.Now().Add(3*time.Second), time.Now().Add(5*time.Second))
-		f.is.True(!f.entries[0].Ready())
-		f.within(300*time.Millisecond, "stopping entry left out", func(e *entry) bool { return len(e.Addresses("dc-0")) == 4 })
+		f.entries[0].AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(5*time.Second))
+		f.is.True(!f.entries[0].IsReady())
+		f.within(300*time.Millisecond, "stopping entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
 	})
 }
 
 // What one entry places, the others know within milliseconds.
-func TestLoadIsShared(t *testing.T) {
+func TestLoadReachesOtherEntries(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		p, refusal := f.entries[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
 		f.is.True(refusal == nil)
@@ -390,7 +390,7 @@
 
 // An entry that has just started knows within a quarter of a second what others have placed,
 // and others forget what its earlier run had placed.
-func TestRestartedEntryLearnsLoad(t *testing.T) {
+func TestRestartedEntryReceivesLoad(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		place := func(e *entry) *dispatcher.Placement {
 			p, refusal := e.board.Place(time.Now(), dispatcher.Demand{Service: "app"})
@@ -414,7 +414,7 @@
 
 // Entries of another writer, whatever they hold, take nothing from the others, and what is
 // unreadable for a while is used again once it can be read; so is the configuration.
-func TestOtherWritersTakeNothingAway(t *testing.T) {
+func TestUnreadableItemsDoNotAffectOthers(t *testing.T) {
 	withFleet(t, 4, func(f *fleet) {
 		for i := range 200 {
 			f.store.PutItem(fmt.Sprintf("servers/bad-%d", i), json.RawMessage(`12`))
@@ -434,7 +434,7 @@
 }
 
 // A run that takes an earlier one's place under its ID is known everywhere in a second.
-func TestRestartUnderTheSameIDSpreads(t *testing.T) {
+func TestNewIncarnationUnderTheSameIDReachesAllEntries(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		u := store.NewUpstream("app", netip.MustParseAddrPort("10.1.0.200:80"))
 		first := time.Now()
@@ -496,7 +496,7 @@
 // A rolling stop: half of the entries of one data centre say that they stop, serve on, and end. Until their
 // silence was noticed they were drawn as relays, and each message for that data centre was lost with
 // half of its entries: long prompts that were placed 30 ms apart met on the same engines, and began 2.7 s late.
-func TestLoadIsToldBesideEntriesThatStop(t *testing.T) {
+func TestLoadReachesAllWhileEntriesShutDown(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		time.Sleep(5 * time.Second) // until most have heard each other
 		all := f.entries
@@ -509,7 +509,7 @@
 			others = append(others, e)
 		}
 		for _, e := range stopped {
-			e.Stop(time.Now().Add(2*time.Second), time.Now().Add(8*time.Second))
+			e.AnnounceShutdown(time.Now().Add(2*time.Second), time.Now().Add(8*time.Second))
 		}
 		time.Sleep(2 * time.Second)
 		for n := 1; n <= 10; n++ {
@@ -534,7 +534,7 @@
 // each prompt is known to all within 20 ms. One relay was drawn for each message, and what it lost was known only with the
 // next repeat: an entry placed a prompt of 153,000 tokens on the engine that had got 251,000 from another
 // one 0.4 s before, where it waited 5 s for memory.
-func TestHeavyPromptsAreToldInSpiteOfDeadRelays(t *testing.T) {
+func TestHeavyPromptsReachAllDespiteDeadRelays(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i := range 20 {
 			f.listOf("lm", fmt.Sprintf("e-%d", i), "ready")
@@ -557,16 +557,16 @@
 // An entry of sixty stops, ends and starts again. Three quarters of the others went on naming its address to
 // callers, who were refused there, and then found nobody; once it was back and known to have
 // stopped, it had no callers until each of the others had heard it.
-func TestAddressesFollowAStop(t *testing.T) {
+func TestAddressesFollowShutdownAndRestart(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(10 * time.Second) // until all have heard each other
 		one := f.entries[7]
 		address := netip.AddrPortFrom(one.host, 80)
 		named := func(wanted bool) func(*entry) bool {
-			return func(e *entry) bool { return slices.Contains(e.Addresses("dc-0"), address) == wanted }
+			return func(e *entry) bool { return slices.Contains(e.CallerAddresses("dc-0"), address) == wanted }
 		}
 		f.within(10*time.Second, "address of an entry that serves", named(true))
-		one.Stop(time.Now().Add(3*time.Second), time.Now().Add(8*time.Second))
+		one.AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(8*time.Second))
 		f.within(time.Second, "address of an entry that stops gone", named(false))
 		time.Sleep(3 * time.Second)
 		one.end()
@@ -578,7 +578,7 @@
 }
 
 // Operators see whom an entry tells of load, who passes it on, and what that costs.
-func TestStatusTellsOfLoadNews(t *testing.T) {
+func TestStatusReportsLoadMessages(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for n := 1; n <= 20; n++ {
 			_, refusal := f.entries[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
@@ -609,7 +609,7 @@
 // A burst at a fleet of 8 fast and 22 slow entries: only the fast ones take callers, so only
 // they need to know of each request at once. A slow one that is asked all the same is one of
 // them from its first request on.
-func TestLoadGoesToEntriesThatPlace(t *testing.T) {
+func TestLoadChangesGoToPlacingEntries(t *testing.T) {
 	const fast, slow = 8, 22
 	withSpeeds(t, fast+slow, fastUpTo(fast), func(f *fleet) {
 		time.Sleep(8 * time.Second)
@@ -659,7 +659,7 @@
 }
 
 // An operator sees at any entry which others callers are sent to, and why.
-func TestStatusTellsWhoTakesCallers(t *testing.T) {
+func TestStatusReportsWhichEntriesGetCallers(t *testing.T) {
 	const fast, slow = 6, 4
 	withSpeeds(t, fast+slow, fastUpTo(fast), func(f *fleet) {
 		time.Sleep(3 * time.Second)
@@ -679,7 +679,7 @@
 
 // An entry of a hundred that has just started knows within a second and a half what others
 // have placed, and they what it places, though it has heard few of them itself.
-func TestRestartedEntryLearnsLoadInALargeFleet(t *testing.T) {
+func TestRestartedEntryReceivesLoadInALargeFleet(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(2 * time.Second)
 		for _, e := range f.entries[:50] {
@@ -698,7 +698,7 @@
 
 // In an outage of the store calls don't grow with the fleet, and when it is back a change made
 // meanwhile is in force everywhere in two seconds: 60 entries, an outage of 8 s.
-func TestCallsInAnOutageDoNotGrowWithTheFleet(t *testing.T) {
+func TestStoreCallsInAnOutageDoNotGrowWithTheFleet(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(10 * time.Second) // until all have heard each other
 		f.store.SetMode(store.Reset)
@@ -715,7 +715,7 @@
 
 // Half of a fleet is killed and starts anew after its death is known: within a second and a half
 // after two rounds of placing by survivors and by those that are new, all know of all of it.
-func TestHalfAFleetStartsAnew(t *testing.T) {
+func TestLoadReachesAllAfterHalfTheFleetRestarts(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(10 * time.Second) // until all have heard each other
 		for i := 30; i < 60; i++ {
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -87,8 +87,8 @@
 // reads reports whether this entry reads the store: it is one of the readers,
 // or what it was told is old.
 func (s *state) reads(now time.Time) bool {
-	age, ok := s.follower.ConfirmedAge(now)
-	if !ok || age > part(s.controller.config.InForce, confirmedPart) {
+	age, ok := s.follower.ConfirmationAge(now)
+	if !ok || age > part(s.controller.config.MaxPropagation, confirmedPart) {
 		return true
 	}
 	return s.isReader(s.live())
@@ -158,7 +158,7 @@
 	changed := c.take(got, "store", func(s *state, now time.Time, got follower.State) []follower.Change {
 		s.storeServed()
 		s.logFaults(got.Faults)
-		return s.follower.Read(now, got, whole)
+		return s.follower.ApplyStoreRead(now, got, whole)
 	})
 	if changed {
 		c.push()
@@ -173,7 +173,7 @@
 		s.controller.config.Log.Info("store_history_gone", zap.Int64("revision", s.follower.Revision()))
 		return
 	}
-	s.follower.Failed(now)
+	s.follower.RecordOwnFailure(now)
 	if s.storeLost {
 		return
 	}
@@ -224,7 +224,7 @@
 		got.Config = nil
 		return nil
 	}
-	table, err := c.config.Store.Decode(got.Config)
+	table, err := c.config.Store.DecodeConfig(got.Config)
 	if err != nil {
 		c.do(func(s *state) { s.unreadable = max(s.unreadable, got.ConfigRevision) })
 		c.config.Log.Error("configuration_unreadable", zap.Int64("revision", got.ConfigRevision), zap.String("source", source), zap.Error(err))
--- a/controller/linelimit_test.go
+++ b/controller/linelimit_test.go
@@ -8,7 +8,7 @@
 )
 
 // An upgrade of the others: a thousand messages a second that can't be read give one line each second.
-func TestLineLimit(t *testing.T) {
+func TestLogLimiterAllowsOneLinePerPeriod(t *testing.T) {
 	is := is.New(t)
 	var l lineLimit
 	now := time.Unix(1, 0)
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -70,11 +70,11 @@
 // are not closed yet.
 var errStopped = errors.New("this entry has stopped")
 
-// Peer is what one entry serves to others over net/rpc.
-type Peer struct{ controller *Controller }
+// PeerService is what one entry serves to others over net/rpc.
+type PeerService struct{ controller *Controller }
 
 // Beat takes in another entry's heartbeat and answers with this one's.
-func (p *Peer) Beat(beat Beat, reply *Beat) error {
+func (p *PeerService) Beat(beat Beat, reply *Beat) error {
 	p.controller.heard(beat)
 	p.controller.do(func(s *state) {
 		contacts := fewContacts
@@ -93,7 +93,7 @@
 
 func (c *Controller) servePeers(listener net.Listener) {
 	calls := rpc.NewServer()
-	if err := calls.RegisterName(rpcName, &Peer{controller: c}); err != nil {
+	if err := calls.RegisterName(rpcName, &PeerService{controller: c}); err != nil {
 		c.config.Log.Error("serve_peers", zap.Error(err))
 		return
 	}
@@ -107,7 +107,7 @@
 			time.Sleep(tickTime)
 			continue
 		}
-		go calls.ServeConn(connector.NewQueued(connection))
+		go calls.ServeConn(connector.NewQueuedConn(connection))
 	}
 }
 
@@ -155,7 +155,7 @@
 // targets are the peers to send a heartbeat: neighbours or, after a change,
 // all that are live, and seeds at which no live entry is known.
 func (s *state) targets(now time.Time, all bool) []netip.AddrPort {
-	live := map[netip.AddrPort]bool{s.controller.config.Peers: true}
+	live := map[netip.AddrPort]bool{s.controller.config.PeerAddress: true}
 	var out []netip.AddrPort
 	for _, m := range s.prober.Members() {
 		if m.State != prober.Live && m.State != prober.Stopping {
@@ -186,13 +186,13 @@
 func (s *state) beat(now time.Time, contacts int) Beat {
 	c := s.controller.config
 	_, revision := s.follower.Config()
-	age, ok := s.follower.ConfirmedAge(now)
+	age, ok := s.follower.ConfirmationAge(now)
 	b := Beat{
 		Heartbeat: api.Heartbeat{
-			From: c.Name, Incarnation: c.Incarnation, PeerAddress: c.Peers, Address: c.Callers, DataCentre: c.DataCentre,
+			From: c.Name, Incarnation: c.Incarnation, PeerAddress: c.PeerAddress, Address: c.CallerAddress, DataCentre: c.DataCentre,
 			Stopping: s.stopping, Ready: s.table != nil, Revision: uint64(revision), Notices: s.prober.NextNotices(),
 		},
-		Knows: len(s.contacts), Known: ok && s.follower.Known(), Content: s.follower.Content(), Confirmed: age,
+		Knows: len(s.contacts), Known: ok && s.follower.HasState(), Content: s.follower.NewestRevision(), Confirmed: age,
 		Disturbed: s.disturbed(now), Speed: c.Speed, Strained: s.lag.strained,
 	}
 	for _, k := range s.contacts {
@@ -215,12 +215,12 @@
 		s.logQuarantined(now, c.config.Quarantine.ApplyUpdate(now, b.Quarantine), b.From)
 		have.Have = s.follower.Revision()
 		_, have.HaveConfig = s.follower.Config()
-		fetch = b.Known && (b.Content > s.follower.Content() || !s.follower.Known()) && s.fetching < mostFetches
+		fetch = b.Known && (b.Content > s.follower.NewestRevision() || !s.follower.HasState()) && s.fetching < mostFetches
 		if fetch {
 			s.fetching++
 		}
-		if b.Known && b.Content == s.follower.Content() {
-			s.follower.Confirmed(now.Add(-b.Confirmed))
+		if b.Known && b.Content == s.follower.NewestRevision() {
+			s.follower.Confirm(now.Add(-b.Confirmed))
 		}
 	})
 	if fetch {
--- a/controller/shares.go
+++ b/controller/shares.go
@@ -42,7 +42,7 @@
 		case <-c.meetings:
 			told = c.tellNew(socket, told)
 			continue
-		case <-c.config.Board.Changed:
+		case <-c.config.Dispatcher.Changed:
 			if !sleeper.Sleep(ctx, shareTime) {
 				return
 			}
@@ -54,7 +54,7 @@
 // tellChanges tells what changed, or all of the load. A heavy prompt that others don't know of costs what they place
 // at its engines seconds, so that news of one goes by several relays.
 func (c *Controller) tellChanges(socket net.PacketConn, all bool) {
-	shares := c.config.Board.Export(time.Now(), all)
+	shares := c.config.Dispatcher.Export(time.Now(), all)
 	if all {
 		c.spread(socket, c.encodeShares(shares), c.current.Load().paths, dispatcher.RelayToAll, 1)
 		return
@@ -105,7 +105,7 @@
 			continue
 		}
 		if messages == nil {
-			messages = c.encodeShares(c.config.Board.RequestLoads(time.Now()))
+			messages = c.encodeShares(c.config.Dispatcher.RequestLoads(time.Now()))
 		}
 		for _, m := range messages {
 			c.send(socket, m, p.shares, &c.news.told)
@@ -161,6 +161,6 @@
 		if c.tellers.heard(now, peer) {
 			c.do(func(s *state) { s.dirty = true })
 		}
-		c.config.Board.Import(now, peer, shares)
+		c.config.Dispatcher.Import(now, peer, shares)
 	}
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -11,7 +11,7 @@
 	var status api.Status
 	c.do(func(s *state) { status = s.status(time.Now()) })
 	status.Quarantined = c.config.Quarantine.QuarantinedCount()
-	for _, row := range c.config.Board.Upstreams(time.Now()) {
+	for _, row := range c.config.Dispatcher.Upstreams(time.Now()) {
 		state := api.InstanceLive
 		if row.Instance.Leaving {
 			state = api.InstanceLeaving
@@ -34,7 +34,7 @@
 		Name: c.Name, DataCentre: c.DataCentre, Incarnation: c.Incarnation, Ready: s.table != nil && !s.stopping,
 		Stopping: s.stopping, Revision: uint64(revision), Confirmed: -1,
 	}
-	if age, ok := s.follower.ConfirmedAge(now); ok {
+	if age, ok := s.follower.ConfirmationAge(now); ok {
 		status.Confirmed = age
 	}
 	takes := map[string]bool{}
--- a/controller/takers.go
+++ b/controller/takers.go
@@ -103,9 +103,9 @@
 	return sum
 }
 
-// Addresses lists where a caller in a data centre may connect: entries of its
+// CallerAddresses lists where a caller in a data centre may connect: entries of its
 // own data centre first, where there are more than an answer holds.
-func (c *Controller) Addresses(dataCentre string) []netip.AddrPort {
+func (c *Controller) CallerAddresses(dataCentre string) []netip.AddrPort {
 	var near, far []netip.AddrPort
 	for _, t := range c.current.Load().takers {
 		if t.dataCentre == dataCentre {
--- a/controller/takers_test.go
+++ b/controller/takers_test.go
@@ -64,7 +64,7 @@
 
 // An entry whose clock ticks late for a second is strained, until it has ticked in time for
 // some two; a pause of its process alone does not strain it.
-func TestStrain(t *testing.T) {
+func TestOverloadDetection(t *testing.T) {
 	is := is.New(t)
 	var m lagMeter
 	changes := 0
--- a/controller/view.go
+++ b/controller/view.go
@@ -38,13 +38,13 @@
 	_, configRevision := s.follower.Config()
 	v := &view{
 		View: forwarder.View{
-			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), ConfirmationTTL: part(c.config.InForce, trustPart),
+			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), ConfirmationTTL: part(c.config.MaxPropagation, trustPart),
 			StoreUnavailable: s.storeLost, MaxEntries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.stopBy, AddressValidUntil: s.knownUntil,
 		},
 		ready: s.table != nil && !s.stopping,
 	}
 	if v.ready {
-		v.takers = append(v.takers, taker{name: c.config.Name, address: c.config.Callers, dataCentre: c.config.DataCentre, capacity: s.capacity()})
+		v.takers = append(v.takers, taker{name: c.config.Name, address: c.config.CallerAddress, dataCentre: c.config.DataCentre, capacity: s.capacity()})
 	}
 	heard := s.addMembers(v)
 	ready := v.takers
@@ -56,10 +56,10 @@
 	c.tellers.spare(time.Now(), v.peers, unasked(ready, v.takers))
 	v.paths, v.placing = pathsOf(c.config.DataCentre, v.peers, everyone), pathsOf(c.config.DataCentre, v.peers, places)
 	met := s.noticeRestarts(v.peers)
-	c.config.Board.SetPeers(living(v.peers), s.blind(heard))
-	usable := s.follower.Usable()
+	c.config.Dispatcher.SetPeers(living(v.peers), s.blind(heard))
+	usable := s.follower.UsableInstances()
 	if s.table != nil {
-		c.config.Board.Update(s.table, usable)
+		c.config.Dispatcher.Update(s.table, usable)
 	}
 	c.config.Quarantine.SetUpstreamCount(len(usable))
 	c.metrics.revision.Update(float64(configRevision))
@@ -90,7 +90,7 @@
 		if m.PeerAddress.IsValid() && (!dead || time.Since(s.died[m.Name]) < deadTold) {
 			v.peers = append(v.peers, peer{
 				name: m.Name, incarnation: m.Incarnation, beats: m.PeerAddress, dataCentre: m.DataCentre, dead: dead, stopping: m.State == prober.Stopping,
-				shares: netip.AddrPortFrom(m.PeerAddress.Addr(), c.config.Shares.Port()),
+				shares: netip.AddrPortFrom(m.PeerAddress.Addr(), c.config.LoadAddress.Port()),
 			})
 		}
 	}
@@ -107,7 +107,7 @@
 	for _, p := range peers {
 		known, ok := before[p.name]
 		if ok && known < p.incarnation {
-			c.config.Board.ForgetPeer(time.Now(), runToken(p.name, known))
+			c.config.Dispatcher.ForgetPeer(time.Now(), runToken(p.name, known))
 		}
 		met = met || !ok || known != p.incarnation
 	}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -66,20 +66,20 @@
 type Change struct {
 	// ID of the instance, empty where the configuration changed.
 	ID       string
-	What     string
+	Kind     string
 	Revision int64
-	// Reason is why an entry can't be read; nil for other changes.
-	Reason error
+	// Err is why an entry can't be read; nil for other changes.
+	Err error
 }
 
 // What a change can be.
 const (
-	Appeared = "appeared"
-	Leaving  = "leaving"
-	Gone     = "gone"
-	Held     = "held_after_outage"
-	Config   = "configuration"
-	Faulty   = "unreadable"
+	KindAppeared   = "appeared"
+	KindLeaving    = "leaving"
+	KindGone       = "gone"
+	KindRetained   = "held_after_outage"
+	KindConfig     = "configuration"
+	KindUnreadable = "unreadable"
 )
 
 type known struct {
@@ -118,12 +118,12 @@
 	return &Follower{instances: map[string]*known{}, removalBound: usualRemovalBound}
 }
 
-// BoundRemovals sets how long after its removal an upstream may get work at most.
-func (f *Follower) BoundRemovals(bound time.Duration) { f.removalBound = bound }
+// SetRemovalBound sets how long after its removal an upstream may get work at most.
+func (f *Follower) SetRemovalBound(bound time.Duration) { f.removalBound = bound }
 
-// Replace takes in a whole state that another entry believes. An upstream that it
+// ApplySnapshot takes in a whole state that another entry believes. An upstream that it
 // does not list is gone. A state older than the belief is ignored.
-func (f *Follower) Replace(now time.Time, s State) []Change {
+func (f *Follower) ApplySnapshot(now time.Time, s State) []Change {
 	return f.replace(now, s, f.lapseLeft(now))
 }
 
@@ -136,7 +136,7 @@
 	if s.Revision > f.revision {
 		f.base = s.Revision
 	}
-	changes := f.Apply(now, s)
+	changes := f.ApplyChanges(now, s)
 	listed := make(map[string]bool, len(s.Instances))
 	for _, l := range s.Instances {
 		listed[l.Instance.ID] = !l.Gone
@@ -149,14 +149,14 @@
 	return changes
 }
 
-// Read takes in what this entry itself has read of the store: a whole state, or
+// ApplyStoreRead takes in what this entry itself has read of the store: a whole state, or
 // changes. A removal may be a lapse only where the store failed this entry since
 // it last served it, or where this entry was not reading and others were failed.
 // Failures that only others saw mean nothing to one that was served all along: its
 // removals are meant, and those whom it tells take that over. That keeps what was
 // removed from getting work for 2.3 s, over the 2 s that the platform allows, where
 // the store turns only some entries away.
-func (f *Follower) Read(now time.Time, s State, whole bool) []Change {
+func (f *Follower) ApplyStoreRead(now time.Time, s State, whole bool) []Change {
 	doubtful := f.failedAt.After(f.servedAt) || now.Sub(f.servedAt) > readGap
 	held := time.Duration(0)
 	if doubtful {
@@ -170,21 +170,21 @@
 	if whole {
 		changes = f.replace(now, s, held)
 	} else {
-		changes = f.Apply(now, s)
+		changes = f.ApplyChanges(now, s)
 	}
 	f.servedAt = now
-	f.Confirmed(now)
+	f.Confirm(now)
 	return changes
 }
 
-// Apply takes in changes that another entry knows, each of which counts where it
+// ApplyChanges takes in changes that another entry knows, each of which counts where it
 // is newer than what is believed of its key.
-func (f *Follower) Apply(now time.Time, s State) []Change {
+func (f *Follower) ApplyChanges(now time.Time, s State) []Change {
 	var changes []Change
 	if s.Config != nil && s.ConfigRevision > f.configRevision {
 		f.config, f.configRevision = s.Config, s.ConfigRevision
 		f.content = max(f.content, s.ConfigRevision)
-		changes = append(changes, Change{What: Config, Revision: s.ConfigRevision})
+		changes = append(changes, Change{Kind: KindConfig, Revision: s.ConfigRevision})
 	}
 	for _, l := range s.Instances {
 		changes = append(changes, f.take(now, l)...)
@@ -214,11 +214,11 @@
 	case l.Fault != nil && ok && k.listed.Fault != nil:
 		// Still unreadable: one line says so, however often it is written.
 	case l.Fault != nil:
-		return []Change{{ID: id, What: Faulty, Revision: l.Revision, Reason: l.Fault}}
+		return []Change{{ID: id, Kind: KindUnreadable, Revision: l.Revision, Err: l.Fault}}
 	case l.Instance.Leaving && ok && !k.listed.Instance.Leaving:
-		return []Change{{ID: id, What: Leaving, Revision: l.Revision}}
+		return []Change{{ID: id, Kind: KindLeaving, Revision: l.Revision}}
 	case !l.Instance.Leaving && (!ok || k.listed.Gone):
-		return []Change{{ID: id, What: Appeared, Revision: l.Revision}}
+		return []Change{{ID: id, Kind: KindAppeared, Revision: l.Revision}}
 	}
 	return nil
 }
@@ -240,9 +240,9 @@
 	k.goneAt = now
 	if ok && !k.listed.Instance.Leaving && held > 0 {
 		k.heldUntil = now.Add(held)
-		return []Change{{ID: id, What: Held, Revision: revision}}
+		return []Change{{ID: id, Kind: KindRetained, Revision: revision}}
 	}
-	return []Change{{ID: id, What: Gone, Revision: revision}}
+	return []Change{{ID: id, Kind: KindGone, Revision: revision}}
 }
 
 // lapseLeft is how much longer an entry that lapsed in the last outage may take
@@ -261,35 +261,35 @@
 	return max(0, left)
 }
 
-// Failed notes that the store did not answer this entry as it should.
-func (f *Follower) Failed(at time.Time) {
+// RecordOwnFailure notes that the store did not answer this entry as it should.
+func (f *Follower) RecordOwnFailure(at time.Time) {
 	f.failedAt = at
-	f.Disturbed(at)
+	f.RecordFailure(at)
 }
 
-// Disturbed notes that the store failed this entry or another.
-func (f *Follower) Disturbed(at time.Time) {
+// RecordFailure notes that the store failed this entry or another.
+func (f *Follower) RecordFailure(at time.Time) {
 	if at.After(f.disturbedAt) {
 		f.disturbedAt = at
 	}
 }
 
-// DisturbedAge is how long ago the store last failed, and false where it never
+// FailureAge is how long ago the store last failed, and false where it never
 // did.
-func (f *Follower) DisturbedAge(now time.Time) (time.Duration, bool) {
+func (f *Follower) FailureAge(now time.Time) (time.Duration, bool) {
 	if f.disturbedAt.IsZero() {
 		return 0, false
 	}
 	return now.Sub(f.disturbedAt), true
 }
 
-// Unconfirmed forgets that the state was confirmed: after a pause of this
+// ClearConfirmation forgets that the state was confirmed: after a pause of this
 // process nobody knows how old it is.
-func (f *Follower) Unconfirmed() { f.confirmedAt = time.Time{} }
+func (f *Follower) ClearConfirmation() { f.confirmedAt = time.Time{} }
 
-// Confirmed notes that the store, or a peer that asked it, vouched at a time
+// Confirm notes that the store, or a peer that asked it, vouched at a time
 // for the state believed.
-func (f *Follower) Confirmed(at time.Time) {
+func (f *Follower) Confirm(at time.Time) {
 	if at.After(f.confirmedAt) {
 		f.confirmedAt = at
 	}
@@ -298,9 +298,9 @@
 // ConfirmedAt is when the state was last confirmed; zero when it never was.
 func (f *Follower) ConfirmedAt() time.Time { return f.confirmedAt }
 
-// ConfirmedAge is how long ago the state was confirmed, and false where it
+// ConfirmationAge is how long ago the state was confirmed, and false where it
 // never was.
-func (f *Follower) ConfirmedAge(now time.Time) (time.Duration, bool) {
+func (f *Follower) ConfirmationAge(now time.Time) (time.Duration, bool) {
 	if f.confirmedAt.IsZero() {
 		return 0, false
 	}
@@ -316,7 +316,7 @@
 		}
 		if !k.heldUntil.IsZero() && !now.Before(k.heldUntil) {
 			k.heldUntil = time.Time{}
-			changes = append(changes, Change{ID: id, What: Gone, Revision: k.listed.Revision})
+			changes = append(changes, Change{ID: id, Kind: KindGone, Revision: k.listed.Revision})
 		}
 		if now.Sub(k.goneAt) > goneLife {
 			f.base = max(f.base, k.listed.Revision)
@@ -326,8 +326,8 @@
 	return changes
 }
 
-// Usable returns the upstreams that may be sent new work, by ID.
-func (f *Follower) Usable() []dispatcher.Instance {
+// UsableInstances returns the upstreams that may be sent new work, by ID.
+func (f *Follower) UsableInstances() []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, k := range f.instances {
 		if k.listed.Instance.Leaving || (k.listed.Gone && k.heldUntil.IsZero()) {
@@ -346,17 +346,17 @@
 // Revision is that of the store up to which all changes are known.
 func (f *Follower) Revision() int64 { return f.revision }
 
-// Content is the revision of the newest change believed. Two followers of one
+// NewestRevision is the revision of the newest change believed. Two followers of one
 // content believe the same.
-func (f *Follower) Content() int64 { return f.content }
+func (f *Follower) NewestRevision() int64 { return f.content }
 
-// Known reports whether a whole state was ever taken in.
-func (f *Follower) Known() bool { return f.configRevision > 0 }
+// HasState reports whether a whole state was ever taken in.
+func (f *Follower) HasState() bool { return f.configRevision > 0 }
 
-// Since returns what an entry that knows all changes up to a revision lacks, and
+// ChangesSince returns what an entry that knows all changes up to a revision lacks, and
 // whether that is the whole state, as it is where a removal since then may be
 // forgotten. The configuration is left out where the entry has that revision.
-func (f *Follower) Since(have, haveConfig int64) (s State, whole bool) {
+func (f *Follower) ChangesSince(have, haveConfig int64) (s State, whole bool) {
 	s.Revision = f.revision
 	if f.configRevision > haveConfig {
 		s.Config, s.ConfigRevision = f.config, f.configRevision
--- a/follower/outage_test.go
+++ b/follower/outage_test.go
@@ -108,7 +108,7 @@
 		}
 		for i, e := range o.entries {
 			e.Tick(o.now)
-			age, known := e.ConfirmedAge(o.now)
+			age, known := e.ConfirmationAge(o.now)
 			if o.tick%readTicks == i && (e.reads || !known || age > staleAge) {
 				o.read(e)
 			}
@@ -122,44 +122,44 @@
 
 func (o *outage) read(e *listener) {
 	if e.failing {
-		e.Failed(o.now)
+		e.RecordOwnFailure(o.now)
 		e.failedAt = o.now
 		return
 	}
 	s := follower.State{Revision: int64(len(o.changes)), Config: []byte("c"), ConfigRevision: 1}
 	if e.Revision() > 0 {
 		s.Instances = o.changes[e.Revision():]
-		e.Read(o.now, s, false)
+		e.ApplyStoreRead(o.now, s, false)
 		return
 	}
 	s.Instances = o.changes[len(o.changes)-1:]
-	e.Read(o.now, s, true)
+	e.ApplyStoreRead(o.now, s, true)
 }
 
 // tell has each entry hear each other, as heartbeats and fetches do.
 func (o *outage) tell() {
 	for _, from := range o.entries {
 		for _, to := range o.entries {
-			age, confirmed := from.ConfirmedAge(o.now)
+			age, confirmed := from.ConfirmationAge(o.now)
 			if from == to || !confirmed {
 				continue
 			}
-			if disturbed, ever := from.DisturbedAge(o.now); ever {
-				to.Disturbed(o.now.Add(-disturbed))
+			if disturbed, ever := from.FailureAge(o.now); ever {
+				to.RecordFailure(o.now.Add(-disturbed))
 			}
-			if from.Content() == to.Content() {
-				to.Confirmed(o.now.Add(-age))
+			if from.NewestRevision() == to.NewestRevision() {
+				to.Confirm(o.now.Add(-age))
 			}
-			if from.Content() <= to.Content() {
+			if from.NewestRevision() <= to.NewestRevision() {
 				continue
 			}
-			s, whole := from.Since(to.Revision(), 0)
+			s, whole := from.ChangesSince(to.Revision(), 0)
 			if whole {
-				to.Replace(o.now, s)
+				to.ApplySnapshot(o.now, s)
 			} else {
-				to.Apply(o.now, s)
+				to.ApplyChanges(o.now, s)
 			}
-			to.Confirmed(o.now.Add(-age))
+			to.Confirm(o.now.Add(-age))
 		}
 	}
 }
--- a/follower/since_test.go
+++ b/follower/since_test.go
@@ -59,12 +59,12 @@
 			if from.Revision() == 0 || to.Revision() > from.Revision() {
 				return
 			}
-			s, whole := from.Since(to.Revision(), 0)
+			s, whole := from.ChangesSince(to.Revision(), 0)
 			if whole {
-				to.Replace(now, s)
+				to.ApplySnapshot(now, s)
 				return
 			}
-			to.Apply(now, s)
+			to.ApplyChanges(now, s)
 		}
 		h.change("a", true)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -76,10 +76,10 @@
 			case "delete":
 				h.change(fmt.Sprintf("%c", 'a'+rapid.IntRange(0, 4).Draw(t, "id")), false)
 			case "read":
-				e.Replace(now, h.whole())
+				e.ApplySnapshot(now, h.whole())
 			case "watch":
 				if e.Revision() > 0 {
-					e.Apply(now, h.since(e.Revision()))
+					e.ApplyChanges(now, h.since(e.Revision()))
 				}
 			case "fetch":
 				fetch(entries[j], e)
@@ -89,7 +89,7 @@
 				e.Tick(now)
 			}
 		}
-		entries[0].Replace(now, h.whole())
+		entries[0].ApplySnapshot(now, h.whole())
 		for i, e := range entries {
 			fetch(entries[0], e)
 			if ids(e) != h.ids() {
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -232,7 +232,7 @@
 		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), Callers: at(entryPort), Ready: at(readyPort),
 		Peers: at(peerPort), Directory: at(directoryPort), Shares: at(sharePort), AddressLife: time.Second, Settings: settings,
 		Reload: func() (launcher.Settings, error) { return settings, nil },
-		Store:  controller.Store{Read: reader.Read, Watch: reader.Watch, Decode: platform.DecodeConfig}, InForce: 2 * time.Second,
+		Store:  controller.Store{Read: reader.Read, Watch: reader.Watch, DecodeConfig: platform.DecodeConfig}, InForce: 2 * time.Second,
 		Protocol: platform.Protocol(), Orders: platform.Orders(client), HoldTime: 3 * time.Second, MaxIdle: 9 * time.Second,
 		DirectoryHandler: platform.Directory, ReadyHandler: platform.Readiness,
 		Log: zap.NewNop(), Scope: tally.NoopScope, MetricsPage: http.NotFoundHandler(),
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -106,7 +106,7 @@
 	callers  *http.Server
 	// busy holds the connections of callers that are in use, listener is where they come
 	// from, and served is closed when no more do.
-	busy     *connector.Busy
+	busy     *connector.ActiveConns
 	listener net.Listener
 	served   chan struct{}
 	// cut ends all requests of callers with a cause.
@@ -118,11 +118,11 @@
 	c = c.withSystem()
 	quarantine := quarantiner.New()
 	board := dispatcher.New(c.DataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	l := &Launcher{config: c, budget: budgeter.New(c.Settings.Budget), busy: connector.NewBusy(), served: make(chan struct{})}
+	l := &Launcher{config: c, budget: budgeter.New(c.Settings.Budget), busy: connector.NewActiveConns(), served: make(chan struct{})}
 	l.settings.Store(&c.Settings)
 	l.controller = controller.New(controller.Config{
 		Name: c.Name, DataCentre: c.DataCentre, Incarnation: uint64(time.Now().UnixNano()),
-		Callers: c.Callers, Peers: c.Peers, Shares: c.Shares, Store: c.Store, InForce: c.InForce, Speed: c.Speed, SinceBoot: c.SinceBoot, Board: board, Quarantine: quarantine, Dial: c.Dial,
+		CallerAddress: c.Callers, PeerAddress: c.Peers, LoadAddress: c.Shares, Store: c.Store, MaxPropagation: c.InForce, Speed: c.Speed, SinceBoot: c.SinceBoot, Dispatcher: board, Quarantine: quarantine, Dial: c.Dial,
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	l.forwarder = forwarder.New(forwarder.Config{
@@ -190,15 +190,15 @@
 // listen opens the listeners for callers, checks and metrics.
 func (l *Launcher) listen(failed chan<- error) error {
 	c := l.config
-	l.callers = newCallerServer(l.forwarder, l.controller.View, l.busy.State)
+	l.callers = newCallerServer(l.forwarder, l.controller.View, l.busy.OnStateChange)
 	l.callers.BaseContext = l.baseContext()
 	servers := []struct {
 		address netip.AddrPort
 		server  *http.Server
 	}{
 		{c.Callers, l.callers},
-		{c.Ready, &http.Server{Handler: c.ReadyHandler(l.controller.Ready), ReadHeaderTimeout: headerTimeout}},
-		{c.Directory, &http.Server{Handler: c.DirectoryHandler(c.AddressLife, l.controller.Addresses), ReadHeaderTimeout: headerTimeout}},
+		{c.Ready, &http.Server{Handler: c.ReadyHandler(l.controller.IsReady), ReadHeaderTimeout: headerTimeout}},
+		{c.Directory, &http.Server{Handler: c.DirectoryHandler(c.AddressLife, l.controller.CallerAddresses), ReadHeaderTimeout: headerTimeout}},
 		{c.Metrics, &http.Server{Handler: l.operatorPages(), ReadHeaderTimeout: headerTimeout}},
 	}
 	for _, s := range servers {
@@ -254,14 +254,14 @@
 	by := began.Add(grace - stopMargin)
 	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", grace))
 	knownUntil := began.Add(keepFactor * l.config.AddressLife)
-	l.controller.Stop(knownUntil, by)
+	l.controller.AnnounceShutdown(knownUntil, by)
 	forget := knownUntil.Add(l.config.AddressLife / 2)
 	for time.Now().Before(earlier(forget, by)) {
 		time.Sleep(stopPoll)
 	}
 	_ = l.listener.Close()
 	<-l.served // every connection that was accepted is counted by now
-	l.busy.Await(by, stopPoll)
+	l.busy.WaitIdle(by, stopPoll)
 	l.endCallers()
 	for _, s := range l.servers {
 		_ = s.Close()
@@ -301,7 +301,7 @@
 			l.config.Log.Info("reload", zap.Bool("signalled", signalled), zap.Bool("changed", changed), zap.Int("seeds", len(s.Seeds)))
 			l.settings.Store(&s)
 			l.budget.Configure(s.Budget)
-			l.controller.Reseed(s.Seeds)
+			l.controller.SetSeeds(s.Seeds)
 		}
 		select {
 		case <-signals:
--- a/lister/example_test.go
+++ b/lister/example_test.go
@@ -11,14 +11,14 @@
 	now := time.Now()
 	l := lister.New(20 * time.Second)
 	// The platform is down; a peer has a list that is a minute old.
-	fmt.Println(l.Wants(now, "digest", time.Minute), l.Offer(now, []byte("old"), time.Minute))
+	fmt.Println(l.ShouldFetch(now, "digest", time.Minute), l.Offer(now, []byte("old"), time.Minute))
 	// The platform answers: its word goes first.
 	fmt.Println(l.Offer(now, []byte("new"), 0), string(l.Current()))
 	// A peer's list is not wanted while the platform confirms this one.
 	fmt.Println(l.Offer(now.Add(time.Second), []byte("other"), 500*time.Millisecond))
 	// Nor one that is older, once the platform is silent.
 	later := now.Add(time.Minute)
-	fmt.Println(l.Wants(later, "digest", 2*time.Minute), l.Wants(later, "digest", time.Second))
+	fmt.Println(l.ShouldFetch(later, "digest", 2*time.Minute), l.ShouldFetch(later, "digest", time.Second))
 	// Output:
 	// true true
 	// true new
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -50,9 +50,9 @@
 	return max(0, now.Sub(l.confirmed))
 }
 
-// Wants reports whether a peer's list, confirmed to it age ago, is worth
+// ShouldFetch reports whether a peer's list, confirmed to it age ago, is worth
 // fetching.
-func (l *Lister) Wants(now time.Time, digest string, age time.Duration) bool {
+func (l *Lister) ShouldFetch(now time.Time, digest string, age time.Duration) bool {
 	if age < 0 || digest == "" {
 		return false
 	}
@@ -76,7 +76,7 @@
 		return false
 	}
 	digest := validator.Digest(data)
-	if age > 0 && !l.Wants(now, digest, age) {
+	if age > 0 && !l.ShouldFetch(now, digest, age) {
 		return false
 	}
 	l.confirmed = now.Add(-age)
--- a/server/beat.go
+++ b/server/beat.go
@@ -88,7 +88,7 @@
 		c.heard(now, beat)
 		s.logQuarantined(now, s.quarantine.ApplyUpdate(now, beat.Quarantine), beat.From)
 		wanted = c.adopter.Wants(validator.Version{Revision: beat.Revision, Digest: beat.Digest}) ||
-			c.lister.Wants(now, beat.ListDigest, beat.ListAge)
+			c.lister.ShouldFetch(now, beat.ListDigest, beat.ListAge)
 	})
 	if !wanted {
 		return
--- a/server/crash.go
+++ b/server/crash.go
@@ -52,7 +52,7 @@
 	x.cut = true
 	s, id, content, broke := x.server, x.id, x.content, time.Now()
 	go func() {
-		if !s.presence.Gone(t.address) {
+		if !s.presence.HasExited(t.address) {
 			return
 		}
 		s.logs.route.Warn("upstream_ended", zap.String("request", id), zap.Stringer("content", content), zap.String("upstream", t.upstream),
--- a/server/peers.go
+++ b/server/peers.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		context.AfterFunc(ctx, func() { _ = connection.Close() })
-		go calls.ServeConn(connector.NewQueued(connection))
+		go calls.ServeConn(connector.NewQueuedConn(connection))
 	}
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -70,7 +70,7 @@
 	// quarantine holds the requests that are refused as they crash upstreams, presence finds out
 	// whether an upstream has ended.
 	quarantine *quarantiner.Quarantiner
-	presence   *connector.Presence
+	presence   *connector.ExitDetector
 
 	peers *connector.Pool
 	// engines is the client for short calls to engines, traffic for streams,
@@ -125,9 +125,9 @@
 		settings:   c.Settings,
 		control:    sequencer.New[*control](),
 		parsing:    make(chan struct{}, 1),
-		peers:      connector.New(dial),
+		peers:      connector.NewPool(dial),
 		calls:      newCallBoard(c.Settings.DataCentre),
-		quarantine: quarantiner.New(), presence: connector.NewPresence(dial),
+		quarantine: quarantiner.New(), presence: connector.NewExitDetector(dial),
 		engines: &http.Client{Transport: newTransport(dial, false), Timeout: engineCallTimeout},
 		traffic: &http.Client{Transport: newTransport(dial, false)},
 		single:  &http.Client{Transport: newTransport(dial, true)},
@@ -232,8 +232,8 @@
 	s.goRun(ctx, s.renew)
 	s.goRun(ctx, s.askPeers)
 
-	busy := connector.NewBusy()
-	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, ConnState: busy.State}
+	busy := connector.NewActiveConns()
+	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, ConnState: busy.OnStateChange}
 	failed := make(chan error, 1)
 	go func() { failed <- web.Serve(s.callerListener) }()
 	s.logs.entry.Info("started", zap.String("name", s.settings.Name), zap.Stringer("address", s.settings.Address),
@@ -267,7 +267,7 @@
 // drain tells peers and callers, serves what is in progress, and returns when
 // addresses given out earlier have expired. Shutdown drops a request that it
 // reads once it has begun, without an answer, so it comes after the last one.
-func (s *Server) drain(web *http.Server, busy *connector.Busy, served <-chan error) {
+func (s *Server) drain(web *http.Server, busy *connector.ActiveConns, served <-chan error) {
 	s.do(func(c *control) {
 		c.stopping = true
 		c.publish()
@@ -281,7 +281,7 @@
 	}
 	_ = s.callerListener.Close()
 	<-served // every connection that was accepted is counted by now
-	busy.Await(time.Time{}, drainPoll)
+	busy.WaitIdle(time.Time{}, drainPoll)
 	if err := web.Shutdown(context.Background()); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		s.logs.entry.Warn("shutdown", zap.Error(err))
 	}
--- a/server/slopes_test.go
+++ b/server/slopes_test.go
@@ -161,14 +161,14 @@
 	go func() {
 		connection, err := l.Accept()
 		if err == nil {
-			calls.ServeConn(connector.NewQueued(countingConn{connection, &sent}))
+			calls.ServeConn(connector.NewQueuedConn(countingConn{connection, &sent}))
 		}
 	}()
 	connection, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	client := rpc.NewClient(connector.NewQueued(countingConn{connection, &sent}))
+	client := rpc.NewClient(connector.NewQueuedConn(countingConn{connection, &sent}))
 	defer func() { _ = client.Close() }()
 	args := api.AskArgs{Engine: "engine-1", Model: "model", AttemptID: newID(), PrefillTokens: 1, MemoryTokens: 1, Remaining: time.Minute}
 	var reply api.AskReply
