--- a/controller/takers_test.go
+++ b/controller/callerentries_test.go
@@ -9,11 +9,11 @@
 	"github.com/matryer/is"
 )
 
-// fleetOf returns takers of two speeds, the fast ones first.
-func fleetOf(fast, slow int) []taker {
-	var out []taker
+// readyEntries returns takers of two speeds, the fast ones first.
+func readyEntries(fast, slow int) []readyEntry {
+	var out []readyEntry
 	for i := range fast + slow {
-		t := taker{address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), capacity: capacity{speed: 0.8}}
+		t := readyEntry{address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), capacity: capacity{speed: 0.8}}
 		if i >= fast {
 			t.speed = 0.192
 		}
@@ -25,39 +25,39 @@
 // Callers are sent to fast entries where there are enough, and to all where few are fast,
 // where speeds are not known or where the fast ones have too much to do.
 func TestPreferredEntries(t *testing.T) {
-	unknown := fleetOf(0, 9)
+	unknown := readyEntries(0, 9)
 	for i := range unknown {
 		unknown[i].speed = 0
 	}
-	mixed := fleetOf(0, 9)
+	mixed := readyEntries(0, 9)
 	mixed[0].speed = 0 // one that does not say
-	strain := func(takers []taker, n int) []taker {
+	strain := func(takers []readyEntry, n int) []readyEntry {
 		for i := range n {
-			takers[i].strained = true
+			takers[i].overloaded = true
 		}
 		return takers
 	}
 	for _, c := range []struct {
 		name   string
-		takers []taker
+		takers []readyEntry
 		want   int
 	}{
-		{"the large deployment", fleetOf(15, 80), 15},
-		{"few fast ones", fleetOf(5, 20), 25},
-		{"a small part of all speed", fleetOf(6, 160), 166},
-		{"six fast ones", fleetOf(6, 77), 6},
-		{"all alike", fleetOf(0, 9), 9},
+		{"the large deployment", readyEntries(15, 80), 15},
+		{"few fast ones", readyEntries(5, 20), 25},
+		{"a small part of all speed", readyEntries(6, 160), 166},
+		{"six fast ones", readyEntries(6, 77), 6},
+		{"all alike", readyEntries(0, 9), 9},
 		{"speeds not known", unknown, 9},
 		{"one not known", mixed, 8},
-		{"some fast ones strained", strain(fleetOf(15, 80), 3), 12},
-		{"most fast ones strained", strain(fleetOf(15, 80), 12), 83},
-		{"one strained of all alike", strain(fleetOf(0, 7), 1), 6},
-		{"all strained", strain(fleetOf(3, 4), 7), 7},
+		{"some fast ones strained", strain(readyEntries(15, 80), 3), 12},
+		{"most fast ones strained", strain(readyEntries(15, 80), 12), 83},
+		{"one strained of all alike", strain(readyEntries(0, 7), 1), 6},
+		{"all strained", strain(readyEntries(3, 4), 7), 7},
 		{"nobody", nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(len(preferred(c.takers)), c.want)
+			is.Equal(len(preferredEntries(c.takers)), c.want)
 		})
 	}
 }
@@ -70,21 +70,21 @@
 	changes := 0
 	tick := func(late time.Duration, n int) {
 		for range n {
-			if m.tick(late) {
+			if m.observe(late) {
 				changes++
 			}
 		}
 	}
 	tick(5*time.Millisecond, 50)
-	is.True(!m.strained)
+	is.True(!m.overloaded)
 	tick(4*time.Second, 1)
-	is.True(!m.strained)
+	is.True(!m.overloaded)
 	tick(60*time.Millisecond, 10)
-	is.True(m.strained)
+	is.True(m.overloaded)
 	tick(20*time.Millisecond, 50) // neither late enough nor calm
-	is.True(m.strained)
+	is.True(m.overloaded)
 	tick(time.Millisecond, 20)
-	is.True(!m.strained)
+	is.True(!m.overloaded)
 	is.Equal(changes, 2)
-	is.Equal(fmt.Sprint(m.lag < calmLag), "true")
+	is.Equal(fmt.Sprint(m.average < recoveredLag), "true")
 }
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -12,34 +12,34 @@
 )
 
 // logQuarantined logs requests that are refused from now on, as they crash what runs them.
-func (s *state) logQuarantined(now time.Time, verdicts []quarantiner.Decision, source string) {
-	for _, v := range verdicts {
+func (s *state) logQuarantined(now time.Time, decisions []quarantiner.Decision, source string) {
+	for _, v := range decisions {
 		s.controller.config.Log.Warn("quarantined", v.LogFields(now, source)...)
 	}
 }
 
-// membersChanged logs changes of members and has the view made anew.
-func (s *state) membersChanged(changes []prober.Change) {
+// applyMemberChanges logs changes of members and has the view made anew.
+func (s *state) applyMemberChanges(changes []prober.Change) {
 	for _, change := range changes {
 		s.controller.config.Log.Info("member", zap.String("name", change.Name), zap.String("from", string(change.From)),
 			zap.String("to", string(change.To)), zap.String("reason", change.Reason))
 		if change.To == prober.Dead {
-			s.died[change.Name] = time.Now()
+			s.diedAt[change.Name] = time.Now()
 		}
 		s.dirty = true
 	}
 }
 
-// mostUnreadable is how many unreadable entries of one answer of the store are logged
+// maxLoggedFaults is how many unreadable entries of one answer of the store are logged
 // one by one: enough to see who writes them.
-const mostUnreadable = 20
+const maxLoggedFaults = 20
 
 func (s *state) logStore(changes []follower.Change, source string) {
 	unreadable := 0
 	for _, change := range changes {
 		s.dirty = true
 		if change.Kind == follower.KindUnreadable {
-			if unreadable++; unreadable > mostUnreadable {
+			if unreadable++; unreadable > maxLoggedFaults {
 				continue
 			}
 		}
@@ -50,16 +50,16 @@
 		s.controller.config.Log.Info(event, zap.String("id", change.ID), zap.String("change", change.Kind),
 			zap.Int64("revision", change.Revision), zap.String("source", source), zap.Error(change.Err))
 	}
-	if unreadable > mostUnreadable {
-		s.controller.config.Log.Warn("upstreams_unreadable", zap.Int("count", unreadable), zap.Int("logged", mostUnreadable), zap.String("source", source))
+	if unreadable > maxLoggedFaults {
+		s.controller.config.Log.Warn("upstreams_unreadable", zap.Int("count", unreadable), zap.Int("logged", maxLoggedFaults), zap.String("source", source))
 	}
 }
 
-// logFaults logs items of the store that could not be read at all.
-func (s *state) logFaults(faults []error) {
+// logUnreadableItems logs items of the store that could not be read at all.
+func (s *state) logUnreadableItems(faults []error) {
 	for i, err := range faults {
-		if i == mostUnreadable {
-			s.controller.config.Log.Warn("items_unreadable", zap.Int("count", len(faults)), zap.Int("logged", mostUnreadable))
+		if i == maxLoggedFaults {
+			s.controller.config.Log.Warn("items_unreadable", zap.Int("count", len(faults)), zap.Int("logged", maxLoggedFaults))
 			return
 		}
 		s.controller.config.Log.Warn("item_unreadable", zap.Error(err))
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -67,33 +67,33 @@
 
 // Controller is the control side of an entry.
 type Controller struct {
-	config  Config
-	control *sequencer.Sequencer[*state]
-	current atomic.Pointer[view]
-	// pool carries heartbeats, fetches carries states: a heartbeat behind a
+	config    Config
+	sequencer *sequencer.Sequencer[*state]
+	current   atomic.Pointer[view]
+	// heartbeatPool carries heartbeats, fetches carries states: a heartbeat behind a
 	// large answer would be late.
-	pool, fetches *connector.Pool
-	compressed    compressedConfig
-	tellers       tellers
-	news          loadNews
-	// pushes asks for heartbeats to all peers at once, meetings for all load to be told
+	heartbeatPool, fetchPool *connector.Pool
+	compressed               compressedConfig
+	loadSenders              loadSenders
+	loadCounts               loadCounts
+	// heartbeatRequests asks for heartbeats to all peers at once, meetings for all load to be told
 	// to entries that are new here.
-	pushes, meetings chan struct{}
-	work             sync.WaitGroup
+	heartbeatRequests, newPeers chan struct{}
+	background                  sync.WaitGroup
 
 	metrics metrics
 }
 
 type metrics struct {
-	storeCalls, storeFailures            tally.Counter
-	revision, listAge, members, upstream tally.Gauge
+	storeCalls, storeFailures             tally.Counter
+	revision, listAge, members, upstreams tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
 		storeCalls: scope.Counter("store_calls"), storeFailures: scope.Counter("store_failures"),
 		revision: scope.Gauge("configuration_revision"), listAge: scope.Gauge("list_age_seconds"),
-		members: scope.Gauge("members_live"), upstream: scope.Gauge("upstreams"),
+		members: scope.Gauge("members_live"), upstreams: scope.Gauge("upstreams"),
 	}
 }
 
@@ -106,46 +106,46 @@
 	contacts   map[string]contact
 	// capacities are what other entries said of themselves, by name.
 	capacities map[string]capacity
-	lag        lagMeter
-	// died is when other entries were last taken for dead, by name.
-	died     map[string]time.Time
+	lagMeter   lagMeter
+	// diedAt is when other entries were last taken for dead, by name.
+	diedAt   map[string]time.Time
 	seeds    []netip.AddrPort
 	stopping bool
-	// stopBy is when a stopping entry ends, knownUntil until when callers may use its address.
-	stopBy, knownUntil time.Time
-	started            time.Time
-	lastTick           time.Time
-	lastBoot           time.Duration
+	// exitAt is when a stopping entry ends, knownUntil until when callers may use its address.
+	exitAt, addressValidUntil time.Time
+	started                   time.Time
+	lastTick                  time.Time
+	lastSinceBoot             time.Duration
 	// storeLost says that the last call to the store failed.
 	storeLost bool
 	// fetching is how many fetches from peers are in progress.
 	fetching int
 	dirty    bool
-	// unreadable is the revision of the newest configuration that could not be read.
-	unreadable int64
+	// unreadableRevision is the revision of the newest configuration that could not be read.
+	unreadableRevision int64
 }
 
 const (
-	// tickTime is the period of the control goroutine's own clock.
-	tickTime = 100 * time.Millisecond
-	// wokeAfter is a gap between ticks that means that this process stood
+	// tickPeriod is the period of the control goroutine's own clock.
+	tickPeriod = 100 * time.Millisecond
+	// suspendThreshold is a gap between ticks that means that this process stood
 	// still: ten ticks.
-	wokeAfter = time.Second
-	// confirmedShown is by how much the confirmation that views show may be
+	suspendThreshold = time.Second
+	// viewRefreshAge is by how much the confirmation that views show may be
 	// older than the newest.
-	confirmedShown = 300 * time.Millisecond
-	// acquaintTime is how long after its start an entry may not know all others
+	viewRefreshAge = 300 * time.Millisecond
+	// settleTime is how long after its start an entry may not know all others
 	// and their load: two heartbeats, and one round of shares.
-	acquaintTime = 2*beatTime + shareAll
-	// beatTime is the period of heartbeats: five in the time after which a
+	settleTime = 2*heartbeatPeriod + fullUpdatePeriod
+	// heartbeatPeriod is the period of heartbeats: five in the time after which a
 	// silent entry is suspected.
-	beatTime = 200 * time.Millisecond
-	// suspectTime is the silence after which an entry counts as dead: callers
+	heartbeatPeriod = 200 * time.Millisecond
+	// deadTimeout is the silence after which an entry counts as dead: callers
 	// that are told its address lose a second to it.
-	suspectTime = time.Second
-	// deadTold is how long entries that died are told of load: processes that are killed
+	deadTimeout = time.Second
+	// deadUpdateTime is how long entries that died are told of load: processes that are killed
 	// are back within seconds.
-	deadTold = 10 * time.Second
+	deadUpdateTime = 10 * time.Second
 	// neighbours is how many entries each entry sends heartbeats to.
 	neighbours = 4
 )
@@ -153,49 +153,49 @@
 // New returns a controller that knows nothing yet.
 func New(c Config) *Controller {
 	ctl := &Controller{
-		config: c, control: sequencer.New[*state](), pool: connector.NewPool(c.Dial), fetches: connector.NewPool(c.Dial),
-		pushes: make(chan struct{}, 1), meetings: make(chan struct{}, 1), metrics: newMetrics(c.Scope),
+		config: c, sequencer: sequencer.New[*state](), heartbeatPool: connector.NewPool(c.Dial), fetchPool: connector.NewPool(c.Dial),
+		heartbeatRequests: make(chan struct{}, 1), newPeers: make(chan struct{}, 1), metrics: newMetrics(c.Scope),
 	}
-	ctl.news.measure(c.Scope)
+	ctl.loadCounts.registerMetrics(c.Scope)
 	ctl.current.Store(&view{View: forwarder.View{MaxEntries: 1}})
 	return ctl
 }
 
 // Run works until the context ends. Seeds are peer addresses to begin with;
 // shares is the socket for other entries' loads.
-func (c *Controller) Run(ctx context.Context, seeds []netip.AddrPort, beats net.Listener, shares net.PacketConn) {
+func (c *Controller) Run(ctx context.Context, seeds []netip.AddrPort, peerListener net.Listener, loadSocket net.PacketConn) {
 	now := time.Now()
 	s := &state{
-		controller: c, follower: follower.New(), contacts: map[string]contact{}, capacities: map[string]capacity{}, died: map[string]time.Time{},
-		seeds: seeds, started: now, lastTick: now, lastBoot: c.config.SinceBoot(),
-		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, SuspectAfter: suspectTime}),
+		controller: c, follower: follower.New(), contacts: map[string]contact{}, capacities: map[string]capacity{}, diedAt: map[string]time.Time{},
+		seeds: seeds, started: now, lastTick: now, lastSinceBoot: c.config.SinceBoot(),
+		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, SuspectAfter: deadTimeout}),
 	}
 	s.follower.SetRemovalBound(c.config.MaxPropagation)
-	c.goRun(func() { c.follow(ctx) })
-	c.goRun(func() { c.beat(ctx) })
-	c.goRun(func() { c.tellShares(ctx, shares) })
-	go c.hearShares(shares)
-	go c.servePeers(beats)
+	c.goBackground(func() { c.followStore(ctx) })
+	c.goBackground(func() { c.sendHeartbeats(ctx) })
+	c.goBackground(func() { c.sendLoadUpdates(ctx, loadSocket) })
+	go c.receiveLoadUpdates(loadSocket)
+	go c.servePeers(peerListener)
 	context.AfterFunc(ctx, func() {
-		_ = beats.Close()
-		_ = shares.Close()
-		c.pool.Close()
-		c.fetches.Close()
+		_ = peerListener.Close()
+		_ = loadSocket.Close()
+		c.heartbeatPool.Close()
+		c.fetchPool.Close()
 	})
-	c.control.Run(ctx, s, tickTime, s.tick, s.publishDirty)
-	c.work.Wait()
+	c.sequencer.Run(ctx, s, tickPeriod, s.tick, s.publishDirty)
+	c.background.Wait()
 }
 
-func (c *Controller) goRun(f func()) {
-	c.work.Add(1)
+func (c *Controller) goBackground(f func()) {
+	c.background.Add(1)
 	go func() {
-		defer c.work.Done()
+		defer c.background.Done()
 		f()
 	}()
 }
 
 // do runs a command on the control goroutine and waits for it.
-func (c *Controller) do(command func(*state)) { c.control.Do(command) }
+func (c *Controller) do(command func(*state)) { c.sequencer.Do(command) }
 
 // publishDirty makes a new view where something changed.
 func (s *state) publishDirty() {
@@ -206,51 +206,51 @@
 
 // tick looks for pauses of this process, silent members and held upstreams.
 func (s *state) tick(now time.Time) {
-	boot := s.controller.config.SinceBoot()
+	sinceBoot := s.controller.config.SinceBoot()
 	// The monotonic clock stands still while an instance is suspended, the
 	// clock since boot doesn't.
-	suspended := boot - s.lastBoot - now.Sub(s.lastTick)
+	suspended := sinceBoot - s.lastSinceBoot - now.Sub(s.lastTick)
 	paused := now.Sub(s.lastTick) + max(0, suspended)
-	s.lastTick, s.lastBoot = now, boot
-	if s.lag.tick(max(0, paused-tickTime)) {
+	s.lastTick, s.lastSinceBoot = now, sinceBoot
+	if s.lagMeter.observe(max(0, paused-tickPeriod)) {
 		s.dirty = true
-		s.controller.config.Log.Info("strained", zap.Bool("strained", s.lag.strained), zap.Duration("lag_ms", s.lag.lag))
+		s.controller.config.Log.Info("strained", zap.Bool("strained", s.lagMeter.overloaded), zap.Duration("lag_ms", s.lagMeter.average))
 	}
-	if paused > wokeAfter {
+	if paused > suspendThreshold {
 		s.controller.config.Log.Warn("woke", zap.Duration("paused_ms", paused))
 		s.prober.ResetSilence(now)
 		s.follower.ClearConfirmation()
 		s.dirty = true
 	}
-	s.membersChanged(s.prober.Tick(now))
+	s.applyMemberChanges(s.prober.Tick(now))
 	s.logStore(s.follower.Tick(now), "hold_ended")
 	s.logQuarantined(now, s.controller.config.Quarantine.Evaluate(now), "own")
 	if age, ok := s.follower.ConfirmationAge(now); ok {
 		s.controller.metrics.listAge.Update(age.Seconds())
 	}
-	shown := s.controller.current.Load().ConfirmedAt
-	if s.follower.ConfirmedAt().Sub(shown) > confirmedShown || now.Sub(s.started) < 2*acquaintTime {
+	publishedAt := s.controller.current.Load().ConfirmedAt
+	if s.follower.ConfirmedAt().Sub(publishedAt) > viewRefreshAge || now.Sub(s.started) < 2*settleTime {
 		s.dirty = true
 	}
 }
 
-// meet has entries that are new here told of load.
-func (c *Controller) meet() {
+// requestFullLoad has entries that are new here told of load.
+func (c *Controller) requestFullLoad() {
 	select {
-	case c.meetings <- struct{}{}:
+	case c.newPeers <- struct{}{}:
 	default:
 	}
 }
 
-// runToken names one run of an entry in messages of shares: what an earlier run told says
+// incarnationToken names one run of an entry in messages of shares: what an earlier run told says
 // nothing of a later one.
-func runToken(name string, incarnation uint64) dispatcher.WireID {
+func incarnationToken(name string, incarnation uint64) dispatcher.WireID {
 	return dispatcher.WireIDOf(name + " " + strconv.FormatUint(incarnation, 10))
 }
 
 // capacity is what this entry can do.
 func (s *state) capacity() capacity {
-	return capacity{speed: s.controller.config.Speed, strained: s.lag.strained}
+	return capacity{speed: s.controller.config.Speed, overloaded: s.lagMeter.overloaded}
 }
 
 // View is what requests are served by.
@@ -261,12 +261,12 @@
 
 // AnnounceShutdown tells callers and other entries that this entry ends at a time. Callers may use its
 // address until knownUntil. When it returns, this entry is no longer ready.
-func (c *Controller) AnnounceShutdown(knownUntil, by time.Time) {
+func (c *Controller) AnnounceShutdown(addressValidUntil, exitAt time.Time) {
 	c.do(func(s *state) {
-		s.stopping, s.knownUntil, s.stopBy = true, knownUntil, by
+		s.stopping, s.addressValidUntil, s.exitAt = true, addressValidUntil, exitAt
 		s.publish()
 	})
-	c.push()
+	c.requestHeartbeats()
 }
 
 // SetSeeds takes over new seeds.
@@ -274,9 +274,9 @@
 	c.do(func(s *state) { s.seeds, s.dirty = seeds, true })
 }
 
-func (c *Controller) push() {
+func (c *Controller) requestHeartbeats() {
 	select {
-	case c.pushes <- struct{}{}:
+	case c.heartbeatRequests <- struct{}{}:
 	default:
 	}
 }
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -18,12 +18,12 @@
 	// fetchTimeout bounds a fetch from a peer: half of the shortest time in
 	// which a change has to be in force, so that another peer can be asked.
 	fetchTimeout = time.Second
-	// mostFetches is how many peers are asked at once: one more than is needed,
+	// maxFetches is how many peers are asked at once: one more than is needed,
 	// so that one that is gone does not hold up the news.
-	mostFetches = 2
-	// maxConfig is the largest configuration that is decompressed, in bytes; a
+	maxFetches = 2
+	// maxConfigSize is the largest configuration that is decompressed, in bytes; a
 	// value of the platform's store is a megabyte at most.
-	maxConfig = 8 << 20
+	maxConfigSize = 8 << 20
 )
 
 // FetchArgs asks for what a peer believes of the store.
@@ -57,7 +57,7 @@
 		reply.Known = ok && s.follower.HasState()
 		reply.Confirmed = age
 		reply.State, reply.Whole = s.follower.ChangesSince(args.Have, args.HaveConfig)
-		reply.Disturbed = s.disturbed(now)
+		reply.Disturbed = s.storeFailureAge(now)
 	})
 	if reply.State.Config == nil {
 		return nil
@@ -68,20 +68,20 @@
 	return err
 }
 
-// neverDisturbed is told by an entry that knows of no failure of the store.
-const neverDisturbed = -1
+// neverFailed is told by an entry that knows of no failure of the store.
+const neverFailed = -1
 
-// disturbed is how long ago the store failed this entry or one that told it.
-func (s *state) disturbed(now time.Time) time.Duration {
+// storeFailureAge is how long ago the store failed this entry or one that told it.
+func (s *state) storeFailureAge(now time.Time) time.Duration {
 	age, ever := s.follower.FailureAge(now)
 	if !ever {
-		return neverDisturbed
+		return neverFailed
 	}
 	return age
 }
 
-// hearDisturbed takes in how long ago the store failed another entry.
-func (s *state) hearDisturbed(now time.Time, age time.Duration) {
+// recordStoreFailure takes in how long ago the store failed another entry.
+func (s *state) recordStoreFailure(now time.Time, age time.Duration) {
 	if age >= 0 {
 		s.follower.RecordFailure(now.Add(-age))
 	}
@@ -97,11 +97,11 @@
 
 // compress returns a configuration compressed. The lock is held meanwhile, so that
 // entries that ask at the same time wait for one.
-func (p *compressedConfig) compress(revision int64, config []byte) ([]byte, error) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.revision == revision {
-		return p.data, nil
+func (c *compressedConfig) compress(revision int64, config []byte) ([]byte, error) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.revision == revision {
+		return c.data, nil
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -114,28 +114,28 @@
 	if err := w.Close(); err != nil {
 		return nil, fmt.Errorf("compress configuration: %w", err)
 	}
-	p.revision, p.data = revision, out.Bytes()
-	return p.data, nil
+	c.revision, c.data = revision, out.Bytes()
+	return c.data, nil
 }
 
 // decompress inflates a configuration.
 func decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
-	config, err := io.ReadAll(io.LimitReader(r, maxConfig+1))
+	config, err := io.ReadAll(io.LimitReader(r, maxConfigSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("decompress configuration: %w", err)
 	}
-	if len(config) > maxConfig {
-		return nil, fmt.Errorf("decompress configuration: over %d bytes", maxConfig)
+	if len(config) > maxConfigSize {
+		return nil, fmt.Errorf("decompress configuration: over %d bytes", maxConfigSize)
 	}
 	return config, nil
 }
 
-// fetch asks a peer for what it believes of the store.
-func (c *Controller) fetch(address netip.AddrPort, source string, have FetchArgs) {
+// fetchState asks a peer for what it believes of the store.
+func (c *Controller) fetchState(address netip.AddrPort, source string, have FetchArgs) {
 	defer c.do(func(s *state) { s.fetching-- })
 	var reply FetchReply
-	err := c.fetches.Call(address, rpcName+".Fetch", have, &reply, fetchTimeout)
+	err := c.fetchPool.Call(address, rpcName+".Fetch", have, &reply, fetchTimeout)
 	if err == nil && len(reply.Config) > 0 {
 		reply.State.Config, err = decompress(reply.Config)
 	}
@@ -147,8 +147,8 @@
 		return
 	}
 	now := time.Now()
-	c.do(func(s *state) { s.hearDisturbed(now, reply.Disturbed) })
-	c.take(reply.State, source, func(s *state, now time.Time, got follower.State) []follower.Change {
+	c.do(func(s *state) { s.recordStoreFailure(now, reply.Disturbed) })
+	c.applyState(reply.State, source, func(s *state, now time.Time, got follower.State) []follower.Change {
 		defer s.follower.Confirm(now.Add(-reply.Confirmed))
 		if reply.Whole {
 			return s.follower.ApplySnapshot(now, got)
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -33,10 +33,10 @@
 type entry struct {
 	quarantine *quarantiner.Quarantiner
 	*controller.Controller
-	board *dispatcher.Dispatcher
-	host  netip.Addr
-	stop  context.CancelFunc
-	ended chan struct{}
+	dispatcher *dispatcher.Dispatcher
+	host       netip.Addr
+	stop       context.CancelFunc
+	ended      chan struct{}
 }
 
 // fleet is controllers before one store, in virtual time.
@@ -63,12 +63,12 @@
 		f.is.NoErr(err)
 		f.server = &http.Server{Handler: f.store}
 		go func() { _ = f.server.Serve(listener) }()
-		f.configure(1)
+		f.putVersion(1)
 		for i := range 3 {
-			f.list(fmt.Sprintf("i-%d", i), "ready")
+			f.register(fmt.Sprintf("i-%d", i), "ready")
 		}
 		for i := range size {
-			f.entries = append(f.entries, f.start(i))
+			f.entries = append(f.entries, f.startEntry(i))
 		}
 		defer f.end()
 		time.Sleep(2 * time.Second)
@@ -109,13 +109,13 @@
 
 func hostOf(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(1 + i%3), 0, byte(10 + i)}) }
 
-func (f *fleet) start(i int) *entry {
+func (f *fleet) startEntry(i int) *entry {
 	host := hostOf(i)
 	f.started++
 	board := dispatcher.New(fmt.Sprintf("dc-%d", i%3), rand.New(rand.NewPCG(1, uint64(i))))
 	client := &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(host), DisableKeepAlives: true}}
 	reader := platform.NewStore(client, storeAddress)
-	e := &entry{board: board, quarantine: quarantiner.New(), host: host, ended: make(chan struct{})}
+	e := &entry{dispatcher: board, quarantine: quarantiner.New(), host: host, ended: make(chan struct{})}
 	config := controller.Config{
 		Name: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), Incarnation: uint64(f.started),
 		CallerAddress: netip.AddrPortFrom(host, 80), PeerAddress: netip.AddrPortFrom(host, 81), LoadAddress: netip.AddrPortFrom(host, 82),
@@ -141,10 +141,10 @@
 	return e
 }
 
-func (f *fleet) configure(version int) { f.configureRoutes(version, 1) }
+func (f *fleet) putVersion(version int) { f.putConfig(version, 1) }
 
-// configureRoutes writes a configuration with a number of routes.
-func (f *fleet) configureRoutes(version, count int) {
+// putConfig writes a configuration with a number of routes.
+func (f *fleet) putConfig(version, count int) {
 	var routes []any
 	for i := range count {
 		routes = append(routes, map[string]any{
@@ -161,16 +161,16 @@
 	f.store.Put("op/config", map[string]any{"version": version, "routes": routes, "services": services})
 }
 
-func (f *fleet) list(id, state string) { f.listOf("app", id, state) }
+func (f *fleet) register(id, state string) { f.registerAt("app", id, state) }
 
-func (f *fleet) listOf(service, id, state string) {
+func (f *fleet) registerAt(service, id, state string) {
 	u := store.NewUpstream(service, netip.MustParseAddrPort("10.1.0.200:80"))
 	u.Slots, u.State = 4, state
 	f.store.Put("servers/"+id, u)
 }
 
-// within waits until a condition holds, and fails after a time.
-func (f *fleet) within(limit time.Duration, what string, holds func(*entry) bool) {
+// eventually waits until a condition holds, and fails after a time.
+func (f *fleet) eventually(limit time.Duration, what string, holds func(*entry) bool) {
 	f.t.Helper()
 	began := time.Now()
 	for {
@@ -191,28 +191,28 @@
 	}
 }
 
-func version(v int) func(*entry) bool {
+func hasVersion(v int) func(*entry) bool {
 	return func(e *entry) bool {
 		t := e.View().Table
 		return t != nil && t.Config.Version == int64(v)
 	}
 }
 
-func usable(n int) func(*entry) bool {
-	return func(e *entry) bool { return e.board.UpstreamCount("app") == n }
+func hasUsable(n int) func(*entry) bool {
+	return func(e *entry) bool { return e.dispatcher.UpstreamCount("app") == n }
 }
 
-// running is how many requests the entry believes to run at all upstreams.
-func (e *entry) running() int {
+// requestCount is how many requests the entry believes to run at all upstreams.
+func (e *entry) requestCount() int {
 	sum := 0
-	for _, row := range e.board.Upstreams(time.Now()) {
+	for _, row := range e.dispatcher.Upstreams(time.Now()) {
 		sum += row.Load.Running
 	}
 	return sum
 }
 
-func knowing(n int) func(*entry) bool {
-	return func(e *entry) bool { return e.running() == n }
+func hasRequests(n int) func(*entry) bool {
+	return func(e *entry) bool { return e.requestCount() == n }
 }
 
 // All entries know each other and the store soon after their start.
@@ -221,7 +221,7 @@
 		for _, e := range f.entries {
 			f.is.True(e.IsReady())
 			f.is.Equal(len(e.CallerAddresses("dc-0")), 7)
-			f.is.Equal(e.board.UpstreamCount("app"), 3)
+			f.is.Equal(e.dispatcher.UpstreamCount("app"), 3)
 		}
 	})
 }
@@ -230,12 +230,12 @@
 // everywhere well within two seconds, though most entries read no store.
 func TestChangesReachAllEntries(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
-		f.configure(2)
-		f.within(time.Second, "version 2", version(2))
-		f.list("i-1", "draining")
-		f.within(time.Second, "i-1 leaving", usable(2))
+		f.putVersion(2)
+		f.eventually(time.Second, "version 2", hasVersion(2))
+		f.register("i-1", "draining")
+		f.eventually(time.Second, "i-1 leaving", hasUsable(2))
 		f.store.Delete("servers/i-2")
-		f.within(time.Second, "i-2 gone", usable(1))
+		f.eventually(time.Second, "i-2 gone", hasUsable(1))
 	})
 }
 
@@ -258,8 +258,8 @@
 		for i := range f.entries[1:] {
 			f.net.Cut(f.entries[i].host, storeAddress.Addr())
 		}
-		f.configure(2)
-		f.within(1900*time.Millisecond, "version 2", version(2))
+		f.putVersion(2)
+		f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
 	})
 }
 
@@ -274,8 +274,8 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		f.configure(2)
-		f.within(1900*time.Millisecond, "version 2", version(2))
+		f.putVersion(2)
+		f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
 	})
 }
 
@@ -288,17 +288,17 @@
 			withFleet(t, 5, func(f *fleet) {
 				f.store.SetMode(mode)
 				time.Sleep(4 * time.Second)
-				f.within(0, "upstreams kept", usable(3))
+				f.eventually(0, "upstreams kept", hasUsable(3))
 				f.store.Delete("servers/i-0")
 				f.store.Delete("servers/i-1")
 				f.store.Compact()
-				f.configure(2)
+				f.putVersion(2)
 				f.store.SetMode(store.Up)
-				f.within(1900*time.Millisecond, "version 2", version(2))
-				f.within(0, "lapsed upstreams held", usable(3))
-				f.list("i-0", "ready")
+				f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
+				f.eventually(0, "lapsed upstreams held", hasUsable(3))
+				f.register("i-0", "ready")
 				time.Sleep(3 * time.Second)
-				f.within(0, "lapsed upstream gone", usable(2))
+				f.eventually(0, "lapsed upstream gone", hasUsable(2))
 			})
 		})
 	}
@@ -309,12 +309,12 @@
 func TestSlowStoreWithoutHistory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		f.store.SetMode(store.Late)
-		f.configure(2)
+		f.putVersion(2)
 		f.store.Compact()
-		f.within(1900*time.Millisecond, "version 2", version(2))
-		f.list("i-1", "draining")
+		f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
+		f.register("i-1", "draining")
 		f.store.Compact()
-		f.within(1900*time.Millisecond, "i-1 leaving", usable(2))
+		f.eventually(1900*time.Millisecond, "i-1 leaving", hasUsable(2))
 	})
 }
 
@@ -324,9 +324,9 @@
 	withFleet(t, 3, func(f *fleet) {
 		f.store.Put("op/config", json.RawMessage(`{"version":2,"routes":[{"name":"r","kind":"odd"}]}`))
 		time.Sleep(time.Second)
-		f.within(0, "version 1 kept", version(1))
-		f.configure(3)
-		f.within(time.Second, "version 3", version(3))
+		f.eventually(0, "version 1 kept", hasVersion(1))
+		f.putVersion(3)
+		f.eventually(time.Second, "version 3", hasVersion(3))
 	})
 }
 
@@ -344,8 +344,8 @@
 		}
 		time.Sleep(2 * time.Second)
 		for v := 2; v < 5; v++ {
-			f.configureRoutes(v, 1400)
-			f.within(2*time.Second, fmt.Sprintf("version %d", v), version(v))
+			f.putConfig(v, 1400)
+			f.eventually(2*time.Second, fmt.Sprintf("version %d", v), hasVersion(v))
 		}
 	})
 }
@@ -357,9 +357,9 @@
 		f.net.Kill(dead.host)
 		dead.end()
 		f.entries = f.entries[:4]
-		f.within(2500*time.Millisecond, "dead entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
-		f.entries = append(f.entries, f.start(4))
-		f.within(2*time.Second, "new incarnation listed", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 5 })
+		f.eventually(2500*time.Millisecond, "dead entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
+		f.entries = append(f.entries, f.startEntry(4))
+		f.eventually(2*time.Second, "new incarnation listed", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 5 })
 	})
 }
 
@@ -368,18 +368,18 @@
 	withFleet(t, 5, func(f *fleet) {
 		f.entries[0].AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(5*time.Second))
 		f.is.True(!f.entries[0].IsReady())
-		f.within(300*time.Millisecond, "stopping entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
+		f.eventually(300*time.Millisecond, "stopping entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
 	})
 }
 
 // What one entry places, the others know within milliseconds.
 func TestLoadReachesOtherEntries(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
-		p, refusal := f.entries[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+		p, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 		f.is.True(refusal == nil)
 		time.Sleep(20 * time.Millisecond)
 		for range 3 {
-			q, refusal := f.entries[1].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			q, refusal := f.entries[1].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
 			if q.First.ID == p.First.ID {
 				f.is.Equal(q.Load.Running, 1)
@@ -393,7 +393,7 @@
 func TestRestartedEntryReceivesLoad(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		place := func(e *entry) *dispatcher.Placement {
-			p, refusal := e.board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			p, refusal := e.dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
 			return p
 		}
@@ -402,13 +402,13 @@
 		}
 		place(f.entries[2])
 		time.Sleep(150 * time.Millisecond) // past the time at which all load is told again
-		f.is.Equal(f.entries[0].running(), 6)
+		f.is.Equal(f.entries[0].requestCount(), 6)
 		f.entries[2].end()
 		f.net.Kill(f.entries[2].host)
-		f.entries[2] = f.start(2)
+		f.entries[2] = f.startEntry(2)
 		time.Sleep(250 * time.Millisecond)
-		f.is.Equal(f.entries[2].running(), 5)
-		f.is.Equal(f.entries[0].running(), 5)
+		f.is.Equal(f.entries[2].requestCount(), 5)
+		f.is.Equal(f.entries[0].requestCount(), 5)
 	})
 }
 
@@ -421,15 +421,15 @@
 		}
 		f.store.PutBytes("servers/i-1", []byte{0xff, 0})
 		f.store.PutItem("op/config", json.RawMessage(`"?"`))
-		f.within(time.Second, "i-1 unreadable", usable(2))
-		f.within(0, "version 1 kept", version(1))
+		f.eventually(time.Second, "i-1 unreadable", hasUsable(2))
+		f.eventually(0, "version 1 kept", hasVersion(1))
 		f.store.Compact() // the whole state is read again, the unreadable items with it
-		f.list("i-3", "ready")
-		f.within(1900*time.Millisecond, "i-3 listed", usable(3))
-		f.list("i-1", "ready")
-		f.configure(2)
-		f.within(time.Second, "i-1 back", usable(4))
-		f.within(time.Second, "version 2", version(2))
+		f.register("i-3", "ready")
+		f.eventually(1900*time.Millisecond, "i-3 listed", hasUsable(3))
+		f.register("i-1", "ready")
+		f.putVersion(2)
+		f.eventually(time.Second, "i-1 back", hasUsable(4))
+		f.eventually(time.Second, "version 2", hasVersion(2))
 	})
 }
 
@@ -441,7 +441,7 @@
 		f.store.Put("servers/i-1", u.BornAt(first))
 		born := func(at time.Time) func(*entry) bool {
 			return func(e *entry) bool {
-				for _, row := range e.board.Upstreams(time.Now()) {
+				for _, row := range e.dispatcher.Upstreams(time.Now()) {
 					if row.Instance.ID == "i-1" {
 						return row.Instance.Started.UnixMilli() == at.UnixMilli()
 					}
@@ -449,9 +449,9 @@
 				return false
 			}
 		}
-		f.within(time.Second, "first run", born(first))
+		f.eventually(time.Second, "first run", born(first))
 		f.store.Put("servers/i-1", u.BornAt(first.Add(time.Minute)))
-		f.within(time.Second, "second run", born(first.Add(time.Minute)))
+		f.eventually(time.Second, "second run", born(first.Add(time.Minute)))
 	})
 }
 
@@ -473,12 +473,12 @@
 			}
 		}
 		place := func() {
-			_, refusal := f.entries[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			_, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
 		}
 		for n := 1; n <= 20; n++ {
 			place()
-			f.within(20*time.Millisecond, "load told", knowing(n))
+			f.eventually(20*time.Millisecond, "load told", hasRequests(n))
 		}
 		lock.Lock()
 		f.is.True(across*4 < within) // 2 of 2 + 7 + 14 datagrams
@@ -489,7 +489,7 @@
 		}
 		f.entries = append(f.entries[:1], f.entries[7:]...)
 		place()
-		f.within(3*time.Second, "load told in spite of dead relays", knowing(21))
+		f.eventually(3*time.Second, "load told in spite of dead relays", hasRequests(21))
 	})
 }
 
@@ -513,9 +513,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		for n := 1; n <= 10; n++ {
-			_, refusal := all[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			_, refusal := all[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
-			f.within(20*time.Millisecond, "load told to all, those that stop too", knowing(n))
+			f.eventually(20*time.Millisecond, "load told to all, those that stop too", hasRequests(n))
 		}
 		for _, e := range stopped {
 			f.net.Kill(e.host)
@@ -523,9 +523,9 @@
 		}
 		f.entries = others
 		for n := 11; n <= 30; n++ {
-			_, refusal := all[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			_, refusal := all[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
-			f.within(20*time.Millisecond, "load told", knowing(n))
+			f.eventually(20*time.Millisecond, "load told", hasRequests(n))
 		}
 	})
 }
@@ -537,7 +537,7 @@
 func TestHeavyPromptsReachAllDespiteDeadRelays(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i := range 20 {
-			f.listOf("lm", fmt.Sprintf("e-%d", i), "ready")
+			f.registerAt("lm", fmt.Sprintf("e-%d", i), "ready")
 		}
 		time.Sleep(5 * time.Second) // until most have heard each other
 		for _, e := range f.entries[15:] {
@@ -547,9 +547,9 @@
 		f.entries = f.entries[:15]
 		for n := 1; n <= 20; n++ {
 			d := dispatcher.Demand{Service: "lm", PromptTokens: 250000, AnswerTokens: 500, FirstByteTarget: 4 * time.Second, GapTarget: time.Second, MaxWait: 15 * time.Second, Admitted: true}
-			_, refusal := f.entries[0].board.Place(time.Now(), d)
+			_, refusal := f.entries[0].dispatcher.Place(time.Now(), d)
 			f.is.True(refusal == nil)
-			f.within(20*time.Millisecond, "heavy prompt told", knowing(n))
+			f.eventually(20*time.Millisecond, "heavy prompt told", hasRequests(n))
 		}
 	})
 }
@@ -565,15 +565,15 @@
 		named := func(wanted bool) func(*entry) bool {
 			return func(e *entry) bool { return slices.Contains(e.CallerAddresses("dc-0"), address) == wanted }
 		}
-		f.within(10*time.Second, "address of an entry that serves", named(true))
+		f.eventually(10*time.Second, "address of an entry that serves", named(true))
 		one.AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(8*time.Second))
-		f.within(time.Second, "address of an entry that stops gone", named(false))
+		f.eventually(time.Second, "address of an entry that stops gone", named(false))
 		time.Sleep(3 * time.Second)
 		one.end()
 		f.net.Kill(one.host)
 		time.Sleep(500 * time.Millisecond)
-		f.entries[7] = f.start(7)
-		f.within(2*time.Second, "address of an entry that is back", named(true))
+		f.entries[7] = f.startEntry(7)
+		f.eventually(2*time.Second, "address of an entry that is back", named(true))
 	})
 }
 
@@ -581,9 +581,9 @@
 func TestStatusReportsLoadMessages(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for n := 1; n <= 20; n++ {
-			_, refusal := f.entries[0].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			_, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
-			f.within(20*time.Millisecond, "load told", knowing(n))
+			f.eventually(20*time.Millisecond, "load told", hasRequests(n))
 		}
 		first := f.entries[0].Status()
 		f.is.Equal(first.LoadNews.Peers, 23)
@@ -615,7 +615,7 @@
 		time.Sleep(8 * time.Second)
 		all := f.entries
 		place := func(e *entry) {
-			_, refusal := e.board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			_, refusal := e.dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
 		}
 		hosts := map[netip.Addr]bool{}
@@ -640,10 +640,10 @@
 			f.entries = all[:fast]
 			count(true)
 			place(all[0])
-			f.within(20*time.Millisecond, "load told to entries that place", knowing(n))
+			f.eventually(20*time.Millisecond, "load told to entries that place", hasRequests(n))
 			count(false)
 			f.entries = all
-			f.within(900*time.Millisecond, "load told to all", knowing(n))
+			f.eventually(900*time.Millisecond, "load told to all", hasRequests(n))
 		}
 		lock.Lock()
 		f.is.True(toSlow < 10*slow/2) // two relays each time, all where a repeat falls into it
@@ -651,9 +651,9 @@
 		asked := all[fast]
 		place(asked)
 		f.entries = append([]*entry{asked}, all[:fast]...)
-		f.within(20*time.Millisecond, "load of an entry that was asked", knowing(11))
+		f.eventually(20*time.Millisecond, "load of an entry that was asked", hasRequests(11))
 		place(all[0])
-		f.within(20*time.Millisecond, "load told to an entry that was asked", knowing(12))
+		f.eventually(20*time.Millisecond, "load told to an entry that was asked", hasRequests(12))
 		f.entries = all
 	})
 }
@@ -683,16 +683,16 @@
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(2 * time.Second)
 		for _, e := range f.entries[:50] {
-			_, refusal := e.board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+			_, refusal := e.dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
 		}
 		f.entries[59].end()
 		f.net.Kill(f.entries[59].host)
-		f.entries[59] = f.start(59)
+		f.entries[59] = f.startEntry(59)
 		time.Sleep(500 * time.Millisecond)
-		_, refusal := f.entries[59].board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+		_, refusal := f.entries[59].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 		f.is.True(refusal == nil)
-		f.within(time.Second, "load of all", knowing(51))
+		f.eventually(time.Second, "load of all", hasRequests(51))
 	})
 }
 
@@ -707,9 +707,9 @@
 		if calls := f.store.Calls() - before; calls > 500 {
 			t.Errorf("%d calls in an outage of 8 s", calls)
 		}
-		f.configure(2)
+		f.putVersion(2)
 		f.store.SetMode(store.Up)
-		f.within(2*time.Second, "version 2", version(2))
+		f.eventually(2*time.Second, "version 2", hasVersion(2))
 	})
 }
 
@@ -724,12 +724,12 @@
 		}
 		time.Sleep(2 * time.Second)
 		for i := 30; i < 60; i++ {
-			f.entries[i] = f.start(i)
+			f.entries[i] = f.startEntry(i)
 		}
 		placed := 0
 		for _, e := range f.entries {
 			for range 2 {
-				_, refusal := e.board.Place(time.Now(), dispatcher.Demand{Service: "app"})
+				_, refusal := e.dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 				if refusal == nil {
 					placed++
 				}
@@ -737,6 +737,6 @@
 			}
 		}
 		f.is.True(placed >= 60)
-		f.within(1500*time.Millisecond, "load of all", knowing(placed))
+		f.eventually(1500*time.Millisecond, "load of all", hasRequests(placed))
 	})
 }
--- /dev/null
+++ b/controller/loadcounts.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"sync/atomic"
+
+	"github.com/uber-go/tally/v4"
+
+	"github.com/sapphireramp/sapphireramp/api"
+)
+
+// messageCount counts messages and their bytes, for status and metrics.
+type messageCount struct {
+	messages, bytes atomic.Int64
+	metric          tally.Counter
+}
+
+func (m *messageCount) add(size int) {
+	m.messages.Add(1)
+	m.bytes.Add(int64(size))
+	m.metric.Inc(int64(size))
+}
+
+func (m *messageCount) status() api.MessageCount {
+	return api.MessageCount{Messages: m.messages.Load(), Bytes: m.bytes.Load()}
+}
+
+// loadCounts counts what this entry told others of load, and heard.
+type loadCounts struct {
+	sent, relayed, received messageCount
+	malformed               atomic.Int64
+}
+
+func (l *loadCounts) registerMetrics(scope tally.Scope) {
+	l.sent.metric, l.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
+	l.received.metric = scope.Counter("load_bytes_heard")
+}
+
+func (n *loadCounts) status(v *view) *api.LoadNews {
+	return &api.LoadNews{
+		Peers: v.allPaths.count(), PlacingPeers: v.placingPaths.count(), RelayedCentres: len(v.allPaths.relayed),
+		Told: n.sent.status(), Relayed: n.relayed.status(), Heard: n.received.status(), Malformed: n.malformed.Load(),
+	}
+}
--- /dev/null
+++ b/controller/loadupdates.go
@@ -0,0 +1,166 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/sapphireramp/sapphireramp/dispatcher"
+	"github.com/sapphireramp/sapphireramp/sleeper"
+)
+
+const (
+	// updateDelay is how soon a change of load is told: shorter than an engine's
+	// shortest pass, and long enough to tell several changes at once.
+	updateDelay = 5 * time.Millisecond
+	// fullUpdatePeriod is how often all load is told again, since datagrams are lost.
+	fullUpdatePeriod = 700 * time.Millisecond
+	// heavyPromptRelays is how many entries of another data centre pass on that a heavy prompt was placed: where half of
+	// them have just died, unnoticed yet, one message in sixteen is lost. There are few of them.
+	heavyPromptRelays = 4
+	// maxDatagram is the largest message read.
+	maxDatagram = 2048
+)
+
+// sendLoadUpdates tells other entries of this one's load at upstreams.
+func (c *Controller) sendLoadUpdates(ctx context.Context, socket net.PacketConn) {
+	fullUpdate := time.NewTicker(fullUpdatePeriod)
+	defer fullUpdate.Stop()
+	sent := map[string]uint64{}
+	for {
+		all := false
+		select {
+		case <-ctx.Done():
+			return
+		case <-fullUpdate.C:
+			all = true
+		case <-c.newPeers:
+			sent = c.sendAllToNewPeers(socket, sent)
+			continue
+		case <-c.config.Dispatcher.Changed:
+			if !sleeper.Sleep(ctx, updateDelay) {
+				return
+			}
+		}
+		c.sendChanges(socket, all)
+	}
+}
+
+// sendChanges tells what changed, or all of the load. A heavy prompt that others don't know of costs what they place
+// at its engines seconds, so that news of one goes by several relays.
+func (c *Controller) sendChanges(socket net.PacketConn, all bool) {
+	loads := c.config.Dispatcher.Export(time.Now(), all)
+	if all {
+		c.sendAlong(socket, c.encodeUpdate(loads), c.current.Load().allPaths, dispatcher.RelayToAll, 1)
+		return
+	}
+	var heavy, others []dispatcher.RequestLoad
+	for _, s := range loads {
+		if s.LongPrefill {
+			heavy = append(heavy, s)
+		} else {
+			others = append(others, s)
+		}
+	}
+	paths := c.current.Load().placingPaths
+	c.sendAlong(socket, c.encodeUpdate(heavy), paths, dispatcher.RelayToPlacing, heavyPromptRelays)
+	c.sendAlong(socket, c.encodeUpdate(others), paths, dispatcher.RelayToPlacing, 1)
+}
+
+func (c *Controller) encodeUpdate(loads []dispatcher.RequestLoad) [][]byte {
+	if len(loads) == 0 {
+		return nil
+	}
+	return dispatcher.EncodeLoadUpdates(incarnationToken(c.config.Name, c.config.Incarnation), loads)
+}
+
+// sendAlong sends messages to entries: changes to those that place requests, all of the load
+// to each. One datagram goes to each other data centre that has many entries, or as many as there are to be
+// relays, and on from there. Bytes between data centres then grow with their number and not with that of
+// entries.
+func (c *Controller) sendAlong(socket net.PacketConn, messages [][]byte, paths loadPaths, relayTo dispatcher.RelayTarget, relays int) {
+	for _, m := range messages {
+		c.sendEach(socket, m, paths.direct, &c.loadCounts.sent)
+		for _, group := range paths.relayed {
+			first := rand.IntN(len(group))
+			for i := range min(relays, len(group)) {
+				c.send(socket, dispatcher.WrapForRelay(relayTo, m), group[(first+i)%len(group)], &c.loadCounts.sent)
+			}
+		}
+	}
+}
+
+// sendAllToNewPeers sends all load to entries that are new here, of which the result holds those
+// told.
+func (c *Controller) sendAllToNewPeers(socket net.PacketConn, sent map[string]uint64) map[string]uint64 {
+	peers := c.current.Load().peers
+	var messages [][]byte
+	for _, p := range peers {
+		if known, ok := sent[p.name]; ok && known == p.incarnation {
+			continue
+		}
+		if messages == nil {
+			messages = c.encodeUpdate(c.config.Dispatcher.RequestLoads(time.Now()))
+		}
+		for _, m := range messages {
+			c.send(socket, m, p.loadAddress, &c.loadCounts.sent)
+		}
+	}
+	return incarnations(peers)
+}
+
+func (c *Controller) sendEach(socket net.PacketConn, message []byte, to []netip.AddrPort, count *messageCount) {
+	for _, address := range to {
+		c.send(socket, message, address, count)
+	}
+}
+
+func (c *Controller) send(socket net.PacketConn, message []byte, to netip.AddrPort, count *messageCount) {
+	count.add(len(message))
+	if _, err := socket.WriteTo(message, net.UDPAddrFromAddrPort(to)); err != nil {
+		c.config.Log.Debug("share_not_sent", zap.Stringer("peer", to), zap.Error(err))
+	}
+}
+
+// receiveLoadUpdates takes in other entries' load until the socket is closed.
+func (c *Controller) receiveLoadUpdates(socket net.PacketConn) {
+	buffer := make([]byte, maxDatagram)
+	var malformed logLimiter
+	for {
+		n, from, err := socket.ReadFrom(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			c.config.Log.Debug("share_not_read", zap.Error(err))
+			time.Sleep(updateDelay)
+			continue
+		}
+		c.loadCounts.received.add(n)
+		relay, message := dispatcher.UnwrapRelay(buffer[:n])
+		peer, loads, err := dispatcher.DecodeLoadUpdate(message)
+		if err != nil {
+			c.loadCounts.malformed.Add(1)
+			if skipped, ok := malformed.allow(time.Now()); ok {
+				c.config.Log.Warn("share_malformed", zap.Stringer("from", from), zap.Int("skipped", skipped), zap.Error(err))
+			}
+			continue
+		}
+		now := time.Now()
+		switch relay {
+		case dispatcher.RelayToAll:
+			c.sendEach(socket, message, c.current.Load().allPaths.local, &c.loadCounts.relayed)
+		case dispatcher.RelayToPlacing:
+			c.sendEach(socket, message, c.current.Load().placingPaths.local, &c.loadCounts.relayed)
+		}
+		if c.loadSenders.received(now, peer) {
+			c.do(func(s *state) { s.dirty = true })
+		}
+		c.config.Dispatcher.Import(now, peer, loads)
+	}
+}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -19,23 +19,23 @@
 const (
 	// rpcName is the name of the service between entries.
 	rpcName = "Peer"
-	// beatTimeout bounds a heartbeat: two periods.
-	beatTimeout = 400 * time.Millisecond
-	// mostContacts is how many other entries a heartbeat names to one that
+	// heartbeatTimeout bounds a heartbeat: two periods.
+	heartbeatTimeout = 400 * time.Millisecond
+	// maxContacts is how many other entries a heartbeat names to one that
 	// knows fewer, fewContacts to one that knows as many: the latter is there
 	// for entries that each know others.
-	mostContacts = 16
-	fewContacts  = 1
-	// mostPushed is how many entries are told at once of a change; more learn
+	maxContacts = 16
+	minContacts = 1
+	// maxImmediateHeartbeats is how many entries are told at once of a change; more learn
 	// of it by the usual heartbeats.
-	mostPushed = 16
+	maxImmediateHeartbeats = 16
 )
 
 // contact is how another entry is reached.
 type contact struct {
-	name           string
-	callers, peers netip.AddrPort
-	dataCentre     string
+	name                       string
+	callerAddress, peerAddress netip.AddrPort
+	dataCentre                 string
 }
 
 // Contact is a contact on the wire.
@@ -75,14 +75,14 @@
 
 // Beat takes in another entry's heartbeat and answers with this one's.
 func (p *PeerService) Beat(beat Beat, reply *Beat) error {
-	p.controller.heard(beat)
+	p.controller.receiveHeartbeat(beat)
 	p.controller.do(func(s *state) {
-		contacts := fewContacts
+		limit := minContacts
 		if beat.Knows < len(s.contacts) {
-			contacts = mostContacts
+			limit = maxContacts
 		}
 		now := time.Now()
-		*reply = s.beat(now, contacts)
+		*reply = s.heartbeat(now, limit)
 		reply.Quarantine = s.controller.config.Quarantine.ReplyUpdate(now, beat.Quarantine)
 	})
 	if reply.From == "" {
@@ -104,57 +104,57 @@
 		}
 		if err != nil {
 			c.config.Log.Warn("accept_peer", zap.Error(err))
-			time.Sleep(tickTime)
+			time.Sleep(tickPeriod)
 			continue
 		}
 		go calls.ServeConn(connector.NewQueuedConn(connection))
 	}
 }
 
-// beat sends heartbeats until the context ends.
-func (c *Controller) beat(ctx context.Context) {
-	tick := time.NewTicker(beatTime)
+// sendHeartbeats sends heartbeats until the context ends.
+func (c *Controller) sendHeartbeats(ctx context.Context) {
+	tick := time.NewTicker(heartbeatPeriod)
 	defer tick.Stop()
-	c.beatTo(false)
+	c.exchangeHeartbeats(false)
 	for {
 		all := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-c.pushes:
+		case <-c.heartbeatRequests:
 			all = true
 		}
-		c.beatTo(all)
+		c.exchangeHeartbeats(all)
 	}
 }
 
-// beatTo exchanges a heartbeat with each target, without waiting for answers.
-func (c *Controller) beatTo(all bool) {
+// exchangeHeartbeats exchanges a heartbeat with each target, without waiting for answers.
+func (c *Controller) exchangeHeartbeats(all bool) {
 	var targets []netip.AddrPort
 	var beat Beat
 	c.do(func(s *state) {
 		now := time.Now()
-		targets = s.targets(now, all)
-		beat = s.beat(now, fewContacts)
+		targets = s.heartbeatTargets(now, all)
+		beat = s.heartbeat(now, minContacts)
 		beat.Quarantine = c.config.Quarantine.HeartbeatUpdate(now)
 	})
 	for _, address := range targets {
 		go func() {
 			var reply Beat
-			err := c.pool.Call(address, rpcName+".Beat", beat, &reply, beatTimeout)
+			err := c.heartbeatPool.Call(address, rpcName+".Beat", beat, &reply, heartbeatTimeout)
 			if err != nil {
 				c.config.Log.Debug("beat_failed", zap.Stringer("peer", address), zap.Error(err))
 				return
 			}
-			c.heard(reply)
+			c.receiveHeartbeat(reply)
 		}()
 	}
 }
 
-// targets are the peers to send a heartbeat: neighbours or, after a change,
+// heartbeatTargets are the peers to send a heartbeat: neighbours or, after a change,
 // all that are live, and seeds at which no live entry is known.
-func (s *state) targets(now time.Time, all bool) []netip.AddrPort {
+func (s *state) heartbeatTargets(now time.Time, all bool) []netip.AddrPort {
 	live := map[netip.AddrPort]bool{s.controller.config.PeerAddress: true}
 	var out []netip.AddrPort
 	for _, m := range s.prober.Members() {
@@ -168,7 +168,7 @@
 	}
 	if all {
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-		return out[:min(len(out), mostPushed)]
+		return out[:min(len(out), maxImmediateHeartbeats)]
 	}
 	for _, m := range s.prober.BeginRound(now) {
 		out = append(out, m.PeerAddress)
@@ -182,8 +182,8 @@
 	return out
 }
 
-// beat is what this entry says of itself, and of some other entries.
-func (s *state) beat(now time.Time, contacts int) Beat {
+// heartbeat is what this entry says of itself, and of some other entries.
+func (s *state) heartbeat(now time.Time, limit int) Beat {
 	c := s.controller.config
 	_, revision := s.follower.Config()
 	age, ok := s.follower.ConfirmationAge(now)
@@ -193,29 +193,29 @@
 			Stopping: s.stopping, Ready: s.table != nil, Revision: uint64(revision), Notices: s.prober.NextNotices(),
 		},
 		Knows: len(s.contacts), Known: ok && s.follower.HasState(), Content: s.follower.NewestRevision(), Confirmed: age,
-		Disturbed: s.disturbed(now), Speed: c.Speed, Strained: s.lag.strained,
+		Disturbed: s.storeFailureAge(now), Speed: c.Speed, Strained: s.lagMeter.overloaded,
 	}
 	for _, k := range s.contacts {
-		if len(b.Contacts) == contacts {
+		if len(b.Contacts) == limit {
 			break // the order of a map is drawn anew each time
 		}
-		b.Contacts = append(b.Contacts, Contact{Name: k.name, Callers: k.callers, Peers: k.peers, DataCentre: k.dataCentre})
+		b.Contacts = append(b.Contacts, Contact{Name: k.name, Callers: k.callerAddress, Peers: k.peerAddress, DataCentre: k.dataCentre})
 	}
 	return b
 }
 
-// heard takes in a heartbeat, and fetches what the sender has newer.
-func (c *Controller) heard(b Beat) {
+// receiveHeartbeat takes in a heartbeat, and fetches what the sender has newer.
+func (c *Controller) receiveHeartbeat(b Beat) {
 	fetch := false
 	var have FetchArgs
 	c.do(func(s *state) {
 		now := time.Now()
-		s.heard(now, b)
-		s.hearDisturbed(now, b.Disturbed)
+		s.applyHeartbeat(now, b)
+		s.recordStoreFailure(now, b.Disturbed)
 		s.logQuarantined(now, c.config.Quarantine.ApplyUpdate(now, b.Quarantine), b.From)
 		have.Have = s.follower.Revision()
 		_, have.HaveConfig = s.follower.Config()
-		fetch = b.Known && (b.Content > s.follower.NewestRevision() || !s.follower.HasState()) && s.fetching < mostFetches
+		fetch = b.Known && (b.Content > s.follower.NewestRevision() || !s.follower.HasState()) && s.fetching < maxFetches
 		if fetch {
 			s.fetching++
 		}
@@ -224,42 +224,42 @@
 		}
 	})
 	if fetch {
-		go c.fetch(b.PeerAddress, b.From, have)
+		go c.fetchState(b.PeerAddress, b.From, have)
 	}
 }
 
-func (s *state) heard(now time.Time, b Beat) {
-	before, known := s.prober.Find(b.From)
-	s.meet(now, contact{name: b.From, callers: b.Address, peers: b.PeerAddress, dataCentre: b.DataCentre})
+func (s *state) applyHeartbeat(now time.Time, b Beat) {
+	before, wasKnown := s.prober.Find(b.From)
+	s.addContact(now, contact{name: b.From, callerAddress: b.Address, peerAddress: b.PeerAddress, dataCentre: b.DataCentre})
 	for _, k := range b.Contacts {
-		s.meet(now, contact{name: k.Name, callers: k.Callers, peers: k.Peers, dataCentre: k.DataCentre})
+		s.addContact(now, contact{name: k.Name, callerAddress: k.Callers, peerAddress: k.Peers, dataCentre: k.DataCentre})
 	}
-	s.membersChanged(s.prober.ReceiveHeartbeat(now, b.Heartbeat))
+	s.applyMemberChanges(s.prober.ReceiveHeartbeat(now, b.Heartbeat))
 	after, _ := s.prober.Find(b.From)
-	told := capacity{speed: b.Speed, strained: b.Strained}
-	if s.capacities[b.From] != told {
-		s.capacities[b.From] = told
+	reported := capacity{speed: b.Speed, overloaded: b.Strained}
+	if s.capacities[b.From] != reported {
+		s.capacities[b.From] = reported
 		s.dirty = true
 	}
-	if !known || before.Ready != after.Ready || before.Incarnation != after.Incarnation || before.Address != after.Address {
+	if !wasKnown || before.Ready != after.Ready || before.Incarnation != after.Incarnation || before.Address != after.Address {
 		s.dirty = true
 	}
 }
 
-// meet notes how another entry is reached, where that is news.
-func (s *state) meet(now time.Time, k contact) {
-	if k.name == s.controller.config.Name {
+// addContact notes how another entry is reached, where that is news.
+func (s *state) addContact(now time.Time, added contact) {
+	if added.name == s.controller.config.Name {
 		return
 	}
-	if _, ok := s.contacts[k.name]; ok {
+	if _, ok := s.contacts[added.name]; ok {
 		return
 	}
-	s.contacts[k.name] = k
+	s.contacts[added.name] = added
 	s.dirty = true
 	var list []api.Instance
-	for _, k := range s.contacts {
+	for _, added := range s.contacts {
 		list = append(list, api.Instance{
-			Name: k.name, Kind: api.KindEntry, Address: k.callers.String(), PeerAddress: k.peers.String(), DataCentre: k.dataCentre,
+			Name: added.name, Kind: api.KindEntry, Address: added.callerAddress.String(), PeerAddress: added.peerAddress.String(), DataCentre: added.dataCentre,
 		})
 	}
 	s.prober.ApplyInstanceList(now, list)
--- a/controller/status.go
+++ b/controller/status.go
@@ -22,7 +22,7 @@
 			Failures: row.Load.FailureRate,
 		})
 	}
-	status.LoadNews = c.news.status(c.current.Load())
+	status.LoadNews = c.loadCounts.status(c.current.Load())
 	status.Violations = c.config.Asserter.Violations()
 	return status
 }
@@ -37,19 +37,19 @@
 	if age, ok := s.follower.ConfirmationAge(now); ok {
 		status.Confirmed = age
 	}
-	takes := map[string]bool{}
-	for _, t := range s.controller.current.Load().takers {
-		takes[t.name] = true
+	getsCallers := map[string]bool{}
+	for _, t := range s.controller.current.Load().callerEntries {
+		getsCallers[t.name] = true
 	}
 	for _, m := range s.prober.Members() {
-		told := s.capacities[m.Name]
-		line := api.MemberStatus{
-			Name: m.Name, State: string(m.State), Incarnation: m.Incarnation, Speed: told.speed, Strained: told.strained, Takes: takes[m.Name],
+		reported := s.capacities[m.Name]
+		member := api.MemberStatus{
+			Name: m.Name, State: string(m.State), Incarnation: m.Incarnation, Speed: reported.speed, Strained: reported.overloaded, Takes: getsCallers[m.Name],
 		}
 		if !m.LastHeartbeat.IsZero() {
-			line.Heard = now.Sub(m.LastHeartbeat)
+			member.Heard = now.Sub(m.LastHeartbeat)
 		}
-		status.Members = append(status.Members, line)
+		status.Members = append(status.Members, member)
 	}
 	return status
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -12,23 +12,23 @@
 type view struct {
 	forwarder.View
 	ready bool
-	// takers are the entries that callers are told.
-	takers []taker
-	peers  []peer
-	// paths lead to all peers, placing to those that place requests.
-	paths, placing sharePaths
+	// callerEntries are the entries that callers are told.
+	callerEntries []readyEntry
+	peers         []peer
+	// allPaths lead to all peers, placing to those that place requests.
+	allPaths, placingPaths loadPaths
 }
 
 type peer struct {
 	name        string
 	incarnation uint64
-	beats       netip.AddrPort
-	shares      netip.AddrPort
+	address     netip.AddrPort
+	loadAddress netip.AddrPort
 	dataCentre  string
 	// dead entries are told of load, but count as no peers.
 	dead, stopping bool
-	// places is false of entries that take no callers now, as far as is known here.
-	places bool
+	// placing is false of entries that take no callers now, as far as is known here.
+	placing bool
 }
 
 // publish makes a view of the state.
@@ -38,84 +38,84 @@
 	_, configRevision := s.follower.Config()
 	v := &view{
 		View: forwarder.View{
-			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), ConfirmationTTL: part(c.config.MaxPropagation, trustPart),
-			StoreUnavailable: s.storeLost, MaxEntries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.stopBy, AddressValidUntil: s.knownUntil,
+			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), ConfirmationTTL: fractionOf(c.config.MaxPropagation, trustFraction),
+			StoreUnavailable: s.storeLost, MaxEntries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.exitAt, AddressValidUntil: s.addressValidUntil,
 		},
 		ready: s.table != nil && !s.stopping,
 	}
 	if v.ready {
-		v.takers = append(v.takers, taker{name: c.config.Name, address: c.config.CallerAddress, dataCentre: c.config.DataCentre, capacity: s.capacity()})
+		v.callerEntries = append(v.callerEntries, readyEntry{name: c.config.Name, address: c.config.CallerAddress, dataCentre: c.config.DataCentre, capacity: s.capacity()})
 	}
-	heard := s.addMembers(v)
-	ready := v.takers
+	live := s.addMembers(v)
+	ready := v.callerEntries
 	v.OtherEntries = len(ready)
 	if v.ready {
 		v.OtherEntries--
 	}
-	v.takers = preferred(ready)
-	c.tellers.spare(time.Now(), v.peers, unasked(ready, v.takers))
-	v.paths, v.placing = pathsOf(c.config.DataCentre, v.peers, everyone), pathsOf(c.config.DataCentre, v.peers, places)
-	met := s.noticeRestarts(v.peers)
-	c.config.Dispatcher.SetPeers(living(v.peers), s.blind(heard))
+	v.callerEntries = preferredEntries(ready)
+	c.loadSenders.markPlacing(time.Now(), v.peers, withoutCallers(ready, v.callerEntries))
+	v.allPaths, v.placingPaths = buildLoadPaths(c.config.DataCentre, v.peers, anyPeer), buildLoadPaths(c.config.DataCentre, v.peers, isPlacing)
+	hasNewPeers := s.forgetRestarted(v.peers)
+	c.config.Dispatcher.SetPeers(countLive(v.peers), s.isBlind(live))
 	usable := s.follower.UsableInstances()
 	if s.table != nil {
 		c.config.Dispatcher.Update(s.table, usable)
 	}
 	c.config.Quarantine.SetUpstreamCount(len(usable))
 	c.metrics.revision.Update(float64(configRevision))
-	c.metrics.members.Update(float64(heard))
-	c.metrics.upstream.Update(float64(len(usable)))
+	c.metrics.members.Update(float64(live))
+	c.metrics.upstreams.Update(float64(len(usable)))
 	c.current.Store(v)
-	if met {
+	if hasNewPeers {
 		// Only now: who tells them looks for them in the view.
-		c.meet()
+		c.requestFullLoad()
 	}
 }
 
 // addMembers adds the other entries to a view, and returns how many of them were heard lately.
 func (s *state) addMembers(v *view) int {
-	c, heard := s.controller, 0
+	c, live := s.controller, 0
 	for _, m := range s.prober.Members() {
 		// Others have told of those that are ready and were not heard here.
 		if m.Ready && (m.State == prober.Live || m.State == prober.Listed) {
-			v.takers = append(v.takers, taker{name: m.Name, address: m.Address, dataCentre: m.DataCentre, capacity: s.capacities[m.Name]})
+			v.callerEntries = append(v.callerEntries, readyEntry{name: m.Name, address: m.Address, dataCentre: m.DataCentre, capacity: s.capacities[m.Name]})
 		}
 		if m.State == prober.Live || m.State == prober.Stopping {
-			heard++
+			live++
 		}
 		// One that was not heard yet is told of load too: in a fleet of a hundred it takes
 		// ten seconds until an entry that has just started has heard most others itself. So
 		// is one that died lately: most start again at once, seconds before all know.
 		dead := m.State == prober.Dead
-		if m.PeerAddress.IsValid() && (!dead || time.Since(s.died[m.Name]) < deadTold) {
+		if m.PeerAddress.IsValid() && (!dead || time.Since(s.diedAt[m.Name]) < deadUpdateTime) {
 			v.peers = append(v.peers, peer{
-				name: m.Name, incarnation: m.Incarnation, beats: m.PeerAddress, dataCentre: m.DataCentre, dead: dead, stopping: m.State == prober.Stopping,
-				shares: netip.AddrPortFrom(m.PeerAddress.Addr(), c.config.LoadAddress.Port()),
+				name: m.Name, incarnation: m.Incarnation, address: m.PeerAddress, dataCentre: m.DataCentre, dead: dead, stopping: m.State == prober.Stopping,
+				loadAddress: netip.AddrPortFrom(m.PeerAddress.Addr(), c.config.LoadAddress.Port()),
 			})
 		}
 	}
-	return heard
+	return live
 }
 
-// noticeRestarts forgets the load of entries that have started anew, and reports whether any
+// forgetRestarted forgets the load of entries that have started anew, and reports whether any
 // are new here, which are then told of all of this one's. Otherwise a restarted entry would know nothing
 // for up to shareAll of what others have placed, and put long prompts on the engines with most answers.
-func (s *state) noticeRestarts(peers []peer) bool {
+func (s *state) forgetRestarted(peers []peer) bool {
 	c := s.controller
 	before := incarnations(c.current.Load().peers)
-	met := false
+	hasNewPeers := false
 	for _, p := range peers {
 		known, ok := before[p.name]
 		if ok && known < p.incarnation {
-			c.config.Dispatcher.ForgetPeer(time.Now(), runToken(p.name, known))
+			c.config.Dispatcher.ForgetPeer(time.Now(), incarnationToken(p.name, known))
 		}
-		met = met || !ok || known != p.incarnation
+		hasNewPeers = hasNewPeers || !ok || known != p.incarnation
 	}
-	return met
+	return hasNewPeers
 }
 
-// living is how many of the peers are not dead.
-func living(peers []peer) int {
+// countLive is how many of the peers are not dead.
+func countLive(peers []peer) int {
 	n := 0
 	for _, p := range peers {
 		if !p.dead {
@@ -134,11 +134,11 @@
 	return out
 }
 
-// blind reports whether this entry may not know what others place: it has
+// isBlind reports whether this entry may not know what others place: it has
 // just started, or hears nobody though there are others.
-func (s *state) blind(heard int) bool {
-	if heard == 0 {
+func (s *state) isBlind(live int) bool {
+	if live == 0 {
 		return len(s.seeds) > 1
 	}
-	return time.Since(s.started) < acquaintTime
+	return time.Since(s.started) < settleTime
 }
