--- a/connector/pool_test.go
+++ b/connector/pool_test.go
@@ -53,7 +53,7 @@
 // A fleet of a thousand entries, each of which calls another one each 0.1 s: an entry held a connection to
 // every other one for as long as it ran, with a queue, buffers and codecs of some 50 KB at either end, most
 // of its memory.
-func TestIdleConnectionsAreClosed(t *testing.T) {
+func TestConnectionsWithoutCallsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var peers fakePeers
--- a/connector/queue_test.go
+++ b/connector/queue_test.go
@@ -30,7 +30,7 @@
 }
 
 // A heartbeat in 0.2 s has one message under way: a thousand connections without any took 24 MB for queues.
-func TestIdleQueueUsesLittleMemory(t *testing.T) {
+func TestIdleQueueTakesLittleMemory(t *testing.T) {
 	is := is.New(t)
 	const connections, most = 1000, 4 << 10
 	held := make([]net.Conn, connections)
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// returnTime is how long after an outage of the store an upstream whose
+	// reregisterTime is how long after an outage of the store an upstream whose
 	// entry lapsed may take to register again: the platform's pages promise
 	// about two seconds, and 300 ms are added for the way here.
-	returnTime = 2300 * time.Millisecond
-	// goneLife is how long the removal of an entry is remembered, so that an
+	reregisterTime = 2300 * time.Millisecond
+	// removalTTL is how long the removal of an entry is remembered, so that an
 	// older state of another entry does not bring it back. States of peers are
 	// younger than this by their confirmation.
-	goneLife = 5 * time.Minute
-	// readGap is the longest time between two reads of the store that leaves no room
+	removalTTL = 5 * time.Minute
+	// maxReadGap is the longest time between two reads of the store that leaves no room
 	// for an outage between them: a watch, its answer and the pause after it take
 	// 0.7 s, and no lease of an upstream is shorter than twice this.
-	readGap = 1500 * time.Millisecond
-	// usualRemovalBound is the shortest time that a platform has given so far.
-	usualRemovalBound = 2 * time.Second
+	maxReadGap = 1500 * time.Millisecond
+	// defaultRemovalBound is the shortest time that a platform has given so far.
+	defaultRemovalBound = 2 * time.Second
 )
 
 // ErrHistoryGone says that the store no longer has the changes asked for, so
@@ -82,30 +82,30 @@
 	KindUnreadable = "unreadable"
 )
 
-type known struct {
+type knownInstance struct {
 	listed Listed
-	// heldUntil is set on an instance whose entry is gone while it may still
+	// retainedUntil is set on an instance whose entry is gone while it may still
 	// return after an outage of the store; zero otherwise.
-	heldUntil time.Time
-	goneAt    time.Time
+	retainedUntil time.Time
+	removedAt     time.Time
 }
 
 // Follower holds the beliefs. It is not safe for concurrent use.
 type Follower struct {
 	revision int64
-	// base is the revision from which on every removal is remembered: what came
+	// baseRevision is the revision from which on every removal is remembered: what came
 	// and went before the newest whole state was never known.
-	base           int64
-	content        int64
+	baseRevision   int64
+	newestRevision int64
 	config         []byte
 	configRevision int64
-	instances      map[string]*known
-	// disturbedAt is when the store last failed this entry or one that told so;
+	instances      map[string]*knownInstance
+	// lastFailureAt is when the store last failed this entry or one that told so;
 	// zero when it never did.
-	disturbedAt time.Time
-	// failedAt and servedAt are when the store last failed and last served this
+	lastFailureAt time.Time
+	// ownFailureAt and servedAt are when the store last failed and last served this
 	// entry itself; zero when it never did.
-	failedAt, servedAt time.Time
+	ownFailureAt, ownReadAt time.Time
 	// removalBound is how long a removed upstream may get work at most.
 	removalBound time.Duration
 	// confirmedAt is when the store last confirmed the state, to this entry or
@@ -115,7 +115,7 @@
 
 // New returns a follower that knows nothing, with the usual bound on removals.
 func New() *Follower {
-	return &Follower{instances: map[string]*known{}, removalBound: usualRemovalBound}
+	return &Follower{instances: map[string]*knownInstance{}, removalBound: defaultRemovalBound}
 }
 
 // SetRemovalBound sets how long after its removal an upstream may get work at most.
@@ -124,17 +124,17 @@
 // ApplySnapshot takes in a whole state that another entry believes. An upstream that it
 // does not list is gone. A state older than the belief is ignored.
 func (f *Follower) ApplySnapshot(now time.Time, s State) []Change {
-	return f.replace(now, s, f.lapseLeft(now))
+	return f.mergeSnapshot(now, s, f.retentionTime(now))
 }
 
-// replace takes in a whole state; the upstreams of entries that are missing in it
+// mergeSnapshot takes in a whole state; the upstreams of entries that are missing in it
 // are held for a time.
-func (f *Follower) replace(now time.Time, s State, held time.Duration) []Change {
+func (f *Follower) mergeSnapshot(now time.Time, s State, retention time.Duration) []Change {
 	if s.Revision < f.revision {
 		return nil
 	}
 	if s.Revision > f.revision {
-		f.base = s.Revision
+		f.baseRevision = s.Revision
 	}
 	changes := f.ApplyChanges(now, s)
 	listed := make(map[string]bool, len(s.Instances))
@@ -143,7 +143,7 @@
 	}
 	for id, k := range f.instances {
 		if !listed[id] && !k.listed.Gone && k.listed.Revision <= s.Revision {
-			changes = append(changes, f.remove(now, id, s.Revision, held)...)
+			changes = append(changes, f.remove(now, id, s.Revision, retention)...)
 		}
 	}
 	return changes
@@ -156,23 +156,23 @@
 // removals are meant, and those whom it tells take that over. That keeps what was
 // removed from getting work for 2.3 s, over the 2 s that the platform allows, where
 // the store turns only some entries away.
-func (f *Follower) ApplyStoreRead(now time.Time, s State, whole bool) []Change {
-	doubtful := f.failedAt.After(f.servedAt) || now.Sub(f.servedAt) > readGap
-	held := time.Duration(0)
+func (f *Follower) ApplyStoreRead(now time.Time, s State, complete bool) []Change {
+	doubtful := f.ownFailureAt.After(f.ownReadAt) || now.Sub(f.ownReadAt) > maxReadGap
+	retention := time.Duration(0)
 	if doubtful {
-		held = f.lapseLeft(now)
+		retention = f.retentionTime(now)
 	}
 	s.Instances = slices.Clone(s.Instances)
 	for i := range s.Instances {
 		s.Instances[i].Doubtful = doubtful
 	}
 	var changes []Change
-	if whole {
-		changes = f.replace(now, s, held)
+	if complete {
+		changes = f.mergeSnapshot(now, s, retention)
 	} else {
 		changes = f.ApplyChanges(now, s)
 	}
-	f.servedAt = now
+	f.ownReadAt = now
 	f.Confirm(now)
 	return changes
 }
@@ -183,33 +183,33 @@
 	var changes []Change
 	if s.Config != nil && s.ConfigRevision > f.configRevision {
 		f.config, f.configRevision = s.Config, s.ConfigRevision
-		f.content = max(f.content, s.ConfigRevision)
+		f.newestRevision = max(f.newestRevision, s.ConfigRevision)
 		changes = append(changes, Change{Kind: KindConfig, Revision: s.ConfigRevision})
 	}
 	for _, l := range s.Instances {
-		changes = append(changes, f.take(now, l)...)
+		changes = append(changes, f.applyListed(now, l)...)
 	}
 	f.revision = max(f.revision, s.Revision)
 	return changes
 }
 
-func (f *Follower) take(now time.Time, l Listed) []Change {
+func (f *Follower) applyListed(now time.Time, l Listed) []Change {
 	id := l.Instance.ID
 	k, ok := f.instances[id]
 	if ok && l.Revision <= k.listed.Revision {
 		return nil
 	}
 	if l.Gone {
-		held := time.Duration(0)
+		retention := time.Duration(0)
 		if l.Doubtful {
-			held = f.lapseLeft(now)
+			retention = f.retentionTime(now)
 		}
-		changes := f.remove(now, id, l.Revision, held)
+		changes := f.remove(now, id, l.Revision, retention)
 		f.instances[id].listed.Doubtful = l.Doubtful
 		return changes
 	}
-	f.content = max(f.content, l.Revision)
-	f.instances[id] = &known{listed: l}
+	f.newestRevision = max(f.newestRevision, l.Revision)
+	f.instances[id] = &knownInstance{listed: l}
 	switch {
 	case l.Fault != nil && ok && k.listed.Fault != nil:
 		// Still unreadable: one line says so, however often it is written.
@@ -225,62 +225,62 @@
 
 // remove notes that an entry is gone. For as long as it may have lapsed in an
 // outage of the store the upstream is held, since it may register again.
-func (f *Follower) remove(now time.Time, id string, revision int64, held time.Duration) []Change {
+func (f *Follower) remove(now time.Time, id string, revision int64, retention time.Duration) []Change {
 	k, ok := f.instances[id]
 	if !ok {
-		k = &known{listed: Listed{Instance: dispatcher.Instance{ID: id, Leaving: true}}}
+		k = &knownInstance{listed: Listed{Instance: dispatcher.Instance{ID: id, Leaving: true}}}
 		f.instances[id] = k
 	}
 	wasGone := k.listed.Gone
 	k.listed.Gone, k.listed.Revision = true, max(revision, k.listed.Revision)
-	f.content = max(f.content, revision)
+	f.newestRevision = max(f.newestRevision, revision)
 	if wasGone {
 		return nil
 	}
-	k.goneAt = now
-	if ok && !k.listed.Instance.Leaving && held > 0 {
-		k.heldUntil = now.Add(held)
+	k.removedAt = now
+	if ok && !k.listed.Instance.Leaving && retention > 0 {
+		k.retainedUntil = now.Add(retention)
 		return []Change{{ID: id, Kind: KindRetained, Revision: revision}}
 	}
 	return []Change{{ID: id, Kind: KindGone, Revision: revision}}
 }
 
-// lapseLeft is how much longer an entry that lapsed in the last outage may take
+// retentionTime is how much longer an entry that lapsed in the last outage may take
 // to return; 0 where the store was confirmed since. An entry that only heard of the
 // outage holds nothing beyond the bound on removals, which goes first: the outage may
 // be one of others only. What it drops too early in a real one, of less than the age
 // at which it would have read for itself, is back when its upstream registers.
-func (f *Follower) lapseLeft(now time.Time) time.Duration {
-	if f.disturbedAt.IsZero() || f.confirmedAt.After(f.disturbedAt) {
+func (f *Follower) retentionTime(now time.Time) time.Duration {
+	if f.lastFailureAt.IsZero() || f.confirmedAt.After(f.lastFailureAt) {
 		return 0
 	}
-	left := returnTime - now.Sub(f.disturbedAt)
-	if !f.failedAt.After(f.servedAt) && !f.confirmedAt.IsZero() {
-		left = min(left, f.removalBound-now.Sub(f.confirmedAt))
+	remaining := reregisterTime - now.Sub(f.lastFailureAt)
+	if !f.ownFailureAt.After(f.ownReadAt) && !f.confirmedAt.IsZero() {
+		remaining = min(remaining, f.removalBound-now.Sub(f.confirmedAt))
 	}
-	return max(0, left)
+	return max(0, remaining)
 }
 
 // RecordOwnFailure notes that the store did not answer this entry as it should.
 func (f *Follower) RecordOwnFailure(at time.Time) {
-	f.failedAt = at
+	f.ownFailureAt = at
 	f.RecordFailure(at)
 }
 
 // RecordFailure notes that the store failed this entry or another.
 func (f *Follower) RecordFailure(at time.Time) {
-	if at.After(f.disturbedAt) {
-		f.disturbedAt = at
+	if at.After(f.lastFailureAt) {
+		f.lastFailureAt = at
 	}
 }
 
 // FailureAge is how long ago the store last failed, and false where it never
 // did.
 func (f *Follower) FailureAge(now time.Time) (time.Duration, bool) {
-	if f.disturbedAt.IsZero() {
+	if f.lastFailureAt.IsZero() {
 		return 0, false
 	}
-	return now.Sub(f.disturbedAt), true
+	return now.Sub(f.lastFailureAt), true
 }
 
 // ClearConfirmation forgets that the state was confirmed: after a pause of this
@@ -314,12 +314,12 @@
 		if !k.listed.Gone {
 			continue
 		}
-		if !k.heldUntil.IsZero() && !now.Before(k.heldUntil) {
-			k.heldUntil = time.Time{}
+		if !k.retainedUntil.IsZero() && !now.Before(k.retainedUntil) {
+			k.retainedUntil = time.Time{}
 			changes = append(changes, Change{ID: id, Kind: KindGone, Revision: k.listed.Revision})
 		}
-		if now.Sub(k.goneAt) > goneLife {
-			f.base = max(f.base, k.listed.Revision)
+		if now.Sub(k.removedAt) > removalTTL {
+			f.baseRevision = max(f.baseRevision, k.listed.Revision)
 			delete(f.instances, id)
 		}
 	}
@@ -330,7 +330,7 @@
 func (f *Follower) UsableInstances() []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, k := range f.instances {
-		if k.listed.Instance.Leaving || (k.listed.Gone && k.heldUntil.IsZero()) {
+		if k.listed.Instance.Leaving || (k.listed.Gone && k.retainedUntil.IsZero()) {
 			continue
 		}
 		out = append(out, k.listed.Instance)
@@ -348,7 +348,7 @@
 
 // NewestRevision is the revision of the newest change believed. Two followers of one
 // content believe the same.
-func (f *Follower) NewestRevision() int64 { return f.content }
+func (f *Follower) NewestRevision() int64 { return f.newestRevision }
 
 // HasState reports whether a whole state was ever taken in.
 func (f *Follower) HasState() bool { return f.configRevision > 0 }
@@ -356,19 +356,19 @@
 // ChangesSince returns what an entry that knows all changes up to a revision lacks, and
 // whether that is the whole state, as it is where a removal since then may be
 // forgotten. The configuration is left out where the entry has that revision.
-func (f *Follower) ChangesSince(have, haveConfig int64) (s State, whole bool) {
+func (f *Follower) ChangesSince(revision, configRevision int64) (s State, complete bool) {
 	s.Revision = f.revision
-	if f.configRevision > haveConfig {
+	if f.configRevision > configRevision {
 		s.Config, s.ConfigRevision = f.config, f.configRevision
 	}
-	whole = have < f.base
+	complete = revision < f.baseRevision
 	for _, id := range slices.Sorted(maps.Keys(f.instances)) {
 		l := f.instances[id].listed
-		if !whole && l.Revision <= have {
+		if !complete && l.Revision <= revision {
 			continue
 		}
 		l.Fault = nil
 		s.Instances = append(s.Instances, l)
 	}
-	return s, whole
+	return s, complete
 }
--- a/follower/outage_test.go
+++ b/follower/outage_test.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// outageTick is the step of the enumeration's time.
-	outageTick = 100 * time.Millisecond
+	// tickPeriod is the step of the enumeration's time.
+	tickPeriod = 100 * time.Millisecond
 	// readTicks and beatTicks are how often readers read the store, and entries
 	// tell each other what they believe.
-	readTicks, beatTicks = 4, 2
+	readTicks, heartbeatTicks = 4, 2
 	// staleAge is the age of a confirmation from which an entry reads for itself.
 	staleAge = 1200 * time.Millisecond
 	// removalBound is the time in which a removed upstream may still get work.
 	removalBound = 2 * time.Second
-	// touchTime is how long an entry must not have been failed, and the store not
+	// failureFreeTime is how long an entry must not have been failed, and the store not
 	// have failed everybody, for the bound to hold.
-	touchTime = 3 * time.Second
+	failureFreeTime = 3 * time.Second
 )
 
-// listener is one entry of the enumeration.
-type listener struct {
+// simEntry is one entry of the enumeration.
+type simEntry struct {
 	*follower.Follower
-	reads bool
+	isReader bool
 	// failing is true while the store turns it away, failedAt when it last did.
 	failing  bool
 	failedAt time.Time
 }
 
-// outage is three entries before a store that lists one upstream: two of them read
+// simulation is three entries before a store that lists one upstream: two of them read
 // it, and all tell each other.
-type outage struct {
+type simulation struct {
 	t       *testing.T
 	name    string
 	now     time.Time
 	tick    int
 	changes []follower.Listed
-	entries []*listener
+	entries []*simEntry
 	listed  bool
 	lapsed  bool
 	// removedAt is that of a removal that was meant; zero before. allFailedAt is when
 	// the store last failed everybody, mendedAt when it served somebody again after a
 	// lapse; zero while it doesn't.
-	removedAt, allFailedAt, mendedAt time.Time
+	removedAt, allFailedAt, recoveredAt time.Time
 }
 
-func newOutage(t *testing.T, name string) *outage {
-	o := &outage{t: t, name: name, now: start, listed: true, changes: []follower.Listed{ready("a", 1)}}
+func newSimulation(t *testing.T, name string) *simulation {
+	o := &simulation{t: t, name: name, now: start, listed: true, changes: []follower.Listed{ready("a", 1)}}
 	for i := range 3 {
-		o.entries = append(o.entries, &listener{Follower: follower.New(), reads: i < 2})
+		o.entries = append(o.entries, &simEntry{Follower: follower.New(), isReader: i < 2})
 	}
 	o.run(8)
 	return o
 }
 
-func (o *outage) failsAll() bool {
-	return !slices.ContainsFunc(o.entries, func(e *listener) bool { return !e.failing })
+func (o *simulation) failsAll() bool {
+	return !slices.ContainsFunc(o.entries, func(e *simEntry) bool { return !e.failing })
 }
 
-// event has something happen, and reports whether that can be now.
-func (o *outage) event(what string) bool {
+// apply has something happen, and reports whether that can be now.
+func (o *simulation) apply(what string) bool {
 	switch what {
 	case "fail all", "fail first", "fail second", "fail both":
 		failing := map[string][]bool{"fail all": {true, true, true}, "fail first": {true, false, false}, "fail second": {false, true, false}, "fail both": {true, true, false}}[what]
@@ -79,10 +79,10 @@
 		if !o.listed || !o.failsAll() {
 			return false
 		}
-		o.listed, o.lapsed, o.mendedAt = false, true, time.Time{}
+		o.listed, o.lapsed, o.recoveredAt = false, true, time.Time{}
 		o.changes = append(o.changes, gone("a", int64(len(o.changes)+1)))
 	case "remove":
-		if !o.listed || o.failsAll() || o.now.Sub(o.allFailedAt) < touchTime {
+		if !o.listed || o.failsAll() || o.now.Sub(o.allFailedAt) < failureFreeTime {
 			return false
 		}
 		o.listed, o.removedAt = false, o.now
@@ -97,30 +97,30 @@
 	return true
 }
 
-func (o *outage) run(ticks int) {
+func (o *simulation) run(ticks int) {
 	for range ticks {
-		o.now = o.now.Add(outageTick)
+		o.now = o.now.Add(tickPeriod)
 		o.tick++
 		if o.failsAll() {
 			o.allFailedAt = o.now
-		} else if o.mendedAt.IsZero() {
-			o.mendedAt = o.now
+		} else if o.recoveredAt.IsZero() {
+			o.recoveredAt = o.now
 		}
 		for i, e := range o.entries {
 			e.Tick(o.now)
 			age, known := e.ConfirmationAge(o.now)
-			if o.tick%readTicks == i && (e.reads || !known || age > staleAge) {
+			if o.tick%readTicks == i && (e.isReader || !known || age > staleAge) {
 				o.read(e)
 			}
 		}
-		if o.tick%beatTicks == 0 {
-			o.tell()
+		if o.tick%heartbeatTicks == 0 {
+			o.exchange()
 		}
 		o.check()
 	}
 }
 
-func (o *outage) read(e *listener) {
+func (o *simulation) read(e *simEntry) {
 	if e.failing {
 		e.RecordOwnFailure(o.now)
 		e.failedAt = o.now
@@ -136,8 +136,8 @@
 	e.ApplyStoreRead(o.now, s, true)
 }
 
-// tell has each entry hear each other, as heartbeats and fetches do.
-func (o *outage) tell() {
+// exchange has each entry hear each other, as heartbeats and fetches do.
+func (o *simulation) exchange() {
 	for _, from := range o.entries {
 		for _, to := range o.entries {
 			age, confirmed := from.ConfirmationAge(o.now)
@@ -164,23 +164,23 @@
 	}
 }
 
-func (o *outage) check() {
+func (o *simulation) check() {
 	for i, e := range o.entries {
 		works := ids(e.Follower) == "a"
-		inTouch := o.now.Sub(e.failedAt) > touchTime && o.now.Sub(o.allFailedAt) > touchTime
+		inTouch := o.now.Sub(e.failedAt) > failureFreeTime && o.now.Sub(o.allFailedAt) > failureFreeTime
 		if !o.removedAt.IsZero() && !o.listed && works && inTouch && o.now.Sub(o.removedAt) >= removalBound {
 			o.t.Fatalf("%s: entry %d sends work %s after the removal", o.name, i, o.now.Sub(o.removedAt))
 		}
-		sawOutage := o.now.Sub(e.failedAt) < returnBound
-		if o.lapsed && sawOutage && !works && (o.mendedAt.IsZero() || o.now.Sub(o.mendedAt) < removalBound) {
-			o.t.Fatalf("%s: entry %d takes a lapsed upstream for gone %s after the outage", o.name, i, o.now.Sub(o.mendedAt))
+		sawOutage := o.now.Sub(e.failedAt) < minRetention
+		if o.lapsed && sawOutage && !works && (o.recoveredAt.IsZero() || o.now.Sub(o.recoveredAt) < removalBound) {
+			o.t.Fatalf("%s: entry %d takes a lapsed upstream for gone %s after the outage", o.name, i, o.now.Sub(o.recoveredAt))
 		}
 	}
 }
 
-// returnBound is within what time after a failure an entry must still hold what
+// minRetention is within what time after a failure an entry must still hold what
 // lapsed.
-const returnBound = 2 * time.Second
+const minRetention = 2 * time.Second
 
 // The store fails all, some or one entry, and upstreams lapse, leave and return, in
 // every order of up to five events and at two paces. In none of them does a removed
@@ -194,7 +194,7 @@
 	extend = func(prefix []string) {
 		if len(prefix) > 0 {
 			for _, ticks := range []int{5, 13} {
-				if !play(t, prefix, ticks) {
+				if !simulate(t, prefix, ticks) {
 					return
 				}
 				cases++
@@ -214,16 +214,16 @@
 	t.Logf("%d cases", cases)
 }
 
-// play runs events, and reports whether all of them can be.
-func play(t *testing.T, events []string, ticks int) bool {
-	o := newOutage(t, fmt.Sprintf("%v every %d ticks", events, ticks))
+// simulate runs events, and reports whether all of them can be.
+func simulate(t *testing.T, events []string, ticks int) bool {
+	o := newSimulation(t, fmt.Sprintf("%v every %d ticks", events, ticks))
 	for _, what := range events {
-		if !o.event(what) {
+		if !o.apply(what) {
 			return ticks != 5 // the slower pace may allow what this one doesn't
 		}
 		o.run(ticks)
 	}
-	o.event("mend")
+	o.apply("mend")
 	o.run(30)
 	for i, e := range o.entries {
 		if works := ids(e.Follower) == "a"; o.listed && !works {
--- a/follower/since_test.go
+++ b/follower/since_test.go
@@ -32,7 +32,7 @@
 	delete(h.listed, id)
 }
 
-func (h *history) whole() follower.State {
+func (h *history) snapshot() follower.State {
 	s := follower.State{Revision: h.revision()}
 	for id, revision := range h.listed {
 		s.Instances = append(s.Instances, ready(id, revision))
@@ -76,7 +76,7 @@
 			case "delete":
 				h.change(fmt.Sprintf("%c", 'a'+rapid.IntRange(0, 4).Draw(t, "id")), false)
 			case "read":
-				e.ApplySnapshot(now, h.whole())
+				e.ApplySnapshot(now, h.snapshot())
 			case "watch":
 				if e.Revision() > 0 {
 					e.ApplyChanges(now, h.since(e.Revision()))
@@ -89,7 +89,7 @@
 				e.Tick(now)
 			}
 		}
-		entries[0].ApplySnapshot(now, h.whole())
+		entries[0].ApplySnapshot(now, h.snapshot())
 		for i, e := range entries {
 			fetch(entries[0], e)
 			if ids(e) != h.ids() {
