--- a/connector/activeconns.go
+++ b/connector/activeconns.go
@@ -39,8 +39,8 @@
 // WaitIdle returns once none is held or it is past a time, zero for none. It looks each poll.
 // A server's Shutdown drops what it reads once it has begun, so that it
 // comes after this.
-func (b *ActiveConns) WaitIdle(by time.Time, poll time.Duration) {
-	for b.Count() > 0 && (by.IsZero() || time.Now().Before(by)) {
+func (b *ActiveConns) WaitIdle(deadline time.Time, poll time.Duration) {
+	for b.Count() > 0 && (deadline.IsZero() || time.Now().Before(deadline)) {
 		time.Sleep(poll)
 	}
 }
--- a/connector/exitdetector.go
+++ b/connector/exitdetector.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// goneWait is how long after a connection broke its other end is asked whether it still listens: a
+	// probeDelay is how long after a connection broke its other end is asked whether it still listens: a
 	// process that ends closes its connections and its listener one after the other.
-	goneWait = 50 * time.Millisecond
-	// goneTimeout bounds the question.
-	goneTimeout = 250 * time.Millisecond
+	probeDelay = 50 * time.Millisecond
+	// probeTimeout bounds the question.
+	probeTimeout = 250 * time.Millisecond
 )
 
 // ExitDetector finds out whether processes have ended whose connections broke.
 type ExitDetector struct {
-	dial      DialFunc
-	questions singleflight.Group
+	dial   DialFunc
+	probes singleflight.Group
 }
 
 // NewExitDetector returns a Presence that connects by dial.
@@ -31,9 +31,9 @@
 // HasExited reports whether nobody listens at an address any more, shortly after a connection
 // to it broke. Those who ask at the same moment share one question.
 func (p *ExitDetector) HasExited(address string) bool {
-	gone, _, _ := p.questions.Do(address, func() (any, error) {
-		sleeper.Sleep(context.Background(), goneWait)
-		ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
+	refused, _, _ := p.probes.Do(address, func() (any, error) {
+		sleeper.Sleep(context.Background(), probeDelay)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
 		connection, err := p.dial(ctx, "tcp", address)
 		if err == nil {
@@ -41,5 +41,5 @@
 		}
 		return errors.Is(err, syscall.ECONNREFUSED), nil
 	})
-	return gone.(bool)
+	return refused.(bool)
 }
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -19,9 +19,9 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// idleTime is how long a connection is kept without a call. A fleet whose entries call peers
+// idleTimeout is how long a connection is kept without a call. A fleet whose entries call peers
 // drawn at random would otherwise hold a connection between every two of them.
-const idleTime = 30 * time.Second
+const idleTimeout = 30 * time.Second
 
 // Pool holds a connection to each peer that was called lately. It is safe for
 // concurrent use.
@@ -35,9 +35,9 @@
 // client is one connection of a pool, whose lock guards its fields.
 type client struct {
 	*rpc.Client
-	// calls is how many calls are in progress, used when the last one ended.
-	calls int
-	used  time.Time
+	// inFlight is how many calls are in progress, used when the last one ended.
+	inFlight int
+	lastUsed time.Time
 }
 
 // NewPool returns a pool without connections.
@@ -64,7 +64,7 @@
 	}
 	var refused rpc.ServerError
 	if err != nil && !errors.As(err, &refused) {
-		p.drop(address, c)
+		p.discard(address, c)
 	}
 	if err != nil {
 		return fmt.Errorf("call peer: %w", err)
@@ -83,14 +83,14 @@
 	if err != nil {
 		return nil, err
 	}
-	opened := &client{Client: rpc.NewClient(NewQueuedConn(connection)), calls: 1}
+	opened := &client{Client: rpc.NewClient(NewQueuedConn(connection)), inFlight: 1}
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.closeIdle(time.Now())
 	if other, raced := p.clients[address]; raced || p.closed {
 		_ = opened.Close()
 		if raced {
-			other.calls++
+			other.inFlight++
 			return other, nil
 		}
 		return nil, net.ErrClosed
@@ -107,29 +107,29 @@
 	if !ok {
 		return nil
 	}
-	c.calls++
+	c.inFlight++
 	return c
 }
 
 func (p *Pool) release(c *client) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	c.calls--
-	c.used = time.Now()
+	c.inFlight--
+	c.lastUsed = time.Now()
 }
 
 // closeIdle closes connections that had no call for idleTime. It is called as others are opened, so that
 // their number is bounded by the peers called in that time.
 func (p *Pool) closeIdle(now time.Time) {
 	for address, c := range p.clients {
-		if c.calls == 0 && now.Sub(c.used) >= idleTime {
+		if c.inFlight == 0 && now.Sub(c.lastUsed) >= idleTimeout {
 			delete(p.clients, address)
 			_ = c.Close()
 		}
 	}
 }
 
-func (p *Pool) drop(address netip.AddrPort, c *client) {
+func (p *Pool) discard(address netip.AddrPort, c *client) {
 	p.lock.Lock()
 	if p.clients[address] == c {
 		delete(p.clients, address)
--- a/connector/pool_test.go
+++ b/connector/pool_test.go
@@ -53,7 +53,7 @@
 // A fleet of a thousand entries, each of which calls another one each 0.1 s: an entry held a connection to
 // every other one for as long as it ran, with a queue, buffers and codecs of some 50 KB at either end, most
 // of its memory.
-func TestConnectionsWithoutCallsAreClosed(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var peers fakePeers
@@ -64,7 +64,7 @@
 			is.NoErr(call(p, i%size, 0, time.Second))
 			time.Sleep(period)
 			synctest.Wait()
-			is.True(peers.open.Load() <= int64(idleTime/period)+1) // those called within idleTime
+			is.True(peers.open.Load() <= int64(idleTimeout/period)+1) // those called within idleTime
 		}
 	})
 }
@@ -77,9 +77,9 @@
 		p := NewPool(peers.dial)
 		defer p.Close()
 		ended := make(chan error)
-		go func() { ended <- call(p, 0, 3*idleTime, 4*idleTime) }()
+		go func() { ended <- call(p, 0, 3*idleTimeout, 4*idleTimeout) }()
 		for i := range 20 {
-			time.Sleep(idleTime / 10)
+			time.Sleep(idleTimeout / 10)
 			is.NoErr(call(p, 1+i, 0, time.Second))
 		}
 		is.NoErr(<-ended)
--- a/connector/queue.go
+++ b/connector/queue.go
@@ -6,12 +6,12 @@
 	"sync"
 )
 
-// maxQueued is how many writes wait on a connection to a peer before it is
+// maxPendingWrites is how many writes wait on a connection to a peer before it is
 // given up as dead; a write is one message.
-const maxQueued = 1024
+const maxPendingWrites = 1024
 
-// errBacklog is a connection whose peer takes nothing.
-var errBacklog = errors.New("peer takes no more messages")
+// errQueueFull is a connection whose peer takes nothing.
+var errQueueFull = errors.New("peer takes no more messages")
 
 // queuedConn is a connection whose writes never block. net/rpc writes while it
 // holds a lock, so that one peer that takes nothing would hold up every caller
@@ -30,7 +30,7 @@
 // NewQueuedConn returns a connection whose writes never block.
 func NewQueuedConn(c net.Conn) net.Conn {
 	q := &queuedConn{Conn: c, wake: make(chan struct{}, 1), closed: make(chan struct{})}
-	go q.drain()
+	go q.writePending()
 	return q
 }
 
@@ -41,9 +41,9 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	if !q.push(append([]byte(nil), p...)) {
+	if !q.enqueue(append([]byte(nil), p...)) {
 		_ = q.Close()
-		return 0, errBacklog
+		return 0, errQueueFull
 	}
 	select {
 	case q.wake <- struct{}{}:
@@ -52,19 +52,19 @@
 	return len(p), nil
 }
 
-// push queues a message, unless the queue is full.
-func (q *queuedConn) push(message []byte) bool {
+// enqueue queues a message, unless the queue is full.
+func (q *queuedConn) enqueue(message []byte) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	if len(q.pending) >= maxQueued {
+	if len(q.pending) >= maxPendingWrites {
 		return false
 	}
 	q.pending = append(q.pending, message)
 	return true
 }
 
-// take empties the queue. An idle connection keeps no memory for one.
-func (q *queuedConn) take() [][]byte {
+// takePending empties the queue. An idle connection keeps no memory for one.
+func (q *queuedConn) takePending() [][]byte {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	pending := q.pending
@@ -81,14 +81,14 @@
 	return n, err
 }
 
-func (q *queuedConn) drain() {
+func (q *queuedConn) writePending() {
 	for {
 		select {
 		case <-q.closed:
 			return
 		case <-q.wake:
 		}
-		for _, p := range q.take() {
+		for _, p := range q.takePending() {
 			if _, err := q.Conn.Write(p); err != nil {
 				_ = q.Close()
 				return
--- a/connector/queue_test.go
+++ b/connector/queue_test.go
@@ -18,34 +18,34 @@
 		defer func() { _ = far.Close() }()
 		q := NewQueuedConn(near)
 		var err error
-		for range 2 * maxQueued {
+		for range 2 * maxPendingWrites {
 			if _, err = q.Write([]byte("message")); err != nil {
 				break
 			}
 		}
-		is.Equal(err, errBacklog)
+		is.Equal(err, errQueueFull)
 		_, err = q.Write([]byte("message"))
 		is.Equal(err, net.ErrClosed)
 	})
 }
 
 // A heartbeat in 0.2 s has one message under way: a thousand connections without any took 24 MB for queues.
-func TestIdleQueueTakesLittleMemory(t *testing.T) {
+func TestIdleQueueUsesLittleMemory(t *testing.T) {
 	is := is.New(t)
-	const connections, most = 1000, 4 << 10
-	held := make([]net.Conn, connections)
+	const connections, limit = 1000, 4 << 10
+	conns := make([]net.Conn, connections)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for i := range held {
+	for i := range conns {
 		near, far := net.Pipe()
-		held[i] = NewQueuedConn(near)
+		conns[i] = NewQueuedConn(near)
 		_ = far.Close()
 	}
 	runtime.ReadMemStats(&after)
-	taken := (after.TotalAlloc - before.TotalAlloc) / connections
-	t.Logf("%d bytes a connection", taken)
-	is.True(taken < most)
-	for _, c := range held {
+	allocated := (after.TotalAlloc - before.TotalAlloc) / connections
+	t.Logf("%d bytes a connection", allocated)
+	is.True(allocated < limit)
+	for _, c := range conns {
 		is.NoErr(c.Close())
 	}
 }
