--- a/sequencer/sequencer.go
+++ b/sequencer/sequencer.go
@@ -37,7 +37,7 @@
 
 // Run runs commands on the state, and tick once each period, until the context
 // ends. After each of them it calls after.
-func (q *Sequencer[S]) Run(ctx context.Context, state S, period time.Duration, tick func(time.Time), after func()) {
+func (q *Sequencer[S]) Run(ctx context.Context, state S, period time.Duration, tick func(time.Time), afterEach func()) {
 	defer close(q.stopped)
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -50,6 +50,6 @@
 		case <-ticker.C:
 			tick(time.Now())
 		}
-		after()
+		afterEach()
 	}
 }
