--- a/lister/lister.go
+++ b/lister/lister.go
@@ -11,27 +11,27 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// never is the age of a list that the platform has not confirmed.
-const never = time.Duration(-1)
+// neverConfirmed is the age of a list that the platform has not confirmed.
+const neverConfirmed = time.Duration(-1)
 
-// leastGain is how much fresher a peer's list has to be to be worth taking.
-const leastGain = 2 * time.Second
+// minAgeGain is how much fresher a peer's list has to be to be worth taking.
+const minAgeGain = 2 * time.Second
 
 // Lister holds the list. It is not safe for concurrent use.
 type Lister struct {
-	// stale is the age from which a peer's list may be taken instead.
-	stale  time.Duration
-	data   []byte
-	digest string
-	// confirmed is when the platform last confirmed data, to this entry or
+	// staleAfter is the age from which a peer's list may be taken instead.
+	staleAfter time.Duration
+	data       []byte
+	digest     string
+	// confirmedAt is when the platform last confirmed data, to this entry or
 	// to the peer that it came from; zero when there is no list.
-	confirmed time.Time
+	confirmedAt time.Time
 }
 
 // New returns a lister without a list, for which a list is old when the
 // platform has not confirmed it for the time given.
-func New(stale time.Duration) *Lister {
-	return &Lister{stale: stale}
+func New(staleAfter time.Duration) *Lister {
+	return &Lister{staleAfter: staleAfter}
 }
 
 // Current is the list's bytes, nil when there is none. They are not to be
@@ -45,9 +45,9 @@
 // none.
 func (l *Lister) Age(now time.Time) time.Duration {
 	if l.data == nil {
-		return never
+		return neverConfirmed
 	}
-	return max(0, now.Sub(l.confirmed))
+	return max(0, now.Sub(l.confirmedAt))
 }
 
 // ShouldFetch reports whether a peer's list, confirmed to it age ago, is worth
@@ -59,7 +59,7 @@
 	if l.data == nil {
 		return true
 	}
-	return l.Age(now) > l.stale && age+leastGain < l.Age(now)
+	return l.Age(now) > l.staleAfter && age+minAgeGain < l.Age(now)
 }
 
 // Offer considers a list that the platform confirmed age ago: 0 for one that
@@ -71,7 +71,7 @@
 	}
 	if data == nil {
 		if l.data != nil && age == 0 {
-			l.confirmed = now
+			l.confirmedAt = now
 		}
 		return false
 	}
@@ -79,7 +79,7 @@
 	if age > 0 && !l.ShouldFetch(now, digest, age) {
 		return false
 	}
-	l.confirmed = now.Add(-age)
+	l.confirmedAt = now.Add(-age)
 	if digest == l.digest {
 		return false
 	}
