--- a/controller/callerentries.go
+++ b/controller/callerentries.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// maxAddresses is the most addresses that an answer of the directory holds.
+	// maxAddresses limits the addresses in a reply of the directory.
 	maxAddresses = 64
-	// fastFraction is the part of the fastest entry's speed from which on an entry counts as
-	// fast too.
+	// fastFraction is the fraction of the fastest entry's speed from which on an entry
+	// counts as fast.
 	fastFraction = 0.5
-	// minFastEntries and leastFastPart are how many fast entries there must be, and what part of
-	// the speed of all they must have, for callers to be sent to them alone: the loss of one
-	// then costs few callers their answers, and they can do what all did at a fifth of load.
+	// minFastEntries is how many fast entries there must be, and minFastSpeedFraction
+	// which fraction of the total speed they must have, for callers to be sent only to
+	// them. The loss of one of them then affects few callers, and together they can carry
+	// the load of a whole fleet that is at a fifth of its capacity.
 	minFastEntries       = 6
 	minFastSpeedFraction = 0.2
-	// overloadedLag is how late an entry's own clock ticks on average, from which on it has
-	// more to do than it can, calmLag that from which on it no longer has: a tick that
-	// late is a tenth of a short prompt's target, and callers feel it several times.
+	// overloadedLag is the average delay of ticks above which an entry is overloaded;
+	// below recoveredLag it no longer is. A tick delayed by overloadedLag costs a tenth
+	// of a short prompt's latency target, and each request meets several such delays.
 	overloadedLag, recoveredLag = 25 * time.Millisecond, 10 * time.Millisecond
-	// lagWeight is what one tick counts in that average, which covers about a second.
+	// lagWeight is the weight of one tick in that average, which covers about a second.
 	lagWeight = 0.1
-	// maxTickDelay bounds what one tick counts: a process that stood still for seconds is not
-	// strained by that once it runs again.
+	// maxTickDelay caps the delay counted for one tick, so that a process that was
+	// suspended for seconds is not taken for overloaded after it resumes.
 	maxTickDelay = 100 * time.Millisecond
 )
 
-// readyEntry is an entry that takes callers.
+// readyEntry is an entry that accepts callers.
 type readyEntry struct {
 	name       string
 	address    netip.AddrPort
@@ -36,21 +37,21 @@
 	capacity
 }
 
-// capacity is what an entry can do.
+// capacity describes how much work an entry can do.
 type capacity struct {
-	// speed is in processor cores; 0 where the entry does not know.
+	// speed is in processor cores; 0 if the entry does not know it.
 	speed float64
-	// overloaded entries have more to do than they can.
+	// overloaded is true if the entry's timers fire late.
 	overloaded bool
 }
 
-// lagMeter says by how late its clock ticks whether this entry is strained.
+// lagMeter detects overload of this entry by the delay of its ticks.
 type lagMeter struct {
 	average    time.Duration
 	overloaded bool
 }
 
-// observe takes in how late a tick came, and reports whether the verdict changed.
+// observe adds the delay of one tick to the average, and reports whether overloaded changed.
 func (m *lagMeter) observe(delay time.Duration) bool {
 	m.average += time.Duration(lagWeight * float64(min(delay, maxTickDelay)-m.average))
 	wasOverloaded := m.overloaded
@@ -63,9 +64,10 @@
 	return m.overloaded != wasOverloaded
 }
 
-// preferredEntries are the entries that callers are told: fast ones that are not strained, where
-// there are enough of them, else all that are not strained, else all. What an entry does
-// for a request takes an instance of a fifth of a core five times as long as a whole one.
+// preferredEntries returns the entries whose addresses callers are given: those that are fast
+// and not overloaded if there are enough of them, else all that are not overloaded, else all.
+// The work per request takes five times as long on an instance with a fifth of a core as on
+// one with a whole core.
 func preferredEntries(ready []readyEntry) []readyEntry {
 	candidates := slices.DeleteFunc(slices.Clone(ready), func(t readyEntry) bool { return t.overloaded })
 	if len(candidates) == 0 {
@@ -82,7 +84,7 @@
 	return fast
 }
 
-// withoutCallers are the names of ready entries that callers are not told.
+// withoutCallers returns the names of ready entries whose addresses callers are not given.
 func withoutCallers(ready, preferred []readyEntry) map[string]bool {
 	out := map[string]bool{}
 	for _, t := range ready {
@@ -94,7 +96,7 @@
 	return out
 }
 
-// totalSpeed is the speed of entries together.
+// totalSpeed returns the sum of the speeds of entries, in processor cores.
 func totalSpeed(entries []readyEntry) float64 {
 	sum := 0.0
 	for _, t := range entries {
@@ -103,8 +105,8 @@
 	return sum
 }
 
-// CallerAddresses lists where a caller in a data centre may connect: entries of its
-// own data centre first, where there are more than an answer holds.
+// CallerAddresses returns up to maxAddresses addresses to which a caller in a data centre may
+// connect. Entries of that data centre come first.
 func (c *Controller) CallerAddresses(dataCentre string) []netip.AddrPort {
 	var local, remote []netip.AddrPort
 	for _, t := range c.current.Load().callerEntries {
--- a/controller/callerentries_test.go
+++ b/controller/callerentries_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// readyEntries returns takers of two speeds, the fast ones first.
+// readyEntries returns entries of two speeds, the fast ones first.
 func readyEntries(fast, slow int) []readyEntry {
 	var out []readyEntry
 	for i := range fast + slow {
@@ -22,55 +22,55 @@
 	return out
 }
 
-// Callers are sent to fast entries where there are enough, and to all where few are fast,
-// where speeds are not known or where the fast ones have too much to do.
+// Callers are sent to the fast entries if there are enough of them, and to all others as well
+// if few are fast, if speeds are unknown or if most fast ones are overloaded.
 func TestPreferredEntries(t *testing.T) {
 	unknown := readyEntries(0, 9)
 	for i := range unknown {
 		unknown[i].speed = 0
 	}
 	mixed := readyEntries(0, 9)
-	mixed[0].speed = 0 // one that does not say
-	strain := func(takers []readyEntry, n int) []readyEntry {
+	mixed[0].speed = 0 // one that does not report its speed
+	overload := func(entries []readyEntry, n int) []readyEntry {
 		for i := range n {
-			takers[i].overloaded = true
+			entries[i].overloaded = true
 		}
-		return takers
+		return entries
 	}
 	for _, c := range []struct {
-		name   string
-		takers []readyEntry
-		want   int
+		name    string
+		entries []readyEntry
+		want    int
 	}{
 		{"the large deployment", readyEntries(15, 80), 15},
 		{"few fast ones", readyEntries(5, 20), 25},
-		{"a small part of all speed", readyEntries(6, 160), 166},
+		{"a small fraction of the total speed", readyEntries(6, 160), 166},
 		{"six fast ones", readyEntries(6, 77), 6},
-		{"all alike", readyEntries(0, 9), 9},
-		{"speeds not known", unknown, 9},
-		{"one not known", mixed, 8},
-		{"some fast ones strained", strain(readyEntries(15, 80), 3), 12},
-		{"most fast ones strained", strain(readyEntries(15, 80), 12), 83},
-		{"one strained of all alike", strain(readyEntries(0, 7), 1), 6},
-		{"all strained", strain(readyEntries(3, 4), 7), 7},
+		{"all equal", readyEntries(0, 9), 9},
+		{"speeds unknown", unknown, 9},
+		{"one speed unknown", mixed, 8},
+		{"some fast ones overloaded", overload(readyEntries(15, 80), 3), 12},
+		{"most fast ones overloaded", overload(readyEntries(15, 80), 12), 83},
+		{"one overloaded of equals", overload(readyEntries(0, 7), 1), 6},
+		{"all overloaded", overload(readyEntries(3, 4), 7), 7},
 		{"nobody", nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(len(preferredEntries(c.takers)), c.want)
+			is.Equal(len(preferredEntries(c.entries)), c.want)
 		})
 	}
 }
 
-// An entry whose clock ticks late for a second is strained, until it has ticked in time for
-// some two; a pause of its process alone does not strain it.
+// An entry whose ticks are late for a second is overloaded until its ticks have been on time for
+// some two seconds. A single suspension of its process does not count as overload.
 func TestOverloadDetection(t *testing.T) {
 	is := is.New(t)
 	var m lagMeter
 	changes := 0
-	tick := func(late time.Duration, n int) {
+	tick := func(delay time.Duration, n int) {
 		for range n {
-			if m.observe(late) {
+			if m.observe(delay) {
 				changes++
 			}
 		}
@@ -81,7 +81,7 @@
 	is.True(!m.overloaded)
 	tick(60*time.Millisecond, 10)
 	is.True(m.overloaded)
-	tick(20*time.Millisecond, 50) // neither late enough nor calm
+	tick(20*time.Millisecond, 50) // between recoveredLag and overloadedLag
 	is.True(m.overloaded)
 	tick(time.Millisecond, 20)
 	is.True(!m.overloaded)
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -11,14 +11,14 @@
 	"github.com/sapphireramp/sapphireramp/quarantiner"
 )
 
-// logQuarantined logs requests that are refused from now on, as they crash what runs them.
+// logQuarantined logs decisions to refuse requests that crash upstreams.
 func (s *state) logQuarantined(now time.Time, decisions []quarantiner.Decision, source string) {
 	for _, v := range decisions {
 		s.controller.config.Log.Warn("quarantined", v.LogFields(now, source)...)
 	}
 }
 
-// applyMemberChanges logs changes of members and has the view made anew.
+// applyMemberChanges logs state changes of other entries and marks the view as dirty.
 func (s *state) applyMemberChanges(changes []prober.Change) {
 	for _, change := range changes {
 		s.controller.config.Log.Info("member", zap.String("name", change.Name), zap.String("from", string(change.From)),
@@ -30,8 +30,8 @@
 	}
 }
 
-// maxLoggedFaults is how many unreadable entries of one answer of the store are logged
-// one by one: enough to see who writes them.
+// maxLoggedFaults is how many unreadable items from one reply of the store are logged
+// individually: enough to identify their writer.
 const maxLoggedFaults = 20
 
 func (s *state) logStore(changes []follower.Change, source string) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// logUnreadableItems logs items of the store that could not be read at all.
+// logUnreadableItems logs items of the store that could not be attributed to an upstream.
 func (s *state) logUnreadableItems(faults []error) {
 	for i, err := range faults {
 		if i == maxLoggedFaults {
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkRevision asserts that the configuration never goes back.
+// checkRevision asserts that the revision of the configuration has not decreased.
 func (s *state) checkRevision(before int64) {
 	_, after := s.follower.Config()
-	s.controller.config.Asserter.Check(after >= before, asserter.RevisionWentBack, "revision %d after %d", after, before)
+	s.controller.config.Asserter.Check(after >= before, asserter.RevisionWentBack, "configuration revision went back to %d from %d", after, before)
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,8 +1,9 @@
-// Package controller holds the control state of an entry on the platform: the
-// configuration and the upstreams that the store lists, and the other entries.
-// One goroutine owns that state; it publishes views that requests are served
-// by. Entries tell each other what they have read of the store, so that a few
-// of them read it for all; one that hears nothing fresh reads for itself.
+// Package controller keeps the control state of a gateway entry on the platform:
+// the configuration and the upstreams listed in the platform's store, and the
+// other entries. One goroutine owns that state and publishes immutable views,
+// from which requests are served. Entries pass on to each other what they have
+// read from the store, so that a few of them read it on behalf of all. An entry
+// that receives no recent confirmation from its peers reads the store itself.
 package controller
 
 import (
@@ -28,62 +29,74 @@
 	"github.com/sapphireramp/sapphireramp/sequencer"
 )
 
-// Store reads the platform's store. The functions fail where it can't be
-// reached or refuses.
+// Store holds the functions that read the platform's store. Each returns an error
+// if the store is unreachable or rejects the call.
 type Store struct {
-	// Read returns the whole state.
+	// Read returns the complete state.
 	Read func(context.Context) (follower.State, error)
-	// Watch waits for changes after a revision, for a time at most.
+	// Watch returns the changes after a revision. It waits for the first one for
+	// at most the given time.
 	Watch func(ctx context.Context, after int64, wait time.Duration) (follower.State, error)
-	// DecodeConfig reads a configuration as the store holds it.
+	// DecodeConfig parses a configuration from the bytes that the store holds.
 	DecodeConfig func([]byte) (*matcher.Table, error)
 }
 
-// Config of a controller. Every field is needed.
+// Config configures a Controller. All fields are required, except that Speed may be 0.
 type Config struct {
+	// Name identifies the entry among all entries.
 	Name       string
 	DataCentre string
-	// Incarnation is greater than that of any earlier run under this name.
+	// Incarnation is greater than that of every earlier process under this name.
 	Incarnation uint64
-	// CallerAddress is the address that callers are told, PeerAddress and LoadAddress are where
-	// other entries reach this one.
+	// CallerAddress is the address announced to callers. Other entries send
+	// heartbeats and fetches to PeerAddress and load updates to LoadAddress.
 	CallerAddress, PeerAddress, LoadAddress netip.AddrPort
 	Store                                   Store
-	// MaxPropagation is how soon a change in the store has to be in force here.
+	// MaxPropagation is the longest time from a change in the store until this
+	// entry must act on it.
 	MaxPropagation time.Duration
-	// Speed is that of this entry in processor cores; 0 where it is not known.
+	// Speed is the processor capacity of this entry in cores; 0 if unknown.
 	Speed float64
-	// SinceBoot is the time since the instance booted, with the time that it was
-	// suspended; SinceBoot of this package, or a clock that tests advance.
-	SinceBoot  func() time.Duration
+	// SinceBoot returns the time since the instance booted, including the time it
+	// was suspended. It is the SinceBoot of this package or a test clock.
+	SinceBoot func() time.Duration
+	// Dispatcher receives the usable upstreams and the load of other entries,
+	// and provides this entry's own load to send to them.
 	Dispatcher *dispatcher.Dispatcher
-	// Quarantine is what entries tell each other of requests that crash upstreams.
+	// Quarantine exchanges reports of requests that crash upstreams with other
+	// entries, as part of heartbeats.
 	Quarantine *quarantiner.Quarantiner
-	Dial       connector.DialFunc
-	Log        *zap.Logger
-	Scope      tally.Scope
-	Asserter   *asserter.Asserter
+	// Dial opens the connections to other entries.
+	Dial  connector.DialFunc
+	Log   *zap.Logger
+	Scope tally.Scope
+	// Asserter counts and reports violated invariants.
+	Asserter *asserter.Asserter
 }
 
-// Controller is the control side of an entry.
+// Controller runs the control goroutine of an entry, the exchange with other
+// entries and the reads of the store. Its methods are safe for concurrent use.
 type Controller struct {
 	config    Config
 	sequencer *sequencer.Sequencer[*state]
-	current   atomic.Pointer[view]
-	// heartbeatPool carries heartbeats, fetches carries states: a heartbeat behind a
-	// large answer would be late.
+	// current is the view published last; never nil.
+	current atomic.Pointer[view]
+	// heartbeatPool carries heartbeats and fetchPool carries states: a heartbeat
+	// queued behind a large reply on the same connection would arrive late.
 	heartbeatPool, fetchPool *connector.Pool
 	compressed               compressedConfig
 	loadSenders              loadSenders
 	loadCounts               loadCounts
-	// heartbeatRequests asks for heartbeats to all peers at once, meetings for all load to be told
-	// to entries that are new here.
+	// heartbeatRequests holds an element while heartbeats to all peers at once are
+	// requested. newPeers holds one while the view has peers to which this entry
+	// has not sent its full load yet.
 	heartbeatRequests, newPeers chan struct{}
 	background                  sync.WaitGroup
 
 	metrics metrics
 }
 
+// metrics are the counters and gauges of a Controller.
 type metrics struct {
 	storeCalls, storeFailures             tally.Counter
 	revision, listAge, members, upstreams tally.Gauge
@@ -97,60 +110,68 @@
 	}
 }
 
-// state is all control state. Only the control goroutine touches it.
+// state is the whole control state. Only the control goroutine accesses it.
 type state struct {
 	controller *Controller
 	follower   *follower.Follower
 	table      *matcher.Table
 	prober     *prober.Prober
 	contacts   map[string]contact
-	// capacities are what other entries said of themselves, by name.
+	// capacities holds the capacity that each other entry reported, by name.
 	capacities map[string]capacity
 	lagMeter   lagMeter
-	// diedAt is when other entries were last taken for dead, by name.
-	diedAt   map[string]time.Time
-	seeds    []netip.AddrPort
+	// diedAt holds the time at which each other entry was last declared dead, by name.
+	diedAt map[string]time.Time
+	// seeds are the configured peer addresses through which other entries are found.
+	seeds []netip.AddrPort
+	// stopping is true once the shutdown of this entry was announced.
 	stopping bool
-	// exitAt is when a stopping entry ends, knownUntil until when callers may use its address.
+	// exitAt is when a stopping entry exits. Callers may use its address until
+	// addressValidUntil. Both are zero while the entry is not stopping.
 	exitAt, addressValidUntil time.Time
 	started                   time.Time
-	lastTick                  time.Time
-	lastSinceBoot             time.Duration
-	// storeLost says that the last call to the store failed.
+	// lastTick and lastSinceBoot are the time and the value of Config.SinceBoot at
+	// the last tick.
+	lastTick      time.Time
+	lastSinceBoot time.Duration
+	// storeLost is true if the last call to the store failed.
 	storeLost bool
-	// fetching is how many fetches from peers are in progress.
+	// fetching counts the fetches from peers in progress.
 	fetching int
-	dirty    bool
-	// unreadableRevision is the revision of the newest configuration that could not be read.
+	// dirty is true if a new view has to be published.
+	dirty bool
+	// unreadableRevision is the newest revision of the configuration that could
+	// not be decoded; 0 if there was none.
 	unreadableRevision int64
 }
 
 const (
-	// tickPeriod is the period of the control goroutine's own clock.
+	// tickPeriod is the interval between calls of state.tick.
 	tickPeriod = 100 * time.Millisecond
-	// suspendThreshold is a gap between ticks that means that this process stood
-	// still: ten ticks.
+	// suspendThreshold is the gap between two ticks, ten periods, from which on
+	// this process counts as having been suspended.
 	suspendThreshold = time.Second
-	// viewRefreshAge is by how much the confirmation that views show may be
-	// older than the newest.
+	// viewRefreshAge is how much older the confirmation time in the published view
+	// may be than the newest one known.
 	viewRefreshAge = 300 * time.Millisecond
-	// settleTime is how long after its start an entry may not know all others
-	// and their load: two heartbeats, and one round of shares.
+	// settleTime is the time after its start in which an entry may not yet know all
+	// others and their load: two heartbeats and one full load update.
 	settleTime = 2*heartbeatPeriod + fullUpdatePeriod
-	// heartbeatPeriod is the period of heartbeats: five in the time after which a
-	// silent entry is suspected.
+	// heartbeatPeriod is the interval between heartbeats: five fit into
+	// deadTimeout.
 	heartbeatPeriod = 200 * time.Millisecond
-	// deadTimeout is the silence after which an entry counts as dead: callers
-	// that are told its address lose a second to it.
+	// deadTimeout is the silence after which an entry is declared dead. Until then
+	// callers may still be given its address, and each of them loses up to that time.
 	deadTimeout = time.Second
-	// deadUpdateTime is how long entries that died are told of load: processes that are killed
-	// are back within seconds.
+	// deadUpdateTime is how long load updates are still sent to an entry that was
+	// declared dead: killed processes restart within seconds.
 	deadUpdateTime = 10 * time.Second
-	// neighbours is how many entries each entry sends heartbeats to.
+	// neighbours is the number of live entries that each entry sends heartbeats to
+	// in a round.
 	neighbours = 4
 )
 
-// New returns a controller that knows nothing yet.
+// New returns a controller that has no state yet. Run starts it.
 func New(c Config) *Controller {
 	ctl := &Controller{
 		config: c, sequencer: sequencer.New[*state](), heartbeatPool: connector.NewPool(c.Dial), fetchPool: connector.NewPool(c.Dial),
@@ -161,8 +182,9 @@
 	return ctl
 }
 
-// Run works until the context ends. Seeds are peer addresses to begin with;
-// shares is the socket for other entries' loads.
+// Run runs the controller until the context ends, then closes its connections and
+// sockets. Seeds are the first peer addresses to contact, peerListener accepts
+// heartbeats and fetches, and loadSocket carries load updates.
 func (c *Controller) Run(ctx context.Context, seeds []netip.AddrPort, peerListener net.Listener, loadSocket net.PacketConn) {
 	now := time.Now()
 	s := &state{
@@ -186,6 +208,7 @@
 	c.background.Wait()
 }
 
+// goBackground runs a function on a goroutine that Run waits for.
 func (c *Controller) goBackground(f func()) {
 	c.background.Add(1)
 	go func() {
@@ -194,21 +217,22 @@
 	}()
 }
 
-// do runs a command on the control goroutine and waits for it.
+// do runs a command on the control goroutine and waits until it has run.
 func (c *Controller) do(command func(*state)) { c.sequencer.Do(command) }
 
-// publishDirty makes a new view where something changed.
+// publishDirty publishes a new view if the state has changed.
 func (s *state) publishDirty() {
 	if s.dirty {
 		s.publish()
 	}
 }
 
-// tick looks for pauses of this process, silent members and held upstreams.
+// tick detects suspensions of this process, silent entries and upstreams whose
+// retention has expired.
 func (s *state) tick(now time.Time) {
 	sinceBoot := s.controller.config.SinceBoot()
-	// The monotonic clock stands still while an instance is suspended, the
-	// clock since boot doesn't.
+	// The monotonic clock stops while an instance is suspended; the time since
+	// boot includes that time.
 	suspended := sinceBoot - s.lastSinceBoot - now.Sub(s.lastTick)
 	paused := now.Sub(s.lastTick) + max(0, suspended)
 	s.lastTick, s.lastSinceBoot = now, sinceBoot
@@ -234,7 +258,7 @@
 	}
 }
 
-// requestFullLoad has entries that are new here told of load.
+// requestFullLoad triggers sending all of this entry's load to new peers.
 func (c *Controller) requestFullLoad() {
 	select {
 	case c.newPeers <- struct{}{}:
@@ -242,25 +266,28 @@
 	}
 }
 
-// incarnationToken names one run of an entry in messages of shares: what an earlier run told says
-// nothing of a later one.
+// incarnationToken identifies one incarnation of an entry in load updates. It differs
+// between incarnations because the load reported by an earlier one has ended with it.
 func incarnationToken(name string, incarnation uint64) dispatcher.WireID {
 	return dispatcher.WireIDOf(name + " " + strconv.FormatUint(incarnation, 10))
 }
 
-// capacity is what this entry can do.
+// capacity returns the capacity of this entry, as reported to the others.
 func (s *state) capacity() capacity {
 	return capacity{speed: s.controller.config.Speed, overloaded: s.lagMeter.overloaded}
 }
 
-// View is what requests are served by.
+// View returns the view published last. Requests are served from it, and it must not
+// be modified.
 func (c *Controller) View() *forwarder.View { return &c.current.Load().View }
 
-// IsReady reports whether this entry takes callers.
+// IsReady reports whether this entry accepts callers: it has a configuration and is
+// not stopping.
 func (c *Controller) IsReady() bool { return c.current.Load().ready }
 
-// AnnounceShutdown tells callers and other entries that this entry ends at a time. Callers may use its
-// address until knownUntil. When it returns, this entry is no longer ready.
+// AnnounceShutdown tells callers and other entries that this entry is shutting down and
+// exits at exitAt. Callers may use its address until addressValidUntil. IsReady is false
+// by the time it returns.
 func (c *Controller) AnnounceShutdown(addressValidUntil, exitAt time.Time) {
 	c.do(func(s *state) {
 		s.stopping, s.addressValidUntil, s.exitAt = true, addressValidUntil, exitAt
@@ -269,11 +296,12 @@
 	c.requestHeartbeats()
 }
 
-// SetSeeds takes over new seeds.
+// SetSeeds replaces the seed addresses given to Run.
 func (c *Controller) SetSeeds(seeds []netip.AddrPort) {
 	c.do(func(s *state) { s.seeds, s.dirty = seeds, true })
 }
 
+// requestHeartbeats triggers heartbeats to all live peers at once, to announce a change.
 func (c *Controller) requestHeartbeats() {
 	select {
 	case c.heartbeatRequests <- struct{}{}:
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -15,41 +15,44 @@
 )
 
 const (
-	// fetchTimeout bounds a fetch from a peer: half of the shortest time in
-	// which a change has to be in force, so that another peer can be asked.
+	// fetchTimeout bounds a fetch from a peer. It is half of the shortest
+	// MaxPropagation, so that another peer can be asked after a timeout.
 	fetchTimeout = time.Second
-	// maxFetches is how many peers are asked at once: one more than is needed,
-	// so that one that is gone does not hold up the news.
+	// maxFetches is how many peers are asked at once: one more than needed, so
+	// that a dead peer does not delay a change.
 	maxFetches = 2
-	// maxConfigSize is the largest configuration that is decompressed, in bytes; a
-	// value of the platform's store is a megabyte at most.
+	// maxConfigSize is the largest decompressed configuration accepted, in bytes.
+	// Values in the platform's store are limited to a megabyte.
 	maxConfigSize = 8 << 20
 )
 
-// FetchArgs asks for what a peer believes of the store.
+// FetchArgs asks a peer for its state of the store.
 type FetchArgs struct {
-	// Have is the revision up to which the asking entry knows all changes,
-	// HaveConfig that of its configuration.
+	// Have is the revision up to which the sender has all changes, HaveConfig the
+	// revision of its configuration. Both are 0 if it has none.
 	Have, HaveConfig int64
 }
 
-// FetchReply is what an entry believes of the store.
+// FetchReply is an entry's state of the store.
 type FetchReply struct {
-	// State is without the configuration, which Config holds compressed; empty
-	// where the asking entry has that revision.
+	// State comes without the configuration. Config holds it compressed; empty if
+	// the asking entry already has that revision.
 	State  follower.State
 	Config []byte
-	// Whole is true where State is all that there is, not only what changed
+	// Whole is true if State is complete, false if it holds only the changes
 	// since the revision that the asking entry has.
-	Whole     bool
+	Whole bool
+	// Known is true if the sender has a complete state that was confirmed at least
+	// once; the other fields are invalid otherwise. Confirmed is the age of that
+	// confirmation by the store.
 	Known     bool
 	Confirmed time.Duration
-	// Disturbed is how long ago the store failed the entry; negative where it
-	// never did.
+	// Disturbed is how long ago a call to the store last failed, at the sender or
+	// at an entry that reported it; negative if none did.
 	Disturbed time.Duration
 }
 
-// Fetch answers with what this entry believes of the store.
+// Fetch replies with this entry's state of the store. It is called over net/rpc.
 func (p *PeerService) Fetch(args FetchArgs, reply *FetchReply) error {
 	p.controller.do(func(s *state) {
 		now := time.Now()
@@ -68,10 +71,11 @@
 	return err
 }
 
-// neverFailed is told by an entry that knows of no failure of the store.
+// neverFailed is the Disturbed value of an entry that knows of no failed store call.
 const neverFailed = -1
 
-// storeFailureAge is how long ago the store failed this entry or one that told it.
+// storeFailureAge returns how long ago a store call last failed, at this entry or at one
+// that reported it; neverFailed if none did.
 func (s *state) storeFailureAge(now time.Time) time.Duration {
 	age, ever := s.follower.FailureAge(now)
 	if !ever {
@@ -80,23 +84,24 @@
 	return age
 }
 
-// recordStoreFailure takes in how long ago the store failed another entry.
+// recordStoreFailure records that a store call failed at another entry the given time ago.
+// Negative ages are ignored.
 func (s *state) recordStoreFailure(now time.Time, age time.Duration) {
 	if age >= 0 {
 		s.follower.RecordFailure(now.Add(-age))
 	}
 }
 
-// compressedConfig is the newest configuration that was asked for, compressed once
-// for all that ask: many routes are much alike and shrink to a tenth.
+// compressedConfig caches the configuration requested last in compressed form, so that it
+// is compressed once for all peers. Routes are much alike and compress to a tenth.
 type compressedConfig struct {
 	lock     sync.Mutex
 	revision int64
 	data     []byte
 }
 
-// compress returns a configuration compressed. The lock is held meanwhile, so that
-// entries that ask at the same time wait for one.
+// compress returns a configuration in compressed form. It holds the lock meanwhile, so that
+// concurrent requests wait for one compression.
 func (c *compressedConfig) compress(revision int64, config []byte) ([]byte, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -118,7 +123,7 @@
 	return c.data, nil
 }
 
-// decompress inflates a configuration.
+// decompress inflates a configuration. It fails if the result exceeds maxConfigSize.
 func decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
 	config, err := io.ReadAll(io.LimitReader(r, maxConfigSize+1))
@@ -126,12 +131,13 @@
 		return nil, fmt.Errorf("decompress configuration: %w", err)
 	}
 	if len(config) > maxConfigSize {
-		return nil, fmt.Errorf("decompress configuration: over %d bytes", maxConfigSize)
+		return nil, fmt.Errorf("decompress configuration: exceeds %d bytes", maxConfigSize)
 	}
 	return config, nil
 }
 
-// fetchState asks a peer for what it believes of the store.
+// fetchState fetches a peer's state of the store and applies it. Source is the peer's name
+// in logs.
 func (c *Controller) fetchState(address netip.AddrPort, source string, have FetchArgs) {
 	defer c.do(func(s *state) { s.fetching-- })
 	var reply FetchReply
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -29,7 +29,7 @@
 
 var storeAddress = netip.MustParseAddrPort("10.200.0.1:80")
 
-// entry is one controller of a fleet.
+// entry is one controller of a fleet with the dispatcher and the quarantiner it feeds.
 type entry struct {
 	quarantine *quarantiner.Quarantiner
 	*controller.Controller
@@ -39,7 +39,7 @@
 	ended      chan struct{}
 }
 
-// fleet is controllers before one store, in virtual time.
+// fleet is a number of controllers that follow one store, in virtual time.
 type fleet struct {
 	t       *testing.T
 	is      *is.I
@@ -48,7 +48,7 @@
 	server  *http.Server
 	entries []*entry
 	started int
-	// speed is that of each entry, by its number; not known where nil.
+	// speed returns the speed of an entry by its index; nil if speeds are unknown.
 	speed func(int) float64
 }
 
@@ -76,7 +76,7 @@
 	})
 }
 
-// fastUpTo is the speed of entries of which the first are fast.
+// fastUpTo returns speeds for a fleet whose first entries are fast.
 func fastUpTo(fast int) func(int) float64 {
 	return func(i int) float64 {
 		if i < fast {
@@ -104,7 +104,8 @@
 	<-e.ended
 }
 
-// sinceEpoch is the paused clock: an instance that is never suspended, however slow the test is.
+// sinceEpoch is a boot clock in virtual time: the instance is never suspended, however slowly
+// the test runs.
 func sinceEpoch() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 func hostOf(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(1 + i%3), 0, byte(10 + i)}) }
@@ -143,7 +144,7 @@
 
 func (f *fleet) putVersion(version int) { f.putConfig(version, 1) }
 
-// putConfig writes a configuration with a number of routes.
+// putConfig writes a configuration of a version with count routes to the store.
 func (f *fleet) putConfig(version, count int) {
 	var routes []any
 	for i := range count {
@@ -169,22 +170,22 @@
 	f.store.Put("servers/"+id, u)
 }
 
-// eventually waits until a condition holds, and fails after a time.
-func (f *fleet) eventually(limit time.Duration, what string, holds func(*entry) bool) {
+// eventually waits until a condition holds at all entries, and fails the test after limit.
+func (f *fleet) eventually(limit time.Duration, what string, isMet func(*entry) bool) {
 	f.t.Helper()
 	began := time.Now()
 	for {
-		missing := 0
+		failing := 0
 		for _, e := range f.entries {
-			if !holds(e) {
-				missing++
+			if !isMet(e) {
+				failing++
 			}
 		}
-		if missing == 0 {
+		if failing == 0 {
 			return
 		}
 		if time.Since(began) > limit {
-			f.t.Errorf("%s: %d of %d entries still lack it after %s", what, missing, len(f.entries), limit)
+			f.t.Errorf("%s: not so at %d of %d entries after %s", what, failing, len(f.entries), limit)
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -202,7 +203,7 @@
 	return func(e *entry) bool { return e.dispatcher.UpstreamCount("app") == n }
 }
 
-// requestCount is how many requests the entry believes to run at all upstreams.
+// requestCount returns how many requests run at all upstreams according to the entry.
 func (e *entry) requestCount() int {
 	sum := 0
 	for _, row := range e.dispatcher.Upstreams(time.Now()) {
@@ -215,7 +216,7 @@
 	return func(e *entry) bool { return e.requestCount() == n }
 }
 
-// All entries know each other and the store soon after their start.
+// All entries know each other and the state of the store soon after they start.
 func TestEntriesDiscoverEachOther(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		for _, e := range f.entries {
@@ -226,8 +227,8 @@
 	})
 }
 
-// A change of the configuration and an upstream's leaving are in force
-// everywhere well within two seconds, though most entries read no store.
+// A change of the configuration, a draining upstream and a removed one take effect at all
+// entries well within two seconds, though most entries do not read the store.
 func TestChangesReachAllEntries(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		f.putVersion(2)
@@ -239,20 +240,19 @@
 	})
 }
 
-// Two entries read the store for all: calls don't grow with the fleet.
+// Only two entries read the store, so that its calls do not grow with the fleet.
 func TestStoreCallsDoNotGrowWithTheFleet(t *testing.T) {
 	withFleet(t, 12, func(f *fleet) {
 		before := f.store.Calls()
 		time.Sleep(10 * time.Second)
 		calls := f.store.Calls() - before
 		if calls > 40 {
-			t.Errorf("%d calls in ten seconds", calls)
+			t.Errorf("%d store calls in ten seconds, at most 40 expected", calls)
 		}
 	})
 }
 
-// An entry that the store turns away, in each of its ways, learns from the
-// others.
+// Entries whose connection to the store is cut receive changes from the other entries.
 func TestEntriesCutOffFromStoreGetChanges(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		for i := range f.entries[1:] {
@@ -263,7 +263,7 @@
 	})
 }
 
-// Entries that hear nobody read for themselves.
+// Entries that are cut off from all others read the store themselves.
 func TestPartitionedEntriesReadTheStore(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		for i := range f.entries {
@@ -279,9 +279,9 @@
 	})
 }
 
-// While the store is down nothing is forgotten; when it is back, changes made
-// meanwhile are in force within the bound, and entries that lapsed are kept
-// until their upstreams are back.
+// While the store fails, all entries keep their state. Once it is back, changes made in the
+// outage take effect in time, and upstreams whose registration lapsed are retained until
+// they had time to register again. The store fails in each of its modes.
 func TestStoreOutage(t *testing.T) {
 	for _, mode := range []store.Mode{store.Busy, store.Many, store.Silent, store.Reset} {
 		t.Run(fmt.Sprint(mode), func(t *testing.T) {
@@ -295,7 +295,7 @@
 				f.putVersion(2)
 				f.store.SetMode(store.Up)
 				f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
-				f.eventually(0, "lapsed upstreams held", hasUsable(3))
+				f.eventually(0, "lapsed upstreams retained", hasUsable(3))
 				f.register("i-0", "ready")
 				time.Sleep(3 * time.Second)
 				f.eventually(0, "lapsed upstream gone", hasUsable(2))
@@ -304,8 +304,7 @@
 	}
 }
 
-// A store that is slow still brings changes within the bound, and history that
-// it drops loses nothing.
+// Changes take effect in time though the store replies late and drops its history.
 func TestSlowStoreWithoutHistory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		f.store.SetMode(store.Late)
@@ -318,8 +317,8 @@
 	})
 }
 
-// A configuration that can't be read leaves the one in force, and the next one
-// is taken.
+// A configuration that can't be decoded leaves the current one in force, and the next valid
+// one takes effect.
 func TestUnreadableConfiguration(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		f.store.Put("op/config", json.RawMessage(`{"version":2,"routes":[{"name":"r","kind":"odd"}]}`))
@@ -330,10 +329,9 @@
 	})
 }
 
-// A configuration of 1,400 routes, a third of a megabyte, is in force in two
-// seconds at entries that the store turns away, over links of 20 Mbit/s. That
-// is the load of the platform's largest changes on its smallest instances,
-// with most of them cut off from the store.
+// A configuration of 1,400 routes, a third of a megabyte, takes effect within two seconds
+// over links of 20 Mbit/s, at entries most of which are cut off from the store. That is the
+// platform's largest change on its smallest instances.
 func TestLargeConfigurationSpreadsOverSlowLinks(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i, e := range f.entries {
@@ -350,7 +348,8 @@
 	})
 }
 
-// A dead entry leaves the directory, and returns to it as a new incarnation.
+// The address of a dead entry is removed from the directory, and added again with its next
+// incarnation.
 func TestDeadEntryLeavesDirectory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		dead := f.entries[4]
@@ -363,7 +362,7 @@
 	})
 }
 
-// A stopping entry is left out at once.
+// The address of a stopping entry is removed from the directory at once.
 func TestStoppingEntryLeavesDirectory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		f.entries[0].AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(5*time.Second))
@@ -372,7 +371,7 @@
 	})
 }
 
-// What one entry places, the others know within milliseconds.
+// Other entries know a request within milliseconds after one entry has placed it.
 func TestLoadReachesOtherEntries(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		p, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
@@ -389,7 +388,7 @@
 }
 
 // An entry that has just started knows within a quarter of a second what others have placed,
-// and others forget what its earlier run had placed.
+// and others drop what its earlier incarnation had placed.
 func TestRestartedEntryReceivesLoad(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		place := func(e *entry) *dispatcher.Placement {
@@ -401,7 +400,7 @@
 			place(f.entries[0])
 		}
 		place(f.entries[2])
-		time.Sleep(150 * time.Millisecond) // past the time at which all load is told again
+		time.Sleep(150 * time.Millisecond) // past the next full update
 		f.is.Equal(f.entries[0].requestCount(), 6)
 		f.entries[2].end()
 		f.net.Kill(f.entries[2].host)
@@ -412,8 +411,8 @@
 	})
 }
 
-// Entries of another writer, whatever they hold, take nothing from the others, and what is
-// unreadable for a while is used again once it can be read; so is the configuration.
+// Unreadable items in the store, from whatever writer, do not affect other items. An upstream
+// or a configuration that is unreadable for a while is used again once it is readable.
 func TestUnreadableItemsDoNotAffectOthers(t *testing.T) {
 	withFleet(t, 4, func(f *fleet) {
 		for i := range 200 {
@@ -423,23 +422,23 @@
 		f.store.PutItem("op/config", json.RawMessage(`"?"`))
 		f.eventually(time.Second, "i-1 unreadable", hasUsable(2))
 		f.eventually(0, "version 1 kept", hasVersion(1))
-		f.store.Compact() // the whole state is read again, the unreadable items with it
+		f.store.Compact() // the complete state is read again, including the unreadable items
 		f.register("i-3", "ready")
 		f.eventually(1900*time.Millisecond, "i-3 listed", hasUsable(3))
 		f.register("i-1", "ready")
 		f.putVersion(2)
-		f.eventually(time.Second, "i-1 back", hasUsable(4))
+		f.eventually(time.Second, "i-1 usable again", hasUsable(4))
 		f.eventually(time.Second, "version 2", hasVersion(2))
 	})
 }
 
-// A run that takes an earlier one's place under its ID is known everywhere in a second.
+// An upstream's new incarnation under an ID used before is known to all entries in a second.
 func TestNewIncarnationUnderTheSameIDReachesAllEntries(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		u := store.NewUpstream("app", netip.MustParseAddrPort("10.1.0.200:80"))
 		first := time.Now()
 		f.store.Put("servers/i-1", u.BornAt(first))
-		born := func(at time.Time) func(*entry) bool {
+		startedAt := func(at time.Time) func(*entry) bool {
 			return func(e *entry) bool {
 				for _, row := range e.dispatcher.Upstreams(time.Now()) {
 					if row.Instance.ID == "i-1" {
@@ -449,16 +448,16 @@
 				return false
 			}
 		}
-		f.eventually(time.Second, "first run", born(first))
+		f.eventually(time.Second, "first incarnation", startedAt(first))
 		f.store.Put("servers/i-1", u.BornAt(first.Add(time.Minute)))
-		f.eventually(time.Second, "second run", born(first.Add(time.Minute)))
+		f.eventually(time.Second, "second incarnation", startedAt(first.Add(time.Minute)))
 	})
 }
 
-// Load is told to all within 20 ms, and what is told crosses between data centres once for
-// each of them, not once for each entry: 24 entries in three data centres, where 16 others
-// are elsewhere. It holds before entries have heard each other, and relays that die take
-// little with them: once their death is known, in about two seconds, the next repeat is heard.
+// Load updates reach all entries within 20 ms, and cross between data centres once per data
+// centre instead of once per entry: 24 entries in three data centres, so that 16 others are
+// elsewhere. This holds before entries have exchanged heartbeats with each other. If relays die,
+// the first full update after their death was detected, in about two seconds, reaches all.
 func TestLoadCrossesBetweenDataCentresOnce(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		var lock sync.Mutex
@@ -478,7 +477,7 @@
 		}
 		for n := 1; n <= 20; n++ {
 			place()
-			f.eventually(20*time.Millisecond, "load told", hasRequests(n))
+			f.eventually(20*time.Millisecond, "load received", hasRequests(n))
 		}
 		lock.Lock()
 		f.is.True(across*4 < within) // 2 of 2 + 7 + 14 datagrams
@@ -489,16 +488,17 @@
 		}
 		f.entries = append(f.entries[:1], f.entries[7:]...)
 		place()
-		f.eventually(3*time.Second, "load told in spite of dead relays", hasRequests(21))
+		f.eventually(3*time.Second, "load received despite dead relays", hasRequests(21))
 	})
 }
 
-// A rolling stop: half of the entries of one data centre say that they stop, serve on, and end. Until their
-// silence was noticed they were drawn as relays, and each message for that data centre was lost with
-// half of its entries: long prompts that were placed 30 ms apart met on the same engines, and began 2.7 s late.
+// Rolling shutdown: half of the entries of one data centre announce that they stop, serve on, and
+// exit. When stopping entries still served as relays, each update sent to one that had just exited
+// was lost to half of the data centre until its silence was detected. Long prompts placed 30 ms
+// apart then went to the same engines, and started 2.7 s late.
 func TestLoadReachesAllWhileEntriesShutDown(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
-		time.Sleep(5 * time.Second) // until most have heard each other
+		time.Sleep(5 * time.Second) // until most have exchanged heartbeats
 		all := f.entries
 		var stopped, others []*entry
 		for i, e := range all {
@@ -515,7 +515,7 @@
 		for n := 1; n <= 10; n++ {
 			_, refusal := all[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
-			f.eventually(20*time.Millisecond, "load told to all, those that stop too", hasRequests(n))
+			f.eventually(20*time.Millisecond, "load received by all, including stopping entries", hasRequests(n))
 		}
 		for _, e := range stopped {
 			f.net.Kill(e.host)
@@ -525,21 +525,21 @@
 		for n := 11; n <= 30; n++ {
 			_, refusal := all[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
-			f.eventually(20*time.Millisecond, "load told", hasRequests(n))
+			f.eventually(20*time.Millisecond, "load received", hasRequests(n))
 		}
 	})
 }
 
-// A burst of long prompts at a fleet in which three of the eight entries of each data centre have just been killed:
-// each prompt is known to all within 20 ms. One relay was drawn for each message, and what it lost was known only with the
-// next repeat: an entry placed a prompt of 153,000 tokens on the engine that had got 251,000 from another
-// one 0.4 s before, where it waited 5 s for memory.
+// A burst of long prompts while three of the eight entries of each data centre have just been
+// killed: each prompt is known to all within 20 ms. With one relay per update, a lost update was
+// only made up by the next full one. An entry placed a prompt of 153,000 tokens on an engine
+// that had got one of 251,000 from another entry 0.4 s before, where it waited 5 s for memory.
 func TestHeavyPromptsReachAllDespiteDeadRelays(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i := range 20 {
 			f.registerAt("lm", fmt.Sprintf("e-%d", i), "ready")
 		}
-		time.Sleep(5 * time.Second) // until most have heard each other
+		time.Sleep(5 * time.Second) // until most have exchanged heartbeats
 		for _, e := range f.entries[15:] {
 			f.net.Kill(e.host)
 			e.end()
@@ -549,48 +549,50 @@
 			d := dispatcher.Demand{Service: "lm", PromptTokens: 250000, AnswerTokens: 500, FirstByteTarget: 4 * time.Second, GapTarget: time.Second, MaxWait: 15 * time.Second, Admitted: true}
 			_, refusal := f.entries[0].dispatcher.Place(time.Now(), d)
 			f.is.True(refusal == nil)
-			f.eventually(20*time.Millisecond, "heavy prompt told", hasRequests(n))
+			f.eventually(20*time.Millisecond, "heavy prompt received", hasRequests(n))
 		}
 	})
 }
 
-// An entry of sixty stops, ends and starts again. Three quarters of the others went on naming its address to
-// callers, who were refused there, and then found nobody; once it was back and known to have
-// stopped, it had no callers until each of the others had heard it.
+// One entry of sixty shuts down, exits and restarts. Three quarters of the others went on listing
+// its address, so that callers were refused there and then found no other entry. After the
+// restart the others still took it for stopping, so that it got no callers until each of them had
+// received a heartbeat from it.
 func TestAddressesFollowShutdownAndRestart(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
-		time.Sleep(10 * time.Second) // until all have heard each other
-		one := f.entries[7]
-		address := netip.AddrPortFrom(one.host, 80)
-		named := func(wanted bool) func(*entry) bool {
+		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
+		restarted := f.entries[7]
+		address := netip.AddrPortFrom(restarted.host, 80)
+		isListed := func(wanted bool) func(*entry) bool {
 			return func(e *entry) bool { return slices.Contains(e.CallerAddresses("dc-0"), address) == wanted }
 		}
-		f.eventually(10*time.Second, "address of an entry that serves", named(true))
-		one.AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(8*time.Second))
-		f.eventually(time.Second, "address of an entry that stops gone", named(false))
+		f.eventually(10*time.Second, "address of a serving entry listed", isListed(true))
+		restarted.AnnounceShutdown(time.Now().Add(3*time.Second), time.Now().Add(8*time.Second))
+		f.eventually(time.Second, "address of a stopping entry removed", isListed(false))
 		time.Sleep(3 * time.Second)
-		one.end()
-		f.net.Kill(one.host)
+		restarted.end()
+		f.net.Kill(restarted.host)
 		time.Sleep(500 * time.Millisecond)
 		f.entries[7] = f.startEntry(7)
-		f.eventually(2*time.Second, "address of an entry that is back", named(true))
+		f.eventually(2*time.Second, "address of a restarted entry listed", isListed(true))
 	})
 }
 
-// Operators see whom an entry tells of load, who passes it on, and what that costs.
+// The status reports to how many entries an entry sends its load, through which relays, and the
+// messages and bytes that takes.
 func TestStatusReportsLoadMessages(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for n := 1; n <= 20; n++ {
 			_, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
-			f.eventually(20*time.Millisecond, "load told", hasRequests(n))
+			f.eventually(20*time.Millisecond, "load received", hasRequests(n))
 		}
 		first := f.entries[0].Status()
 		f.is.Equal(first.LoadNews.Peers, 23)
-		f.is.Equal(first.LoadNews.PlacingPeers, 23) // all are as fast
+		f.is.Equal(first.LoadNews.PlacingPeers, 23) // all have the same speed
 		f.is.Equal(first.LoadNews.RelayedCentres, 2)
 		f.is.True(first.LoadNews.Told.Messages >= 20*(7+2))
-		f.is.Equal(first.LoadNews.Relayed.Messages, int64(0)) // its own data centre's are told by itself
+		f.is.Equal(first.LoadNews.Relayed.Messages, int64(0)) // entries of its own data centre receive its updates directly
 		relayed, bytes := int64(0), int64(0)
 		for _, e := range f.entries[1:] {
 			news := e.Status().LoadNews
@@ -598,17 +600,17 @@
 				relayed += news.Relayed.Messages
 				bytes += news.Relayed.Bytes
 			}
-			f.is.True(news.Heard.Messages >= 20) // each change, and repeats
+			f.is.True(news.Heard.Messages >= 20) // each change, and full updates
 			f.is.Equal(news.Malformed, int64(0))
 		}
-		f.is.True(relayed >= 20*2*7) // each change, by one of eight entries to the others
+		f.is.True(relayed >= 20*2*7) // each change, relayed by one of eight entries to the others
 		f.is.True(bytes > relayed)
 	})
 }
 
-// A burst at a fleet of 8 fast and 22 slow entries: only the fast ones take callers, so only
-// they need to know of each request at once. A slow one that is asked all the same is one of
-// them from its first request on.
+// A burst at a fleet of 8 fast and 22 slow entries: callers are given only the fast ones, so
+// only these need to receive each change at once. A slow entry that places a request all the
+// same receives the changes from then on.
 func TestLoadChangesGoToPlacingEntries(t *testing.T) {
 	const fast, slow = 8, 22
 	withSpeeds(t, fast+slow, fastUpTo(fast), func(f *fleet) {
@@ -640,45 +642,45 @@
 			f.entries = all[:fast]
 			count(true)
 			place(all[0])
-			f.eventually(20*time.Millisecond, "load told to entries that place", hasRequests(n))
+			f.eventually(20*time.Millisecond, "load received by placing entries", hasRequests(n))
 			count(false)
 			f.entries = all
-			f.eventually(900*time.Millisecond, "load told to all", hasRequests(n))
+			f.eventually(900*time.Millisecond, "load received by all", hasRequests(n))
 		}
 		lock.Lock()
-		f.is.True(toSlow < 10*slow/2) // two relays each time, all where a repeat falls into it
+		f.is.True(toSlow < 10*slow/2) // two relays each time, all of them if a full update coincides
 		lock.Unlock()
-		asked := all[fast]
-		place(asked)
-		f.entries = append([]*entry{asked}, all[:fast]...)
-		f.eventually(20*time.Millisecond, "load of an entry that was asked", hasRequests(11))
+		slowPlacer := all[fast]
+		place(slowPlacer)
+		f.entries = append([]*entry{slowPlacer}, all[:fast]...)
+		f.eventually(20*time.Millisecond, "load of a slow entry that placed received", hasRequests(11))
 		place(all[0])
-		f.eventually(20*time.Millisecond, "load told to an entry that was asked", hasRequests(12))
+		f.eventually(20*time.Millisecond, "load received by a slow entry that placed", hasRequests(12))
 		f.entries = all
 	})
 }
 
-// An operator sees at any entry which others callers are sent to, and why.
+// The status of any entry reports which others get callers, and the speeds behind that.
 func TestStatusReportsWhichEntriesGetCallers(t *testing.T) {
 	const fast, slow = 6, 4
 	withSpeeds(t, fast+slow, fastUpTo(fast), func(f *fleet) {
 		time.Sleep(3 * time.Second)
 		members := f.entries[0].Status().Members
 		f.is.Equal(len(members), fast+slow-1)
-		takes := 0
+		withCallers := 0
 		for _, m := range members {
 			f.is.Equal(m.Takes, m.Speed == 0.8)
 			f.is.True(!m.Strained)
 			if m.Takes {
-				takes++
+				withCallers++
 			}
 		}
-		f.is.Equal(takes, fast-1)
+		f.is.Equal(withCallers, fast-1)
 	})
 }
 
-// An entry of a hundred that has just started knows within a second and a half what others
-// have placed, and they what it places, though it has heard few of them itself.
+// In a fleet of sixty an entry that has just started knows within a second and a half what others
+// have placed, and they know what it places, though it has exchanged heartbeats with few of them.
 func TestRestartedEntryReceivesLoadInALargeFleet(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(2 * time.Second)
@@ -692,20 +694,20 @@
 		time.Sleep(500 * time.Millisecond)
 		_, refusal := f.entries[59].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 		f.is.True(refusal == nil)
-		f.eventually(time.Second, "load of all", hasRequests(51))
+		f.eventually(time.Second, "load of all received", hasRequests(51))
 	})
 }
 
-// In an outage of the store calls don't grow with the fleet, and when it is back a change made
-// meanwhile is in force everywhere in two seconds: 60 entries, an outage of 8 s.
+// In an outage of the store calls do not grow with the fleet, and after it a change made
+// meanwhile takes effect at all entries within two seconds: 60 entries, an outage of 8 s.
 func TestStoreCallsInAnOutageDoNotGrowWithTheFleet(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
-		time.Sleep(10 * time.Second) // until all have heard each other
+		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
 		f.store.SetMode(store.Reset)
 		before := f.store.Calls()
 		time.Sleep(8 * time.Second)
 		if calls := f.store.Calls() - before; calls > 500 {
-			t.Errorf("%d calls in an outage of 8 s", calls)
+			t.Errorf("%d store calls in an outage of 8 s, at most 500 expected", calls)
 		}
 		f.putVersion(2)
 		f.store.SetMode(store.Up)
@@ -713,11 +715,11 @@
 	})
 }
 
-// Half of a fleet is killed and starts anew after its death is known: within a second and a half
-// after two rounds of placing by survivors and by those that are new, all know of all of it.
+// Half of a fleet is killed and restarts after its death was detected. Within a second and a half
+// after survivors and restarted entries have placed two requests each, all know all of them.
 func TestLoadReachesAllAfterHalfTheFleetRestarts(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
-		time.Sleep(10 * time.Second) // until all have heard each other
+		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
 		for i := 30; i < 60; i++ {
 			f.entries[i].end()
 			f.net.Kill(f.entries[i].host)
@@ -737,6 +739,6 @@
 			}
 		}
 		f.is.True(placed >= 60)
-		f.eventually(1500*time.Millisecond, "load of all", hasRequests(placed))
+		f.eventually(1500*time.Millisecond, "load of all received", hasRequests(placed))
 	})
 }
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -15,43 +15,44 @@
 )
 
 const (
-	// storeReaders is how many entries read the store for all: one more than is
-	// needed, so that the death of one goes unnoticed.
+	// storeReaders is how many entries read the store on behalf of all: one more
+	// than needed, so that the death of one delays nothing.
 	storeReaders = 2
-	// watchTimeout is how long a watch waits for changes. It bounds how old a
-	// confirmation may be, and how long a connection gone silent is trusted.
+	// watchTimeout is how long a watch waits for changes. It bounds the age of a
+	// confirmation, and how long a connection that fails silently goes undetected.
 	watchTimeout = 400 * time.Millisecond
-	// watchPause is between two watches, so that many changes cost few calls.
+	// watchPause separates two watches, so that frequent changes cost few calls.
 	watchPause = 250 * time.Millisecond
-	// staleFraction is the part of the time in which a change has to be in
-	// force that a confirmation may be old before an entry reads for itself; the
-	// read takes up to a quarter of it.
+	// staleFraction is the fraction of MaxPropagation after which a confirmation
+	// is stale, so that an entry reads the store itself. That read takes up to a
+	// quarter of MaxPropagation.
 	staleFraction = 0.6
-	// trustFraction is the part of that time up to which a confirmation rules out
-	// that this entry missed a change that has to be in force: the rest is for
-	// slow answers, which are older than they seem.
+	// trustFraction is the fraction of MaxPropagation up to which a confirmation
+	// guarantees that this entry missed no change that it must act on. The rest
+	// allows for slow replies, which are older than they seem.
 	trustFraction = 0.75
-	// readCheckPeriod is how often an entry looks whether it has to read.
+	// readCheckPeriod is how often an entry checks whether it has to read the store.
 	readCheckPeriod = 50 * time.Millisecond
-	// readTimeout bounds a read of the whole state; the store's usual answers
-	// take milliseconds, slow ones hundreds.
+	// readTimeout bounds a read of the complete state. The store usually replies
+	// within milliseconds; slow replies take hundreds.
 	readTimeout = 1500 * time.Millisecond
-	// minRetryDelay and mostFailurePause are after the first failed call and
-	// after several in a row; in between they double. In an outage every entry calls, and
-	// each call is paid for.
+	// minRetryDelay follows the first failed call. The delay doubles with each further
+	// failure up to maxRetryDelay. In an outage every entry calls the store, and each
+	// call is paid for.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// retryDelayFleetSize is the number of live entries up to which all pause that long; beyond
-	// it those that are not the readers pause in proportion, up to longestFailurePause, so
-	// that the fleet finds a store that is back as soon with as many calls. In an outage of
-	// 8 s 95 entries made 1,500 calls, 0.01 of a day's worth.
+	// retryDelayFleetSize is the number of live entries up to which maxRetryDelay applies
+	// to all. In larger fleets it grows in proportion, up to maxFleetRetryDelay, for
+	// entries that are not store readers: the fleet then detects the end of an outage as
+	// soon with as many calls. In an outage of 8 s 95 entries made 1,500 calls, 0.01 of a
+	// day's worth.
 	retryDelayFleetSize = 20
 	maxFleetRetryDelay  = 2 * time.Second
-	// maxDoublings is where the doubling ends, past any longest pause.
+	// maxDoublings ends the doubling of the delay, above any maximum.
 	maxDoublings = 10
 )
 
-// followStore reads the store while this entry is to.
+// followStore reads the store while shouldReadStore allows it, until the context ends.
 func (c *Controller) followStore(ctx context.Context) {
 	readAll := true
 	failures := 0
@@ -84,8 +85,8 @@
 	}
 }
 
-// shouldReadStore reports whether this entry reads the store: it is one of the readers,
-// or what it was told is old.
+// shouldReadStore reports whether this entry has to read the store: it is a store reader,
+// or the last confirmation is missing or stale.
 func (s *state) shouldReadStore(now time.Time) bool {
 	age, ok := s.follower.ConfirmationAge(now)
 	if !ok || age > fractionOf(s.controller.config.MaxPropagation, staleFraction) {
@@ -94,7 +95,7 @@
 	return s.isReader(s.liveNames())
 }
 
-// liveNames are the names of the entries that live, this one too.
+// liveNames returns the names of all live entries, including this one.
 func (s *state) liveNames() []string {
 	names := []string{s.controller.config.Name}
 	for _, m := range s.prober.Members() {
@@ -105,8 +106,8 @@
 	return names
 }
 
-// isReader reports whether this entry is one of those that read the store for all: fewer
-// than that many others come before it by rendezvous hashing.
+// isReader reports whether this entry is a store reader: whether fewer than storeReaders
+// of the live entries have a higher rendezvous-hashing weight.
 func (s *state) isReader(live []string) bool {
 	ownWeight := assigner.Weight(s.controller.config.Name, "reader")
 	heavier := 0
@@ -118,7 +119,7 @@
 	return heavier < storeReaders
 }
 
-// maxRetryDelay is how long this entry pauses at most after calls that failed.
+// maxRetryDelay returns the longest delay of this entry after failed store calls.
 func (s *state) maxRetryDelay() time.Duration {
 	live := s.liveNames()
 	if s.isReader(live) {
@@ -127,15 +128,17 @@
 	return fleetRetryDelay(len(live))
 }
 
-// fleetRetryDelay is how long one of a number of live entries pauses at most.
+// fleetRetryDelay returns the longest delay after failed store calls of an entry that is
+// not a store reader, given the number of live entries.
 func fleetRetryDelay(live int) time.Duration {
 	return min(maxFleetRetryDelay, maxRetryDelay*time.Duration(max(retryDelayFleetSize, live))/retryDelayFleetSize)
 }
 
-// fractionOf is a part of a time.
+// fractionOf returns the fraction p of a duration.
 func fractionOf(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
 
-// readStore makes one call to the store and takes in what it says.
+// readStore makes one call to the store, a complete read or a watch for changes after a
+// revision, and applies the reply.
 func (c *Controller) readStore(ctx context.Context, readAll bool, revision int64) error {
 	c.metrics.storeCalls.Inc(1)
 	var got follower.State
@@ -166,8 +169,8 @@
 	return nil
 }
 
-// recordStoreError notes that the store did not answer. A history that is gone is
-// no sign of an outage.
+// recordStoreError records a failed store call. ErrHistoryGone is logged but is no sign of
+// an outage.
 func (s *state) recordStoreError(now time.Time, err error) {
 	if errors.Is(err, follower.ErrHistoryGone) {
 		s.controller.config.Log.Info("store_history_gone", zap.Int64("revision", s.follower.Revision()))
@@ -181,7 +184,7 @@
 	s.controller.config.Log.Warn("store_lost", zap.Error(err), zap.Int64("revision", s.follower.Revision()))
 }
 
-// recordStoreSuccess notes that the store answers.
+// recordStoreSuccess records that a store call succeeded.
 func (s *state) recordStoreSuccess() {
 	if s.storeLost {
 		s.storeLost = false
@@ -189,8 +192,8 @@
 	}
 }
 
-// applyState takes in a state by a method of the follower, and reports whether it changed
-// the belief. The configuration is decoded here, on the goroutine that read it.
+// applyState merges a state by a method of the follower, and reports whether anything
+// changed. The configuration is decoded on the calling goroutine, not the control goroutine.
 func (c *Controller) applyState(got follower.State, source string, apply func(*state, time.Time, follower.State) []follower.Change) bool {
 	table := c.decodeConfig(&got, source)
 	changed := false
@@ -209,8 +212,9 @@
 	return changed
 }
 
-// decodeConfig decodes the configuration of a state. One that can't be read is
-// taken out of the state, so that the one in force stays.
+// decodeConfig decodes the configuration of a state. It returns nil and removes the
+// configuration from the state if it is not newer or not readable, so that the current one
+// stays in force.
 func (c *Controller) decodeConfig(got *follower.State, source string) *matcher.Table {
 	if got.Config == nil {
 		return nil
--- a/controller/loadcounts.go
+++ b/controller/loadcounts.go
@@ -8,12 +8,13 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// messageCount counts messages and their bytes, for status and metrics.
+// messageCount counts messages and their bytes, for the status and a metric.
 type messageCount struct {
 	messages, bytes atomic.Int64
 	metric          tally.Counter
 }
 
+// add counts one message of size bytes.
 func (m *messageCount) add(size int) {
 	m.messages.Add(1)
 	m.bytes.Add(int64(size))
@@ -24,15 +25,16 @@
 	return api.MessageCount{Messages: m.messages.Load(), Bytes: m.bytes.Load()}
 }
 
-// loadCounts counts what this entry told others of load, and heard.
+// loadCounts counts the load updates that this entry sent, relayed and received. Malformed
+// messages are also part of received.
 type loadCounts struct {
 	sent, relayed, received messageCount
 	malformed               atomic.Int64
 }
 
-func (l *loadCounts) registerMetrics(scope tally.Scope) {
-	l.sent.metric, l.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
-	l.received.metric = scope.Counter("load_bytes_heard")
+func (n *loadCounts) registerMetrics(scope tally.Scope) {
+	n.sent.metric, n.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
+	n.received.metric = scope.Counter("load_bytes_heard")
 }
 
 func (n *loadCounts) status(v *view) *api.LoadNews {
--- a/controller/loadpaths.go
+++ b/controller/loadpaths.go
@@ -2,22 +2,23 @@
 
 import "net/netip"
 
-// minRelayEntries is the number of entries of another data centre from which on one that
-// listens, drawn for each message, passes it on to the rest. With fewer a message
-// saved is not worth the one lost with a relay that has just died.
+// minRelayEntries is the number of live entries of another data centre from which on a load
+// update goes to one of them, chosen at random per message, that relays it to the others. With
+// fewer entries the messages saved do not outweigh those lost with a relay that has just died.
 const minRelayEntries = 4
 
-// loadPaths says whom this entry sends a message of load, and how.
+// loadPaths holds the destinations of a load update and how each is reached.
 type loadPaths struct {
-	// direct are told directly: listeners of the own data centre, and those of data
-	// centres with few entries. own are those of the own data centre.
+	// direct are the peers to send to directly: those in the own data centre, and those
+	// in data centres with few entries. local are those in the own data centre.
 	direct, local []netip.AddrPort
-	// relayed has the live listeners of each other data centre that has many entries, without those
-	// that are stopping: any of them passes messages on to the others, which it knows best.
+	// relayed has an element for each other data centre with many entries: its peers that
+	// are live and not stopping. Any of them relays a message to the others of its data
+	// centre, about which it is informed best.
 	relayed [][]netip.AddrPort
 }
 
-// buildLoadPaths finds the paths from a data centre to those peers that listen.
+// buildLoadPaths returns the paths from a data centre to those peers that accepts selects.
 func buildLoadPaths(dataCentre string, peers []peer, accepts func(peer) bool) loadPaths {
 	var paths loadPaths
 	relays := map[string]int{}
@@ -44,7 +45,7 @@
 			continue
 		}
 		paths.relayed = append(paths.relayed, group)
-		delete(nonRelays, name) // the relay tells them too
+		delete(nonRelays, name) // the relay sends to them too
 	}
 	for _, group := range nonRelays {
 		paths.direct = append(paths.direct, group...)
@@ -52,7 +53,7 @@
 	return paths
 }
 
-// count is how many entries are told, those by relays too.
+// count returns the number of destinations, including those behind relays.
 func (p loadPaths) count() int {
 	n := len(p.direct)
 	for _, group := range p.relayed {
@@ -61,9 +62,12 @@
 	return n
 }
 
-// canRelay reports whether a peer passes messages on. One that is stopping ends without a word.
+// canRelay reports whether a peer may relay messages. A stopping peer may exit at any time
+// unannounced, so that messages to relay would be lost.
 func (p peer) canRelay() bool { return !p.dead && !p.stopping }
 
+// anyPeer selects every peer.
 func anyPeer(peer) bool { return true }
 
+// isPlacing selects the peers that place requests.
 func isPlacing(p peer) bool { return p.placing }
--- a/controller/loadsenders.go
+++ b/controller/loadsenders.go
@@ -7,20 +7,21 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// placingTime is how long an entry counts as one that places requests after it was last
-// heard to have any: three repeats of all load. Callers keep an address for a while after
-// it is no longer the one that they are told.
+// placingTime is how long an entry counts as placing requests after its last load update:
+// three periods of full updates. Callers keep using an address for a while after the
+// directory stopped listing it.
 const placingTime = 3 * fullUpdatePeriod
 
-// loadSenders knows which other entries told of requests of their own lately. Entries without
-// requests tell nothing.
+// loadSenders records which other entries sent load updates recently. Entries without
+// requests send none.
 type loadSenders struct {
 	lock sync.Mutex
-	// lastReceived is when a run of an entry was last heard.
+	// lastReceived is when the last load update of an entry's incarnation was received.
 	lastReceived map[dispatcher.WireID]time.Time
 }
 
-// received notes that an entry told of its requests, and reports whether that is news.
+// received records a load update of an entry's incarnation, and reports whether it is the
+// first in placingTime.
 func (t *loadSenders) received(now time.Time, sender dispatcher.WireID) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -32,8 +33,8 @@
 	return !known || now.Sub(last) > placingTime
 }
 
-// markPlacing marks the peers that place no requests: those that callers are not told and that
-// told of no requests lately. Changes of load need not go to them.
+// markPlacing sets placing on each peer. It is false for peers whose addresses callers are not
+// given and that sent no load update recently: changes of load need not be sent to them.
 func (t *loadSenders) markPlacing(now time.Time, peers []peer, withoutCallers map[string]bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/controller/loadupdates.go
+++ b/controller/loadupdates.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// updateDelay is how soon a change of load is told: shorter than an engine's
-	// shortest pass, and long enough to tell several changes at once.
+	// updateDelay is the delay between a change of load and its update: shorter than an
+	// engine's shortest forward pass, and long enough to combine several changes.
 	updateDelay = 5 * time.Millisecond
-	// fullUpdatePeriod is how often all load is told again, since datagrams are lost.
+	// fullUpdatePeriod is how often the full load is sent again, because datagrams get lost.
 	fullUpdatePeriod = 700 * time.Millisecond
-	// heavyPromptRelays is how many entries of another data centre pass on that a heavy prompt was placed: where half of
-	// them have just died, unnoticed yet, one message in sixteen is lost. There are few of them.
+	// heavyPromptRelays is the number of relays in another data centre for the update about a
+	// heavy prompt. If half of its entries have just died undetected, one update in sixteen is
+	// lost. Heavy prompts are rare enough for the extra messages.
 	heavyPromptRelays = 4
-	// maxDatagram is the largest message read.
+	// maxDatagram is the buffer size for a received load update, in bytes.
 	maxDatagram = 2048
 )
 
-// sendLoadUpdates tells other entries of this one's load at upstreams.
+// sendLoadUpdates sends this entry's load at upstreams to other entries until the context ends.
 func (c *Controller) sendLoadUpdates(ctx context.Context, socket net.PacketConn) {
 	fullUpdate := time.NewTicker(fullUpdatePeriod)
 	defer fullUpdate.Stop()
@@ -51,8 +52,9 @@
 	}
 }
 
-// sendChanges tells what changed, or all of the load. A heavy prompt that others don't know of costs what they place
-// at its engines seconds, so that news of one goes by several relays.
+// sendChanges sends the changes of load since the last call, or the full load. Updates about
+// heavy prompts go through several relays: an entry that does not know of a heavy prompt places
+// requests on the same engines, which delays them by seconds.
 func (c *Controller) sendChanges(socket net.PacketConn, all bool) {
 	loads := c.config.Dispatcher.Export(time.Now(), all)
 	if all {
@@ -72,6 +74,7 @@
 	c.sendAlong(socket, c.encodeUpdate(others), paths, dispatcher.RelayToPlacing, 1)
 }
 
+// encodeUpdate encodes load as messages from this incarnation; nil if there is none.
 func (c *Controller) encodeUpdate(loads []dispatcher.RequestLoad) [][]byte {
 	if len(loads) == 0 {
 		return nil
@@ -79,10 +82,9 @@
 	return dispatcher.EncodeLoadUpdates(incarnationToken(c.config.Name, c.config.Incarnation), loads)
 }
 
-// sendAlong sends messages to entries: changes to those that place requests, all of the load
-// to each. One datagram goes to each other data centre that has many entries, or as many as there are to be
-// relays, and on from there. Bytes between data centres then grow with their number and not with that of
-// entries.
+// sendAlong sends messages along paths: directly where possible, otherwise to the given number of
+// relays in each other data centre, together with the selection of entries to relay to. Traffic
+// between data centres thus grows with the number of data centres, not with that of entries.
 func (c *Controller) sendAlong(socket net.PacketConn, messages [][]byte, paths loadPaths, relayTo dispatcher.RelayTarget, relays int) {
 	for _, m := range messages {
 		c.sendEach(socket, m, paths.direct, &c.loadCounts.sent)
@@ -95,8 +97,8 @@
 	}
 }
 
-// sendAllToNewPeers sends all load to entries that are new here, of which the result holds those
-// told.
+// sendAllToNewPeers sends the full load to those peers that are not in sent, by name and
+// incarnation. It returns all current peers, as sent for the next call.
 func (c *Controller) sendAllToNewPeers(socket net.PacketConn, sent map[string]uint64) map[string]uint64 {
 	peers := c.current.Load().peers
 	var messages [][]byte
@@ -114,12 +116,14 @@
 	return incarnations(peers)
 }
 
+// sendEach sends one message to several addresses and counts each copy.
 func (c *Controller) sendEach(socket net.PacketConn, message []byte, to []netip.AddrPort, count *messageCount) {
 	for _, address := range to {
 		c.send(socket, message, address, count)
 	}
 }
 
+// send sends one message and counts it. Errors are only logged.
 func (c *Controller) send(socket net.PacketConn, message []byte, to netip.AddrPort, count *messageCount) {
 	count.add(len(message))
 	if _, err := socket.WriteTo(message, net.UDPAddrFromAddrPort(to)); err != nil {
@@ -127,7 +131,8 @@
 	}
 }
 
-// receiveLoadUpdates takes in other entries' load until the socket is closed.
+// receiveLoadUpdates passes the load of other entries to the dispatcher, and relays it where
+// requested, until the socket is closed.
 func (c *Controller) receiveLoadUpdates(socket net.PacketConn) {
 	buffer := make([]byte, maxDatagram)
 	var malformed logLimiter
--- a/controller/loglimiter.go
+++ b/controller/loglimiter.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// logPeriod is how often a line is logged that each message of another version causes: an
-// upgrade of a hundred entries takes minutes, at a thousand messages a second.
+// logPeriod is the shortest interval between log lines about messages of another version.
+// While a hundred entries are upgraded, which takes minutes, a thousand such messages arrive
+// each second.
 const logPeriod = time.Second
 
-// logLimiter lets one line a lineTime through.
+// logLimiter allows one log line per logPeriod.
 type logLimiter struct {
 	next    time.Time
 	skipped int
 }
 
-// allow reports whether a line is to be logged now, and how many were not since the last.
+// allow reports whether a line may be logged now, and if so how many were suppressed since
+// the last one.
 func (l *logLimiter) allow(now time.Time) (skipped int, ok bool) {
 	if now.Before(l.next) {
 		l.skipped++
--- a/controller/loglimiter_test.go
+++ b/controller/loglimiter_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// An upgrade of the others: a thousand messages a second that can't be read give one line each second.
+// While other entries are upgraded, a thousand unreadable messages arrive each second. They
+// cause one log line per second.
 func TestLogLimiterAllowsOneLinePerPeriod(t *testing.T) {
 	is := is.New(t)
 	var l logLimiter
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -17,63 +17,66 @@
 )
 
 const (
-	// rpcName is the name of the service between entries.
+	// rpcName is the net/rpc service name of PeerService.
 	rpcName = "Peer"
-	// heartbeatTimeout bounds a heartbeat: two periods.
+	// heartbeatTimeout bounds an exchange of heartbeats: two periods.
 	heartbeatTimeout = 400 * time.Millisecond
-	// maxContacts is how many other entries a heartbeat names to one that
-	// knows fewer, fewContacts to one that knows as many: the latter is there
-	// for entries that each know others.
+	// maxContacts is how many contacts a heartbeat lists for an entry that knows
+	// fewer entries than the sender, minContacts for any other. At least one is
+	// listed since two entries may know different ones.
 	maxContacts = 16
 	minContacts = 1
-	// maxImmediateHeartbeats is how many entries are told at once of a change; more learn
-	// of it by the usual heartbeats.
+	// maxImmediateHeartbeats limits the heartbeats sent at once after a change. Other
+	// entries receive the change with the periodic heartbeats.
 	maxImmediateHeartbeats = 16
 )
 
-// contact is how another entry is reached.
+// contact holds the addresses of another entry.
 type contact struct {
 	name                       string
 	callerAddress, peerAddress netip.AddrPort
 	dataCentre                 string
 }
 
-// Contact is a contact on the wire.
+// Contact is a contact as encoded in heartbeats: Callers is the address for callers, Peers
+// that for heartbeats and fetches.
 type Contact struct {
 	Name           string
 	Callers, Peers netip.AddrPort
 	DataCentre     string
 }
 
-// Beat is the heartbeat between entries, sent and answered.
+// Beat is the heartbeat that entries send to each other, and the reply to it.
 type Beat struct {
 	api.Heartbeat
-	// Contacts are some of the entries that the sender knows, Knows is of how
-	// many it knows.
+	// Contacts are some of the other entries that the sender knows, Knows is the
+	// number of all that it knows.
 	Contacts []Contact
 	Knows    int
-	// Known is true where the sender knows a state of the store; Content is
-	// the revision of the newest change in it, Confirmed its age.
+	// Known is true if the sender has a confirmed state of the store. Content is
+	// the revision of the newest change in it, Confirmed the time since the store
+	// confirmed it.
 	Known     bool
 	Content   int64
 	Confirmed time.Duration
-	// Disturbed is how long ago the store failed the sender or one that told it;
-	// negative where it never did.
+	// Disturbed is how long ago a call to the store last failed, at the sender or
+	// at an entry that reported it; negative if none did.
 	Disturbed time.Duration
-	// Speed is the sender's in processor cores, 0 where it does not know; Strained
-	// senders have more to do than they can.
+	// Speed is the capacity of the sender in processor cores; 0 if unknown.
+	// Strained is true if the sender is overloaded: its timers fire late.
 	Speed    float64
 	Strained bool
 }
 
-// errStopped is the answer of an entry that has stopped and whose connections
-// are not closed yet.
+// errStopped is returned to peers by an entry whose control goroutine has ended while its
+// connections are still open.
 var errStopped = errors.New("this entry has stopped")
 
-// PeerService is what one entry serves to others over net/rpc.
+// PeerService serves the net/rpc calls of other entries.
 type PeerService struct{ controller *Controller }
 
-// Beat takes in another entry's heartbeat and answers with this one's.
+// Beat processes the heartbeat of another entry and replies with one of this entry. It
+// returns an error after Run has ended. It is called over net/rpc.
 func (p *PeerService) Beat(beat Beat, reply *Beat) error {
 	p.controller.receiveHeartbeat(beat)
 	p.controller.do(func(s *state) {
@@ -91,6 +94,7 @@
 	return nil
 }
 
+// servePeers serves the calls of other entries until the listener is closed.
 func (c *Controller) servePeers(listener net.Listener) {
 	calls := rpc.NewServer()
 	if err := calls.RegisterName(rpcName, &PeerService{controller: c}); err != nil {
@@ -111,7 +115,7 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats until the context ends.
+// sendHeartbeats sends heartbeats each heartbeatPeriod and on request, until the context ends.
 func (c *Controller) sendHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatPeriod)
 	defer tick.Stop()
@@ -129,7 +133,8 @@
 	}
 }
 
-// exchangeHeartbeats exchanges a heartbeat with each target, without waiting for answers.
+// exchangeHeartbeats sends a heartbeat to the targets for this round, or to all live entries.
+// It does not wait for the replies, which are processed on arrival.
 func (c *Controller) exchangeHeartbeats(all bool) {
 	var targets []netip.AddrPort
 	var beat Beat
@@ -152,8 +157,9 @@
 	}
 }
 
-// heartbeatTargets are the peers to send a heartbeat: neighbours or, after a change,
-// all that are live, and seeds at which no live entry is known.
+// heartbeatTargets returns the peers to send a heartbeat to: if all is true, up to
+// maxImmediateHeartbeats of the live entries, else the neighbours of this round and the seeds
+// at which no live entry is known.
 func (s *state) heartbeatTargets(now time.Time, all bool) []netip.AddrPort {
 	live := map[netip.AddrPort]bool{s.controller.config.PeerAddress: true}
 	var out []netip.AddrPort
@@ -182,7 +188,7 @@
 	return out
 }
 
-// heartbeat is what this entry says of itself, and of some other entries.
+// heartbeat returns a heartbeat of this entry that lists at most limit contacts.
 func (s *state) heartbeat(now time.Time, limit int) Beat {
 	c := s.controller.config
 	_, revision := s.follower.Config()
@@ -197,14 +203,15 @@
 	}
 	for _, k := range s.contacts {
 		if len(b.Contacts) == limit {
-			break // the order of a map is drawn anew each time
+			break // iteration over a map starts at a random element
 		}
 		b.Contacts = append(b.Contacts, Contact{Name: k.name, Callers: k.callerAddress, Peers: k.peerAddress, DataCentre: k.dataCentre})
 	}
 	return b
 }
 
-// receiveHeartbeat takes in a heartbeat, and fetches what the sender has newer.
+// receiveHeartbeat processes a heartbeat or a reply, and starts a fetch if the sender has a
+// newer state of the store.
 func (c *Controller) receiveHeartbeat(b Beat) {
 	fetch := false
 	var have FetchArgs
@@ -228,6 +235,7 @@
 	}
 }
 
+// applyHeartbeat updates the contacts, the members and the sender's capacity from a heartbeat.
 func (s *state) applyHeartbeat(now time.Time, b Beat) {
 	before, wasKnown := s.prober.Find(b.From)
 	s.addContact(now, contact{name: b.From, callerAddress: b.Address, peerAddress: b.PeerAddress, dataCentre: b.DataCentre})
@@ -246,7 +254,7 @@
 	}
 }
 
-// addContact notes how another entry is reached, where that is news.
+// addContact records the addresses of another entry if it was not known before.
 func (s *state) addContact(now time.Time, added contact) {
 	if added.name == s.controller.config.Name {
 		return
--- a/controller/status.go
+++ b/controller/status.go
@@ -6,7 +6,8 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Status is what this entry believes, for operators.
+// Status returns the state of this entry and its view of upstreams and other entries, for
+// operators.
 func (c *Controller) Status() api.Status {
 	var status api.Status
 	c.do(func(s *state) { status = s.status(time.Now()) })
@@ -27,6 +28,7 @@
 	return status
 }
 
+// status returns the part of the status that comes from the control state.
 func (s *state) status(now time.Time) api.Status {
 	c := s.controller.config
 	_, revision := s.follower.Config()
--- a/controller/view.go
+++ b/controller/view.go
@@ -8,30 +8,33 @@
 	"github.com/sapphireramp/sapphireramp/prober"
 )
 
-// view is what the control goroutine publishes. It is never changed.
+// view is what the control goroutine publishes. It is immutable.
 type view struct {
 	forwarder.View
 	ready bool
-	// callerEntries are the entries that callers are told.
+	// callerEntries are the entries whose addresses callers are given.
 	callerEntries []readyEntry
 	peers         []peer
-	// allPaths lead to all peers, placing to those that place requests.
+	// allPaths lead to all peers, placingPaths to those that place requests.
 	allPaths, placingPaths loadPaths
 }
 
+// peer is another entry that load updates are sent to.
 type peer struct {
 	name        string
 	incarnation uint64
 	address     netip.AddrPort
 	loadAddress netip.AddrPort
 	dataCentre  string
-	// dead entries are told of load, but count as no peers.
+	// dead peers still receive load updates, but do not count as peers. stopping peers
+	// have announced their shutdown.
 	dead, stopping bool
-	// placing is false of entries that take no callers now, as far as is known here.
+	// placing is false if the peer gets no new callers and sent no load update recently.
 	placing bool
 }
 
-// publish makes a view of the state.
+// publish replaces the current view with one of the present state, and updates the
+// dispatcher and the metrics accordingly.
 func (s *state) publish() {
 	s.dirty = false
 	c := s.controller
@@ -56,7 +59,7 @@
 	c.loadSenders.markPlacing(time.Now(), v.peers, withoutCallers(ready, v.callerEntries))
 	v.allPaths, v.placingPaths = buildLoadPaths(c.config.DataCentre, v.peers, anyPeer), buildLoadPaths(c.config.DataCentre, v.peers, isPlacing)
 	hasNewPeers := s.forgetRestarted(v.peers)
-	c.config.Dispatcher.SetPeers(countLive(v.peers), s.isBlind(live))
+	c.config.Dispatcher.SetPeers(countLive(v.peers), s.isLoadIncomplete(live))
 	usable := s.follower.UsableInstances()
 	if s.table != nil {
 		c.config.Dispatcher.Update(s.table, usable)
@@ -67,25 +70,26 @@
 	c.metrics.upstreams.Update(float64(len(usable)))
 	c.current.Store(v)
 	if hasNewPeers {
-		// Only now: who tells them looks for them in the view.
+		// Only after the view is stored: the receiver of this request reads the peers from it.
 		c.requestFullLoad()
 	}
 }
 
-// addMembers adds the other entries to a view, and returns how many of them were heard lately.
+// addMembers adds the other entries to a view, and returns the number of those that are live.
 func (s *state) addMembers(v *view) int {
 	c, live := s.controller, 0
 	for _, m := range s.prober.Members() {
-		// Others have told of those that are ready and were not heard here.
+		// Entries whose readiness is known from others count even if this entry has received
+		// no heartbeat from them.
 		if m.Ready && (m.State == prober.Live || m.State == prober.Listed) {
 			v.callerEntries = append(v.callerEntries, readyEntry{name: m.Name, address: m.Address, dataCentre: m.DataCentre, capacity: s.capacities[m.Name]})
 		}
 		if m.State == prober.Live || m.State == prober.Stopping {
 			live++
 		}
-		// One that was not heard yet is told of load too: in a fleet of a hundred it takes
-		// ten seconds until an entry that has just started has heard most others itself. So
-		// is one that died lately: most start again at once, seconds before all know.
+		// Peers without a heartbeat so far receive load updates too: in a fleet of a hundred
+		// a new entry takes ten seconds to get heartbeats from most others. So do peers that
+		// died recently: most restart at once, seconds before all others detect it.
 		dead := m.State == prober.Dead
 		if m.PeerAddress.IsValid() && (!dead || time.Since(s.diedAt[m.Name]) < deadUpdateTime) {
 			v.peers = append(v.peers, peer{
@@ -97,9 +101,10 @@
 	return live
 }
 
-// forgetRestarted forgets the load of entries that have started anew, and reports whether any
-// are new here, which are then told of all of this one's. Otherwise a restarted entry would know nothing
-// for up to shareAll of what others have placed, and put long prompts on the engines with most answers.
+// forgetRestarted drops the load of earlier incarnations of restarted entries, and reports whether
+// any peer is new, so that this entry's full load has to be sent to it. Without that, a restarted
+// entry would not know for up to fullUpdatePeriod what others have placed, and would put long
+// prompts on the engines with the most responses in progress.
 func (s *state) forgetRestarted(peers []peer) bool {
 	c := s.controller
 	before := incarnations(c.current.Load().peers)
@@ -114,7 +119,7 @@
 	return hasNewPeers
 }
 
-// countLive is how many of the peers are not dead.
+// countLive returns the number of peers that are not dead.
 func countLive(peers []peer) int {
 	n := 0
 	for _, p := range peers {
@@ -125,7 +130,7 @@
 	return n
 }
 
-// incarnations are those of peers, by name.
+// incarnations returns the incarnation of each peer, by name.
 func incarnations(peers []peer) map[string]uint64 {
 	out := make(map[string]uint64, len(peers))
 	for _, p := range peers {
@@ -134,9 +139,9 @@
 	return out
 }
 
-// isBlind reports whether this entry may not know what others place: it has
-// just started, or hears nobody though there are others.
-func (s *state) isBlind(live int) bool {
+// isLoadIncomplete reports whether this entry may not know all requests placed by others: it
+// has just started, or no other entry is live although there are seeds for some.
+func (s *state) isLoadIncomplete(live int) bool {
 	if live == 0 {
 		return len(s.seeds) > 1
 	}
