--- a/connector/activeconns.go
+++ b/connector/activeconns.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// ActiveConns holds the connections of a server of callers that a request is being served on,
-// or may be on its way on: those just accepted count until their first answer. It is
-// safe for concurrent use.
+// ActiveConns tracks the connections of a caller-facing server on which a request is being served
+// or may be on its way: a new connection counts until its first response is complete. It is safe
+// for concurrent use.
 type ActiveConns struct {
 	lock  sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// NewActiveConns returns one that holds no connection.
+// NewActiveConns returns an ActiveConns that tracks no connection yet.
 func NewActiveConns() *ActiveConns { return &ActiveConns{conns: map[net.Conn]bool{}} }
 
-// OnStateChange is a http.Server's ConnState.
+// OnStateChange updates the tracked connections. It is used as the ConnState of a http.Server.
 func (b *ActiveConns) OnStateChange(c net.Conn, s http.ConnState) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -29,16 +29,16 @@
 	delete(b.conns, c)
 }
 
-// Count is how many connections it holds.
+// Count returns the number of active connections.
 func (b *ActiveConns) Count() int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return len(b.conns)
 }
 
-// WaitIdle returns once none is held or it is past a time, zero for none. It looks each poll.
-// A server's Shutdown drops what it reads once it has begun, so that it
-// comes after this.
+// WaitIdle blocks until no connection is active or the deadline has passed; a zero deadline never
+// passes. It checks once per poll. It has to return before Shutdown of the server is called, which
+// drops requests that it reads after it has begun.
 func (b *ActiveConns) WaitIdle(deadline time.Time, poll time.Duration) {
 	for b.Count() > 0 && (deadline.IsZero() || time.Now().Before(deadline)) {
 		time.Sleep(poll)
--- a/connector/exitdetector.go
+++ b/connector/exitdetector.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// probeDelay is how long after a connection broke its other end is asked whether it still listens: a
-	// process that ends closes its connections and its listener one after the other.
+	// probeDelay is the wait after a connection broke until its address is probed. An exiting process
+	// closes its connections and its listener one after the other.
 	probeDelay = 50 * time.Millisecond
-	// probeTimeout bounds the question.
+	// probeTimeout bounds the connection attempt of a probe.
 	probeTimeout = 250 * time.Millisecond
 )
 
-// ExitDetector finds out whether processes have ended whose connections broke.
+// ExitDetector detects whether the process behind a broken connection has exited. It is safe for
+// concurrent use.
 type ExitDetector struct {
 	dial   DialFunc
 	probes singleflight.Group
 }
 
-// NewExitDetector returns a Presence that connects by dial.
+// NewExitDetector returns an ExitDetector that connects by dial.
 func NewExitDetector(dial DialFunc) *ExitDetector { return &ExitDetector{dial: dial} }
 
-// HasExited reports whether nobody listens at an address any more, shortly after a connection
-// to it broke. Those who ask at the same moment share one question.
+// HasExited reports whether connections to an address are refused. It is called after a connection
+// to the address broke, and blocks until the probe has ended. Concurrent calls for one address
+// share a probe.
 func (p *ExitDetector) HasExited(address string) bool {
 	refused, _, _ := p.probes.Do(address, func() (any, error) {
 		sleeper.Sleep(context.Background(), probeDelay)
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -1,5 +1,6 @@
-// Package connector keeps net/rpc connections to other entries, with every
-// call bounded in time, and counts the connections of callers that are in use.
+// Package connector keeps net/rpc connections to other entries, with a timeout for
+// every call. It also tracks the active connections of callers and detects the exit of
+// processes whose connections broke.
 package connector
 
 import (
@@ -13,17 +14,17 @@
 	"time"
 )
 
-// ErrTimeout is a call to a peer that took too long.
+// ErrTimeout is returned by Pool.Call if the peer did not reply before the timeout.
 var ErrTimeout = errors.New("peer did not answer in time")
 
-// DialFunc opens a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// idleTimeout is how long a connection is kept without a call. A fleet whose entries call peers
-// drawn at random would otherwise hold a connection between every two of them.
+// idleTimeout is how long a connection is kept without a call. Entries call peers chosen at
+// random, so that a fleet would otherwise hold a connection between every two of them.
 const idleTimeout = 30 * time.Second
 
-// Pool holds a connection to each peer that was called lately. It is safe for
+// Pool holds one connection to each peer called within idleTimeout. It is safe for
 // concurrent use.
 type Pool struct {
 	dial    DialFunc
@@ -32,21 +33,22 @@
 	closed  bool
 }
 
-// client is one connection of a pool, whose lock guards its fields.
+// client is one connection of a pool. The lock of the pool guards its fields.
 type client struct {
 	*rpc.Client
-	// inFlight is how many calls are in progress, used when the last one ended.
+	// inFlight is the number of calls in progress, lastUsed is when the last one ended.
 	inFlight int
 	lastUsed time.Time
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns a pool without connections, which opens them by dial.
 func NewPool(dial DialFunc) *Pool {
 	return &Pool{dial: dial, clients: map[netip.AddrPort]*client{}}
 }
 
-// Call makes a call bounded in time. A connection that failed or was silent
-// is not used again.
+// Call calls a method of a peer and waits for the reply or the timeout. It connects first if
+// there is no connection. A connection that fails or times out is closed and not reused. An
+// error of the called method is returned as an rpc.ServerError.
 func (p *Pool) Call(address netip.AddrPort, method string, args, reply any, timeout time.Duration) error {
 	c, err := p.client(address, timeout)
 	if err != nil {
@@ -72,7 +74,8 @@
 	return nil
 }
 
-// client returns the connection to a peer, for one call. The caller releases it.
+// client returns the connection to a peer with one more call in flight, which the caller of
+// client releases. It connects if there is no connection.
 func (p *Pool) client(address netip.AddrPort, timeout time.Duration) (*client, error) {
 	if c := p.acquire(address); c != nil {
 		return c, nil
@@ -99,7 +102,7 @@
 	return opened, nil
 }
 
-// acquire returns the connection to a peer, for one more call; nil if there is none.
+// acquire returns the connection to a peer with one more call in flight; nil if there is none.
 func (p *Pool) acquire(address netip.AddrPort) *client {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -111,6 +114,7 @@
 	return c
 }
 
+// release ends a call on a connection.
 func (p *Pool) release(c *client) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -118,8 +122,8 @@
 	c.lastUsed = time.Now()
 }
 
-// closeIdle closes connections that had no call for idleTime. It is called as others are opened, so that
-// their number is bounded by the peers called in that time.
+// closeIdle closes connections without a call for idleTimeout. It runs when another connection is
+// opened, so that their number is bounded by the number of peers called within idleTimeout.
 func (p *Pool) closeIdle(now time.Time) {
 	for address, c := range p.clients {
 		if c.inFlight == 0 && now.Sub(c.lastUsed) >= idleTimeout {
@@ -129,6 +133,7 @@
 	}
 }
 
+// discard closes a connection and removes it from the pool.
 func (p *Pool) discard(address netip.AddrPort, c *client) {
 	p.lock.Lock()
 	if p.clients[address] == c {
@@ -138,7 +143,7 @@
 	_ = c.Close()
 }
 
-// Close closes all connections; later calls fail.
+// Close closes all connections. Later calls fail.
 func (p *Pool) Close() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/connector/pool_test.go
+++ b/connector/pool_test.go
@@ -13,17 +13,17 @@
 	"github.com/matryer/is"
 )
 
-// Echo is a peer that answers at once, or after a time.
+// Echo is a net/rpc service that replies after a given time.
 type Echo struct{}
 
-// Call answers after a time.
+// Call replies after a time, with that time.
 func (Echo) Call(after time.Duration, reply *time.Duration) error {
 	time.Sleep(after)
 	*reply = after
 	return nil
 }
 
-// fakePeers answer on connections in memory, and count those that are open.
+// fakePeers opens connections in memory to peers with an Echo service, and counts the open ones.
 type fakePeers struct{ open atomic.Int64 }
 
 func (f *fakePeers) dial(context.Context, string, string) (net.Conn, error) {
@@ -40,7 +40,7 @@
 	return near, nil
 }
 
-// call asks a peer to answer after a time.
+// call calls a peer that replies after the given time.
 func call(p *Pool, peer int, after, timeout time.Duration) error {
 	var reply time.Duration
 	return p.Call(peerAddress(peer), "Echo.Call", after, &reply, timeout)
@@ -50,9 +50,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 }
 
-// A fleet of a thousand entries, each of which calls another one each 0.1 s: an entry held a connection to
-// every other one for as long as it ran, with a queue, buffers and codecs of some 50 KB at either end, most
-// of its memory.
+// In a fleet of a thousand entries each calls another one every 0.1 s. Each held a connection to
+// every other one as long as it ran, with a queue, buffers and codecs of some 50 KB at either end,
+// which was most of its memory.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -64,12 +64,12 @@
 			is.NoErr(call(p, i%size, 0, time.Second))
 			time.Sleep(period)
 			synctest.Wait()
-			is.True(peers.open.Load() <= int64(idleTimeout/period)+1) // those called within idleTime
+			is.True(peers.open.Load() <= int64(idleTimeout/period)+1) // those called within idleTimeout
 		}
 	})
 }
 
-// A connection is not closed under a call that lasts longer than one is kept without.
+// A connection is not closed while a call on it takes longer than idleTimeout.
 func TestConnectionInUseStaysOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/connector/queue.go
+++ b/connector/queue.go
@@ -6,35 +6,35 @@
 	"sync"
 )
 
-// maxPendingWrites is how many writes wait on a connection to a peer before it is
-// given up as dead; a write is one message.
+// maxPendingWrites limits the writes that wait on a connection to a peer; beyond it the
+// connection is closed. One write is one message.
 const maxPendingWrites = 1024
 
-// errQueueFull is a connection whose peer takes nothing.
-var errQueueFull = errors.New("peer takes no more messages")
+// errQueueFull is returned by Write if the peer reads too slowly or not at all.
+var errQueueFull = errors.New("write queue of peer connection is full")
 
-// queuedConn is a connection whose writes never block. net/rpc writes while it
-// holds a lock, so that one peer that takes nothing would hold up every caller
-// past its time.
+// queuedConn is a connection whose writes never block. net/rpc holds a lock while it writes, so
+// that one peer that does not read would otherwise block every caller beyond its timeout.
 type queuedConn struct {
 	net.Conn
 	lock sync.Mutex
-	// pending has at most maxQueued messages.
+	// pending holds at most maxPendingWrites messages.
 	pending [][]byte
-	// wake has an element where pending may not be empty.
+	// wake holds an element if pending may not be empty.
 	wake   chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-// NewQueuedConn returns a connection whose writes never block.
+// NewQueuedConn wraps a connection so that its writes never block. A goroutine writes the queued
+// messages until the connection is closed.
 func NewQueuedConn(c net.Conn) net.Conn {
 	q := &queuedConn{Conn: c, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go q.writePending()
 	return q
 }
 
-// Write queues a copy of the bytes, or fails at once.
+// Write queues a copy of p. If the queue is full it closes the connection and returns an error.
 func (q *queuedConn) Write(p []byte) (int, error) {
 	select {
 	case <-q.closed:
@@ -52,7 +52,7 @@
 	return len(p), nil
 }
 
-// enqueue queues a message, unless the queue is full.
+// enqueue appends a message to the queue, and reports false if the queue is full.
 func (q *queuedConn) enqueue(message []byte) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -63,7 +63,8 @@
 	return true
 }
 
-// takePending empties the queue. An idle connection keeps no memory for one.
+// takePending returns all queued messages and empties the queue. It frees the slice, so that an
+// idle connection uses no memory for it.
 func (q *queuedConn) takePending() [][]byte {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -72,7 +73,8 @@
 	return pending
 }
 
-// Read closes the connection where the peer has: a net/rpc client does not.
+// Read reads from the connection and closes it after an error. A net/rpc client does not close
+// it when the peer has.
 func (q *queuedConn) Read(p []byte) (int, error) {
 	n, err := q.Conn.Read(p)
 	if err != nil {
@@ -81,6 +83,7 @@
 	return n, err
 }
 
+// writePending writes queued messages to the connection until it is closed or a write fails.
 func (q *queuedConn) writePending() {
 	for {
 		select {
@@ -97,7 +100,7 @@
 	}
 }
 
-// Close drops what is queued and closes the connection.
+// Close closes the connection and drops the queued messages. Only the first call has an effect.
 func (q *queuedConn) Close() error {
 	var err error
 	q.once.Do(func() {
--- a/connector/queue_test.go
+++ b/connector/queue_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A peer that takes nothing must not block the writer: net/rpc holds a lock
-// while it writes.
+// A peer that does not read must not block the writer, since net/rpc holds a lock while it
+// writes.
 func TestQueuedConnDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -29,7 +29,8 @@
 	})
 }
 
-// A heartbeat in 0.2 s has one message under way: a thousand connections without any took 24 MB for queues.
+// At one heartbeat per 0.2 s a connection has at most one message in its queue. A thousand
+// connections without any message used 24 MB for queues of full size.
 func TestIdleQueueUsesLittleMemory(t *testing.T) {
 	is := is.New(t)
 	const connections, limit = 1000, 4 << 10
