--- a/sequencer/sequencer.go
+++ b/sequencer/sequencer.go
@@ -1,4 +1,4 @@
-// Package sequencer runs commands on state that one goroutine owns.
+// Package sequencer serialises commands on state that a single goroutine owns.
 package sequencer
 
 import (
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Sequencer runs commands one after the other. It is safe for concurrent use;
-// a command must not run another one.
+// Sequencer runs commands on a state of type S one after the other. It is safe for concurrent
+// use. A command must not call Do, which would deadlock.
 type Sequencer[S any] struct {
 	commands chan func(S)
 	stopped  chan struct{}
 }
 
-// New returns a sequencer that runs nothing yet.
+// New returns a Sequencer whose commands wait until Run is called.
 func New[S any]() *Sequencer[S] {
 	return &Sequencer[S]{commands: make(chan func(S)), stopped: make(chan struct{})}
 }
 
-// Do runs a command and waits for it. After Run has ended it does nothing.
+// Do runs a command on the state and waits until it has run. After Run has returned, Do does
+// nothing.
 func (q *Sequencer[S]) Do(command func(S)) {
 	done := make(chan struct{})
 	wrapped := func(s S) {
@@ -32,11 +33,11 @@
 	}
 }
 
-// Stopped is closed once Run has ended.
+// Stopped returns a channel that is closed when Run returns.
 func (q *Sequencer[S]) Stopped() <-chan struct{} { return q.stopped }
 
-// Run runs commands on the state, and tick once each period, until the context
-// ends. After each of them it calls after.
+// Run runs the commands on the state, and tick once per period with the current time, until
+// the context ends. It calls afterEach after every command and every tick.
 func (q *Sequencer[S]) Run(ctx context.Context, state S, period time.Duration, tick func(time.Time), afterEach func()) {
 	defer close(q.stopped)
 	ticker := time.NewTicker(period)
--- a/sequencer/sequencer_test.go
+++ b/sequencer/sequencer_test.go
@@ -12,7 +12,7 @@
 	"github.com/sapphireramp/sapphireramp/sequencer"
 )
 
-// Commands of many goroutines run one at a time, and none after the end.
+// Commands from many goroutines run one at a time, and none runs after Run has returned.
 func TestCommandsRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
