--- a/lister/lister.go
+++ b/lister/lister.go
@@ -1,8 +1,7 @@
-// Package lister decides which instance list an entry goes by. The platform's
-// list carries no revision, so lists are told apart by how long ago the
-// platform last confirmed them to whoever has them: an entry that reaches the
-// platform goes by what it reads, and one that can't goes by the freshest list
-// among its peers.
+// Package lister decides which instance list an entry uses. The platform's list
+// has no revision, so lists are compared by the time since the platform last
+// confirmed them. An entry that reaches the platform uses the list it reads there.
+// One that does not uses the most recently confirmed list among its peers.
 package lister
 
 import (
@@ -11,37 +10,38 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// neverConfirmed is the age of a list that the platform has not confirmed.
+// neverConfirmed is the age of a missing list.
 const neverConfirmed = time.Duration(-1)
 
-// minAgeGain is how much fresher a peer's list has to be to be worth taking.
+// minAgeGain is how much younger than the own list a peer's list has to be to replace it.
 const minAgeGain = 2 * time.Second
 
-// Lister holds the list. It is not safe for concurrent use.
+// Lister holds the instance list in use. It is not safe for concurrent use.
 type Lister struct {
-	// staleAfter is the age from which a peer's list may be taken instead.
+	// staleAfter is the age above which a peer's list may replace this one.
 	staleAfter time.Duration
-	data       []byte
-	digest     string
-	// confirmedAt is when the platform last confirmed data, to this entry or
-	// to the peer that it came from; zero when there is no list.
+	// data is the list as the platform encoded it, nil if there is none.
+	data   []byte
+	digest string
+	// confirmedAt is when the platform last confirmed the list, to this entry or to
+	// the peer that it came from; zero if there is no list.
 	confirmedAt time.Time
 }
 
-// New returns a lister without a list, for which a list is old when the
-// platform has not confirmed it for the time given.
+// New returns a Lister without a list. A list is stale if the platform has not confirmed it
+// for staleAfter.
 func New(staleAfter time.Duration) *Lister {
 	return &Lister{staleAfter: staleAfter}
 }
 
-// Current is the list's bytes, nil when there is none. They are not to be
-// changed.
+// Current returns the list in use as the platform encoded it; nil if there is none. The bytes
+// must not be modified.
 func (l *Lister) Current() []byte { return l.data }
 
-// Digest names the list, empty when there is none.
+// Digest returns the digest of the list in use; empty if there is none.
 func (l *Lister) Digest() string { return l.digest }
 
-// Age is how long ago the platform confirmed the list, negative when there is
+// Age returns the time since the platform last confirmed the list in use; negative if there is
 // none.
 func (l *Lister) Age(now time.Time) time.Duration {
 	if l.data == nil {
@@ -50,8 +50,8 @@
 	return max(0, now.Sub(l.confirmedAt))
 }
 
-// ShouldFetch reports whether a peer's list, confirmed to it age ago, is worth
-// fetching.
+// ShouldFetch reports whether a peer's list with a digest is worth fetching, given the time
+// since the platform confirmed it to the peer; negative if it never did.
 func (l *Lister) ShouldFetch(now time.Time, digest string, age time.Duration) bool {
 	if age < 0 || digest == "" {
 		return false
@@ -62,9 +62,10 @@
 	return l.Age(now) > l.staleAfter && age+minAgeGain < l.Age(now)
 }
 
-// Offer considers a list that the platform confirmed age ago: 0 for one that
-// it gives this entry now. Data is nil where the platform says that nothing
-// has changed. It reports whether the list in use is now another.
+// Offer replaces the list in use by data if that is preferable, and reports whether the list
+// has changed. Age is the time since the platform confirmed data: 0 if this entry has just
+// read it there, negative if it never did. With an age of 0, nil data confirms that the list in
+// use is unchanged.
 func (l *Lister) Offer(now time.Time, data []byte, age time.Duration) bool {
 	if age < 0 {
 		return false
