--- a/asserter/asserter.go
+++ b/asserter/asserter.go
@@ -1,5 +1,5 @@
-// Package asserter counts broken invariants. In production a violation is
-// counted and logged and the request it concerns fails; in tests it is fatal.
+// Package asserter counts violated invariants. In production a violation is counted and
+// logged, and the request concerned fails. In tests it fails the test.
 package asserter
 
 import (
@@ -8,42 +8,42 @@
 	"sync"
 )
 
-// Names of the invariants that the product asserts.
+// The names of the asserted invariants, as they appear in logs and the status.
 const (
-	// OutlivedLimit: no admitted request outlives its limit plus the slack.
+	// OutlivedLimit: no admitted request outlasts its deadline by more than the slack.
 	OutlivedLimit = "OutlivedLimit"
-	// NotRunAfterSend: a request of which a byte left for an upstream that
-	// has not disowned it is never called not run.
+	// NotRunAfterSend: a request is never reported as not run after a byte of it was sent to
+	// an upstream, unless that upstream reported that it did not run the request.
 	NotRunAfterSend = "NotRunAfterSend"
-	// ForeignChunk: no chunk of another request reaches a caller.
+	// ForeignChunk: no caller receives a chunk of another request.
 	ForeignChunk = "ForeignChunk"
-	// SecondDispatch: a request that may run at most once is sent once.
+	// SecondDispatch: a request that may run at most once is not sent a second time.
 	SecondDispatch = "SecondDispatch"
-	// RevisionWentBack: the configuration in force never goes back.
+	// RevisionWentBack: the revision of the configuration in force never decreases.
 	RevisionWentBack = "RevisionWentBack"
-	// LeakedFlight: a request leaves the table of requests in flight once.
+	// LeakedFlight: a request is removed from the table of requests in flight exactly once.
 	LeakedFlight = "LeakedFlight"
 	// SentToLeaving: no request is sent to an upstream known to be leaving.
 	SentToLeaving = "SentToLeaving"
 )
 
-// Asserter counts violations by invariant. It is safe for concurrent use.
+// Asserter counts violations by the name of the invariant. It is safe for concurrent use.
 type Asserter struct {
-	// report is called with every violation, outside the lock.
+	// report is called with every violation, without holding the lock; may be nil.
 	report func(name, detail string)
 
 	lock   sync.Mutex
 	counts map[string]int
 }
 
-// New returns an asserter that passes each violation to report, which may be
-// nil. Tests pass a function that fails the test.
+// New returns an Asserter that passes each violation, with the invariant's name and a detail, to
+// report. The function may be nil; tests pass one that fails the test.
 func New(report func(name, detail string)) *Asserter {
 	return &Asserter{report: report, counts: map[string]int{}}
 }
 
-// Check counts a violation of the named invariant unless holds is true, and
-// returns holds.
+// Check returns holds. If it is false, it counts a violation of the named invariant and
+// reports it with a detail formatted from format and args.
 func (a *Asserter) Check(holds bool, name, format string, args ...any) bool {
 	if holds {
 		return true
@@ -57,7 +57,7 @@
 	return false
 }
 
-// Violations returns the counts so far.
+// Violations returns a copy of the counts so far, by the name of the invariant.
 func (a *Asserter) Violations() map[string]int {
 	a.lock.Lock()
 	defer a.lock.Unlock()
