--- a/controller/changes.go
+++ b/controller/changes.go
@@ -34,7 +34,7 @@
 // individually: enough to identify their writer.
 const maxLoggedFaults = 20
 
-func (s *state) logStore(changes []follower.Change, source string) {
+func (s *state) logStoreChanges(changes []follower.Change, source string) {
 	unreadable := 0
 	for _, change := range changes {
 		s.dirty = true
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -247,7 +247,7 @@
 		s.dirty = true
 	}
 	s.applyMemberChanges(s.prober.Tick(now))
-	s.logStore(s.follower.Tick(now), "hold_ended")
+	s.logStoreChanges(s.follower.Tick(now), "hold_ended")
 	s.logQuarantined(now, s.controller.config.Quarantine.Evaluate(now), "own")
 	if age, ok := s.follower.ConfirmationAge(now); ok {
 		s.controller.metrics.listAge.Update(age.Seconds())
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -205,7 +205,7 @@
 		if _, after := s.follower.Config(); after > before && table != nil {
 			s.table = table
 		}
-		s.logStore(changes, source)
+		s.logStoreChanges(changes, source)
 		s.dirty = true
 		changed = len(changes) > 0
 	})
