--- a/controller/callerentries.go
+++ b/controller/callerentries.go
@@ -22,7 +22,8 @@
 	// below recoveredLag it no longer is. A tick delayed by overloadedLag costs a tenth
 	// of a short prompt's latency target, and each request meets several such delays.
 	overloadedLag, recoveredLag = 25 * time.Millisecond, 10 * time.Millisecond
-	// lagWeight is the weight of one tick in that average, which covers about a second.
+	// lagWeight is the weight of one tick in the average delay of ticks, which covers
+	// about a second.
 	lagWeight = 0.1
 	// maxTickDelay caps the delay counted for one tick, so that a process that was
 	// suspended for seconds is not taken for overloaded after it resumes.
@@ -31,7 +32,8 @@
 
 // readyEntry is an entry that accepts callers.
 type readyEntry struct {
-	name       string
+	name string
+	// address is the one for callers.
 	address    netip.AddrPort
 	dataCentre string
 	capacity
@@ -47,6 +49,7 @@
 
 // lagMeter detects overload of this entry by the delay of its ticks.
 type lagMeter struct {
+	// average is the exponentially weighted average of the delays.
 	average    time.Duration
 	overloaded bool
 }
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -34,6 +34,8 @@
 // individually: enough to identify their writer.
 const maxLoggedFaults = 20
 
+// logStoreChanges logs changes of the state of the store and marks the view as dirty. Source
+// is where they come from: the store, the name of a peer, or the end of a retention.
 func (s *state) logStoreChanges(changes []follower.Change, source string) {
 	unreadable := 0
 	for _, change := range changes {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -84,14 +84,16 @@
 	// heartbeatPool carries heartbeats and fetchPool carries states: a heartbeat
 	// queued behind a large reply on the same connection would arrive late.
 	heartbeatPool, fetchPool *connector.Pool
-	compressed               compressedConfig
-	loadSenders              loadSenders
-	loadCounts               loadCounts
+	// compressed is the configuration as sent to peers.
+	compressed  compressedConfig
+	loadSenders loadSenders
+	loadCounts  loadCounts
 	// heartbeatRequests holds an element while heartbeats to all peers at once are
 	// requested. newPeers holds one while the view has peers to which this entry
 	// has not sent its full load yet.
 	heartbeatRequests, newPeers chan struct{}
-	background                  sync.WaitGroup
+	// background counts the goroutines that Run waits for.
+	background sync.WaitGroup
 
 	metrics metrics
 }
@@ -114,9 +116,11 @@
 type state struct {
 	controller *Controller
 	follower   *follower.Follower
-	table      *matcher.Table
-	prober     *prober.Prober
-	contacts   map[string]contact
+	// table is the decoded configuration in force; nil before the first.
+	table  *matcher.Table
+	prober *prober.Prober
+	// contacts are all other entries known, by name.
+	contacts map[string]contact
 	// capacities holds the capacity that each other entry reported, by name.
 	capacities map[string]capacity
 	lagMeter   lagMeter
@@ -157,8 +161,7 @@
 	// settleTime is the time after its start in which an entry may not yet know all
 	// others and their load: two heartbeats and one full load update.
 	settleTime = 2*heartbeatPeriod + fullUpdatePeriod
-	// heartbeatPeriod is the interval between heartbeats: five fit into
-	// deadTimeout.
+	// heartbeatPeriod is the interval between heartbeats: a fifth of deadTimeout.
 	heartbeatPeriod = 200 * time.Millisecond
 	// deadTimeout is the silence after which an entry is declared dead. Until then
 	// callers may still be given its address, and each of them loses up to that time.
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -43,8 +43,8 @@
 	// since the revision that the asking entry has.
 	Whole bool
 	// Known is true if the sender has a complete state that was confirmed at least
-	// once; the other fields are invalid otherwise. Confirmed is the age of that
-	// confirmation by the store.
+	// once; otherwise the reply is ignored. Confirmed is the time since the store
+	// last confirmed that state.
 	Known     bool
 	Confirmed time.Duration
 	// Disturbed is how long ago a call to the store last failed, at the sender or
@@ -95,7 +95,8 @@
 // compressedConfig caches the configuration requested last in compressed form, so that it
 // is compressed once for all peers. Routes are much alike and compress to a tenth.
 type compressedConfig struct {
-	lock     sync.Mutex
+	lock sync.Mutex
+	// revision is the revision of the configuration in data; 0 before the first.
 	revision int64
 	data     []byte
 }
@@ -136,8 +137,8 @@
 	return config, nil
 }
 
-// fetchState fetches a peer's state of the store and applies it. Source is the peer's name
-// in logs.
+// fetchState fetches the state of the store from a peer and applies it. Source is the peer's
+// name, for the log. Have holds the revisions that this entry already has.
 func (c *Controller) fetchState(address netip.AddrPort, source string, have FetchArgs) {
 	defer c.do(func(s *state) { s.fetching-- })
 	var reply FetchReply
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -36,19 +36,20 @@
 	// readTimeout bounds a read of the complete state. The store usually replies
 	// within milliseconds; slow replies take hundreds.
 	readTimeout = 1500 * time.Millisecond
-	// minRetryDelay follows the first failed call. The delay doubles with each further
-	// failure up to maxRetryDelay. In an outage every entry calls the store, and each
+	// minRetryDelay is the delay after the first failed store call. It doubles with each
+	// further failure, up to maxRetryDelay. In an outage every entry calls the store, and each
 	// call is paid for.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	// retryDelayFleetSize is the number of live entries up to which maxRetryDelay applies
-	// to all. In larger fleets it grows in proportion, up to maxFleetRetryDelay, for
+	// to all. In larger fleets the limit grows in proportion, up to maxFleetRetryDelay, for
 	// entries that are not store readers: the fleet then detects the end of an outage as
-	// soon with as many calls. In an outage of 8 s 95 entries made 1,500 calls, 0.01 of a
-	// day's worth.
+	// soon with as many calls. In an outage of 8 s 95 entries made 1,500 calls, 0.01 of
+	// those of a day.
 	retryDelayFleetSize = 20
 	maxFleetRetryDelay  = 2 * time.Second
-	// maxDoublings ends the doubling of the delay, above any maximum.
+	// maxDoublings limits the doublings of minRetryDelay. The delay exceeds every maximum
+	// before.
 	maxDoublings = 10
 )
 
--- a/controller/loadcounts.go
+++ b/controller/loadcounts.go
@@ -32,11 +32,13 @@
 	malformed               atomic.Int64
 }
 
+// registerMetrics creates the metrics of the counts.
 func (n *loadCounts) registerMetrics(scope tally.Scope) {
 	n.sent.metric, n.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
 	n.received.metric = scope.Counter("load_bytes_heard")
 }
 
+// status returns the counts and the numbers of peers in a view.
 func (n *loadCounts) status(v *view) *api.LoadNews {
 	return &api.LoadNews{
 		Peers: v.allPaths.count(), PlacingPeers: v.placingPaths.count(), RelayedCentres: len(v.allPaths.relayed),
--- a/controller/loadupdates.go
+++ b/controller/loadupdates.go
@@ -83,7 +83,7 @@
 }
 
 // sendAlong sends messages along paths: directly where possible, otherwise to the given number of
-// relays in each other data centre, together with the selection of entries to relay to. Traffic
+// relays in each other data centre, with a prefix that selects the entries to relay to. Traffic
 // between data centres thus grows with the number of data centres, not with that of entries.
 func (c *Controller) sendAlong(socket net.PacketConn, messages [][]byte, paths loadPaths, relayTo dispatcher.RelayTarget, relays int) {
 	for _, m := range messages {
--- a/controller/loglimiter.go
+++ b/controller/loglimiter.go
@@ -9,6 +9,8 @@
 
 // logLimiter allows one log line per logPeriod.
 type logLimiter struct {
+	// next is when the next line may be logged, skipped counts the lines suppressed since
+	// the last one.
 	next    time.Time
 	skipped int
 }
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// exchangeHeartbeats sends a heartbeat to the targets for this round, or to all live entries.
-// It does not wait for the replies, which are processed on arrival.
+// exchangeHeartbeats sends a heartbeat to each of heartbeatTargets. It does not wait for the
+// replies, which are processed on arrival.
 func (c *Controller) exchangeHeartbeats(all bool) {
 	var targets []netip.AddrPort
 	var beat Beat
--- a/controller/view.go
+++ b/controller/view.go
@@ -11,6 +11,7 @@
 // view is what the control goroutine publishes. It is immutable.
 type view struct {
 	forwarder.View
+	// ready is true if this entry accepts callers.
 	ready bool
 	// callerEntries are the entries whose addresses callers are given.
 	callerEntries []readyEntry
@@ -23,6 +24,7 @@
 type peer struct {
 	name        string
 	incarnation uint64
+	// address is the one for heartbeats, loadAddress the one for load updates.
 	address     netip.AddrPort
 	loadAddress netip.AddrPort
 	dataCentre  string
