--- a/follower/follower.go
+++ b/follower/follower.go
@@ -68,8 +68,10 @@
 // Change is one change of a Follower's state, for the log.
 type Change struct {
 	// ID is the ID of the instance; empty for a change of the configuration.
-	ID       string
-	Kind     string
+	ID string
+	// Kind is one of the Kind constants.
+	Kind string
+	// Revision is the store revision of the change.
 	Revision int64
 	// Err is why a registration is unreadable; nil unless Kind is KindUnreadable.
 	Err error
