--- a/connector/activeconns.go
+++ b/connector/activeconns.go
@@ -11,7 +11,8 @@
 // or may be on its way: a new connection counts until its first response is complete. It is safe
 // for concurrent use.
 type ActiveConns struct {
-	lock  sync.Mutex
+	lock sync.Mutex
+	// conns is the set of active connections.
 	conns map[net.Conn]bool
 }
 
--- a/connector/exitdetector.go
+++ b/connector/exitdetector.go
@@ -22,7 +22,8 @@
 // ExitDetector detects whether the process behind a broken connection has exited. It is safe for
 // concurrent use.
 type ExitDetector struct {
-	dial   DialFunc
+	dial DialFunc
+	// probes are the probes in progress, by address.
 	probes singleflight.Group
 }
 
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -27,8 +27,9 @@
 // Pool holds one connection to each peer called within idleTimeout. It is safe for
 // concurrent use.
 type Pool struct {
-	dial    DialFunc
-	lock    sync.Mutex
+	dial DialFunc
+	lock sync.Mutex
+	// clients are the open connections by the address of the peer.
 	clients map[netip.AddrPort]*client
 	closed  bool
 }
