--- a/cmd/sapphireramp/entry.go
+++ b/cmd/sapphireramp/entry.go
@@ -47,7 +47,7 @@
 	}
 	s, err := server.New(server.Config{
 		Settings: settings, Incarnation: uint64(time.Now().UnixNano()), Logs: logs,
-		Scope: metrics.Scope, Metrics: metrics.Page, Violated: violated,
+		MetricScope: metrics.Scope, MetricsHandler: metrics.Page, OnViolation: violated,
 	})
 	if err != nil {
 		return fmt.Errorf("start entry: %w", err)
--- a/server/crash_call_test.go
+++ b/server/crash_call_test.go
@@ -13,7 +13,7 @@
 
 // Instances of a service end one after the other under one call that is made again and again through all
 // entries, as engines did under one prompt.
-func TestCallThatCrashesServicesIsStopped(t *testing.T) {
+func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
 		for i := range 40 {
@@ -34,7 +34,7 @@
 }
 
 // A call that runs beside one that crashes instances is not refused for it.
-func TestCallBesideOneThatCrashesServices(t *testing.T) {
+func TestCallBesideCrashingCallIsNotQuarantined(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
 		for range 30 {
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -70,7 +70,7 @@
 
 // Engines end one after the other under one prompt that is asked again and again through all entries, as
 // on the users' platform.
-func TestPromptThatCrashesEnginesIsStopped(t *testing.T) {
+func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	withTestFleet(t, 3, 6, func(f *testFleet) {
 		is := is.New(t)
 		c := &crashes{fleet: f, prompt: "crash "}
--- a/server/filters.go
+++ b/server/filters.go
@@ -38,7 +38,7 @@
 	mux.HandleFunc("GET "+api.PathStatus, s.handleStatus)
 	mux.HandleFunc("GET "+api.PathHealth, s.handleHealth)
 	mux.HandleFunc("GET "+api.PathReady, s.handleReady)
-	mux.Handle("GET "+api.PathMetrics, s.config.Metrics)
+	mux.Handle("GET "+api.PathMetrics, s.config.MetricsHandler)
 	return mux
 }
 
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -190,9 +190,9 @@
 		f.t.Fatal(err)
 	}
 	e.server, err = New(Config{
-		Settings: e.settings, Incarnation: f.epoch, Logs: logs, Scope: tally.NoopScope, Metrics: http.NotFoundHandler(),
+		Settings: e.settings, Incarnation: f.epoch, Logs: logs, MetricScope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
 		Dial: f.net.Dialer(e.host), Listen: f.net.Listen,
-		Violated: func(name, detail string) { f.t.Errorf("invariant %s: %s", name, detail) },
+		OnViolation: func(name, detail string) { f.t.Errorf("invariant %s: %s", name, detail) },
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/server/peers.go
+++ b/server/peers.go
@@ -28,13 +28,13 @@
 	soloTimeout = 300 * time.Millisecond
 )
 
-// Entry is what one entry serves to others over net/rpc.
-type Entry struct{ server *Server }
+// PeerService is what one entry serves to others over net/rpc.
+type PeerService struct{ server *Server }
 
 // servePeers serves other entries until the listener is closed.
 func (s *Server) servePeers(ctx context.Context) {
 	calls := rpc.NewServer()
-	if err := calls.RegisterName(rpcName, &Entry{server: s}); err != nil {
+	if err := calls.RegisterName(rpcName, &PeerService{server: s}); err != nil {
 		s.logs.entry.Error("serve_peers", zap.Error(err))
 		return
 	}
@@ -56,7 +56,7 @@
 }
 
 // Beat takes in another entry's heartbeat and answers with this one's.
-func (e *Entry) Beat(beat api.Heartbeat, reply *api.Heartbeat) error {
+func (e *PeerService) Beat(beat api.Heartbeat, reply *api.Heartbeat) error {
 	e.server.heard(beat)
 	e.server.do(func(c *control) {
 		now := time.Now()
@@ -68,7 +68,7 @@
 
 // Fetch answers with the configuration document in force and the instance
 // list.
-func (e *Entry) Fetch(_ api.FetchArgs, reply *api.FetchReply) error {
+func (e *PeerService) Fetch(_ api.FetchArgs, reply *api.FetchReply) error {
 	e.server.do(func(c *control) {
 		reply.List, reply.ListAge = c.lister.Current(), c.lister.Age(time.Now())
 	})
@@ -79,7 +79,7 @@
 }
 
 // Ask answers a request to start an attempt on an engine that this entry keeps.
-func (e *Entry) Ask(args api.AskArgs, reply *api.AskReply) error {
+func (e *PeerService) Ask(args api.AskArgs, reply *api.AskReply) error {
 	e.server.do(func(c *control) { *reply = c.ask(time.Now(), args) })
 	return nil
 }
--- a/server/server.go
+++ b/server/server.go
@@ -34,15 +34,15 @@
 type Config struct {
 	Settings loader.Settings
 	// Incarnation is greater than that of any earlier run under this name.
-	Incarnation uint64
-	Logs        *logger.Logs
-	Scope       tally.Scope
-	Metrics     http.Handler
+	Incarnation    uint64
+	Logs           *logger.Logs
+	MetricScope    tally.Scope
+	MetricsHandler http.Handler
 	// Dial and Listen stand in for the network; nil means TCP.
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Listen func(address netip.AddrPort) (net.Listener, error)
-	// Violated is called when an invariant is broken; tests make it fatal.
-	Violated func(name, detail string)
+	// OnViolation is called when an invariant is broken; tests make it fatal.
+	OnViolation func(name, detail string)
 }
 
 // Server is one entry.
@@ -143,7 +143,7 @@
 		}
 		s.sealKeys = append(s.sealKeys, key)
 	}
-	s.metrics = newMetrics(c.Scope)
+	s.metrics = newMetrics(c.MetricScope)
 	s.asserter = asserter.New(s.violated)
 	s.current.Store(emptyView())
 	var err error
@@ -204,8 +204,8 @@
 func (s *Server) violated(name, detail string) {
 	s.logs.entry.Error("invariant_violated", zap.String("invariant", name), zap.String("detail", detail))
 	s.metrics.violations.Counter(name).Inc(1)
-	if s.config.Violated != nil {
-		s.config.Violated(name, detail)
+	if s.config.OnViolation != nil {
+		s.config.OnViolation(name, detail)
 	}
 }
 
--- a/server/slopes_test.go
+++ b/server/slopes_test.go
@@ -35,7 +35,7 @@
 	settings := loader.Defaults()
 	settings.Name, settings.DataCentre = "entry-0", "dc-0"
 	s, err := New(Config{
-		Settings: settings, Incarnation: 1, Logs: logs, Scope: tally.NoopScope, Metrics: http.NotFoundHandler(),
+		Settings: settings, Incarnation: 1, Logs: logs, MetricScope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
 		Listen: func(netip.AddrPort) (net.Listener, error) { return nil, nil },
 	})
 	if err != nil {
@@ -103,9 +103,9 @@
 	}
 }
 
-// BenchmarkBeatBytes is the size of a heartbeat on a connection that has
+// BenchmarkHeartbeatBytes is the size of a heartbeat on a connection that has
 // carried one before, against what it carries.
-func BenchmarkBeatBytes(b *testing.B) {
+func BenchmarkHeartbeatBytes(b *testing.B) {
 	for _, size := range [][2]int{{0, 0}, {4, 0}, {16, 0}, {0, 2}, {0, 6}} {
 		b.Run(fmt.Sprintf("notices=%d/loads=%d", size[0], size[1]), func(b *testing.B) {
 			beat := api.Heartbeat{
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -129,50 +129,50 @@
 
 // fault is one drawn failure.
 type fault struct {
-	After  time.Duration
-	Kind   int
-	A, B   int
-	Length time.Duration
+	Delay         time.Duration
+	Kind          int
+	First, Second int
+	Duration      time.Duration
 }
 
 func drawFaults(t *rapid.T, seconds int) []fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 		return fault{
-			After:  time.Duration(rapid.IntRange(0, seconds*1000).Draw(t, "after")) * time.Millisecond,
-			Kind:   rapid.IntRange(0, 10).Draw(t, "kind"),
-			A:      rapid.IntRange(0, 100).Draw(t, "a"),
-			B:      rapid.IntRange(0, 100).Draw(t, "b"),
-			Length: time.Duration(rapid.IntRange(100, 8000).Draw(t, "length")) * time.Millisecond,
+			Delay:    time.Duration(rapid.IntRange(0, seconds*1000).Draw(t, "after")) * time.Millisecond,
+			Kind:     rapid.IntRange(0, 10).Draw(t, "kind"),
+			First:    rapid.IntRange(0, 100).Draw(t, "a"),
+			Second:   rapid.IntRange(0, 100).Draw(t, "b"),
+			Duration: time.Duration(rapid.IntRange(100, 8000).Draw(t, "length")) * time.Millisecond,
 		}
 	}), 1, 8).Draw(t, "faults")
 }
 
 func (s *soak) inject(f fault) {
 	defer s.wait.Done()
-	time.Sleep(f.After)
-	entry := s.entries[f.A%len(s.entries)]
-	victim := s.engines[f.B%len(s.engines)]
+	time.Sleep(f.Delay)
+	entry := s.entries[f.First%len(s.entries)]
+	victim := s.engines[f.Second%len(s.engines)]
 	switch f.Kind {
 	case 0:
-		s.guard(func() bool { return s.liveEntries() > 1 && !entry.dead }, func() { s.killEntry(entry) }, f.Length, func() { s.startEntry(entry) })
+		s.guard(func() bool { return s.liveEntries() > 1 && !entry.dead }, func() { s.killEntry(entry) }, f.Duration, func() { s.startEntry(entry) })
 	case 1:
-		s.guard(func() bool { return !victim.dead }, func() { s.killEngine(victim) }, f.Length, func() { s.startEngine(victim) })
+		s.guard(func() bool { return !victim.dead }, func() { s.killEngine(victim) }, f.Duration, func() { s.startEngine(victim) })
 	case 2:
-		s.cutFor(entry.host, victim.host, f.Length)
+		s.cutFor(entry.host, victim.host, f.Duration)
 	case 3:
-		s.cutFor(entry.host, s.entries[f.B%len(s.entries)].host, f.Length)
+		s.cutFor(entry.host, s.entries[f.Second%len(s.entries)].host, f.Duration)
 	case 4:
-		s.cutFor(entry.host, host(9, 1), f.Length)
+		s.cutFor(entry.host, host(9, 1), f.Duration)
 	case 5:
-		s.cutFor(callerHost, entry.host, f.Length)
+		s.cutFor(callerHost, entry.host, f.Duration)
 	case 6:
-		s.cutFor(entry.host, host(3, 1), f.Length)
+		s.cutFor(entry.host, host(3, 1), f.Duration)
 	case 7, 8, 9:
 		s.platform.SetMode([]string{platform.Down, platform.Stale, platform.Back}[f.Kind-7])
-		time.Sleep(f.Length)
+		time.Sleep(f.Duration)
 		s.platform.SetMode(platform.Up)
 	case 10:
-		s.guard(func() bool { return !victim.dead }, func() { s.leaveEngine(victim) }, f.Length, func() { s.startEngine(victim) })
+		s.guard(func() bool { return !victim.dead }, func() { s.leaveEngine(victim) }, f.Duration, func() { s.startEngine(victim) })
 	}
 }
 
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -85,7 +85,7 @@
 // idle entry takes to end. Each is whole: a stream, a whole answer, a prompt
 // on a group of engines, a call that runs at most once, and one that another
 // entry passed on to the one that stops.
-func TestStoppingEntryEndsWhatItTook(t *testing.T) {
+func TestStoppingEntryFinishesAcceptedRequests(t *testing.T) {
 	long := api.CompletionRequest{Model: "model", Prompt: "a long answer", MaxTokens: 1000}
 	streamed, joint := long, long
 	streamed.Stream = true
@@ -195,7 +195,7 @@
 
 // The header itself comes byte by byte across the stop, on a new connection:
 // the refusal is true, and another entry serves the prompt.
-func TestStoppingEntryRefusesNewcomers(t *testing.T) {
+func TestStoppingEntryRefusesNewRequests(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -267,7 +267,7 @@
 // Its bytes take a quarter of a second to come, so that one request is on its
 // way when the entry ends. Connections that the entry closed as idle at its end
 // took such a request with them, without an answer.
-func TestStoppingEntryAnswersKeptConnections(t *testing.T) {
+func TestStoppingEntryAnswersOnKeepAliveConnections(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -299,7 +299,7 @@
 // A caller that was refused sends no more of its body and keeps its connection
 // open. The stop does not wait for it: an operator who saw the entry stay would
 // end it by force, and the answers in progress with it.
-func TestStalledCallerDoesNotHoldStop(t *testing.T) {
+func TestStalledCallerDoesNotDelayShutdown(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -319,7 +319,7 @@
 // Callers whose addresses are from before a stop send calls that may run at
 // most once, and may try four times. Where the stopping entry was the one asked
 // for a ticket, its refusal ended the call, with another entry ready.
-func TestTicketIsHadElsewhereAtAStop(t *testing.T) {
+func TestTicketIsIssuedElsewhereDuringShutdown(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		var callers []*client.Client
