--- a/server/slopes_test.go
+++ b/server/bench_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	c.offer(now, accepted.Version.Digest, accepted, nil, "bench")
+	c.offerDocument(now, accepted.Version.Digest, accepted, nil, "bench")
 	var list api.InstanceList
 	for i := range entries {
 		list.Instances = append(list.Instances, api.Instance{
@@ -61,9 +61,9 @@
 			DataCentre: fmt.Sprintf("dc-%d", i%8), State: api.InstanceLive,
 		})
 	}
-	c.list(now, list)
-	c.asked(sourcePlatform)
-	c.publish()
+	c.applyInstanceList(now, list)
+	c.recordSourceAsked(sourcePlatform)
+	c.publishView()
 	return c
 }
 
@@ -83,7 +83,7 @@
 				kept++
 			}
 			for b.Loop() {
-				c.publish()
+				c.publishView()
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "kept-bytes")
 			b.ReportMetric(float64(kept), "kept-engines")
@@ -103,9 +103,9 @@
 	}
 }
 
-// BenchmarkHeartbeatBytes is the size of a heartbeat on a connection that has
+// BenchmarkBeatBytes is the size of a heartbeat on a connection that has
 // carried one before, against what it carries.
-func BenchmarkHeartbeatBytes(b *testing.B) {
+func BenchmarkBeatBytes(b *testing.B) {
 	for _, size := range [][2]int{{0, 0}, {4, 0}, {16, 0}, {0, 2}, {0, 6}} {
 		b.Run(fmt.Sprintf("notices=%d/loads=%d", size[0], size[1]), func(b *testing.B) {
 			beat := api.Heartbeat{
@@ -188,7 +188,7 @@
 type benchEntry struct{ c *control }
 
 func (e *benchEntry) Ask(args api.AskArgs, reply *api.AskReply) error {
-	*reply = e.c.ask(time.Now(), args)
+	*reply = e.c.decideAsk(time.Now(), args)
 	return nil
 }
 
--- a/server/call.go
+++ b/server/call.go
@@ -23,9 +23,9 @@
 // byte of it left, or the instance says that it never started.
 func (s *Server) callService(x *exchange) *failure {
 	var tried []dispatcher.Instance
-	x.content = contentOf(x)
+	x.fingerprint = fingerprintOf(x)
 	for range maxAttempts {
-		if f := x.quarantined(); f != nil {
+		if f := x.checkQuarantine(); f != nil {
 			return f
 		}
 		p, f := s.placeCall(x, tried)
@@ -34,99 +34,99 @@
 		}
 		tried = append(tried, p.First)
 		s.logs.route.Info("route", zap.String("request", x.id), zap.String("organisation", x.organisation.Name),
-			zap.String("service", x.service.Name), zap.String("call", x.call), zap.String("instance", p.First.ID), zap.Int("running", p.Load.Running),
+			zap.String("service", x.service.Name), zap.String("call", x.callName), zap.String("instance", p.First.ID), zap.Int("running", p.Load.Running),
 			zap.Bool("repeatable", x.repeatable), zap.Int("attempt", len(tried)))
 		result, f := s.sendCall(x, p)
 		p.End(time.Now(), result)
 		if f == nil {
-			s.quarantine.RecordSuccess(time.Now(), x.content)
+			s.quarantine.RecordSuccess(time.Now(), x.fingerprint)
 			return nil
 		}
-		if x.ctx.Err() != nil || x.left() <= 0 {
-			late := fail(api.CodeDeadline, "the time limit has passed")
+		if x.ctx.Err() != nil || x.remaining() <= 0 {
+			late := newFailure(api.CodeDeadline, "the time limit has passed")
 			late.retryAfter, late.err = s.retryAfter(), f.err
 			return late
 		}
-		if !x.repeatable && x.pending > 0 {
+		if !x.repeatable && x.unresolvedAttempts > 0 {
 			return f
 		}
-		if x.isSuspect() {
+		if x.isCrashSuspect() {
 			f.retryAfter = s.retryAfter()
 			return f
 		}
 	}
-	f := fail(api.CodeUpstreamFailed, "no instance of service %s answered", x.service.Name)
+	f := newFailure(api.CodeUpstreamFailed, "no instance of service %s answered", x.service.Name)
 	f.retryAfter = s.retryAfter()
 	return f
 }
 
-// callSlots is how many calls an instance of a service is taken to work on at once, which no document says. A call goes
+// slotsPerInstance is how many calls an instance of a service is taken to work on at once, which no document says. A call goes
 // to another data centre where each instance of this one has some two calls more than those there.
-const callSlots = 16
+const slotsPerInstance = 16
 
-// newCallBoard returns the board of an entry's calls to services.
-func newCallBoard(dataCentre string) *dispatcher.Dispatcher {
+// newCallDispatcher returns the board of an entry's calls to services.
+func newCallDispatcher(dataCentre string) *dispatcher.Dispatcher {
 	return dispatcher.NewLocal(dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // placeCall finds the instance of the call's service that has the least to do and fails least, as far as
 // this entry has seen, of this data centre rather than another.
 func (s *Server) placeCall(x *exchange, tried []dispatcher.Instance) (*dispatcher.Placement, *failure) {
-	p, refusal := s.calls.Place(time.Now(), dispatcher.Demand{Service: x.service.Name, Avoid: tried})
+	p, refusal := s.callDispatcher.Place(time.Now(), dispatcher.Demand{Service: x.service.Name, Avoid: tried})
 	if refusal == nil {
 		return p, nil
 	}
-	f := fail(api.CodeNoUpstream, "no instance of service %s can take the call now", x.service.Name)
+	f := newFailure(api.CodeNoUpstream, "no instance of service %s can take the call now", x.service.Name)
 	f.retryAfter, f.err = s.retryAfter(), refusal
 	return nil, f
 }
 
 // sendCall sends a call to the instance that was found for it. The result is what that tells of the instance.
 func (s *Server) sendCall(x *exchange, p *dispatcher.Placement) (dispatcher.Result, *failure) {
-	client := s.traffic
+	client := s.trafficClient
 	if !x.repeatable {
-		client = s.single
-		s.asserter.Check(x.pending == 0, asserter.SecondDispatch, "request %s", x.id)
+		client = s.singleUseClient
+		s.asserter.Check(x.unresolvedAttempts == 0, asserter.SecondDispatch, "request %s", x.id)
 	}
 	request, connected, err := x.callRequest(p.First)
 	if err != nil {
 		return dispatcher.Answered, &failure{code: api.CodeBadRequest, message: "the call could not be encoded", err: err}
 	}
-	if x.left() <= 0 {
-		return dispatcher.Answered, fail(api.CodeDeadline, "the time limit has passed")
+	if x.remaining() <= 0 {
+		return dispatcher.Answered, newFailure(api.CodeDeadline, "the time limit has passed")
 	}
-	x.pending++
-	x.cut = false
-	t := trial{upstream: p.First.ID, address: p.First.Address.String(), sent: time.Now()}
+	x.unresolvedAttempts++
+	x.interrupted = false
+	attempt := attemptInfo{upstream: p.First.ID, address: p.First.Address.String(), sentAt: time.Now()}
 	response, err := client.Do(request)
 	if err != nil {
-		f := fail(api.CodeUpstreamFailed, "service %s did not answer", x.service.Name)
+		f := newFailure(api.CodeUpstreamFailed, "service %s did not answer", x.service.Name)
 		f.err = err
 		if !*connected {
-			x.pending-- // no byte left for the service
+			x.unresolvedAttempts-- // no byte left for the service
 			return dispatcher.Unreachable, f
 		}
-		x.noteEnd(x.ctx, t)
-		return x.blame(), f
+		x.detectCrash(x.ctx, attempt)
+		return x.unansweredResult(), f
 	}
 	defer func() { _ = response.Body.Close() }()
-	t.began = time.Now()
+	attempt.answerStartedAt = time.Now()
 	body, err := readAnswer(response, s.settings.Callers.MaxBody)
 	if err != nil && !errors.Is(err, errAnswerTooLarge) {
-		x.noteEnd(x.ctx, t)
+		x.detectCrash(x.ctx, attempt)
 	}
 	if err != nil {
-		f := fail(api.CodeUpstreamFailed, "service %s broke off", x.service.Name)
+		f := newFailure(api.CodeUpstreamFailed, "service %s broke off", x.service.Name)
 		f.err = err
-		return x.blame(), f
+		return x.unansweredResult(), f
 	}
 	if response.Header.Get(api.HeaderStarted) == "false" {
-		x.pending--
-		f := fail(api.CodeUpstreamFailed, "service %s refused", x.service.Name)
+		x.unresolvedAttempts--
+		f := newFailure(api.CodeUpstreamFailed, "service %s refused", x.service.Name)
 		f.err = fmt.Errorf("status %d", response.StatusCode)
 		return dispatcher.Full, f
 	}
-	x.pending--
+	x.unresolvedAttempts--
 	h := x.writer.Header()
 	h.Set("Content-Type", response.Header.Get("Content-Type"))
 	h.Set(api.HeaderOutcome, string(api.Answered))
@@ -140,8 +140,8 @@
 	return dispatcher.Answered, nil
 }
 
-// blame is what a call without an answer tells of its instance: nothing where its caller left.
-func (x *exchange) blame() dispatcher.Result {
+// unansweredResult is what a call without an answer tells of its instance: nothing where its caller left.
+func (x *exchange) unansweredResult() dispatcher.Result {
 	if errors.Is(x.ctx.Err(), context.Canceled) {
 		return dispatcher.Abandoned
 	}
--- a/server/call_test.go
+++ b/server/call_test.go
@@ -19,7 +19,7 @@
 			_, err := f.client(1).Call(context.Background(), "dispatch", "lookup", []byte("{}"), client.Options{Timeout: 5 * time.Second})
 			is.NoErr(err)
 		}
-		served := c.served()
+		served := c.answerCounts()
 		is.Equal(len(served), 3)
 		for _, n := range served {
 			is.True(n >= 10) // a third each would be 30
@@ -42,11 +42,11 @@
 		is.True(failed <= 6) // two an entry at most
 		c.freeze(netip.Addr{})
 		time.Sleep(20 * time.Second)
-		before := c.served()[host(4, 2)]
+		before := c.answerCounts()[host(4, 2)]
 		for range 60 {
 			_, err := caller.Call(context.Background(), "dispatch", "lookup", []byte("{}"), client.Options{Timeout: time.Second})
 			is.NoErr(err)
 		}
-		is.True(c.served()[host(4, 2)] > before) // it is used again
+		is.True(c.answerCounts()[host(4, 2)] > before) // it is used again
 	})
 }
--- a/server/complete.go
+++ b/server/complete.go
@@ -20,50 +20,50 @@
 const (
 	// maxAttempts bounds the engines that one request is sent to.
 	maxAttempts = 4
-	// maxAsked is how many keepers are asked in one round of placement.
-	maxAsked = 3
-	// groupPatience is the part of a request's remaining time that it may
+	// maxKeepersAsked is how many keepers are asked in one round of placement.
+	maxKeepersAsked = 3
+	// groupWaitDivisor is the part of a request's remaining time that it may
 	// wait for a group of engines, and groupPause the least pause between
 	// tries. Past it the request is given up and refused at once.
-	groupPatience = 4
-	groupPause    = 80 * time.Millisecond
+	groupWaitDivisor      = 4
+	minGroupRetryInterval = 80 * time.Millisecond
 )
 
 // completion is the work on one prompt.
 type completion struct {
-	x        *exchange
-	relayer  *relayer.Relayer
-	random   *rand.Rand
-	text     strings.Builder
-	usage    *api.CompletionUsage
-	tried    []string
-	version  string
-	attempts int
-	// began is when the last attempt's answer did; zero before.
-	began time.Time
+	x            *exchange
+	relayer      *relayer.Relayer
+	random       *rand.Rand
+	text         strings.Builder
+	usage        *api.CompletionUsage
+	triedEngines []string
+	version      string
+	attempts     int
+	// answerStartedAt is when the last attempt's answer did; zero before.
+	answerStartedAt time.Time
 }
 
 // complete places a prompt and relays its answer, resuming it elsewhere where
 // an engine fails.
 func (s *Server) complete(x *exchange) *failure {
 	x.body = nil // the decoded prompt is enough from here on
-	x.content = contentOf(x)
+	x.fingerprint = fingerprintOf(x)
 	c := &completion{x: x, relayer: relayer.New(x.id), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	if x.completion.Seed == 0 {
 		x.completion.Seed = c.random.Uint64()>>1 | 1
 	}
-	defer func() { s.metrics.dropped.Inc(int64(c.dropped())) }()
+	defer func() { s.metrics.dropped.Inc(int64(c.droppedChunks())) }()
 	for {
-		if f := x.quarantined(); f != nil {
+		if f := x.checkQuarantine(); f != nil {
 			return f
 		}
 		f := c.attempt()
 		if f == nil {
-			s.quarantine.RecordSuccess(time.Now(), x.content)
+			s.quarantine.RecordSuccess(time.Now(), x.fingerprint)
 			return c.finish()
 		}
-		if !c.mayRetry(f) {
-			return c.giveUp(f)
+		if !c.canRetry(f) {
+			return c.finalFailure(f)
 		}
 		s.metrics.resumed.Inc(1)
 		s.logs.route.Info("retry", zap.String("request", x.id), zap.Int("attempt", c.attempts),
@@ -71,28 +71,28 @@
 	}
 }
 
-func (c *completion) dropped() int {
+func (c *completion) droppedChunks() int {
 	n := c.relayer.Counts()
 	return n.Foreign + n.Stale + n.Repeated
 }
 
-// mayRetry reports whether another attempt is allowed and of use.
-func (c *completion) mayRetry(f *failure) bool {
+// canRetry reports whether another attempt is allowed and of use.
+func (c *completion) canRetry(f *failure) bool {
 	x := c.x
 	if f.code != api.CodeUpstreamFailed || c.attempts >= maxAttempts || x.ctx.Err() != nil {
 		return false
 	}
-	if x.isSuspect() {
+	if x.isCrashSuspect() {
 		return false
 	}
 	// What may have run is not run again, unless the request is repeatable.
-	return x.repeatable || x.pending == 0
+	return x.repeatable || x.unresolvedAttempts == 0
 }
 
-// giveUp makes the last failure the answer, at once.
-func (c *completion) giveUp(f *failure) *failure {
+// finalFailure makes the last failure the answer, at once.
+func (c *completion) finalFailure(f *failure) *failure {
 	x := c.x
-	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.left() <= 0 {
+	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.remaining() <= 0 {
 		return &failure{code: api.CodeDeadline, message: "the time limit has passed", retryAfter: x.server.retryAfter(), err: f.err}
 	}
 	if f.retryAfter == 0 && f.code == api.CodeUpstreamFailed {
@@ -104,15 +104,15 @@
 // attempt places the prompt once and relays what comes. It returns nil when
 // the answer is whole.
 func (c *completion) attempt() *failure {
-	w := c.requirements()
-	if c.needsGroup(w) {
-		return c.attemptGroup(w)
+	needs := c.requirements()
+	if c.needsGroup(needs) {
+		return c.attemptGroup(needs)
 	}
-	engine, attemptID, f := c.place(w)
+	engine, attemptID, f := c.place(needs)
 	if f != nil {
 		return f
 	}
-	return c.run(c.x.ctx, run{engine: engine, attemptID: attemptID})
+	return c.runAttempt(c.x.ctx, engineAttempt{engine: engine, attemptID: attemptID})
 }
 
 func (c *completion) requirements() router.Requirements {
@@ -120,7 +120,7 @@
 	prompt := api.PromptTokens(len(r.Prompt))
 	return router.Requirements{
 		Model: r.Model, Adapter: r.Adapter, Version: c.version, Class: c.class(),
-		PrefillTokens: prompt + c.relayer.Delivered(), MemoryTokens: prompt + r.MaxTokens, AnswerTokens: r.MaxTokens, Avoid: c.tried,
+		PrefillTokens: prompt + c.relayer.Delivered(), MemoryTokens: prompt + r.MaxTokens, AnswerTokens: r.MaxTokens, Avoid: c.triedEngines,
 	}
 }
 
@@ -134,9 +134,9 @@
 }
 
 // needsGroup reports whether no single engine of the model holds the prompt.
-func (c *completion) needsGroup(w router.Requirements) bool {
+func (c *completion) needsGroup(needs router.Requirements) bool {
 	for _, e := range c.x.view.accepted.Document.Engines {
-		if e.Model == w.Model && e.MemoryTokens >= w.MemoryTokens {
+		if e.Model == needs.Model && e.MemoryTokens >= needs.MemoryTokens {
 			return false
 		}
 	}
@@ -144,67 +144,67 @@
 }
 
 // place finds an engine whose keeper grants the attempt.
-func (c *completion) place(w router.Requirements) (*router.Engine, string, *failure) {
+func (c *completion) place(needs router.Requirements) (*router.Engine, string, *failure) {
 	x := c.x
-	p := placer.New(time.Now(), x.left(), c.random)
+	p := placer.New(time.Now(), x.remaining(), c.random)
 	attemptID := newID()
 	for {
 		step := p.Next(time.Now())
 		switch step.Kind {
 		case placer.Choose:
-			p.Round(c.choose(&w))
+			p.Round(c.chooseEngines(&needs))
 		case placer.Ask:
-			p.Answered(c.ask(step.Choice, w, attemptID))
+			p.Answered(c.askKeeper(step.Choice, needs, attemptID))
 		case placer.Pause:
 			if !sleeper.Sleep(x.ctx, step.Pause) {
-				return nil, "", fail(api.CodeOverloaded, "no engine was free in time")
+				return nil, "", newFailure(api.CodeOverloaded, "no engine was free in time")
 			}
 		case placer.Placed:
 			return step.Choice.Engine, attemptID, nil
 		default:
-			return nil, "", c.notPlaced(step.Kind, w)
+			return nil, "", c.placementFailure(step.Kind, needs)
 		}
 	}
 }
 
-// choose orders the engines to ask. When every engine failed the request
+// chooseEngines orders the engines to ask. When every engine failed the request
 // once, all are tried again, as one may be back.
-func (c *completion) choose(w *router.Requirements) []router.Choice {
+func (c *completion) chooseEngines(needs *router.Requirements) []router.Choice {
 	board := c.x.server.current.Load().board
-	choices := board.Choose(time.Now(), router.Predicted, *w, maxAsked, c.random)
-	if len(choices) == 0 && len(c.tried) > 0 {
-		w.Avoid, c.tried = nil, nil
-		choices = board.Choose(time.Now(), router.Predicted, *w, maxAsked, c.random)
+	choices := board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
+	if len(choices) == 0 && len(c.triedEngines) > 0 {
+		needs.Avoid, c.triedEngines = nil, nil
+		choices = board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	}
 	return choices
 }
 
-func (c *completion) ask(choice router.Choice, w router.Requirements, attemptID string) keeper.Answer {
+func (c *completion) askKeeper(choice router.Choice, needs router.Requirements, attemptID string) keeper.Answer {
 	x := c.x
-	answer := x.server.ask(x.ctx, choice.Engine, api.AskArgs{
-		Engine: choice.Engine.Name, Model: w.Model, AttemptID: attemptID, Class: int(w.Class),
-		PrefillTokens: w.PrefillTokens, MemoryTokens: w.MemoryTokens, Remaining: x.left(),
+	answer := x.server.askKeeper(x.ctx, choice.Engine, api.AskArgs{
+		Engine: choice.Engine.Name, Model: needs.Model, AttemptID: attemptID, Class: int(needs.Class),
+		PrefillTokens: needs.PrefillTokens, MemoryTokens: needs.MemoryTokens, Remaining: x.remaining(),
 	})
-	x.logRoute(choice, answer, w)
+	x.logRoute(choice, answer, needs)
 	return answer
 }
 
-// notPlaced is the refusal of a prompt that was given up.
-func (c *completion) notPlaced(kind placer.Kind, w router.Requirements) *failure {
-	f := fail(api.CodeNoUpstream, "no engine serves model %s now", w.Model)
+// placementFailure is the refusal of a prompt that was given up.
+func (c *completion) placementFailure(kind placer.Kind, needs router.Requirements) *failure {
+	f := newFailure(api.CodeNoUpstream, "no engine serves model %s now", needs.Model)
 	switch kind {
 	case placer.NoRoom:
-		f = fail(api.CodeOverloaded, "no engine of model %s can take the prompt now", w.Model)
+		f = newFailure(api.CodeOverloaded, "no engine of model %s can take the prompt now", needs.Model)
 	case placer.TooLate:
-		f = fail(api.CodeNoUpstream, "no engine of model %s can answer within the time limit now", w.Model)
+		f = newFailure(api.CodeNoUpstream, "no engine of model %s can answer within the time limit now", needs.Model)
 	}
 	f.retryAfter = c.x.server.retryAfter()
 	return f
 }
 
-func (x *exchange) logRoute(choice router.Choice, answer keeper.Answer, w router.Requirements) {
+func (x *exchange) logRoute(choice router.Choice, answer keeper.Answer, needs router.Requirements) {
 	x.server.logs.route.Info("route", zap.String("request", x.id), zap.String("organisation", x.organisation.Name),
-		zap.String("model", w.Model), zap.Int("tokens", w.PrefillTokens), zap.String("engine", choice.Engine.Name),
+		zap.String("model", needs.Model), zap.Int("tokens", needs.PrefillTokens), zap.String("engine", choice.Engine.Name),
 		zap.String("keeper", choice.Engine.Keeper), zap.Bool("granted", answer.Granted), zap.String("reason", string(answer.Reason)),
 		zap.Duration("predicted_ms", choice.Predicted), zap.Duration("wait_ms", answer.Wait))
 }
@@ -213,7 +213,7 @@
 func (c *completion) finish() *failure {
 	x := c.x
 	if x.completion.Stream {
-		x.sendDone()
+		x.writeDone()
 		return nil
 	}
 	h := x.writer.Header()
@@ -226,11 +226,11 @@
 	return nil
 }
 
-// pass gives text of the answer to the caller.
-func (c *completion) pass(offset int, text string, usage *api.CompletionUsage) {
+// deliver gives text of the answer to the caller.
+func (c *completion) deliver(offset int, text string, usage *api.CompletionUsage) {
 	x := c.x
 	c.usage = usage
-	if !x.begun {
+	if !x.answerBegun {
 		x.server.metrics.firstToken.RecordDuration(time.Since(x.arrived))
 	}
 	if !x.completion.Stream {
@@ -241,5 +241,5 @@
 	if usage != nil {
 		choice.FinishReason = "stop"
 	}
-	x.sendEvent(api.CompletionChunk{ID: x.id, Offset: offset, Choices: []api.CompletionChoice{choice}, Usage: usage})
+	x.writeEvent(api.CompletionChunk{ID: x.id, Offset: offset, Choices: []api.CompletionChoice{choice}, Usage: usage})
 }
--- a/server/control.go
+++ b/server/control.go
@@ -25,28 +25,28 @@
 )
 
 const (
-	// maxAnswerBytes bounds the answers kept for calls that run at most once.
-	maxAnswerBytes = 8 << 20
-	// tickTime is the period of the control goroutine's own clock.
-	tickTime = 100 * time.Millisecond
-	// wokeAfter is a gap between ticks that means this process was paused.
-	wokeAfter = time.Second
-	// orderRetry is how long an order to an engine is awaited.
-	orderRetry = 30 * time.Second
-	// loadInterval is the least time between loads from the weight store.
-	loadInterval = 500 * time.Millisecond
+	// maxKeptAnswerBytes bounds the answers kept for calls that run at most once.
+	maxKeptAnswerBytes = 8 << 20
+	// tickInterval is the period of the control goroutine's own clock.
+	tickInterval = 100 * time.Millisecond
+	// suspendThreshold is a gap between ticks that means this process was paused.
+	suspendThreshold = time.Second
+	// orderRetryInterval is how long an order to an engine is awaited.
+	orderRetryInterval = 30 * time.Second
+	// minWeightLoadInterval is the least time between loads from the weight store.
+	minWeightLoadInterval = 500 * time.Millisecond
 )
 
 // listSlack is added to the length of a watch before a list that the platform
 // did not confirm counts as old.
 const listSlack = 2 * time.Second
 
-// largeDocument is the size from which memory is given back after parsing.
-const largeDocument = 64 << 10
+// largeDocumentBytes is the size from which memory is given back after parsing.
+const largeDocumentBytes = 64 << 10
 
-// parsePercent is the growth of the heap between collections while a large
+// parseGCPercent is the growth of the heap between collections while a large
 // document is parsed.
-const parsePercent = 20
+const parseGCPercent = 20
 
 // sourcePlatform names the platform among the sources of documents.
 const sourcePlatform = "platform"
@@ -62,19 +62,19 @@
 	planner  *planner.Planner
 	// keepers are of the engines that this entry keeps, by engine name.
 	keepers map[string]*keeper.Keeper
-	// steps are what the planner last decided, by engine name.
-	steps map[string]planner.Step
+	// lastSteps are what the planner last decided, by engine name.
+	lastSteps map[string]planner.Step
 	// instances is the newest list, by name; lister decides which that is.
 	instances map[string]api.Instance
 	lister    *lister.Lister
-	// loads outlive boards, by engine name.
-	loads map[string]*router.Load
-	// holds are this entry's holds on engines, by engine name and hold id.
-	holds    map[string]map[string]*holding
+	// engineLoads outlive boards, by engine name.
+	engineLoads map[string]*router.Load
+	// ownHolds are this entry's holds on engines, by engine name and hold id.
+	ownHolds map[string]map[string]*ownHold
 	stopping bool
 	lastTick time.Time
-	// wokeAt is when this process last ran again after a pause.
-	wokeAt time.Time
+	// resumedAt is when this process last ran again after a pause.
+	resumedAt time.Time
 	// dirty says that the view is out of date.
 	dirty bool
 }
@@ -94,50 +94,50 @@
 		admitter: admitter.New(rand.New(rand.NewPCG(s.config.Incarnation, uint64(s.settings.Address.Port())))),
 		spender: spender.New(now, spender.Config{
 			Name: s.settings.Name, Incarnation: s.config.Incarnation, Life: s.settings.Callers.TicketLife,
-			MaxAnswerBytes: maxAnswerBytes, Secret: secret,
+			MaxAnswerBytes: maxKeptAnswerBytes, Secret: secret,
 		}),
-		planner:   planner.New(planner.Config{Keeper: s.settings.Name, Settle: t.Lease, Retry: orderRetry, LoadInterval: loadInterval}),
-		keepers:   map[string]*keeper.Keeper{},
-		steps:     map[string]planner.Step{},
-		instances: map[string]api.Instance{},
-		lister:    lister.New(t.Watch + listSlack),
-		loads:     map[string]*router.Load{},
-		holds:     map[string]map[string]*holding{},
-		lastTick:  now,
+		planner:     planner.New(planner.Config{Keeper: s.settings.Name, Settle: t.Lease, Retry: orderRetryInterval, LoadInterval: minWeightLoadInterval}),
+		keepers:     map[string]*keeper.Keeper{},
+		lastSteps:   map[string]planner.Step{},
+		instances:   map[string]api.Instance{},
+		lister:      lister.New(t.Watch + listSlack),
+		engineLoads: map[string]*router.Load{},
+		ownHolds:    map[string]map[string]*ownHold{},
+		lastTick:    now,
 	}
 }
 
-// do runs a command on the control goroutine and waits for it. After the
+// onControl runs a command on the control goroutine and waits for it. After the
 // control goroutine has ended it does nothing.
-func (s *Server) do(command func(*control)) { s.control.Do(command) }
+func (s *Server) onControl(command func(*control)) { s.control.Do(command) }
 
-// publishDirty makes a new view where something changed.
-func (c *control) publishDirty() {
+// publishIfDirty makes a new view where something changed.
+func (c *control) publishIfDirty() {
 	if c.dirty {
-		c.publish()
+		c.publishView()
 	}
 }
 
 func (c *control) tick(now time.Time) {
-	if now.Sub(c.lastTick) > wokeAfter {
+	if now.Sub(c.lastTick) > suspendThreshold {
 		c.server.logs.entry.Warn("woke", zap.Duration("paused", now.Sub(c.lastTick)))
-		c.wokeAt = now
+		c.resumedAt = now
 		c.prober.ResetSilence(now)
 	}
 	c.lastTick = now
-	c.changed(c.prober.Tick(now))
-	c.server.logQuarantined(now, c.server.quarantine.Evaluate(now), "own")
+	c.recordMemberChanges(c.prober.Tick(now))
+	c.server.logQuarantineDecisions(now, c.server.quarantine.Evaluate(now), "own")
 	c.server.metrics.inFlight.Update(float64(c.admitter.InFlight()))
 }
 
-// justWoke reports whether this process was paused and ran again no longer ago
+// hasJustResumed reports whether this process was paused and ran again no longer ago
 // than the slack that requests have past their limit.
-func (c *control) justWoke(now time.Time) bool {
-	return now.Sub(c.lastTick) > wokeAfter || now.Sub(c.wokeAt) < deadlineSlack
+func (c *control) hasJustResumed(now time.Time) bool {
+	return now.Sub(c.lastTick) > suspendThreshold || now.Sub(c.resumedAt) < deadlineSlack
 }
 
-// changed logs changes of members and has the view made anew.
-func (c *control) changed(changes []prober.Change) {
+// recordMemberChanges logs changes of members and has the view made anew.
+func (c *control) recordMemberChanges(changes []prober.Change) {
 	for _, change := range changes {
 		c.server.logs.members.Info("member", zap.String("name", change.Name), zap.String("from", string(change.From)),
 			zap.String("to", string(change.To)), zap.String("reason", change.Reason))
@@ -145,8 +145,8 @@
 	}
 }
 
-// offer considers a document that was parsed, and logs what became of it.
-func (c *control) offer(now time.Time, digest string, offered *validator.Accepted, err error, source string) {
+// offerDocument considers a document that was parsed, and logs what became of it.
+func (c *control) offerDocument(now time.Time, digest string, offered *validator.Accepted, err error, source string) {
 	before := c.adopter.Version()
 	result := c.adopter.Parsed(now, digest, offered, err)
 	c.server.asserter.Check(!c.adopter.Version().Less(before), asserter.RevisionWentBack, "revision %d after %d", c.adopter.Version().Revision, before.Revision)
@@ -171,70 +171,70 @@
 	}
 }
 
-// consider takes in a document's bytes. It is parsed on the goroutine that
+// considerDocument takes in a document's bytes. It is parsed on the goroutine that
 // read it: a large one takes longer than control may stand still.
 // One document is parsed at a time, since platform and peers often bring the
 // same one at once.
-func (s *Server) consider(data []byte, source string) {
-	s.parsing <- struct{}{}
-	defer func() { <-s.parsing }()
+func (s *Server) considerDocument(data []byte, source string) {
+	s.parseLock <- struct{}{}
+	defer func() { <-s.parseLock }()
 	digest := validator.Digest(data)
 	seen := false
-	s.do(func(c *control) { _, seen = c.adopter.Seen(digest) })
+	s.onControl(func(c *control) { _, seen = c.adopter.Seen(digest) })
 	if seen {
 		return
 	}
-	if len(data) >= largeDocument {
+	if len(data) >= largeDocumentBytes {
 		// Parsing leaves many times the document's size behind, which an
 		// entry on a small instance can't keep until the next collection.
 		defer debug.FreeOSMemory()
-		defer debug.SetGCPercent(debug.SetGCPercent(parsePercent))
+		defer debug.SetGCPercent(debug.SetGCPercent(parseGCPercent))
 	}
 	offered, err := validator.Parse(data)
 	if err == nil && len(s.sealKeys) > 0 {
 		err = sealer.Verify(data, s.sealKeys)
 	}
-	s.do(func(c *control) { c.offer(time.Now(), digest, offered, err, source) })
+	s.onControl(func(c *control) { c.offerDocument(time.Now(), digest, offered, err, source) })
 }
 
-// asked notes that a source of documents was asked.
-func (c *control) asked(source string) {
-	was := c.adopter.Ready()
+// recordSourceAsked notes that a source of documents was asked.
+func (c *control) recordSourceAsked(source string) {
+	wasReady := c.adopter.Ready()
 	c.adopter.Asked(source)
-	if c.adopter.Ready() != was {
+	if c.adopter.Ready() != wasReady {
 		c.dirty = true
 	}
 }
 
-// heard takes in a heartbeat.
-func (c *control) heard(now time.Time, beat api.Heartbeat) {
-	before, known := c.prober.Find(beat.From)
-	c.changed(c.prober.ReceiveHeartbeat(now, beat))
-	after, _ := c.prober.Find(beat.From)
+// recordHeartbeat takes in a heartbeat.
+func (c *control) recordHeartbeat(now time.Time, heartbeat api.Heartbeat) {
+	before, known := c.prober.Find(heartbeat.From)
+	c.recordMemberChanges(c.prober.ReceiveHeartbeat(now, heartbeat))
+	after, _ := c.prober.Find(heartbeat.From)
 	if !known || before.Ready != after.Ready || before.Incarnation != after.Incarnation {
 		c.dirty = true
 	}
-	for _, n := range beat.Notices {
+	for _, n := range heartbeat.Notices {
 		if n.Kind != api.KindEntry && n.State == api.NoticeLeaving && c.drainer.MarkLeaving(n.Name, n.Incarnation) {
-			c.leaving(n.Name, drainer.FromPeer)
+			c.announceLeaving(n.Name, drainer.FromPeer)
 		}
 	}
-	for _, l := range beat.Loads {
-		c.digest(now, l)
+	for _, load := range heartbeat.Loads {
+		c.recordLoadDigest(now, load)
 	}
 }
 
-// digest takes over what a keeper says of an engine.
-func (c *control) digest(now time.Time, l api.LoadDigest) {
-	c.load(l.Engine).Heard(now, queueOf(l.QueuedTokens), l.FreeTokens)
-	c.incarnation(l.Engine, l.Incarnation)
-	if l.Leaving && c.drainer.MarkLeaving(l.Engine, l.Incarnation) {
-		c.leaving(l.Engine, drainer.FromPeer)
+// recordLoadDigest takes over what a keeper says of an engine.
+func (c *control) recordLoadDigest(now time.Time, digest api.LoadDigest) {
+	c.loadOf(digest.Engine).Heard(now, queueFromWire(digest.QueuedTokens), digest.FreeTokens)
+	c.recordIncarnation(digest.Engine, digest.Incarnation)
+	if digest.Leaving && c.drainer.MarkLeaving(digest.Engine, digest.Incarnation) {
+		c.announceLeaving(digest.Engine, drainer.FromPeer)
 	}
 }
 
-// incarnation takes in an engine's incarnation; a new one may be used again.
-func (c *control) incarnation(engine string, incarnation uint64) {
+// recordIncarnation takes in an engine's incarnation; a new one may be used again.
+func (c *control) recordIncarnation(engine string, incarnation uint64) {
 	before := c.drainer.IsUsable(engine)
 	c.drainer.ObserveIncarnation(engine, incarnation)
 	if c.drainer.IsUsable(engine) != before {
@@ -242,21 +242,21 @@
 	}
 }
 
-// leaving logs and passes on that an upstream began to leave.
-func (c *control) leaving(name string, source drainer.Source) {
+// announceLeaving logs and passes on that an upstream began to leave.
+func (c *control) announceLeaving(name string, source drainer.Source) {
 	c.server.logs.keep.Info("upstream_leaving", zap.String("name", name), zap.String("source", string(source)))
 	kind := api.KindEngine
 	if i, ok := c.instances[name]; ok {
 		kind = i.Kind
 	}
-	n := api.Notice{Kind: kind, Name: name, Incarnation: c.drainer.LatestIncarnation(name), State: api.NoticeLeaving}
-	c.prober.ReceiveNotice(time.Now(), n)
+	notice := api.Notice{Kind: kind, Name: name, Incarnation: c.drainer.LatestIncarnation(name), State: api.NoticeLeaving}
+	c.prober.ReceiveNotice(time.Now(), notice)
 	c.dirty = true
 }
 
-// offerList considers an instance list; data is nil where the platform had no
+// offerInstanceList considers an instance list; data is nil where the platform had no
 // news. Age is how long ago the platform confirmed the list.
-func (c *control) offerList(now time.Time, data []byte, age time.Duration) {
+func (c *control) offerInstanceList(now time.Time, data []byte, age time.Duration) {
 	if !c.lister.Offer(now, data, age) {
 		return
 	}
@@ -265,11 +265,11 @@
 		c.server.logs.entry.Error("instances", zap.Error(err))
 		return
 	}
-	c.list(now, list)
+	c.applyInstanceList(now, list)
 }
 
-// list takes over an instance list.
-func (c *control) list(now time.Time, list api.InstanceList) {
+// applyInstanceList takes over an instance list.
+func (c *control) applyInstanceList(now time.Time, list api.InstanceList) {
 	c.prober.ApplyInstanceList(now, list.Instances)
 	instances := make(map[string]api.Instance, len(list.Instances))
 	for _, i := range list.Instances {
@@ -281,34 +281,34 @@
 	}
 	c.instances = instances
 	for _, name := range c.drainer.UpdateList(list.Instances) {
-		c.leaving(name, drainer.FromList)
+		c.announceLeaving(name, drainer.FromList)
 	}
 	c.dirty = true
 }
 
-func (c *control) load(engine string) *router.Load {
-	l, ok := c.loads[engine]
+func (c *control) loadOf(engine string) *router.Load {
+	l, ok := c.engineLoads[engine]
 	if !ok {
 		l = &router.Load{}
-		c.loads[engine] = l
+		c.engineLoads[engine] = l
 	}
 	return l
 }
 
-// heartbeat is what this entry says of itself.
-func (c *control) heartbeat(now time.Time) api.Heartbeat {
-	v := c.adopter.Version()
-	beat := api.Heartbeat{
+// buildHeartbeat is what this entry says of itself.
+func (c *control) buildHeartbeat(now time.Time) api.Heartbeat {
+	version := c.adopter.Version()
+	heartbeat := api.Heartbeat{
 		From: c.server.settings.Name, Incarnation: c.server.config.Incarnation,
 		PeerAddress: c.server.settings.PeerAddress, Address: c.server.settings.Address,
 		DataCentre: c.server.settings.DataCentre, Stopping: c.stopping, Ready: c.adopter.Ready(),
-		Revision: v.Revision, Digest: validator.Shorten(v.Digest), Notices: c.prober.NextNotices(),
+		Revision: version.Revision, Digest: validator.Shorten(version.Digest), Notices: c.prober.NextNotices(),
 		ListDigest: validator.Shorten(c.lister.Digest()), ListAge: c.lister.Age(now),
 	}
 	for _, k := range c.keepers {
 		if !k.Heard().IsZero() {
-			beat.Loads = append(beat.Loads, wireDigest(k.Digest(now)))
+			heartbeat.Loads = append(heartbeat.Loads, digestToWire(k.Digest(now)))
 		}
 	}
-	return beat
+	return heartbeat
 }
--- a/server/convert.go
+++ b/server/convert.go
@@ -6,8 +6,8 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// wireDigest converts an engine's load for other entries.
-func wireDigest(d keeper.Digest) api.LoadDigest {
+// digestToWire converts an engine's load for other entries.
+func digestToWire(d keeper.Digest) api.LoadDigest {
 	out := api.LoadDigest{Engine: d.Engine, Incarnation: d.Incarnation, Leaving: d.Leaving, FreeTokens: d.FreeTokens}
 	// Trailing zeros are left out: most engines have nothing queued.
 	for c, tokens := range d.Queued {
@@ -22,17 +22,17 @@
 	return out
 }
 
-// queueOf converts what another entry said is queued. What it says of classes
+// queueFromWire converts what another entry said is queued. What it says of classes
 // that do not exist is left out.
-func queueOf(tokens []int) router.Queue {
+func queueFromWire(tokens []int) router.Queue {
 	var q router.Queue
 	copy(q[:], tokens)
 	return q
 }
 
-// classOf converts a class from the wire; one that does not exist counts as
+// classFromWire converts a class from the wire; one that does not exist counts as
 // the longest.
-func classOf(class int) router.Class {
+func classFromWire(class int) router.Class {
 	if class < 0 || class >= router.Classes {
 		return router.Longest
 	}
--- a/server/crash_call_test.go
+++ b/server/crash_call_test.go
@@ -13,7 +13,7 @@
 
 // Instances of a service end one after the other under one call that is made again and again through all
 // entries, as engines did under one prompt.
-func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
+func TestCallThatCrashesServicesIsStopped(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
 		for i := range 40 {
@@ -23,8 +23,8 @@
 			is.True(err != nil)
 			time.Sleep(200 * time.Millisecond)
 		}
-		is.True(len(c.crashes()) >= 6)  // three for each call
-		is.True(len(c.crashes()) <= 12) // and what was under way
+		is.True(len(c.crashTimes()) >= 6)  // three for each call
+		is.True(len(c.crashTimes()) <= 12) // and what was under way
 		time.Sleep(5 * time.Second)
 		for range 10 {
 			_, err := f.client(1).Call(context.Background(), "dispatch", "lookup", []byte("{}"), client.Options{Timeout: 5 * time.Second})
@@ -34,7 +34,7 @@
 }
 
 // A call that runs beside one that crashes instances is not refused for it.
-func TestCallBesideCrashingCallIsNotQuarantined(t *testing.T) {
+func TestCallBesideOneThatCrashesServices(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
 		for range 30 {
@@ -47,7 +47,7 @@
 			calls.Wait()
 			time.Sleep(200 * time.Millisecond)
 		}
-		is.True(len(c.crashes()) >= 3)
+		is.True(len(c.crashTimes()) >= 3)
 		time.Sleep(5 * time.Second)
 		for range 10 {
 			_, err := f.client(1).Call(context.Background(), "dispatch", "lookup", []byte(`{"innocent":true}`), client.Options{Timeout: 5 * time.Second})
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -17,35 +17,35 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// crashes has a prompt end each engine that runs it, 60 ms after it has begun; the engine is back
+// crashingPrompt has a prompt end each engine that runs it, 60 ms after it has begun; the engine is back
 // after 2.5 s.
-type crashes struct {
-	fleet  *testFleet
-	prompt string
-	lock   sync.Mutex
-	// times are when it came to an engine.
-	times []time.Time
+type crashingPrompt struct {
+	fleet *testFleet
+	text  string
+	lock  sync.Mutex
+	// arrivals are when it came to an engine.
+	arrivals []time.Time
 }
 
 // wrap serves an engine that the prompt ends.
-func (c *crashes) wrap(e *testEngine, next http.Handler) http.Handler {
+func (c *crashingPrompt) wrap(e *testEngine, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if r.URL.Path == api.PathCompletions && strings.Contains(string(body), c.prompt) {
+		if r.URL.Path == api.PathCompletions && strings.Contains(string(body), c.text) {
 			c.lock.Lock()
-			c.times = append(c.times, time.Now())
+			c.arrivals = append(c.arrivals, time.Now())
 			c.lock.Unlock()
-			time.AfterFunc(60*time.Millisecond, func() { c.end(e) })
+			time.AfterFunc(60*time.Millisecond, func() { c.crashEngine(e) })
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (c *crashes) end(e *testEngine) {
+func (c *crashingPrompt) crashEngine(e *testEngine) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if e.dead {
@@ -55,11 +55,11 @@
 	time.AfterFunc(2500*time.Millisecond, func() {
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		c.start(e)
+		c.startEngine(e)
 	})
 }
 
-func (c *crashes) start(e *testEngine) {
+func (c *crashingPrompt) startEngine(e *testEngine) {
 	c.fleet.startEngine(e)
 	_ = e.web.Close()
 	c.fleet.net.Kill(e.host)
@@ -70,13 +70,13 @@
 
 // Engines end one after the other under one prompt that is asked again and again through all entries, as
 // on the users' platform.
-func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
+func TestPromptThatCrashesEnginesIsStopped(t *testing.T) {
 	withTestFleet(t, 3, 6, func(f *testFleet) {
 		is := is.New(t)
-		c := &crashes{fleet: f, prompt: "crash "}
+		c := &crashingPrompt{fleet: f, text: "crash "}
 		for _, e := range f.engines {
 			f.killEngine(e)
-			c.start(e)
+			c.startEngine(e)
 		}
 		time.Sleep(3 * time.Second)
 		ask := func(prompt string) error {
@@ -89,7 +89,7 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		c.lock.Lock()
-		times := c.times
+		times := c.arrivals
 		c.lock.Unlock()
 		is.True(len(times) >= 3)
 		late := 0
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -29,11 +29,11 @@
 	// completion is set for prompts, service and call for service calls.
 	completion *api.CompletionRequest
 	service    *validator.Service
-	call       string
-	// content is what the request asks for, cut is true once an upstream broke its last
+	callName   string
+	// fingerprint is what the request asks for, cut is true once an upstream broke its last
 	// attempt off.
-	content quarantiner.Fingerprint
-	cut     bool
+	fingerprint quarantiner.Fingerprint
+	interrupted bool
 
 	timeout      time.Duration
 	timeoutGiven bool
@@ -44,19 +44,19 @@
 	// repeatable is false for a request that may run at most once.
 	repeatable bool
 	ticket     spender.Ticket
-	// record keeps the answer of a request that runs at most once.
-	record *recorder
+	// answerRecorder keeps the answer of a request that runs at most once.
+	answerRecorder *recorder
 
-	// pending is how many attempts left for an upstream and are not known
+	// unresolvedAttempts is how many attempts left for an upstream and are not known
 	// never to have started there. It never falls below zero.
-	pending int
-	// begun says that part of an answer was passed on to the caller.
-	begun bool
-	// refused says that the failure was written to the caller.
-	refused bool
-	// stalled says that the caller was refused and did not send the rest of its
+	unresolvedAttempts int
+	// answerBegun says that part of an answer was passed on to the caller.
+	answerBegun bool
+	// failureWritten says that the failure was written to the caller.
+	failureWritten bool
+	// bodyStalled says that the caller was refused and did not send the rest of its
 	// body in time.
-	stalled bool
+	bodyStalled bool
 }
 
 // failure ends a request without a whole answer.
@@ -81,7 +81,7 @@
 	return f.code + ": " + f.message
 }
 
-func fail(code, format string, args ...any) *failure {
+func newFailure(code, format string, args ...any) *failure {
 	return &failure{code: code, message: fmt.Sprintf(format, args...)}
 }
 
@@ -103,18 +103,18 @@
 	if f.outcome != "" {
 		return f.outcome
 	}
-	if x.pending > 0 || x.begun {
+	if x.unresolvedAttempts > 0 || x.answerBegun {
 		return api.Unknown
 	}
 	return api.NotRun
 }
 
-// left is the time left to the request, read anew on every call so that a
+// remaining is the time left to the request, read anew on every call so that a
 // process that was paused does not act on what was true before.
-func (x *exchange) left() time.Duration { return time.Until(x.deadline) }
+func (x *exchange) remaining() time.Duration { return time.Until(x.deadline) }
 
-// detail is the error as the caller is told it.
-func (x *exchange) detail(f *failure) api.ErrorDetail {
+// errorDetail is the error as the caller is told it.
+func (x *exchange) errorDetail(f *failure) api.ErrorDetail {
 	return api.ErrorDetail{
 		Code: f.code, Message: f.message, Param: f.param, Outcome: x.outcome(f),
 		RetryAfterSeconds: f.retryAfter.Seconds(), Elsewhere: f.elsewhere,
--- a/server/filters.go
+++ b/server/filters.go
@@ -27,13 +27,13 @@
 
 // handler returns the entry's HTTP interface.
 func (s *Server) handler() http.Handler {
-	complete := chain(s.complete, s.answer, s.recoverPanic, s.open, s.identify, s.limit, s.admit, s.decodePrompt, s.once)
-	call := chain(s.callService, s.answer, s.recoverPanic, s.open, s.identify, s.limit, s.findCall, s.admit, s.readCall, s.once)
-	ticket := chain(s.issueTicket, s.answer, s.recoverPanic, s.open, s.identify)
+	complete := chain(s.complete, s.writeOutcome, s.recoverPanic, s.checkServing, s.authenticate, s.parseOptions, s.admit, s.decodePrompt, s.atMostOnce)
+	call := chain(s.callService, s.writeOutcome, s.recoverPanic, s.checkServing, s.authenticate, s.parseOptions, s.findCall, s.admit, s.readCall, s.atMostOnce)
+	ticket := chain(s.issueTicket, s.writeOutcome, s.recoverPanic, s.checkServing, s.authenticate)
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+api.PathCompletions, s.serve(complete))
-	mux.HandleFunc("POST "+api.PathServices+"{service}/{call}", s.serve(call))
-	mux.HandleFunc("POST "+api.PathTickets, s.serve(ticket))
+	mux.HandleFunc("POST "+api.PathCompletions, s.httpHandler(complete))
+	mux.HandleFunc("POST "+api.PathServices+"{service}/{call}", s.httpHandler(call))
+	mux.HandleFunc("POST "+api.PathTickets, s.httpHandler(ticket))
 	mux.HandleFunc("GET "+api.PathAddresses, s.handleAddresses)
 	mux.HandleFunc("GET "+api.PathStatus, s.handleStatus)
 	mux.HandleFunc("GET "+api.PathHealth, s.handleHealth)
@@ -42,7 +42,7 @@
 	return mux
 }
 
-func (s *Server) serve(h handler) http.HandlerFunc {
+func (s *Server) httpHandler(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_ = h(&exchange{
 			server: s, writer: w, request: r, id: newID(), arrived: time.Now(),
@@ -51,16 +51,16 @@
 	}
 }
 
-// answer writes the error of a request that failed, and logs every request.
-func (s *Server) answer(next handler) handler {
+// writeOutcome writes the error of a request that failed, and logs every request.
+func (s *Server) writeOutcome(next handler) handler {
 	return func(x *exchange) *failure {
 		f := next(x)
 		outcome := api.Answered
 		code := "ok"
 		if f != nil {
 			outcome, code = x.outcome(f), f.code
-			s.asserter.Check(outcome != api.NotRun || x.pending == 0, asserter.NotRunAfterSend, "request %s: %s", x.id, code)
-			x.refuse(f)
+			s.asserter.Check(outcome != api.NotRun || x.unresolvedAttempts == 0, asserter.NotRunAfterSend, "request %s: %s", x.id, code)
+			x.writeFailure(f)
 		}
 		s.metrics.requests.Tagged(map[string]string{"outcome": string(outcome), "code": code}).Counter("total").Inc(1)
 		organisation := ""
@@ -75,7 +75,7 @@
 			fields = append(fields, zap.Error(f))
 		}
 		s.logs.entry.Info("request", fields...)
-		if x.stalled {
+		if x.bodyStalled {
 			// The refusal was sent whole. Without this, http.Server waits for
 			// the rest of the body with no limit, and so does a stop.
 			panic(http.ErrAbortHandler)
@@ -84,25 +84,25 @@
 	}
 }
 
-// refuse writes a failure to the caller: as the response, or as the last
+// writeFailure writes a failure to the caller: as the response, or as the last
 // event of an answer that has begun.
-func (x *exchange) refuse(f *failure) {
-	if x.refused {
+func (x *exchange) writeFailure(f *failure) {
+	if x.failureWritten {
 		return
 	}
-	x.refused = true
+	x.failureWritten = true
 	// After a pause the limit may be long past; the caller is told all the
 	// same, within the slack from now.
 	connection := http.NewResponseController(x.writer)
 	_ = connection.SetWriteDeadline(time.Now().Add(deadlineSlack))
-	detail := x.detail(f)
-	if x.begun {
-		x.sendEvent(api.CompletionChunk{ID: x.id, Choices: []api.CompletionChoice{}, Error: &detail})
+	detail := x.errorDetail(f)
+	if x.answerBegun {
+		x.writeEvent(api.CompletionChunk{ID: x.id, Choices: []api.CompletionChoice{}, Error: &detail})
 		return
 	}
 	if !x.bodyRead {
 		_ = connection.EnableFullDuplex()
-		defer x.dropBody(connection)
+		defer x.discardBody(connection)
 	}
 	h := x.writer.Header()
 	h.Set("Content-Type", "application/json")
@@ -119,20 +119,20 @@
 }
 
 const (
-	// mostDropped is how much of an unread body is read after a refusal, and
+	// maxDiscardedBytes is how much of an unread body is read after a refusal, and
 	// dropTime for how long.
-	mostDropped = 64 << 20
-	dropTime    = 2 * time.Second
+	maxDiscardedBytes = 64 << 20
+	discardTimeout    = 2 * time.Second
 )
 
-// dropBody sends a refusal off and reads what the caller is still sending: a
+// discardBody sends a refusal off and reads what the caller is still sending: a
 // connection closed on unread bytes is reset, and the refusal lost with it.
-func (x *exchange) dropBody(connection *http.ResponseController) {
+func (x *exchange) discardBody(connection *http.ResponseController) {
 	_ = connection.Flush()
-	_ = connection.SetReadDeadline(time.Now().Add(dropTime))
-	_, err := io.CopyN(io.Discard, x.request.Body, mostDropped)
+	_ = connection.SetReadDeadline(time.Now().Add(discardTimeout))
+	_, err := io.CopyN(io.Discard, x.request.Body, maxDiscardedBytes)
 	if err != io.EOF {
-		x.stalled = true // the deadline stays: http.Server reads once more
+		x.bodyStalled = true // the deadline stays: http.Server reads once more
 		return
 	}
 	_ = connection.SetReadDeadline(time.Time{})
@@ -147,61 +147,61 @@
 			}
 			if r != nil {
 				s.logs.entry.Error("panic", zap.String("request", x.id), zap.Any("value", r), zap.ByteString("stack", debug.Stack()))
-				f = fail(api.CodeUpstreamFailed, "internal error")
+				f = newFailure(api.CodeUpstreamFailed, "internal error")
 			}
 		}()
 		return next(x)
 	}
 }
 
-// open refuses while this entry takes no callers. A stopping entry still
+// checkServing refuses while this entry takes no callers. A stopping entry still
 // serves the tickets that only it can spend. With each answer it has the caller
 // leave the connection: one that stayed open would be closed at the entry's end,
 // under a request that may be on its way.
-func (s *Server) open(next handler) handler {
+func (s *Server) checkServing(next handler) handler {
 	return func(x *exchange) *failure {
 		if x.view.stopping {
 			x.writer.Header().Set("Connection", "close")
 		}
 		if !x.view.ready || x.view.accepted == nil {
-			f := fail(api.CodeNotReady, "this entry has yet to learn the configuration in force")
+			f := newFailure(api.CodeNotReady, "this entry has yet to learn the configuration in force")
 			f.retryAfter = s.retryAfter()
 			return f
 		}
-		own := strings.HasPrefix(x.request.Header.Get(api.HeaderIdempotencyKey), s.settings.Name+".")
-		if x.view.stopping && !own {
-			f := fail(api.CodeStopping, "this entry is stopping")
-			for _, t := range x.view.takers {
-				f.elsewhere = append(f.elsewhere, t.Address.String())
+		ownTicket := strings.HasPrefix(x.request.Header.Get(api.HeaderIdempotencyKey), s.settings.Name+".")
+		if x.view.stopping && !ownTicket {
+			f := newFailure(api.CodeStopping, "this entry is stopping")
+			for _, e := range x.view.acceptingEntries {
+				f.elsewhere = append(f.elsewhere, e.Address.String())
 			}
-			f.retryAfter = leastRetryAfter
+			f.retryAfter = minRetryAfter
 			return f
 		}
 		return next(x)
 	}
 }
 
-// leastRetryAfter is for refusals that another entry would not make.
-const leastRetryAfter = 100 * time.Millisecond
+// minRetryAfter is for refusals that another entry would not make.
+const minRetryAfter = 100 * time.Millisecond
 
 func (s *Server) retryAfter() time.Duration {
 	d := time.Second
-	s.do(func(c *control) { d = c.admitter.RetryAfter() })
+	s.onControl(func(c *control) { d = c.admitter.RetryAfter() })
 	return d
 }
 
-// identify finds the organisation by its bearer key.
-func (s *Server) identify(next handler) handler {
+// authenticate finds the organisation by its bearer key.
+func (s *Server) authenticate(next handler) handler {
 	return func(x *exchange) *failure {
 		key, bearer := strings.CutPrefix(x.request.Header.Get("Authorization"), "Bearer ")
 		if !bearer || key == "" {
-			f := fail(api.CodeUnknownOrganisation, "Authorization: a bearer key is needed")
+			f := newFailure(api.CodeUnknownOrganisation, "Authorization: a bearer key is needed")
 			f.param = "Authorization"
 			return f
 		}
 		o, ok := x.view.accepted.OrganisationByKey(key)
 		if !ok {
-			f := fail(api.CodeUnknownOrganisation, "Authorization: the key is no organisation's")
+			f := newFailure(api.CodeUnknownOrganisation, "Authorization: the key is no organisation's")
 			f.param = "Authorization"
 			return f
 		}
@@ -210,29 +210,29 @@
 	}
 }
 
-// limit reads the time limit and whether the request may be repeated.
-func (s *Server) limit(next handler) handler {
+// parseOptions reads the time limit and whether the request may be repeated.
+func (s *Server) parseOptions(next handler) handler {
 	return func(x *exchange) *failure {
-		if text := x.request.Header.Get(api.HeaderTimeout); text != "" {
-			timeout, err := api.ParseSeconds(text)
+		if value := x.request.Header.Get(api.HeaderTimeout); value != "" {
+			timeout, err := api.ParseSeconds(value)
 			if err != nil {
-				return badParam(api.HeaderTimeout, text, "a decimal number of seconds")
+				return badParam(api.HeaderTimeout, value, "a decimal number of seconds")
 			}
 			x.timeout, x.timeoutGiven = timeout, true
 		}
-		switch text := x.request.Header.Get(api.HeaderRepeatable); text {
+		switch value := x.request.Header.Get(api.HeaderRepeatable); value {
 		case "", "true":
 		case "false":
 			x.repeatable = false
 		default:
-			return badParam(api.HeaderRepeatable, text, `"true" or "false"`)
+			return badParam(api.HeaderRepeatable, value, `"true" or "false"`)
 		}
 		return next(x)
 	}
 }
 
 func badParam(param, value, want string) *failure {
-	f := fail(api.CodeBadRequest, "%s: %.100q: must be %s", param, value, want)
+	f := newFailure(api.CodeBadRequest, "%s: %.100q: must be %s", param, value, want)
 	f.param = param
 	return f
 }
@@ -246,13 +246,13 @@
 	defer func() { _ = connection.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(io.LimitReader(x.request.Body, limit+1))
 	if int64(len(body)) > limit {
-		return fail(api.CodeBodyTooLarge, "body: must be at most %d bytes", limit)
+		return newFailure(api.CodeBodyTooLarge, "body: must be at most %d bytes", limit)
 	}
-	if err != nil && x.left() <= 0 {
-		return fail(api.CodeDeadline, "the time limit passed before the body was read")
+	if err != nil && x.remaining() <= 0 {
+		return newFailure(api.CodeDeadline, "the time limit passed before the body was read")
 	}
 	if err != nil {
-		f := fail(api.CodeBadRequest, "body: could not be read whole")
+		f := newFailure(api.CodeBadRequest, "body: could not be read whole")
 		f.err = err
 		return f
 	}
@@ -282,7 +282,7 @@
 		}
 		r, err := DecodePrompt(x.body)
 		if err != nil {
-			return fail(api.CodeBadRequest, "%s", err)
+			return newFailure(api.CodeBadRequest, "%s", err)
 		}
 		x.completion = r
 		if f := x.checkPrompt(r); f != nil {
@@ -295,12 +295,12 @@
 func (x *exchange) checkPrompt(r *api.CompletionRequest) *failure {
 	model, ok := x.view.accepted.Model(r.Model)
 	if !ok {
-		f := fail(api.CodeUnknownModel, "model: %.100q: no such model", r.Model)
+		f := newFailure(api.CodeUnknownModel, "model: %.100q: no such model", r.Model)
 		f.param = "model"
 		return f
 	}
 	if !slices.Contains(x.organisation.Models, r.Model) {
-		f := fail(api.CodeModelNotAllowed, "model: %q: not one of the organisation's", r.Model)
+		f := newFailure(api.CodeModelNotAllowed, "model: %q: not one of the organisation's", r.Model)
 		f.param = "model"
 		return f
 	}
@@ -316,7 +316,7 @@
 	}
 	tokens := api.PromptTokens(len(r.Prompt))
 	if tokens > limits.MaxPromptTokens {
-		f := fail(api.CodePromptTooLong, "prompt: %d tokens: must be at most %d", tokens, limits.MaxPromptTokens)
+		f := newFailure(api.CodePromptTooLong, "prompt: %d tokens: must be at most %d", tokens, limits.MaxPromptTokens)
 		f.param = "prompt"
 		return f
 	}
@@ -329,13 +329,13 @@
 		name, call := x.request.PathValue("service"), x.request.PathValue("call")
 		service, ok := x.view.accepted.Service(name)
 		if !ok || !slices.Contains(x.organisation.Services, name) {
-			return fail(api.CodeUnknownService, "service: %.100q: not one of the organisation's", name)
+			return newFailure(api.CodeUnknownService, "service: %.100q: not one of the organisation's", name)
 		}
 		repeatable, ok := service.Repeatable(call)
 		if !ok {
-			return fail(api.CodeUnknownService, "call: %.100q: no such call of service %s", call, name)
+			return newFailure(api.CodeUnknownService, "call: %.100q: no such call of service %s", call, name)
 		}
-		x.service, x.call = service, call
+		x.service, x.callName = service, call
 		x.repeatable = x.repeatable && repeatable
 		return next(x)
 	}
@@ -358,7 +358,7 @@
 	return func(x *exchange) *failure {
 		limits := x.view.accepted.Document.Limits
 		var refusal *admitter.Refusal
-		s.do(func(c *control) {
+		s.onControl(func(c *control) {
 			x.deadline, refusal = c.admitter.Admit(time.Now(), admitter.Limits{
 				MaxInFlight: limits.MaxInFlight, MaxTimeout: limits.MaxTimeout, DefaultTimeout: limits.DefaultTimeout,
 			}, admitter.Request{
@@ -369,7 +369,7 @@
 		if refusal != nil {
 			return &failure{code: refusal.Code, message: refusal.Message, retryAfter: refusal.RetryAfter}
 		}
-		defer s.release(x)
+		defer s.releaseRequest(x)
 		ctx := x.request.Context()
 		if !x.repeatable {
 			// The answer is kept for a caller that asks again, so the
@@ -385,10 +385,10 @@
 	}
 }
 
-func (s *Server) release(x *exchange) {
-	s.do(func(c *control) {
+func (s *Server) releaseRequest(x *exchange) {
+	s.onControl(func(c *control) {
 		present, late := c.admitter.Release(time.Now(), x.id)
 		s.asserter.Check(present, asserter.LeakedFlight, "request %s left twice", x.id)
-		s.asserter.Check(late <= deadlineSlack || c.justWoke(time.Now()), asserter.OutlivedLimit, "request %s: %s late", x.id, late)
+		s.asserter.Check(late <= deadlineSlack || c.hasJustResumed(time.Now()), asserter.OutlivedLimit, "request %s: %s late", x.id, late)
 	})
 }
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -30,15 +30,15 @@
 
 // testFleet is a whole system in one process and in virtual time.
 type testFleet struct {
-	t        testing.TB
-	net      *network.Network
-	platform *platform.Server
-	entries  []*testEntry
-	engines  []*testEngine
-	service  *service.Server
-	list     api.InstanceList
-	log      *bytes.Buffer
-	epoch    uint64
+	t               testing.TB
+	net             *network.Network
+	platform        *platform.Server
+	entries         []*testEntry
+	engines         []*testEngine
+	service         *service.Server
+	instanceList    api.InstanceList
+	log             *bytes.Buffer
+	lastIncarnation uint64
 }
 
 type testEntry struct {
@@ -129,11 +129,11 @@
 	if kind == api.KindEntry {
 		i.PeerAddress = netip.AddrPortFrom(h, 81).String()
 	}
-	f.list.Instances = append(f.list.Instances, i)
+	f.instanceList.Instances = append(f.instanceList.Instances, i)
 }
 
 func (f *testFleet) publishList() {
-	data, err := json.Marshal(f.list)
+	data, err := json.Marshal(f.instanceList)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -148,10 +148,10 @@
 }
 
 func (f *testFleet) startEngine(e *testEngine) {
-	f.epoch++
+	f.lastIncarnation++
 	ctx, stop := context.WithCancel(context.Background())
 	e.server = engine.NewServer(engine.Config{
-		Name: e.name, Incarnation: f.epoch, Model: "model", Version: "1", Role: "Mixed", MemoryTokens: 20_000,
+		Name: e.name, Incarnation: f.lastIncarnation, Model: "model", Version: "1", Role: "Mixed", MemoryTokens: 20_000,
 		PrefillRate: 20_000, TokenTime: 20 * time.Millisecond, ChecksFences: true, ReportLag: 300 * time.Millisecond,
 	}, false)
 	e.stop, e.dead = stop, false
@@ -184,13 +184,13 @@
 }
 
 func (f *testFleet) startEntry(e *testEntry) {
-	f.epoch++
+	f.lastIncarnation++
 	logs, err := logger.New(logger.Config{Level: "error", Output: io.Discard})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	e.server, err = New(Config{
-		Settings: e.settings, Incarnation: f.epoch, Logs: logs, MetricScope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
+		Settings: e.settings, Incarnation: f.lastIncarnation, Logs: logs, MetricScope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
 		Dial: f.net.Dialer(e.host), Listen: f.net.Listen,
 		OnViolation: func(name, detail string) { f.t.Errorf("invariant %s: %s", name, detail) },
 	})
@@ -233,26 +233,26 @@
 
 // client returns a caller of the fleet.
 func (f *testFleet) client(tries int) *client.Client {
-	c := client.Config{Key: testKey, Tries: tries, HTTP: f.web()}
+	c := client.Config{Key: testKey, Tries: tries, HTTP: f.httpClient()}
 	for _, e := range f.entries {
 		c.Seeds = append(c.Seeds, e.settings.Address)
 	}
 	return client.New(c)
 }
 
-func (f *testFleet) web() *http.Client {
+func (f *testFleet) httpClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(callerHost), DisableKeepAlives: true}}
 }
 
-// ran is what an engine says it did.
-type ran struct {
+// engineReport is what an engine says it did.
+type engineReport struct {
 	Requests         map[string]int
 	LateAfterLeaving int
 	UsedTokens       int
 }
 
-func (f *testFleet) ran(e *testEngine) ran {
-	var out ran
+func (f *testFleet) engineReport(e *testEngine) engineReport {
+	var out engineReport
 	w := &memoryWriter{header: http.Header{}}
 	r, _ := http.NewRequest(http.MethodGet, "/control/ran", nil)
 	e.server.Handler().ServeHTTP(w, r)
--- a/server/group.go
+++ b/server/group.go
@@ -20,68 +20,68 @@
 )
 
 // attemptGroup runs a prompt that no single engine holds on a group.
-func (c *completion) attemptGroup(w router.Requirements) *failure {
+func (c *completion) attemptGroup(needs router.Requirements) *failure {
 	x := c.x
-	patience := time.Now().Add(x.left() / groupPatience)
+	giveUpAt := time.Now().Add(x.remaining() / groupWaitDivisor)
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
 	for {
-		group, f := c.reserve(ctx, w, func() { cancel(errHoldLost) })
+		group, f := c.reserveGroup(ctx, needs, func() { cancel(errHoldLost) })
 		if f == nil {
 			return c.runGroup(ctx, group)
 		}
-		if f.code != api.CodeOverloaded || time.Now().After(patience) {
+		if f.code != api.CodeOverloaded || time.Now().After(giveUpAt) {
 			return f
 		}
-		if !sleeper.Sleep(x.ctx, groupPause+time.Duration(c.random.Int64N(int64(groupPause)))) {
-			return fail(api.CodeOverloaded, "no group of engines was free in time")
+		if !sleeper.Sleep(x.ctx, minGroupRetryInterval+time.Duration(c.random.Int64N(int64(minGroupRetryInterval)))) {
+			return newFailure(api.CodeOverloaded, "no group of engines was free in time")
 		}
 	}
 }
 
-// reserve takes every share of a group, or none. Lost is called when an
+// reserveGroup takes every share of a group, or none. Lost is called when an
 // engine turns out to have lost its share later.
-func (c *completion) reserve(ctx context.Context, w router.Requirements, lost func()) (*reserver.Reserver, *failure) {
+func (c *completion) reserveGroup(ctx context.Context, needs router.Requirements, onLost func()) (*reserver.Reserver, *failure) {
 	x := c.x
 	s := x.server
-	shares, err := reserver.Plan(c.candidates(w), w.MemoryTokens, x.view.accepted.Document.Limits.MaxGroup, newID)
+	shards, err := reserver.Plan(c.groupCandidates(needs), needs.MemoryTokens, x.view.accepted.Document.Limits.MaxGroup, newID)
 	var tooLong reserver.TooLongError
 	if errors.As(err, &tooLong) {
-		f := fail(api.CodePromptTooLong, "%s", err)
+		f := newFailure(api.CodePromptTooLong, "%s", err)
 		f.param = "prompt"
 		return nil, f
 	}
 	if err != nil {
-		f := fail(api.CodeOverloaded, "%s", err)
+		f := newFailure(api.CodeOverloaded, "%s", err)
 		f.retryAfter = s.retryAfter()
 		return nil, f
 	}
-	group := reserver.New(shares)
-	if s.driveGroup(ctx, group, lost) {
-		s.logs.route.Info("group", zap.String("request", x.id), zap.Int("tokens", w.MemoryTokens), zap.Strings("engines", engineNames(shares)))
+	group := reserver.New(shards)
+	if s.runReservation(ctx, group, onLost) {
+		s.logs.route.Info("group", zap.String("request", x.id), zap.Int("tokens", needs.MemoryTokens), zap.Strings("engines", engineNames(shards)))
 		return group, nil
 	}
-	s.logs.route.Info("group_refused", zap.String("request", x.id), zap.Int("tokens", w.MemoryTokens), zap.Strings("engines", engineNames(shares)))
-	f := fail(api.CodeOverloaded, "no group of engines can hold the prompt now")
+	s.logs.route.Info("group_refused", zap.String("request", x.id), zap.Int("tokens", needs.MemoryTokens), zap.Strings("engines", engineNames(shards)))
+	f := newFailure(api.CodeOverloaded, "no group of engines can hold the prompt now")
 	f.retryAfter = s.retryAfter()
 	return nil, f
 }
 
-func engineNames(shares []reserver.Share) []string {
-	names := make([]string, len(shares))
-	for i, share := range shares {
-		names[i] = share.Engine
+func engineNames(shards []reserver.Share) []string {
+	names := make([]string, len(shards))
+	for i, shard := range shards {
+		names[i] = shard.Engine
 	}
 	return names
 }
 
-func (c *completion) candidates(w router.Requirements) []reserver.Candidate {
+func (c *completion) groupCandidates(needs router.Requirements) []reserver.Candidate {
 	var out []reserver.Candidate
-	for _, e := range c.x.server.current.Load().board.Serving(w.Model) {
-		if slices.Contains(w.Avoid, e.Name) || (w.Version != "" && e.Version != w.Version) {
+	for _, e := range c.x.server.current.Load().board.Serving(needs.Model) {
+		if slices.Contains(needs.Avoid, e.Name) || (needs.Version != "" && e.Version != needs.Version) {
 			continue
 		}
-		if w.Adapter != "" && !slices.Contains(e.Adapters, w.Adapter) {
+		if needs.Adapter != "" && !slices.Contains(e.Adapters, needs.Adapter) {
 			continue
 		}
 		free := e.MemoryTokens
@@ -93,8 +93,8 @@
 	return out
 }
 
-// driveGroup does what a reservation asks for until all or nothing is held.
-func (s *Server) driveGroup(ctx context.Context, group *reserver.Reserver, lost func()) bool {
+// runReservation does what a reservation asks for until all or nothing is held.
+func (s *Server) runReservation(ctx context.Context, group *reserver.Reserver, onLost func()) bool {
 	for {
 		effect := group.Next()
 		switch {
@@ -103,29 +103,29 @@
 		case effect.Failed:
 			return false
 		case effect.Release != nil:
-			s.releaseShare(*effect.Release)
+			s.releaseShard(*effect.Release)
 			group.Released()
 		default:
-			held, maybe := s.reserveShare(ctx, *effect.Reserve, lost)
+			held, maybeHeld := s.reserveShard(ctx, *effect.Reserve, onLost)
 			if held {
 				group.Reserved()
 			} else {
-				group.Refused(maybe)
+				group.Refused(maybeHeld)
 			}
 		}
 	}
 }
 
-// reserveShare asks an engine for memory. When it is not held, maybe says
+// reserveShard asks an engine for memory. When it is not held, maybe says
 // that the engine may have made the hold all the same.
-func (s *Server) reserveShare(ctx context.Context, share reserver.Share, lost func()) (held, maybe bool) {
-	engine, ok := s.current.Load().board.Engine(share.Engine)
+func (s *Server) reserveShard(ctx context.Context, shard reserver.Share, onLost func()) (held, maybeHeld bool) {
+	engine, ok := s.current.Load().board.Engine(shard.Engine)
 	if !ok {
 		return false, false
 	}
-	s.registerHold(share.Engine, share.HoldID, lost)
+	s.registerHold(shard.Engine, shard.HoldID, onLost)
 	data, err := json.Marshal(api.EngineHold{
-		ID: share.HoldID, Owner: s.settings.Name, Incarnation: s.config.Incarnation, Kind: api.HoldGroup, Tokens: share.Tokens,
+		ID: shard.HoldID, Owner: s.settings.Name, Incarnation: s.config.Incarnation, Kind: api.HoldGroup, Tokens: shard.Tokens,
 	})
 	if err != nil {
 		return false, false
@@ -134,7 +134,7 @@
 	if err != nil {
 		return false, false
 	}
-	response, err := s.engines.Do(request)
+	response, err := s.engineClient.Do(request)
 	if err != nil {
 		return false, true
 	}
@@ -143,26 +143,26 @@
 		return true, false
 	}
 	engine.Load.Free.Store(0)
-	s.releaseHold(share.Engine, share.HoldID)
+	s.unregisterHold(shard.Engine, shard.HoldID)
 	return false, false
 }
 
-// releaseShare gives memory back. One that can't be reached is left to the
+// releaseShard gives memory back. One that can't be reached is left to the
 // engine's keeper, since nobody renews it any more.
-func (s *Server) releaseShare(share reserver.Share) {
-	s.releaseHold(share.Engine, share.HoldID)
-	u, ok := s.current.Load().engines[share.Engine]
+func (s *Server) releaseShard(shard reserver.Share) {
+	s.unregisterHold(shard.Engine, shard.HoldID)
+	u, ok := s.current.Load().engines[shard.Engine]
 	if !ok {
 		return
 	}
-	if err := s.freeHold(u.Address.String(), share.HoldID, 0); err != nil {
-		s.logs.keep.Warn("release", zap.String("engine", share.Engine), zap.String("hold", share.HoldID), zap.Error(err))
+	if err := s.freeHold(u.Address.String(), shard.HoldID, 0); err != nil {
+		s.logs.keep.Warn("release", zap.String("engine", shard.Engine), zap.String("hold", shard.HoldID), zap.Error(err))
 	}
 }
 
 // freeHold gives up a hold on an engine if it is at least olderThan old.
 func (s *Server) freeHold(address, id string, olderThan time.Duration) error {
-	base := sling.New().Client(s.engines).Base("http://" + address)
+	base := sling.New().Client(s.engineClient).Base("http://" + address)
 	path := fmt.Sprintf("%s/%s?older_than=%s", api.PathHolds, id, api.FormatSeconds(olderThan))
 	response, err := base.Delete(path).ReceiveSuccess(nil)
 	if err != nil {
@@ -180,16 +180,16 @@
 	s := c.x.server
 	defer func() {
 		group.Release()
-		s.driveGroup(context.Background(), group, nil)
+		s.runReservation(context.Background(), group, nil)
 	}()
-	shares := group.Shares()
-	engine, ok := s.current.Load().board.Engine(shares[0].Engine)
+	shards := group.Shares()
+	engine, ok := s.current.Load().board.Engine(shards[0].Engine)
 	if !ok {
-		return fail(api.CodeUpstreamFailed, "engine %s is leaving", shares[0].Engine)
+		return newFailure(api.CodeUpstreamFailed, "engine %s is leaving", shards[0].Engine)
 	}
-	var ids []string
-	for _, share := range shares {
-		ids = append(ids, share.HoldID)
+	var holdIDs []string
+	for _, shard := range shards {
+		holdIDs = append(holdIDs, shard.HoldID)
 	}
-	return c.run(ctx, run{engine: engine, attemptID: newID(), group: ids, speed: len(shares)})
+	return c.runAttempt(ctx, engineAttempt{engine: engine, attemptID: newID(), holdIDs: holdIDs, groupSize: len(shards)})
 }
--- /dev/null
+++ b/server/heartbeat.go
@@ -0,0 +1,131 @@
+package server
+
+import (
+	"context"
+	"net/netip"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/sapphireramp/sapphireramp/api"
+	"github.com/sapphireramp/sapphireramp/validator"
+)
+
+// runHeartbeats sends heartbeats until the context ends.
+func (s *Server) runHeartbeats(ctx context.Context) {
+	tick := time.NewTicker(s.settings.Timing.Heartbeat)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+			s.sendHeartbeats(ctx)
+		}
+	}
+}
+
+// sendHeartbeats exchanges one heartbeat with each neighbour, and waits for at most
+// one period.
+func (s *Server) sendHeartbeats(ctx context.Context) {
+	var targets []netip.AddrPort
+	var heartbeat api.Heartbeat
+	s.onControl(func(c *control) {
+		now := time.Now()
+		targets = c.heartbeatTargets(now)
+		heartbeat = c.buildHeartbeat(now)
+		heartbeat.Quarantine = s.quarantine.HeartbeatUpdate(now)
+	})
+	var calls sync.WaitGroup
+	for _, address := range targets {
+		calls.Add(1)
+		go func() {
+			defer calls.Done()
+			var reply api.Heartbeat
+			err := s.peerPool.Call(address, rpcName+".Beat", heartbeat, &reply, min(heartbeatTimeout, s.settings.Timing.Suspect/2))
+			if err != nil {
+				s.logs.members.Debug("beat_failed", zap.Stringer("peer", address), zap.Error(err))
+				return
+			}
+			s.receiveHeartbeat(reply)
+		}()
+	}
+	done := make(chan struct{})
+	go func() { calls.Wait(); close(done) }()
+	select {
+	case <-done:
+	case <-ctx.Done():
+	case <-time.After(s.settings.Timing.Heartbeat):
+	}
+}
+
+// heartbeatTargets are the peers to send a heartbeat: neighbours, and peers from the
+// settings that no member is known at.
+func (c *control) heartbeatTargets(now time.Time) []netip.AddrPort {
+	var out []netip.AddrPort
+	known := map[netip.AddrPort]bool{}
+	for _, m := range c.prober.Members() {
+		known[m.PeerAddress] = true
+	}
+	for _, m := range c.prober.BeginRound(now) {
+		out = append(out, m.PeerAddress)
+	}
+	for _, address := range c.server.settings.Peers {
+		if !known[address] && address != c.server.settings.PeerAddress {
+			out = append(out, address)
+		}
+	}
+	return out
+}
+
+// receiveHeartbeat takes in a heartbeat, and fetches what the sender has newer: its
+// document or its instance list.
+func (s *Server) receiveHeartbeat(heartbeat api.Heartbeat) {
+	hasNewer := false
+	s.onControl(func(c *control) {
+		now := time.Now()
+		c.recordHeartbeat(now, heartbeat)
+		s.logQuarantineDecisions(now, s.quarantine.ApplyUpdate(now, heartbeat.Quarantine), heartbeat.From)
+		hasNewer = c.adopter.Wants(validator.Version{Revision: heartbeat.Revision, Digest: heartbeat.Digest}) ||
+			c.lister.ShouldFetch(now, heartbeat.ListDigest, heartbeat.ListAge)
+	})
+	if !hasNewer {
+		return
+	}
+	go s.fetchFromPeer(heartbeat.PeerAddress, heartbeat.From)
+}
+
+// fetchFromPeer asks a peer for its document and list, and considers both.
+func (s *Server) fetchFromPeer(address netip.AddrPort, source string) {
+	var reply api.FetchReply
+	err := s.peerPool.Call(address, rpcName+".Fetch", api.FetchArgs{From: s.settings.Name}, &reply, fetchTimeout)
+	if err != nil {
+		s.logs.document.Warn("fetch_failed", zap.String("source", source), zap.Error(err))
+		return
+	}
+	if len(reply.Document) > 0 {
+		s.considerDocument(reply.Document, source)
+	}
+	if len(reply.List) > 0 {
+		s.onControl(func(c *control) { c.offerInstanceList(time.Now(), reply.List, reply.ListAge) })
+	}
+}
+
+// fetchFromPeers asks each peer in the settings for its document once, before this
+// entry takes callers, so that a stale answer of the configuration service
+// does not stand in for what peers know.
+func (s *Server) fetchFromPeers(ctx context.Context) {
+	var calls sync.WaitGroup
+	for _, address := range s.settings.Peers {
+		calls.Add(1)
+		go func() {
+			defer calls.Done()
+			if address != s.settings.PeerAddress {
+				s.fetchFromPeer(address, address.String())
+			}
+			s.onControl(func(c *control) { c.recordSourceAsked(address.String()) })
+		}()
+	}
+	calls.Wait()
+}
--- a/server/peers.go
+++ b/server/peers.go
@@ -20,12 +20,12 @@
 const (
 	// rpcName is the name of the service between entries.
 	rpcName = "Entry"
-	// beatTimeout, fetchTimeout and askTimeout bound calls between entries.
-	beatTimeout  = time.Second
-	fetchTimeout = 3 * time.Second
-	askTimeout   = 100 * time.Millisecond
-	// soloTimeout bounds the question to an engine whose keeper is silent.
-	soloTimeout = 300 * time.Millisecond
+	// heartbeatTimeout, fetchTimeout and askTimeout bound calls between entries.
+	heartbeatTimeout = time.Second
+	fetchTimeout     = 3 * time.Second
+	askTimeout       = 100 * time.Millisecond
+	// engineAskTimeout bounds the question to an engine whose keeper is silent.
+	engineAskTimeout = 300 * time.Millisecond
 )
 
 // PeerService is what one entry serves to others over net/rpc.
@@ -45,7 +45,7 @@
 		}
 		if err != nil {
 			s.logs.members.Warn("accept_peer", zap.Error(err))
-			if !sleeper.Sleep(ctx, tickTime) {
+			if !sleeper.Sleep(ctx, tickInterval) {
 				return
 			}
 			continue
@@ -56,12 +56,12 @@
 }
 
 // Beat takes in another entry's heartbeat and answers with this one's.
-func (e *PeerService) Beat(beat api.Heartbeat, reply *api.Heartbeat) error {
-	e.server.heard(beat)
-	e.server.do(func(c *control) {
+func (e *PeerService) Beat(heartbeat api.Heartbeat, reply *api.Heartbeat) error {
+	e.server.receiveHeartbeat(heartbeat)
+	e.server.onControl(func(c *control) {
 		now := time.Now()
-		*reply = c.heartbeat(now)
-		reply.Quarantine = e.server.quarantine.ReplyUpdate(now, beat.Quarantine)
+		*reply = c.buildHeartbeat(now)
+		reply.Quarantine = e.server.quarantine.ReplyUpdate(now, heartbeat.Quarantine)
 	})
 	return nil
 }
@@ -69,7 +69,7 @@
 // Fetch answers with the configuration document in force and the instance
 // list.
 func (e *PeerService) Fetch(_ api.FetchArgs, reply *api.FetchReply) error {
-	e.server.do(func(c *control) {
+	e.server.onControl(func(c *control) {
 		reply.List, reply.ListAge = c.lister.Current(), c.lister.Age(time.Now())
 	})
 	if v := e.server.current.Load(); v.accepted != nil {
@@ -80,12 +80,12 @@
 
 // Ask answers a request to start an attempt on an engine that this entry keeps.
 func (e *PeerService) Ask(args api.AskArgs, reply *api.AskReply) error {
-	e.server.do(func(c *control) { *reply = c.ask(time.Now(), args) })
+	e.server.onControl(func(c *control) { *reply = c.decideAsk(time.Now(), args) })
 	return nil
 }
 
-// ask decides on a request for an engine that this entry keeps.
-func (c *control) ask(now time.Time, args api.AskArgs) api.AskReply {
+// decideAsk decides on a request for an engine that this entry keeps.
+func (c *control) decideAsk(now time.Time, args api.AskArgs) api.AskReply {
 	k, ok := c.keepers[args.Engine]
 	if !ok {
 		return api.AskReply{}
@@ -96,23 +96,23 @@
 		return reply
 	}
 	answer := k.Ask(now, keeper.Ask{
-		AttemptID: args.AttemptID, Model: args.Model, Class: classOf(args.Class), PrefillTokens: args.PrefillTokens,
+		AttemptID: args.AttemptID, Model: args.Model, Class: classFromWire(args.Class), PrefillTokens: args.PrefillTokens,
 		MemoryTokens: args.MemoryTokens, Remaining: args.Remaining,
 	})
 	reply.Granted, reply.Wait, reply.Reason = answer.Granted, answer.Wait, string(answer.Reason)
-	reply.Load = wireDigest(k.Digest(now))
+	reply.Load = digestToWire(k.Digest(now))
 	return reply
 }
 
-// ask asks an engine's keeper, wherever it is, whether an attempt may start.
+// askKeeper asks an engine's keeper, wherever it is, whether an attempt may start.
 // Where the keeper is silent the engine itself is asked.
-func (s *Server) ask(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
+func (s *Server) askKeeper(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
 	now := time.Now()
 	reply := api.AskReply{}
 	if engine.Keeper == s.settings.Name {
-		s.do(func(c *control) { reply = c.ask(now, args) })
+		s.onControl(func(c *control) { reply = c.decideAsk(now, args) })
 	} else if member, ok := s.current.Load().members[engine.Keeper]; ok {
-		err := s.peers.Call(member.PeerAddress, rpcName+".Ask", args, &reply, askTimeout)
+		err := s.peerPool.Call(member.PeerAddress, rpcName+".Ask", args, &reply, askTimeout)
 		if err != nil {
 			s.metrics.askFailures.Inc(1)
 			s.logs.route.Debug("ask_failed", zap.String("keeper", engine.Keeper), zap.Error(err))
@@ -120,38 +120,38 @@
 		}
 	}
 	if !reply.Keeper || reply.Reason == string(keeper.NotHeard) {
-		return s.askEngine(ctx, engine, args)
+		return s.askEngineDirectly(ctx, engine, args)
 	}
 	if reply.Load.Engine == engine.Name {
-		engine.Load.Heard(now, queueOf(reply.Load.QueuedTokens), reply.Load.FreeTokens)
+		engine.Load.Heard(now, queueFromWire(reply.Load.QueuedTokens), reply.Load.FreeTokens)
 	}
 	if reply.Reason == string(keeper.Leaving) {
-		s.noteLeaving(engine.Name, 0)
+		s.recordLeaving(engine.Name, 0)
 	}
 	return keeper.Answer{Granted: reply.Granted, Wait: reply.Wait, Reason: keeper.Reason(reply.Reason)}
 }
 
-// noteLeaving notes word from a keeper or an engine that an engine leaves.
-func (s *Server) noteLeaving(engine string, incarnation uint64) {
-	s.do(func(c *control) {
+// recordLeaving notes word from a keeper or an engine that an engine leaves.
+func (s *Server) recordLeaving(engine string, incarnation uint64) {
+	s.onControl(func(c *control) {
 		incarnation = max(incarnation, c.drainer.LatestIncarnation(engine))
 		if c.drainer.MarkLeaving(engine, incarnation) {
-			c.leaving(engine, drainer.FromPeer)
+			c.announceLeaving(engine, drainer.FromPeer)
 		}
 	})
 }
 
-// askEngine decides alone on the engine's own, fresh word. The engine's hard
+// askEngineDirectly decides alone on the engine's own, fresh word. The engine's hard
 // limit on memory is what keeps such decisions of several entries harmless.
-func (s *Server) askEngine(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
-	ctx, cancel := context.WithTimeout(ctx, soloTimeout)
+func (s *Server) askEngineDirectly(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
+	ctx, cancel := context.WithTimeout(ctx, engineAskTimeout)
 	defer cancel()
-	load, err := s.engineLoad(ctx, engine.Address)
+	load, err := s.fetchEngineLoad(ctx, engine.Address)
 	if err != nil {
 		return keeper.Answer{Reason: keeper.NotHeard}
 	}
 	if load.Leaving {
-		s.noteLeaving(engine.Name, load.Incarnation)
+		s.recordLeaving(engine.Name, load.Incarnation)
 		return keeper.Answer{Reason: keeper.Leaving}
 	}
 	k := keeper.New(s.keeperConfig(engine.Name, engine.MemoryTokens, engine.PrefillRate))
@@ -159,7 +159,7 @@
 	k.Report(now, load, []api.EngineHold{{Tokens: load.UsedTokens}})
 	engine.Load.Heard(now, k.Digest(now).Queued, k.FreeTokens())
 	return k.Ask(now, keeper.Ask{
-		AttemptID: args.AttemptID, Model: args.Model, Class: classOf(args.Class), PrefillTokens: args.PrefillTokens,
+		AttemptID: args.AttemptID, Model: args.Model, Class: classFromWire(args.Class), PrefillTokens: args.PrefillTokens,
 		MemoryTokens: args.MemoryTokens, Remaining: args.Remaining,
 	})
 }
--- a/server/renew.go
+++ b/server/renew.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// renewParts is how often a hold is renewed within its lease, and
+	// renewalsPerLease is how often a hold is renewed within its lease, and
 	// lookParts how often the holds are looked through for that. A hold that
 	// lives shorter than a part of its lease is never renewed at all.
-	renewParts = 3
-	lookParts  = 9
+	renewalsPerLease      = 3
+	renewalChecksPerLease = 9
 )
 
-// holding is one hold of this entry's on an engine.
-type holding struct {
-	// renewed is when it was made or last renewed.
-	renewed time.Time
-	// lost is called when the engine turns out not to have it.
-	lost func()
+// ownHold is one hold of this entry's on an engine.
+type ownHold struct {
+	// lastRenewed is when it was made or last renewed.
+	lastRenewed time.Time
+	// onLost is called when the engine turns out not to have it.
+	onLost func()
 }
 
 // registerHold notes a hold that is to be renewed until releaseHold; lost is called when
 // the engine turns out not to have it.
-func (s *Server) registerHold(engine, id string, lost func()) {
-	s.do(func(c *control) {
-		if c.holds[engine] == nil {
-			c.holds[engine] = map[string]*holding{}
+func (s *Server) registerHold(engine, id string, onLost func()) {
+	s.onControl(func(c *control) {
+		if c.ownHolds[engine] == nil {
+			c.ownHolds[engine] = map[string]*ownHold{}
 		}
-		c.holds[engine][id] = &holding{renewed: time.Now(), lost: lost}
+		c.ownHolds[engine][id] = &ownHold{lastRenewed: time.Now(), onLost: onLost}
 	})
 }
 
-func (s *Server) releaseHold(engine, id string) {
-	s.do(func(c *control) {
-		delete(c.holds[engine], id)
-		if len(c.holds[engine]) == 0 {
-			delete(c.holds, engine)
+func (s *Server) unregisterHold(engine, id string) {
+	s.onControl(func(c *control) {
+		delete(c.ownHolds[engine], id)
+		if len(c.ownHolds[engine]) == 0 {
+			delete(c.ownHolds, engine)
 		}
 	})
 }
 
-// renew renews this entry's holds until the context ends.
-func (s *Server) renew(ctx context.Context) {
-	tick := time.NewTicker(s.settings.Timing.Lease / lookParts)
+// runRenewals renews this entry's holds until the context ends.
+func (s *Server) runRenewals(ctx context.Context) {
+	tick := time.NewTicker(s.settings.Timing.Lease / renewalChecksPerLease)
 	defer tick.Stop()
 	for {
 		select {
@@ -57,7 +57,7 @@
 		case <-tick.C:
 		}
 		var due map[string][]string
-		s.do(func(c *control) { due = c.dueHolds(time.Now()) })
+		s.onControl(func(c *control) { due = c.dueHolds(time.Now()) })
 		for engine, ids := range due {
 			go s.renewHolds(engine, ids)
 		}
@@ -68,12 +68,12 @@
 // renewed: one that can't be reached is tried again a part of a lease later.
 func (c *control) dueHolds(now time.Time) map[string][]string {
 	due := map[string][]string{}
-	for engine, holds := range c.holds {
+	for engine, holds := range c.ownHolds {
 		for id, h := range holds {
-			if now.Sub(h.renewed) < c.server.settings.Timing.Lease/renewParts {
+			if now.Sub(h.lastRenewed) < c.server.settings.Timing.Lease/renewalsPerLease {
 				continue
 			}
-			h.renewed = now
+			h.lastRenewed = now
 			due[engine] = append(due[engine], id)
 		}
 	}
@@ -85,34 +85,34 @@
 	if !ok {
 		return
 	}
-	var gone api.EngineRenewal
-	base := sling.New().Client(s.engines).Base("http://" + u.Address.String())
-	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineRenewal{IDs: ids}).ReceiveSuccess(&gone)
+	var missing api.EngineRenewal
+	base := sling.New().Client(s.engineClient).Base("http://" + u.Address.String())
+	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineRenewal{IDs: ids}).ReceiveSuccess(&missing)
 	if err != nil {
 		s.logs.keep.Warn("renew_failed", zap.String("engine", engine), zap.Int("holds", len(ids)), zap.Error(err))
 		return
 	}
 	// A hold that was asked for and is not made yet, or was given back
 	// meanwhile, is not lost: only one still wanted some time later is.
-	if len(gone.IDs) > 0 {
-		time.AfterFunc(engineCallTimeout, func() { s.lost(engine, u.Address.String(), gone.IDs) })
+	if len(missing.IDs) > 0 {
+		time.AfterFunc(engineCallTimeout, func() { s.reportLostHolds(engine, u.Address.String(), missing.IDs) })
 	}
 }
 
-// lost looks again at holds that the engine did not know, and ends the
+// reportLostHolds looks again at holds that the engine did not know, and ends the
 // attempts of those that are really gone.
-func (s *Server) lost(engine, address string, ids []string) {
-	var gone api.EngineRenewal
-	base := sling.New().Client(s.engines).Base("http://" + address)
-	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineRenewal{IDs: ids}).ReceiveSuccess(&gone)
+func (s *Server) reportLostHolds(engine, address string, ids []string) {
+	var missing api.EngineRenewal
+	base := sling.New().Client(s.engineClient).Base("http://" + address)
+	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineRenewal{IDs: ids}).ReceiveSuccess(&missing)
 	if err != nil {
 		return
 	}
-	s.do(func(c *control) {
-		for _, id := range gone.IDs {
-			if h, held := c.holds[engine][id]; held {
+	s.onControl(func(c *control) {
+		for _, id := range missing.IDs {
+			if h, held := c.ownHolds[engine][id]; held {
 				s.logs.keep.Warn("hold_lost", zap.String("engine", engine), zap.String("hold", id))
-				h.lost()
+				h.onLost()
 			}
 		}
 	})
--- a/server/server.go
+++ b/server/server.go
@@ -56,8 +56,8 @@
 	// control runs commands on the control goroutine, the only one that
 	// touches its state.
 	control *sequencer.Sequencer[*control]
-	// parsing is held while a document is parsed.
-	parsing chan struct{}
+	// parseLock is held while a document is parsed.
+	parseLock chan struct{}
 	// current is the view in force; it is replaced, never changed.
 	current atomic.Pointer[view]
 
@@ -65,23 +65,23 @@
 	// documents need no seal.
 	sealKeys []ed25519.PublicKey
 
-	// calls places calls at instances of services.
-	calls *dispatcher.Dispatcher
+	// callDispatcher places calls at instances of services.
+	callDispatcher *dispatcher.Dispatcher
 	// quarantine holds the requests that are refused as they crash upstreams, presence finds out
 	// whether an upstream has ended.
 	quarantine *quarantiner.Quarantiner
 	presence   *connector.ExitDetector
 
-	peers *connector.Pool
-	// engines is the client for short calls to engines, traffic for streams,
+	peerPool *connector.Pool
+	// engineClient is the client for short calls to engines, traffic for streams,
 	// and single for calls that may run at most once.
-	engines *http.Client
-	traffic *http.Client
-	single  *http.Client
+	engineClient    *http.Client
+	trafficClient   *http.Client
+	singleUseClient *http.Client
 
 	callerListener net.Listener
 	peerListener   net.Listener
-	work           sync.WaitGroup
+	background     sync.WaitGroup
 }
 
 type logs struct {
@@ -106,8 +106,8 @@
 	dialTimeout = time.Second
 	// engineCallTimeout bounds a short call to an engine.
 	engineCallTimeout = time.Second
-	// idleConnections are kept to each upstream.
-	idleConnections = 32
+	// maxIdlePerUpstream are kept to each upstream.
+	maxIdlePerUpstream = 32
 )
 
 // New returns an entry that listens but does not serve yet.
@@ -121,16 +121,16 @@
 		listen = listenTCP
 	}
 	s := &Server{
-		config:     c,
-		settings:   c.Settings,
-		control:    sequencer.New[*control](),
-		parsing:    make(chan struct{}, 1),
-		peers:      connector.NewPool(dial),
-		calls:      newCallBoard(c.Settings.DataCentre),
-		quarantine: quarantiner.New(), presence: connector.NewExitDetector(dial),
-		engines: &http.Client{Transport: newTransport(dial, false), Timeout: engineCallTimeout},
-		traffic: &http.Client{Transport: newTransport(dial, false)},
-		single:  &http.Client{Transport: newTransport(dial, true)},
+		config:         c,
+		settings:       c.Settings,
+		control:        sequencer.New[*control](),
+		parseLock:      make(chan struct{}, 1),
+		peerPool:       connector.NewPool(dial),
+		callDispatcher: newCallDispatcher(c.Settings.DataCentre),
+		quarantine:     quarantiner.New(), presence: connector.NewExitDetector(dial),
+		engineClient:    &http.Client{Transport: newTransport(dial, false), Timeout: engineCallTimeout},
+		trafficClient:   &http.Client{Transport: newTransport(dial, false)},
+		singleUseClient: &http.Client{Transport: newTransport(dial, true)},
 		logs: logs{
 			entry: c.Logs.Layer(logger.Entry), route: c.Logs.Layer(logger.Route), keep: c.Logs.Layer(logger.Keep),
 			members: c.Logs.Layer(logger.Members), document: c.Logs.Layer(logger.Document),
@@ -144,7 +144,7 @@
 		s.sealKeys = append(s.sealKeys, key)
 	}
 	s.metrics = newMetrics(c.MetricScope)
-	s.asserter = asserter.New(s.violated)
+	s.asserter = asserter.New(s.reportViolation)
 	s.current.Store(emptyView())
 	var err error
 	s.callerListener, err = listen(c.Settings.Listen)
@@ -189,19 +189,19 @@
 	return d
 }
 
-func newTransport(dial connector.DialFunc, single bool) *http.Transport {
+func newTransport(dial connector.DialFunc, singleUse bool) *http.Transport {
 	return &http.Transport{
 		DialContext:         dial,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdlePerUpstream,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 		// A kept connection may be closed under a request; one that may run
 		// at most once gets a connection of its own.
-		DisableKeepAlives: single,
+		DisableKeepAlives: singleUse,
 	}
 }
 
-func (s *Server) violated(name, detail string) {
+func (s *Server) reportViolation(name, detail string) {
 	s.logs.entry.Error("invariant_violated", zap.String("invariant", name), zap.String("detail", detail))
 	s.metrics.violations.Counter(name).Inc(1)
 	if s.config.OnViolation != nil {
@@ -222,44 +222,44 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := newControl(s, secret)
-	go s.control.Run(ctx, c, tickTime, c.tick, c.publishDirty)
+	go s.control.Run(ctx, c, tickInterval, c.tick, c.publishIfDirty)
 
-	s.goRun(ctx, s.servePeers)
-	s.goRun(ctx, s.beat)
-	s.goRun(ctx, s.watchConfig)
-	s.goRun(ctx, s.watchInstances)
-	s.goRun(ctx, s.keep)
-	s.goRun(ctx, s.renew)
-	s.goRun(ctx, s.askPeers)
+	s.runInBackground(ctx, s.servePeers)
+	s.runInBackground(ctx, s.runHeartbeats)
+	s.runInBackground(ctx, s.watchConfig)
+	s.runInBackground(ctx, s.watchInstances)
+	s.runInBackground(ctx, s.pollKeptEngines)
+	s.runInBackground(ctx, s.runRenewals)
+	s.runInBackground(ctx, s.fetchFromPeers)
 
-	busy := connector.NewActiveConns()
-	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, ConnState: busy.OnStateChange}
-	failed := make(chan error, 1)
-	go func() { failed <- web.Serve(s.callerListener) }()
+	connections := connector.NewActiveConns()
+	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, ConnState: connections.OnStateChange}
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- web.Serve(s.callerListener) }()
 	s.logs.entry.Info("started", zap.String("name", s.settings.Name), zap.Stringer("address", s.settings.Address),
 		zap.Stringer("peer_address", s.settings.PeerAddress), zap.Uint64("incarnation", s.config.Incarnation))
 	if len(s.sealKeys) == 0 {
 		s.logs.document.Warn("seals_not_required", zap.String("reason", "SealKeys is empty"))
 	}
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serve callers: %w", err)
 	case <-stop.Done():
 	}
-	s.drain(web, busy, failed)
+	s.drain(web, connections, serveErr)
 	cancel()
 	_ = s.peerListener.Close()
-	s.peers.Close()
-	s.work.Wait()
+	s.peerPool.Close()
+	s.background.Wait()
 	<-s.control.Stopped()
 	s.logs.entry.Info("stopped", zap.String("name", s.settings.Name))
 	return nil
 }
 
-func (s *Server) goRun(ctx context.Context, f func(context.Context)) {
-	s.work.Add(1)
+func (s *Server) runInBackground(ctx context.Context, f func(context.Context)) {
+	s.background.Add(1)
 	go func() {
-		defer s.work.Done()
+		defer s.background.Done()
 		f(ctx)
 	}()
 }
@@ -267,31 +267,31 @@
 // drain tells peers and callers, serves what is in progress, and returns when
 // addresses given out earlier have expired. Shutdown drops a request that it
 // reads once it has begun, without an answer, so it comes after the last one.
-func (s *Server) drain(web *http.Server, busy *connector.ActiveConns, served <-chan error) {
-	s.do(func(c *control) {
+func (s *Server) drain(web *http.Server, connections *connector.ActiveConns, serveErr <-chan error) {
+	s.onControl(func(c *control) {
 		c.stopping = true
-		c.publish()
+		c.publishView()
 	})
 	s.logs.entry.Info("stopping", zap.Int("in_flight", s.inFlight()))
-	s.beatAll(context.Background())
+	s.sendHeartbeats(context.Background())
 	callers := s.settings.Callers
 	time.Sleep(callers.AddressLife + callers.DrainSlack + s.settings.Timing.Heartbeat)
 	for s.inFlight() > 0 {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	_ = s.callerListener.Close()
-	<-served // every connection that was accepted is counted by now
-	busy.WaitIdle(time.Time{}, drainPoll)
+	<-serveErr // every connection that was accepted is counted by now
+	connections.WaitIdle(time.Time{}, drainPollInterval)
 	if err := web.Shutdown(context.Background()); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		s.logs.entry.Warn("shutdown", zap.Error(err))
 	}
 }
 
-// drainPoll is how often a stopping entry looks for requests in progress.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often a stopping entry looks for requests in progress.
+const drainPollInterval = 20 * time.Millisecond
 
 func (s *Server) inFlight() int {
 	n := 0
-	s.do(func(c *control) { n = c.admitter.InFlight() })
+	s.onControl(func(c *control) { n = c.admitter.InFlight() })
 	return n
 }
--- a/server/services_test.go
+++ b/server/services_test.go
@@ -19,14 +19,14 @@
 type crashingServices struct {
 	fleet *testFleet
 	lock  sync.Mutex
-	// times are when the body came to an instance.
-	times []time.Time
+	// crashedAt are when the body came to an instance.
+	crashedAt []time.Time
 	// frozen is an instance that takes calls and answers none.
 	frozen netip.Addr
 	// answers is how many calls each instance has answered.
 	answers map[netip.Addr]int
-	// webs are the servers of those that run; nil once all are closed.
-	webs map[netip.Addr]*http.Server
+	// servers are the servers of those that run; nil once all are closed.
+	servers map[netip.Addr]*http.Server
 }
 
 const crashingBody = `{"crash":true}`
@@ -34,10 +34,10 @@
 func (c *crashingServices) serve(address netip.Addr) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.webs == nil {
+	if c.servers == nil {
 		return
 	}
-	c.webs[address] = c.fleet.serve(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	c.servers[address] = c.fleet.serve(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
@@ -54,7 +54,7 @@
 			_, _ = io.WriteString(w, "{}")
 			return
 		}
-		c.end(address)
+		c.crash(address)
 		time.AfterFunc(2500*time.Millisecond, func() { c.serve(address) })
 		panic(http.ErrAbortHandler)
 	}))
@@ -72,31 +72,31 @@
 	return c.frozen == address
 }
 
-func (c *crashingServices) end(address netip.Addr) {
+func (c *crashingServices) crash(address netip.Addr) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.times = append(c.times, time.Now())
+	c.crashedAt = append(c.crashedAt, time.Now())
 	c.fleet.net.Kill(address)
-	_ = c.webs[address].Close()
+	_ = c.servers[address].Close()
 }
 
 func (c *crashingServices) close() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for address, web := range c.webs {
+	for address, web := range c.servers {
 		c.fleet.net.Kill(address)
 		_ = web.Close()
 	}
-	c.webs = nil
+	c.servers = nil
 }
 
-func (c *crashingServices) crashes() []time.Time {
+func (c *crashingServices) crashTimes() []time.Time {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return c.times
+	return c.crashedAt
 }
 
-func (c *crashingServices) served() map[netip.Addr]int {
+func (c *crashingServices) answerCounts() map[netip.Addr]int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return maps.Clone(c.answers)
@@ -105,7 +105,7 @@
 // withCrashingServices runs f on a fleet of three entries whose service has instances that a call can end.
 func withCrashingServices(t *testing.T, instances int, f func(*testFleet, *crashingServices)) {
 	withTestFleet(t, 3, 6, func(fleet *testFleet) {
-		c := &crashingServices{fleet: fleet, answers: map[netip.Addr]int{}, webs: map[netip.Addr]*http.Server{}}
+		c := &crashingServices{fleet: fleet, answers: map[netip.Addr]int{}, servers: map[netip.Addr]*http.Server{}}
 		defer c.close()
 		var names []string
 		for i := range instances {
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -42,18 +42,18 @@
 	*testFleet
 	lock sync.Mutex
 	sent int
-	// ending is held while processes are ended or started. A channel, since
+	// processLock is held while processes are ended or started. A channel, since
 	// virtual time stands still while anyone waits for a mutex.
-	ending chan struct{}
-	tally  map[api.Outcome]int
-	wait   sync.WaitGroup
+	processLock chan struct{}
+	outcomes    map[api.Outcome]int
+	background  sync.WaitGroup
 }
 
 // callerSlack is how long after its limit a caller may learn the outcome.
 const callerSlack = deadlineSlack
 
-func (s *soak) ask(n int) {
-	defer s.wait.Done()
+func (s *soak) sendPrompt(n int) {
+	defer s.background.Done()
 	r := api.CompletionRequest{
 		Model: "model", Stream: n%3 != 0, MaxTokens: 5 + n%40,
 		Prompt: strings.Repeat(fmt.Sprintf("%07d ", n), 100+(n%7)*500+(n%11/10)*14_000),
@@ -67,7 +67,7 @@
 	if err == nil {
 		s.checkWhole(n, r, result)
 	}
-	s.count(err)
+	s.countOutcome(err)
 }
 
 // checkWhole checks that an answer is the request's own, each token once.
@@ -82,7 +82,7 @@
 	}
 }
 
-func (s *soak) count(err error) {
+func (s *soak) countOutcome(err error) {
 	outcome := api.Answered
 	var refused *client.OutcomeError
 	switch {
@@ -93,20 +93,20 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.tally[outcome]++
+	s.outcomes[outcome]++
 	s.sent++
 }
 
-// truck sends a call that may run at most once, again and again.
-func (s *soak) truck(n int) {
-	defer s.wait.Done()
+// callAtMostOnce sends a call that may run at most once, again and again.
+func (s *soak) callAtMostOnce(n int) {
+	defer s.background.Done()
 	body := fmt.Sprintf(`{"truck":%d}`, n)
 	c := s.client(4)
 	result, err := c.Call(context.Background(), "dispatch", "truck", []byte(body), client.Options{Timeout: 5 * time.Second, Once: true})
 	if err != nil && result.Ticket != "" {
 		_, err = s.client(3).Call(context.Background(), "dispatch", "truck", []byte(body), client.Options{Timeout: 5 * time.Second, Ticket: result.Ticket})
 	}
-	s.count(err)
+	s.countOutcome(err)
 	var refused *client.OutcomeError
 	notRun := errors.As(err, &refused) && refused.Detail.Outcome == api.NotRun
 	time.Sleep(10 * time.Second)
@@ -135,7 +135,7 @@
 	Duration      time.Duration
 }
 
-func drawFaults(t *rapid.T, seconds int) []fault {
+func generateFaults(t *rapid.T, seconds int) []fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 		return fault{
 			Delay:    time.Duration(rapid.IntRange(0, seconds*1000).Draw(t, "after")) * time.Millisecond,
@@ -148,17 +148,17 @@
 }
 
 func (s *soak) inject(f fault) {
-	defer s.wait.Done()
+	defer s.background.Done()
 	time.Sleep(f.Delay)
 	entry := s.entries[f.First%len(s.entries)]
-	victim := s.engines[f.Second%len(s.engines)]
+	target := s.engines[f.Second%len(s.engines)]
 	switch f.Kind {
 	case 0:
-		s.guard(func() bool { return s.liveEntries() > 1 && !entry.dead }, func() { s.killEntry(entry) }, f.Duration, func() { s.startEntry(entry) })
+		s.endAndRestart(func() bool { return s.liveEntries() > 1 && !entry.dead }, func() { s.killEntry(entry) }, f.Duration, func() { s.startEntry(entry) })
 	case 1:
-		s.guard(func() bool { return !victim.dead }, func() { s.killEngine(victim) }, f.Duration, func() { s.startEngine(victim) })
+		s.endAndRestart(func() bool { return !target.dead }, func() { s.killEngine(target) }, f.Duration, func() { s.startEngine(target) })
 	case 2:
-		s.cutFor(entry.host, victim.host, f.Duration)
+		s.cutFor(entry.host, target.host, f.Duration)
 	case 3:
 		s.cutFor(entry.host, s.entries[f.Second%len(s.entries)].host, f.Duration)
 	case 4:
@@ -172,7 +172,7 @@
 		time.Sleep(f.Duration)
 		s.platform.SetMode(platform.Up)
 	case 10:
-		s.guard(func() bool { return !victim.dead }, func() { s.leaveEngine(victim) }, f.Duration, func() { s.startEngine(victim) })
+		s.endAndRestart(func() bool { return !target.dead }, func() { s.leaveEngine(target) }, f.Duration, func() { s.startEngine(target) })
 	}
 }
 
@@ -180,7 +180,7 @@
 func (s *soak) leaveEngine(e *testEngine) {
 	e.server.Drain(context.Background())
 	time.Sleep(5 * time.Second)
-	if n := s.ran(e).LateAfterLeaving; n != 0 {
+	if n := s.engineReport(e).LateAfterLeaving; n != 0 {
 		s.t.Errorf("%s was given %d streams late after it began to leave", e.name, n)
 	}
 	s.killEngine(e)
@@ -196,21 +196,21 @@
 	return n
 }
 
-// guard ends something if that is allowed now, and starts it again later.
-func (s *soak) guard(allowed func() bool, end func(), length time.Duration, start func()) {
-	s.ending <- struct{}{}
+// endAndRestart ends something if that is allowed now, and starts it again later.
+func (s *soak) endAndRestart(allowed func() bool, end func(), length time.Duration, start func()) {
+	s.processLock <- struct{}{}
 	ok := allowed()
 	if ok {
 		end()
 	}
-	<-s.ending
+	<-s.processLock
 	if !ok {
 		return
 	}
 	time.Sleep(length)
-	s.ending <- struct{}{}
+	s.processLock <- struct{}{}
 	start()
-	<-s.ending
+	<-s.processLock
 }
 
 func (s *soak) cutFor(a, b netip.Addr, length time.Duration) {
@@ -222,12 +222,12 @@
 	s.net.Mend(a, b)
 }
 
-// atRest checks what holds once failures and callers are gone.
-func (s *soak) atRest() {
+// checkAtRest checks what holds once failures and callers are gone.
+func (s *soak) checkAtRest() {
 	lease := s.entries[0].settings.Timing.Lease
 	time.Sleep(3*lease + 5*time.Second)
 	for _, e := range s.engines {
-		if used := s.ran(e).UsedTokens; used != 0 {
+		if used := s.engineReport(e).UsedTokens; used != 0 {
 			s.t.Errorf("%s still holds %d tokens", e.name, used)
 		}
 	}
@@ -245,15 +245,15 @@
 
 func (s *soak) run(faults []fault, seconds int) {
 	for _, f := range faults {
-		s.wait.Add(1)
+		s.background.Add(1)
 		go s.inject(f)
 	}
 	for n := range seconds * 5 {
-		s.wait.Add(1)
-		go s.ask(n)
+		s.background.Add(1)
+		go s.sendPrompt(n)
 		if n%10 == 0 {
-			s.wait.Add(1)
-			go s.truck(n)
+			s.background.Add(1)
+			go s.callAtMostOnce(n)
 		}
 		if n == seconds {
 			s.platform.Publish([]byte(testDocument(2, len(s.engines), "one")), false)
@@ -263,8 +263,8 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	s.wait.Wait()
-	s.atRest()
+	s.background.Wait()
+	s.checkAtRest()
 }
 
 // TestSoak runs random schedules of failures in virtual time. It draws the
@@ -273,16 +273,16 @@
 	total := map[api.Outcome]int{}
 	runs := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		faults := drawFaults(rt, *soakSeconds)
-		s := &soak{tally: map[api.Outcome]int{}}
+		faults := generateFaults(rt, *soakSeconds)
+		s := &soak{outcomes: map[api.Outcome]int{}}
 		runs++
 		ok := t.Run(fmt.Sprintf("run%d", runs), func(t *testing.T) {
 			withTestFleet(t, 3, 3, func(f *testFleet) {
-				s.testFleet, s.ending = f, make(chan struct{}, 1)
+				s.testFleet, s.processLock = f, make(chan struct{}, 1)
 				s.run(faults, *soakSeconds)
 			})
 		})
-		for o, n := range s.tally {
+		for o, n := range s.outcomes {
 			total[o] += n
 		}
 		if !ok {
--- a/server/status.go
+++ b/server/status.go
@@ -18,11 +18,11 @@
 // handleAddresses answers a caller that asks which entries to use.
 func (s *Server) handleAddresses(w http.ResponseWriter, _ *http.Request) {
 	v := s.current.Load()
-	writeJSON(w, api.Addresses{Entries: v.takers, LifeSeconds: s.settings.Callers.AddressLife.Seconds()})
+	writeJSON(w, api.Addresses{Entries: v.acceptingEntries, LifeSeconds: s.settings.Callers.AddressLife.Seconds()})
 }
 
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
-	s.do(func(*control) {}) // a control goroutine that hangs shows here
+	s.onControl(func(*control) {}) // a control goroutine that hangs shows here
 	_, _ = w.Write([]byte("ok\n"))
 }
 
@@ -39,7 +39,7 @@
 // handleStatus tells an operator what this entry believes.
 func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	var status api.Status
-	s.do(func(c *control) { status = c.status(time.Now()) })
+	s.onControl(func(c *control) { status = c.status(time.Now()) })
 	status.Violations = s.asserter.Violations()
 	writeJSON(w, status)
 }
@@ -53,11 +53,11 @@
 		Superseded: c.adopter.Superseded(), InFlight: c.admitter.InFlight(),
 	}
 	for _, m := range c.prober.Members() {
-		line := api.MemberStatus{Name: m.Name, State: string(m.State), Incarnation: m.Incarnation}
+		member := api.MemberStatus{Name: m.Name, State: string(m.State), Incarnation: m.Incarnation}
 		if !m.LastHeartbeat.IsZero() {
-			line.Heard = now.Sub(m.LastHeartbeat)
+			member.Heard = now.Sub(m.LastHeartbeat)
 		}
-		status.Members = append(status.Members, line)
+		status.Members = append(status.Members, member)
 	}
 	v := c.server.current.Load()
 	for name, u := range v.engines {
@@ -69,24 +69,24 @@
 
 func (c *control) engineStatus(v *view, name string, u upstream) api.EngineStatus {
 	e, _ := v.accepted.Engine(name)
-	line := api.EngineStatus{
+	status := api.EngineStatus{
 		Name: name, Address: u.Address, DataCentre: u.DataCentre, State: api.InstanceLive, Keeper: u.Keeper,
 		Model: e.Model, Version: e.Version, MemoryTokens: e.MemoryTokens,
 	}
 	if !u.Usable {
-		line.State = api.InstanceLeaving
+		status.State = api.InstanceLeaving
 	}
-	load := c.load(name)
-	line.InFlight = int(load.OwnFlight.Load())
+	load := c.loadOf(name)
+	status.InFlight = int(load.OwnFlight.Load())
 	for class := range load.Queued {
-		line.QueuedTokens += int(load.Queued[class].Load())
+		status.QueuedTokens += int(load.Queued[class].Load())
 	}
 	if k, kept := c.keepers[name]; kept {
 		report := k.Load()
-		line.Model, line.Version, line.Fence = report.Model, report.Version, report.Fence
-		line.UsedTokens = e.MemoryTokens - k.FreeTokens()
-		line.Heard = !k.Heard().IsZero()
-		line.Holds, line.Grants = k.Holds(), k.Grants()
+		status.Model, status.Version, status.Fence = report.Model, report.Version, report.Fence
+		status.UsedTokens = e.MemoryTokens - k.FreeTokens()
+		status.Heard = !k.Heard().IsZero()
+		status.Holds, status.Grants = k.Holds(), k.Grants()
 	}
-	return line
+	return status
 }
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -34,15 +34,15 @@
 	})
 }
 
-// stopTime is how long an entry of a test fleet takes to stop with nothing in
+// maxStopTime is how long an entry of a test fleet takes to stop with nothing in
 // progress, and a second more.
-func (e *testEntry) stopTime() time.Duration {
+func (e *testEntry) maxStopTime() time.Duration {
 	c := e.settings.Callers
 	return c.AddressLife + c.DrainSlack + 2*e.settings.Timing.Heartbeat + time.Second
 }
 
-// ended reports whether an entry's Run returned within a time.
-func (e *testEntry) ended(within time.Duration) bool {
+// hasEnded reports whether an entry's Run returned within a time.
+func (e *testEntry) hasEnded(within time.Duration) bool {
 	select {
 	case <-e.done:
 		return true
@@ -51,9 +51,9 @@
 	}
 }
 
-// direct returns a caller that uses one entry only.
-func (f *testFleet) direct(e *testEntry, tries int) *client.Client {
-	c := client.Config{Key: testKey, Tries: tries, HTTP: f.web(), Direct: true}
+// directClient returns a caller that uses one entry only.
+func (f *testFleet) directClient(e *testEntry, tries int) *client.Client {
+	c := client.Config{Key: testKey, Tries: tries, HTTP: f.httpClient(), Direct: true}
 	c.Seeds = append(c.Seeds, e.settings.Address)
 	return client.New(c)
 }
@@ -85,25 +85,25 @@
 // idle entry takes to end. Each is whole: a stream, a whole answer, a prompt
 // on a group of engines, a call that runs at most once, and one that another
 // entry passed on to the one that stops.
-func TestStoppingEntryFinishesAcceptedRequests(t *testing.T) {
+func TestStoppingEntryEndsWhatItTook(t *testing.T) {
 	long := api.CompletionRequest{Model: "model", Prompt: "a long answer", MaxTokens: 1000}
 	streamed, joint := long, long
 	streamed.Stream = true
 	joint.Prompt, joint.Stream = strings.Repeat("joint ", 20_000), true
 	complete := func(r api.CompletionRequest) func(*testFleet, *testEntry) (string, error) {
 		return func(f *testFleet, e *testEntry) (string, error) {
-			result, err := f.direct(e, 1).Complete(context.Background(), r, client.Options{Timeout: time.Minute}, nil)
+			result, err := f.directClient(e, 1).Complete(context.Background(), r, client.Options{Timeout: time.Minute}, nil)
 			return result.Text, err
 		}
 	}
 	call := func(ask func(*testFleet) *testEntry) func(*testFleet, *testEntry) (string, error) {
 		return func(f *testFleet, e *testEntry) (string, error) {
-			ticket, err := f.direct(e, 1).Ticket(context.Background())
+			ticket, err := f.directClient(e, 1).Ticket(context.Background())
 			if err != nil {
 				return "", err
 			}
 			f.service.Delay = 20 * time.Second
-			_, err = f.direct(ask(f), 1).Call(context.Background(), "dispatch", "truck", []byte(`{"truck":1}`), client.Options{Timeout: time.Minute, Ticket: ticket})
+			_, err = f.directClient(ask(f), 1).Call(context.Background(), "dispatch", "truck", []byte(`{"truck":1}`), client.Options{Timeout: time.Minute, Ticket: ticket})
 			return "", err
 		}
 	}
@@ -132,11 +132,11 @@
 				time.Sleep(500 * time.Millisecond)
 				is.True(e.server.inFlight() > 0)
 				e.stop()
-				is.True(!e.ended(10 * time.Second)) // it waits for the answer
+				is.True(!e.hasEnded(10 * time.Second)) // it waits for the answer
 				<-answered
 				is.NoErr(err)
 				is.Equal(text, c.want)
-				is.True(e.ended(e.stopTime()))
+				is.True(e.hasEnded(e.maxStopTime()))
 			})
 		})
 	}
@@ -153,13 +153,13 @@
 		answered := make(chan struct{})
 		go func() {
 			defer close(answered)
-			result, err = f.direct(e, 1).Complete(context.Background(), r, client.Options{Timeout: time.Minute}, nil)
+			result, err = f.directClient(e, 1).Complete(context.Background(), r, client.Options{Timeout: time.Minute}, nil)
 		}()
 		time.Sleep(500 * time.Millisecond)
 		e.stop()
-		time.Sleep(e.stopTime())
+		time.Sleep(e.maxStopTime())
 		// All are asked first: an answer that goes on elsewhere must not lose that engine too.
-		serving := slices.DeleteFunc(slices.Clone(f.engines), func(engine *testEngine) bool { return f.ran(engine).UsedTokens == 0 })
+		serving := slices.DeleteFunc(slices.Clone(f.engines), func(engine *testEngine) bool { return f.engineReport(engine).UsedTokens == 0 })
 		is.True(len(serving) > 0)
 		for _, engine := range serving {
 			f.killEngine(engine)
@@ -167,7 +167,7 @@
 		<-answered
 		is.NoErr(err)
 		is.Equal(result.Text, wholeAnswer(r))
-		is.True(e.ended(e.stopTime()))
+		is.True(e.hasEnded(e.maxStopTime()))
 	})
 }
 
@@ -183,19 +183,19 @@
 		_, _ = io.WriteString(c, header+body[:10])
 		time.Sleep(100 * time.Millisecond)
 		e.stop()
-		is.True(!e.ended(10 * time.Second))
+		is.True(!e.hasEnded(10 * time.Second))
 		_, _ = io.WriteString(c, body[10:])
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		is.NoErr(err)
 		is.Equal(response.StatusCode, http.StatusOK)
 		is.NoErr(response.Write(io.Discard))
-		is.True(e.ended(e.stopTime()))
+		is.True(e.hasEnded(e.maxStopTime()))
 	})
 }
 
 // The header itself comes byte by byte across the stop, on a new connection:
 // the refusal is true, and another entry serves the prompt.
-func TestStoppingEntryRefusesNewRequests(t *testing.T) {
+func TestStoppingEntryRefusesNewcomers(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -215,10 +215,10 @@
 		is.Equal(refusal.Error.Outcome, api.NotRun)
 		is.Equal(response.Header.Get("Retry-After"), "1")
 		is.Equal(refusal.Error.Elsewhere, []string{f.entries[1].settings.Address.String()})
-		is.Equal(len(f.ran(f.engines[0]).Requests), 0)
+		is.Equal(len(f.engineReport(f.engines[0]).Requests), 0)
 
 		time.Sleep(time.Duration(refusal.Error.RetryAfterSeconds * float64(time.Second)))
-		result, err := f.direct(f.entries[1], 1).Complete(context.Background(), r, client.Options{Timeout: time.Second}, nil)
+		result, err := f.directClient(f.entries[1], 1).Complete(context.Background(), r, client.Options{Timeout: time.Second}, nil)
 		is.NoErr(err)
 		is.Equal(result.Text, wholeAnswer(r))
 	})
@@ -232,14 +232,14 @@
 		e, other := f.entries[0], f.entries[1]
 		var tickets []string
 		for range 60 {
-			ticket, err := f.direct(e, 1).Ticket(context.Background())
+			ticket, err := f.directClient(e, 1).Ticket(context.Background())
 			is.NoErr(err)
 			tickets = append(tickets, ticket)
 		}
 		e.stop()
 		for n, ticket := range tickets {
 			body := fmt.Sprintf(`{"truck":%d}`, n)
-			_, err := f.direct(other, 1).Call(context.Background(), "dispatch", "truck", []byte(body), client.Options{Timeout: 5 * time.Second, Ticket: ticket})
+			_, err := f.directClient(other, 1).Call(context.Background(), "dispatch", "truck", []byte(body), client.Options{Timeout: 5 * time.Second, Ticket: ticket})
 			ran := 0
 			for _, x := range f.service.Executions() {
 				if x.Body == body {
@@ -258,7 +258,7 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(e.ended(e.stopTime()))
+		is.True(e.hasEnded(e.maxStopTime()))
 	})
 }
 
@@ -267,7 +267,7 @@
 // Its bytes take a quarter of a second to come, so that one request is on its
 // way when the entry ends. Connections that the entry closed as idle at its end
 // took such a request with them, without an answer.
-func TestStoppingEntryAnswersOnKeepAliveConnections(t *testing.T) {
+func TestStoppingEntryAnswersKeptConnections(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -292,14 +292,14 @@
 			}
 			_ = c.Close()
 		}
-		is.True(e.ended(e.stopTime()))
+		is.True(e.hasEnded(e.maxStopTime()))
 	})
 }
 
 // A caller that was refused sends no more of its body and keeps its connection
 // open. The stop does not wait for it: an operator who saw the entry stay would
 // end it by force, and the answers in progress with it.
-func TestStalledCallerDoesNotDelayShutdown(t *testing.T) {
+func TestStalledCallerDoesNotHoldStop(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -312,14 +312,14 @@
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		is.NoErr(err)
 		is.Equal(response.Header.Get(api.HeaderOutcome), string(api.NotRun))
-		is.True(e.ended(time.Minute)) // the entry waits for a caller that says nothing
+		is.True(e.hasEnded(time.Minute)) // the entry waits for a caller that says nothing
 	})
 }
 
 // Callers whose addresses are from before a stop send calls that may run at
 // most once, and may try four times. Where the stopping entry was the one asked
 // for a ticket, its refusal ended the call, with another entry ready.
-func TestTicketIsIssuedElsewhereDuringShutdown(t *testing.T) {
+func TestTicketIsHadElsewhereAtAStop(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		var callers []*client.Client
--- a/server/stream.go
+++ b/server/stream.go
@@ -20,21 +20,21 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// maxEvent bounds one server-sent event of an engine.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one server-sent event of an engine.
+const maxEventBytes = 1 << 20
 
-// prefillSlack multiplies the estimated prefill time in waiting for a first
+// prefillTimeoutFactor multiplies the estimated prefill time in waiting for a first
 // token, as the estimate may be off.
-const prefillSlack = 3
+const prefillTimeoutFactor = 3
 
-// run is one attempt on an engine.
-type run struct {
+// engineAttempt is one attempt on an engine.
+type engineAttempt struct {
 	engine    *router.Engine
 	attemptID string
-	// group is the hold ids of a group, empty for one engine.
-	group []string
-	// speed is how many engines prefill together, 0 for one.
-	speed int
+	// holdIDs is the hold ids of a group, empty for one engine.
+	holdIDs []string
+	// groupSize is how many engines prefill together, 0 for one.
+	groupSize int
 }
 
 // errSilent says that an engine's stream stopped without a word.
@@ -43,59 +43,59 @@
 // errHoldLost says that the engine no longer has the attempt's hold.
 var errHoldLost = errors.New("engine no longer has the hold")
 
-// run sends an attempt and relays its answer.
-func (c *completion) run(ctx context.Context, r run) *failure {
+// runAttempt sends an attempt and relays its answer.
+func (c *completion) runAttempt(ctx context.Context, r engineAttempt) *failure {
 	x := c.x
 	s := x.server
 	c.attempts++
-	c.tried = append(c.tried, r.engine.Name)
+	c.triedEngines = append(c.triedEngines, r.engine.Name)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	s.registerHold(r.engine.Name, r.attemptID, func() { cancel(errHoldLost) })
-	defer s.releaseHold(r.engine.Name, r.attemptID)
+	defer s.unregisterHold(r.engine.Name, r.attemptID)
 	load := r.engine.Load
 	prefill := int64(api.PromptTokens(len(x.completion.Prompt)))
 	load.OwnFlight.Add(1)
 	class := c.class()
 	load.OwnTokens[class].Add(prefill)
 	defer load.OwnFlight.Add(-1)
-	waiting := true
-	first := func() {
-		if waiting {
+	awaitingFirst := true
+	onFirstToken := func() {
+		if awaitingFirst {
 			load.OwnTokens[class].Add(-prefill)
-			waiting, c.began = false, time.Now()
+			awaitingFirst, c.answerStartedAt = false, time.Now()
 		}
 	}
-	defer first()
+	defer onFirstToken()
 
-	sent, before := time.Now(), x.pending
-	x.cut, c.began = false, time.Time{}
-	response, f := c.send(ctx, cancel, r)
-	if f != nil && x.pending > before {
-		x.noteEnd(ctx, c.trial(r, sent))
+	sentAt, unresolvedBefore := time.Now(), x.unresolvedAttempts
+	x.interrupted, c.answerStartedAt = false, time.Time{}
+	response, f := c.sendAttempt(ctx, cancel, r)
+	if f != nil && x.unresolvedAttempts > unresolvedBefore {
+		x.detectCrash(ctx, c.attemptInfo(r, sentAt))
 	}
 	if f != nil {
 		return f
 	}
 	defer func() { _ = response.Body.Close() }()
-	f = c.read(ctx, cancel, r, response.Body, first)
+	f = c.relayChunks(ctx, cancel, r, response.Body, onFirstToken)
 	if f != nil {
-		x.noteEnd(ctx, c.trial(r, sent))
+		x.detectCrash(ctx, c.attemptInfo(r, sentAt))
 		s.cancelStream(r.engine.Address, r.attemptID)
 	}
 	return f
 }
 
-func (c *completion) trial(r run, sent time.Time) trial {
-	return trial{upstream: r.engine.Name, address: r.engine.Address, sent: sent, began: c.began}
+func (c *completion) attemptInfo(r engineAttempt, sentAt time.Time) attemptInfo {
+	return attemptInfo{upstream: r.engine.Name, address: r.engine.Address, sentAt: sentAt, answerStartedAt: c.answerStartedAt}
 }
 
-// send dispatches an attempt. When it returns a failure the exchange's count
+// sendAttempt dispatches an attempt. When it returns a failure the exchange's count
 // of pending attempts says whether anything may have started.
-func (c *completion) send(ctx context.Context, cancel context.CancelCauseFunc, r run) (*http.Response, *failure) {
+func (c *completion) sendAttempt(ctx context.Context, cancel context.CancelCauseFunc, r engineAttempt) (*http.Response, *failure) {
 	x := c.x
 	s := x.server
-	request, err := c.request(ctx, r)
+	request, err := c.buildRequest(ctx, r)
 	if err != nil {
 		return nil, &failure{code: api.CodeBadRequest, message: "the request could not be encoded", err: err}
 	}
@@ -104,52 +104,52 @@
 	request = request.WithContext(httptrace.WithClientTrace(ctx, trace))
 	// The time is read again: this process may have been paused since the
 	// engine was chosen, which may be leaving by now.
-	if x.left() <= 0 {
-		return nil, fail(api.CodeDeadline, "the time limit has passed")
+	if x.remaining() <= 0 {
+		return nil, newFailure(api.CodeDeadline, "the time limit has passed")
 	}
 	if u, ok := s.current.Load().engines[r.engine.Name]; !ok || !u.Usable {
-		return nil, fail(api.CodeUpstreamFailed, "engine %s is leaving", r.engine.Name)
+		return nil, newFailure(api.CodeUpstreamFailed, "engine %s is leaving", r.engine.Name)
 	}
-	client := s.traffic
+	client := s.trafficClient
 	if !x.repeatable {
-		s.asserter.Check(x.pending == 0, asserter.SecondDispatch, "request %s", x.id)
-		client = s.single
+		s.asserter.Check(x.unresolvedAttempts == 0, asserter.SecondDispatch, "request %s", x.id)
+		client = s.singleUseClient
 	}
-	x.pending++
-	quiet := time.AfterFunc(s.settings.Timing.Silence, func() { cancel(errSilent) })
+	x.unresolvedAttempts++
+	silenceTimer := time.AfterFunc(s.settings.Timing.Silence, func() { cancel(errSilent) })
 	response, err := client.Do(request)
-	quiet.Stop()
+	silenceTimer.Stop()
 	if err != nil {
 		if !connected {
-			x.pending-- // no byte left for the engine
+			x.unresolvedAttempts-- // no byte left for the engine
 		}
-		f := fail(api.CodeUpstreamFailed, "engine %s did not answer", r.engine.Name)
-		f.err = cause(ctx, err)
+		f := newFailure(api.CodeUpstreamFailed, "engine %s did not answer", r.engine.Name)
+		f.err = contextCause(ctx, err)
 		return nil, f
 	}
 	if response.StatusCode != http.StatusOK {
 		defer func() { _ = response.Body.Close() }()
 		if response.Header.Get(api.HeaderStarted) == "false" {
-			x.pending-- // the engine says that it never started
+			x.unresolvedAttempts-- // the engine says that it never started
 			r.engine.Load.Free.Store(0)
 		}
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, 200))
-		f := fail(api.CodeUpstreamFailed, "engine %s refused", r.engine.Name)
+		f := newFailure(api.CodeUpstreamFailed, "engine %s refused", r.engine.Name)
 		f.err = fmt.Errorf("status %d: %s", response.StatusCode, strings.TrimSpace(string(reason)))
 		return nil, f
 	}
 	return response, nil
 }
 
-// cause prefers why a context was ended over the error that it led to.
-func cause(ctx context.Context, err error) error {
+// contextCause prefers why a context was ended over the error that it led to.
+func contextCause(ctx context.Context, err error) error {
 	if why := context.Cause(ctx); why != nil {
 		return why
 	}
 	return err
 }
 
-func (c *completion) request(ctx context.Context, r run) (*http.Request, error) {
+func (c *completion) buildRequest(ctx context.Context, r engineAttempt) (*http.Request, error) {
 	x := c.x
 	body := *x.completion
 	body.Stream = true
@@ -172,8 +172,8 @@
 	h.Set(api.HeaderIncarnation, strconv.FormatUint(x.server.config.Incarnation, 10))
 	h.Set(api.HeaderPriority, strconv.Itoa(c.priority()))
 	h.Set(api.HeaderResumeFrom, strconv.Itoa(c.relayer.Begin(r.attemptID)))
-	if len(r.group) > 0 {
-		h.Set(api.HeaderGroup, strings.Join(r.group, ","))
+	if len(r.holdIDs) > 0 {
+		h.Set(api.HeaderGroup, strings.Join(r.holdIDs, ","))
 	}
 	return request, nil
 }
@@ -184,19 +184,19 @@
 	return router.Priority(c.class(), policy.ShortWeight)
 }
 
-// read relays an attempt's chunks until the answer is whole or the attempt
+// relayChunks relays an attempt's chunks until the answer is whole or the attempt
 // has failed.
-func (c *completion) read(ctx context.Context, cancel context.CancelCauseFunc, r run, body io.Reader, first func()) *failure {
+func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, r engineAttempt, body io.Reader, onFirstToken func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
-	prefill := router.Engine{PrefillRate: r.engine.PrefillRate * max(1, r.speed), Load: &router.Load{}}
+	prefill := router.Engine{PrefillRate: r.engine.PrefillRate * max(1, r.groupSize), Load: &router.Load{}}
 	estimated := prefill.Predict(time.Now(), router.Longest, api.PromptTokens(len(c.x.completion.Prompt))) +
 		r.engine.Predict(time.Now(), router.Longest, 0)
-	quiet := time.AfterFunc(silence+prefillSlack*estimated, func() { cancel(errSilent) })
-	defer quiet.Stop()
-	pace := pace{from: c.relayer.Delivered()}
-	defer func() { pace.note(r.engine.Load, c.relayer.Delivered()) }()
+	silenceTimer := time.AfterFunc(silence+prefillTimeoutFactor*estimated, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
+	pace := tokenPace{startOffset: c.relayer.Delivered()}
+	defer func() { pace.record(r.engine.Load, c.relayer.Delivered()) }()
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maxEvent)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
 		data, isData := strings.CutPrefix(scanner.Text(), "data: ")
 		if !isData || data == api.DoneMarker {
@@ -204,7 +204,7 @@
 		}
 		var chunk api.CompletionChunk
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return c.broken(r, err)
+			return c.streamFailure(r, err)
 		}
 		offset := c.relayer.Delivered()
 		text, verdict := c.relayer.Accept(chunk)
@@ -212,50 +212,50 @@
 		case relayer.Drop:
 			continue
 		case relayer.Broken:
-			return c.broken(r, fmt.Errorf("chunk at %d of %d delivered", chunk.Offset, offset))
+			return c.streamFailure(r, fmt.Errorf("chunk at %d of %d delivered", chunk.Offset, offset))
 		}
 		c.x.server.asserter.Check(chunk.ID == c.x.id, asserter.ForeignChunk, "request %s got a chunk of %s", c.x.id, chunk.ID)
-		quiet.Reset(silence)
-		first()
-		pace.begin()
+		silenceTimer.Reset(silence)
+		onFirstToken()
+		pace.start()
 		c.version = r.engine.Version
-		c.pass(offset, text, chunk.Usage)
+		c.deliver(offset, text, chunk.Usage)
 		if verdict == relayer.Whole {
-			c.x.pending--
+			c.x.unresolvedAttempts--
 			return nil
 		}
 	}
-	return c.broken(r, cause(ctx, scanner.Err()))
+	return c.streamFailure(r, contextCause(ctx, scanner.Err()))
 }
 
-// leastPaced is how many tokens show an engine's pace.
-const leastPaced = 8
+// minPaceTokens is how many tokens show an engine's pace.
+const minPaceTokens = 8
 
-// pace measures the time between the tokens of one attempt.
-type pace struct {
-	from  int
-	first time.Time
+// tokenPace measures the time between the tokens of one attempt.
+type tokenPace struct {
+	startOffset int
+	firstToken  time.Time
 }
 
-// begin marks the first token.
-func (p *pace) begin() {
-	if p.first.IsZero() {
-		p.first = time.Now()
+// start marks the first token.
+func (p *tokenPace) start() {
+	if p.firstToken.IsZero() {
+		p.firstToken = time.Now()
 	}
 }
 
-// note tells the router how fast the engine was, when enough tokens came.
-func (p *pace) note(load *router.Load, delivered int) {
-	tokens := delivered - p.from
-	if p.first.IsZero() || tokens < leastPaced {
+// record tells the router how fast the engine was, when enough tokens came.
+func (p *tokenPace) record(load *router.Load, delivered int) {
+	tokens := delivered - p.startOffset
+	if p.firstToken.IsZero() || tokens < minPaceTokens {
 		return
 	}
-	load.Paced(time.Now(), time.Since(p.first)/time.Duration(tokens))
+	load.Paced(time.Now(), time.Since(p.firstToken)/time.Duration(tokens))
 }
 
-// broken ends an attempt that may have done work.
-func (c *completion) broken(r run, err error) *failure {
-	f := fail(api.CodeUpstreamFailed, "engine %s broke off", r.engine.Name)
+// streamFailure ends an attempt that may have done work.
+func (c *completion) streamFailure(r engineAttempt, err error) *failure {
+	f := newFailure(api.CodeUpstreamFailed, "engine %s broke off", r.engine.Name)
 	f.err = err
 	if err == nil {
 		f.err = io.ErrUnexpectedEOF
@@ -263,10 +263,10 @@
 	return f
 }
 
-// sendEvent writes one event to the caller, and the response's start first.
-func (x *exchange) sendEvent(chunk api.CompletionChunk) {
-	if !x.begun {
-		x.begun = true
+// writeEvent writes one event to the caller, and the response's start first.
+func (x *exchange) writeEvent(chunk api.CompletionChunk) {
+	if !x.answerBegun {
+		x.answerBegun = true
 		h := x.writer.Header()
 		h.Set("Content-Type", "text/event-stream")
 		h.Set("Cache-Control", "no-store")
@@ -281,8 +281,8 @@
 	_ = http.NewResponseController(x.writer).Flush()
 }
 
-// sendDone marks the end of a whole answer.
-func (x *exchange) sendDone() {
+// writeDone marks the end of a whole answer.
+func (x *exchange) writeDone() {
 	_, _ = fmt.Fprintf(x.writer, "data: %s\n\n", api.DoneMarker)
 	_ = http.NewResponseController(x.writer).Flush()
 }
@@ -295,7 +295,7 @@
 		if err != nil {
 			return
 		}
-		response, err := s.engines.Do(request)
+		response, err := s.engineClient.Do(request)
 		if err == nil {
 			_ = response.Body.Close()
 		}
--- a/server/once.go
+++ b/server/ticket.go
@@ -16,19 +16,19 @@
 	"github.com/sapphireramp/sapphireramp/spender"
 )
 
-// inProgressRetry is when to ask again for the answer of a call in progress.
-const inProgressRetry = time.Second
+// inProgressRetryAfter is when to ask again for the answer of a call in progress.
+const inProgressRetryAfter = time.Second
 
 // issueTicket gives a caller a ticket that this incarnation alone can spend.
 func (s *Server) issueTicket(x *exchange) *failure {
 	if x.view.stopping {
-		return fail(api.CodeStopping, "this entry is stopping")
+		return newFailure(api.CodeStopping, "this entry is stopping")
 	}
 	var text string
 	var err error
-	s.do(func(c *control) { text, err = c.spender.Issue(time.Now()) })
+	s.onControl(func(c *control) { text, err = c.spender.Issue(time.Now()) })
 	if err != nil {
-		f := fail(api.CodeOverloaded, "no ticket can be issued")
+		f := newFailure(api.CodeOverloaded, "no ticket can be issued")
 		f.err, f.retryAfter = err, time.Second
 		return f
 	}
@@ -36,35 +36,35 @@
 	return nil
 }
 
-// once sees that a request that may run at most once is spent in the memory
+// atMostOnce sees that a request that may run at most once is spent in the memory
 // of the one incarnation that issued its ticket, wherever it arrived.
-func (s *Server) once(next handler) handler {
+func (s *Server) atMostOnce(next handler) handler {
 	return func(x *exchange) *failure {
 		if x.repeatable {
 			return next(x)
 		}
-		text := x.request.Header.Get(api.HeaderIdempotencyKey)
-		if text == "" {
-			f := fail(api.CodeTicketRequired, "%s: a request that may run at most once needs a ticket from POST %s", api.HeaderIdempotencyKey, api.PathTickets)
+		key := x.request.Header.Get(api.HeaderIdempotencyKey)
+		if key == "" {
+			f := newFailure(api.CodeTicketRequired, "%s: a request that may run at most once needs a ticket from POST %s", api.HeaderIdempotencyKey, api.PathTickets)
 			f.param = api.HeaderIdempotencyKey
 			return f
 		}
-		ticket, err := spender.Parse(text)
+		ticket, err := spender.Parse(key)
 		if err != nil {
-			f := fail(api.CodeTicketUnknown, "%s: no ticket of this system", api.HeaderIdempotencyKey)
+			f := newFailure(api.CodeTicketUnknown, "%s: no ticket of this system", api.HeaderIdempotencyKey)
 			f.param, f.err = api.HeaderIdempotencyKey, err
 			return f
 		}
 		x.ticket = ticket
 		if ticket.Owner != s.settings.Name || ticket.Incarnation != s.config.Incarnation {
-			return s.forward(x)
+			return s.forwardToOwner(x)
 		}
-		return s.spend(x, next)
+		return s.spendTicket(x, next)
 	}
 }
 
-// digest names the request that a ticket is spent for.
-func (x *exchange) digest() [sha256.Size]byte {
+// requestDigest names the request that a ticket is spent for.
+func (x *exchange) requestDigest() [sha256.Size]byte {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%s\n%s\n", x.organisation.Name, x.request.URL.Path)
 	h.Write(x.body)
@@ -73,39 +73,39 @@
 	return sum
 }
 
-func (s *Server) spend(x *exchange, next handler) *failure {
-	var fate spender.Fate
+func (s *Server) spendTicket(x *exchange, next handler) *failure {
+	var state spender.Fate
 	var answer *spender.Answer
 	var err error
-	digest := x.digest()
-	s.do(func(c *control) { fate, answer, err = c.spender.Spend(time.Now(), x.ticket, digest) })
-	s.logs.route.Info("ticket", zap.String("request", x.id), zap.String("fate", fate.String()))
+	digest := x.requestDigest()
+	s.onControl(func(c *control) { state, answer, err = c.spender.Spend(time.Now(), x.ticket, digest) })
+	s.logs.route.Info("ticket", zap.String("request", x.id), zap.String("fate", state.String()))
 	if err != nil {
-		f := fail(api.CodeTicketUnknown, "%s: %s", api.HeaderIdempotencyKey, err)
+		f := newFailure(api.CodeTicketUnknown, "%s: %s", api.HeaderIdempotencyKey, err)
 		f.param = api.HeaderIdempotencyKey
 		return f
 	}
-	switch fate {
+	switch state {
 	case spender.Spent:
-		return s.runOnce(x, next)
+		return s.runWithTicket(x, next)
 	case spender.Repeat:
-		replay(x.writer, answer)
+		replayAnswer(x.writer, answer)
 		return nil
 	case spender.InProgress:
-		f := fail(api.CodeTicketInProgress, "the request is running for an earlier call with this ticket")
-		f.outcome, f.retryAfter = api.Unknown, inProgressRetry
+		f := newFailure(api.CodeTicketInProgress, "the request is running for an earlier call with this ticket")
+		f.outcome, f.retryAfter = api.Unknown, inProgressRetryAfter
 		return f
 	case spender.Ran:
-		f := fail(api.CodeTicketSpent, "the ticket was spent, and the answer is no longer kept")
+		f := newFailure(api.CodeTicketSpent, "the ticket was spent, and the answer is no longer kept")
 		f.outcome = api.Unknown
 		return f
 	case spender.Expired:
-		return fail(api.CodeTicketExpired, "the ticket was never spent and can no longer be")
+		return newFailure(api.CodeTicketExpired, "the ticket was never spent and can no longer be")
 	}
-	return fail(api.CodeTicketUnknown, "the ticket is not this entry's")
+	return newFailure(api.CodeTicketUnknown, "the ticket is not this entry's")
 }
 
-func replay(w http.ResponseWriter, a *spender.Answer) {
+func replayAnswer(w http.ResponseWriter, a *spender.Answer) {
 	h := w.Header()
 	h.Set("Content-Type", a.ContentType)
 	h.Set(api.HeaderOutcome, a.Outcome)
@@ -113,15 +113,15 @@
 	_, _ = w.Write(a.Body)
 }
 
-// runOnce runs a request whose ticket was just spent, and keeps its answer.
+// runWithTicket runs a request whose ticket was just spent, and keeps its answer.
 // A request that truly did not run gives its ticket back.
-func (s *Server) runOnce(x *exchange, next handler) *failure {
-	x.record = &recorder{ResponseWriter: x.writer, limit: maxAnswerBytes}
-	x.writer = x.record
+func (s *Server) runWithTicket(x *exchange, next handler) *failure {
+	x.answerRecorder = &recorder{ResponseWriter: x.writer, limit: maxKeptAnswerBytes}
+	x.writer = x.answerRecorder
 	finished := false
 	defer func() {
 		if !finished { // a panic: what ran is not known
-			s.do(func(c *control) { c.spender.Finish(time.Now(), x.ticket, nil) })
+			s.onControl(func(c *control) { c.spender.Finish(time.Now(), x.ticket, nil) })
 		}
 	}()
 	f := next(x)
@@ -130,13 +130,13 @@
 	if f != nil {
 		outcome = x.outcome(f)
 		if outcome == api.NotRun {
-			s.do(func(c *control) { c.spender.Unspend(x.ticket) })
+			s.onControl(func(c *control) { c.spender.Unspend(x.ticket) })
 			return f
 		}
-		x.refuse(f)
+		x.writeFailure(f)
 	}
-	answer := x.record.answer(string(outcome))
-	s.do(func(c *control) { c.spender.Finish(time.Now(), x.ticket, answer) })
+	answer := x.answerRecorder.answer(string(outcome))
+	s.onControl(func(c *control) { c.spender.Finish(time.Now(), x.ticket, answer) })
 	if f != nil {
 		f.outcome = outcome
 		return f
@@ -185,25 +185,25 @@
 	return &spender.Answer{Status: r.status, ContentType: r.Header().Get("Content-Type"), Outcome: outcome, Body: bytes.Clone(r.body.Bytes())}
 }
 
-// forward passes a request to the incarnation that its ticket is bound to and
+// forwardToOwner passes a request to the incarnation that its ticket is bound to and
 // relays the answer. It is passed on once only, and run by nobody else.
-func (s *Server) forward(x *exchange) *failure {
+func (s *Server) forwardToOwner(x *exchange) *failure {
 	if x.request.Header.Get(api.HeaderForwarded) != "" {
-		return ownerGone("the ticket's entry is not the one it was issued by")
+		return ownerGoneFailure("the ticket's entry is not the one it was issued by")
 	}
 	owner, known := s.current.Load().members[x.ticket.Owner]
 	switch {
 	case x.ticket.Owner == s.settings.Name:
-		return ownerGone("the ticket was issued before this entry restarted")
+		return ownerGoneFailure("the ticket was issued before this entry restarted")
 	case !known || !owner.Address.IsValid():
-		return ownerGone("the ticket's entry is not known here")
+		return ownerGoneFailure("the ticket's entry is not known here")
 	case owner.Incarnation > x.ticket.Incarnation:
-		return ownerGone("the ticket was issued before its entry restarted")
+		return ownerGoneFailure("the ticket was issued before its entry restarted")
 	}
 	s.logs.route.Info("forward", zap.String("request", x.id), zap.String("entry", owner.Name), zap.String("reason", "ticket"))
-	timeout := x.left()
+	timeout := x.remaining()
 	if timeout <= 0 {
-		return fail(api.CodeDeadline, "the time limit has passed")
+		return newFailure(api.CodeDeadline, "the time limit has passed")
 	}
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
@@ -219,33 +219,33 @@
 	}
 	r.Header.Set(api.HeaderTimeout, api.FormatSeconds(timeout))
 	r.Header.Set(api.HeaderForwarded, s.settings.Name)
-	response, err := s.single.Do(r)
+	response, err := s.singleUseClient.Do(r)
 	if err != nil {
-		f := ownerGone("the ticket's entry did not answer")
-		f.err, f.retryAfter = err, inProgressRetry
+		f := ownerGoneFailure("the ticket's entry did not answer")
+		f.err, f.retryAfter = err, inProgressRetryAfter
 		if connected {
-			x.pending++
+			x.unresolvedAttempts++
 		}
 		return f
 	}
 	defer func() { _ = response.Body.Close() }()
-	return x.relay(response)
+	return x.relayResponse(response)
 }
 
-// ownerGone says that the ticket can't be spent any more. Whether an earlier
+// ownerGoneFailure says that the ticket can't be spent any more. Whether an earlier
 // call with it ran is not known to anybody.
-func ownerGone(message string) *failure {
-	f := fail(api.CodeTicketOwnerGone, "%s: this call did not run; whether an earlier one did is not known", message)
+func ownerGoneFailure(message string) *failure {
+	f := newFailure(api.CodeTicketOwnerGone, "%s: this call did not run; whether an earlier one did is not known", message)
 	f.outcome = api.Unknown
 	return f
 }
 
-// errCut is an answer that ended before it was whole.
-var errCut = errors.New("answer was cut off")
+// errAnswerCutOff is an answer that ended before it was whole.
+var errAnswerCutOff = errors.New("answer was cut off")
 
-// relay passes on another entry's response as it comes. One that is cut off
+// relayResponse passes on another entry's response as it comes. One that is cut off
 // is cut off for the caller too, so that it is never taken for whole.
-func (x *exchange) relay(response *http.Response) *failure {
+func (x *exchange) relayResponse(response *http.Response) *failure {
 	h := x.writer.Header()
 	for _, name := range []string{"Content-Type", "Retry-After", api.HeaderOutcome, api.HeaderRequestID} {
 		if v := response.Header.Get(name); v != "" {
@@ -265,7 +265,7 @@
 			return nil
 		}
 		if err != nil {
-			x.server.logs.route.Warn("forward_cut", zap.String("request", x.id), zap.Error(errCut), zap.NamedError("cause", err))
+			x.server.logs.route.Warn("forward_cut", zap.String("request", x.id), zap.Error(errAnswerCutOff), zap.NamedError("cause", err))
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/server/view.go
+++ b/server/view.go
@@ -18,11 +18,11 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// farDistance stands for the time of one way to another data centre, and
-// nearDistance within one, until they are measured.
+// remoteLatency stands for the time of one way to another data centre, and
+// localLatency within one, until they are measured.
 const (
-	nearDistance = 200 * time.Microsecond
-	farDistance  = 1500 * time.Microsecond
+	localLatency  = 200 * time.Microsecond
+	remoteLatency = 1500 * time.Microsecond
 )
 
 // view is what traffic goroutines see of the control state. It is never
@@ -34,10 +34,10 @@
 	// engines holds the engines of the document that the list names.
 	engines map[string]upstream
 	members map[string]prober.Member
-	// takers are the entries that take new callers, by name.
-	takers   []api.EntryAddress
-	ready    bool
-	stopping bool
+	// acceptingEntries are the entries that take new callers, by name.
+	acceptingEntries []api.EntryAddress
+	ready            bool
+	stopping         bool
 }
 
 // upstream is one engine or instance of a service.
@@ -54,35 +54,35 @@
 	return &view{board: router.NewBoard(nil)}
 }
 
-// publish makes the view anew, and begins or ends keeping engines.
-func (c *control) publish() {
+// publishView makes the view anew, and begins or ends keeping engines.
+func (c *control) publishView() {
 	c.dirty = false
 	v := emptyView()
 	v.accepted = c.adopter.Current()
 	v.ready, v.stopping = c.adopter.Ready(), c.stopping
 	v.engines = map[string]upstream{}
 	v.members = map[string]prober.Member{}
-	candidates := c.members(v)
+	candidates := c.fillMembers(v)
 	var services []dispatcher.Instance
 	if v.accepted != nil {
-		c.placeEngines(v, candidates)
-		services = c.servicesOf(v.accepted)
+		c.fillEngines(v, candidates)
+		services = c.usableInstances(v.accepted)
 	}
-	c.assign(v)
+	c.updateKeepers(v)
 	c.server.quarantine.SetUpstreamCount(countUpstreams(v.engines, services))
-	c.server.calls.Update(&matcher.Table{}, services)
+	c.server.callDispatcher.Update(&matcher.Table{}, services)
 	c.server.current.Store(v)
 }
 
-// members fills in the members and returns those that can keep engines.
-func (c *control) members(v *view) []assigner.Member {
+// fillMembers fills in the members and returns those that can keep engines.
+func (c *control) fillMembers(v *view) []assigner.Member {
 	settings := c.server.settings
 	var candidates []assigner.Member
 	if !c.stopping {
 		candidates = append(candidates, assigner.Member{Name: settings.Name, DataCentre: settings.DataCentre})
 	}
 	if v.ready && !c.stopping {
-		v.takers = append(v.takers, api.EntryAddress{Name: settings.Name, Address: settings.Address, DataCentre: settings.DataCentre})
+		v.acceptingEntries = append(v.acceptingEntries, api.EntryAddress{Name: settings.Name, Address: settings.Address, DataCentre: settings.DataCentre})
 	}
 	for _, m := range c.prober.Members() {
 		v.members[m.Name] = m
@@ -90,14 +90,14 @@
 			candidates = append(candidates, assigner.Member{Name: m.Name, DataCentre: m.DataCentre})
 		}
 		if m.State == prober.Live && m.Ready {
-			v.takers = append(v.takers, api.EntryAddress{Name: m.Name, Address: m.Address, DataCentre: m.DataCentre})
+			v.acceptingEntries = append(v.acceptingEntries, api.EntryAddress{Name: m.Name, Address: m.Address, DataCentre: m.DataCentre})
 		}
 	}
-	slices.SortFunc(v.takers, func(a, b api.EntryAddress) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.acceptingEntries, func(a, b api.EntryAddress) int { return strings.Compare(a.Name, b.Name) })
 	return candidates
 }
 
-func (c *control) upstream(name string) (upstream, bool) {
+func (c *control) findUpstream(name string) (upstream, bool) {
 	i, ok := c.instances[name]
 	if !ok {
 		return upstream{}, false
@@ -109,10 +109,10 @@
 	return upstream{Name: name, Address: address, DataCentre: i.DataCentre, Usable: c.drainer.IsUsable(name)}, true
 }
 
-func (c *control) placeEngines(v *view, candidates []assigner.Member) {
+func (c *control) fillEngines(v *view, candidates []assigner.Member) {
 	var engines []*router.Engine
 	for _, e := range v.accepted.Document.Engines {
-		u, ok := c.upstream(e.Name)
+		u, ok := c.findUpstream(e.Name)
 		if !ok {
 			continue
 		}
@@ -124,26 +124,26 @@
 		engines = append(engines, &router.Engine{
 			Name: e.Name, Address: u.Address.String(), DataCentre: u.DataCentre, Model: e.Model, Version: e.Version,
 			Adapters: e.Adapters, Role: e.Role, Keeper: u.Keeper, MemoryTokens: e.MemoryTokens, PrefillRate: e.PrefillRate,
-			Distance: c.distance(u.DataCentre), Load: c.load(e.Name),
+			Distance: c.oneWayLatency(u.DataCentre), Load: c.loadOf(e.Name),
 		})
 	}
 	v.board = router.NewBoard(engines)
 }
 
-func (c *control) distance(dataCentre string) time.Duration {
+func (c *control) oneWayLatency(dataCentre string) time.Duration {
 	if dataCentre == c.server.settings.DataCentre {
-		return nearDistance
+		return localLatency
 	}
-	return farDistance
+	return remoteLatency
 }
 
-// servicesOf lists the usable instances of a document's services.
-func (c *control) servicesOf(a *validator.Accepted) []dispatcher.Instance {
+// usableInstances lists the usable instances of a document's services.
+func (c *control) usableInstances(a *validator.Accepted) []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, s := range a.Document.Services {
 		for _, name := range s.Instances {
-			if u, ok := c.upstream(name); ok && u.Usable {
-				out = append(out, dispatcher.Instance{ID: u.Name, Service: s.Name, Address: u.Address, DataCentre: u.DataCentre, Slots: callSlots})
+			if u, ok := c.findUpstream(name); ok && u.Usable {
+				out = append(out, dispatcher.Instance{ID: u.Name, Service: s.Name, Address: u.Address, DataCentre: u.DataCentre, Slots: slotsPerInstance})
 			}
 		}
 	}
@@ -161,14 +161,14 @@
 	return len(engines) + len(others)
 }
 
-// assign begins to keep engines that are this entry's, and ends to keep
+// updateKeepers begins to keep engines that are this entry's, and ends to keep
 // others. A new keeper knows nothing and grants nothing until the engine has
 // told it what it holds.
-func (c *control) assign(v *view) {
+func (c *control) updateKeepers(v *view) {
 	for name := range c.keepers {
 		if u, ok := v.engines[name]; !ok || u.Keeper != c.server.settings.Name {
 			delete(c.keepers, name)
-			delete(c.steps, name)
+			delete(c.lastSteps, name)
 			c.planner.Forget(name)
 			c.server.logs.keep.Info("keep_ends", zap.String("engine", name), zap.String("keeper", v.engines[name].Keeper))
 		}
@@ -188,11 +188,11 @@
 	}
 }
 
-// grantLife is how long a grant counts beside what its engine reports: longer
+// grantTTL is how long a grant counts beside what its engine reports: longer
 // than load reports lag.
-const grantLife = 2 * time.Second
+const grantTTL = 2 * time.Second
 
 func (s *Server) keeperConfig(engine string, memory, rate int) keeper.Config {
 	t := s.settings.Timing
-	return keeper.Config{Engine: engine, Lease: t.Lease, GrantLife: grantLife, MemoryTokens: memory, PrefillRate: rate}
+	return keeper.Config{Engine: engine, Lease: t.Lease, GrantLife: grantTTL, MemoryTokens: memory, PrefillRate: rate}
 }
--- a/server/watch.go
+++ b/server/watch.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	// leastBackoff and mostBackoff bound the pause after a failed read of
+	// minBackoff and mostBackoff bound the pause after a failed read of
 	// the platform; a read that succeeds at once is followed by leastBackoff
 	// too, so that no entry reads more than a few times a second.
-	leastBackoff = 200 * time.Millisecond
-	mostBackoff  = 5 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 	// watchSlack is added to the wait of a watch for the answer to come.
 	watchSlack = 2 * time.Second
 )
 
 // watchConfig keeps a watch on the configuration document.
 func (s *Server) watchConfig(ctx context.Context) {
-	s.watch(ctx, api.PathConfig, func(data []byte, err error) {
+	s.watchPath(ctx, api.PathConfig, func(data []byte, err error) {
 		if err == nil && data != nil {
-			s.consider(data, sourcePlatform)
+			s.considerDocument(data, sourcePlatform)
 		}
-		s.do(func(c *control) { c.asked(sourcePlatform) })
+		s.onControl(func(c *control) { c.recordSourceAsked(sourcePlatform) })
 	})
 }
 
 // watchInstances keeps a watch on the list of instances.
 func (s *Server) watchInstances(ctx context.Context) {
-	s.watch(ctx, api.PathInstances, func(data []byte, err error) {
+	s.watchPath(ctx, api.PathInstances, func(data []byte, err error) {
 		if err != nil {
 			return
 		}
-		s.do(func(c *control) { c.offerList(time.Now(), data, 0) })
+		s.onControl(func(c *control) { c.offerInstanceList(time.Now(), data, 0) })
 	})
 }
 
-// watch reads a key of the platform again and again, each read waiting for
+// watchPath reads a key of the platform again and again, each read waiting for
 // news, and passes on what it reads: nil where there was no news.
-func (s *Server) watch(ctx context.Context, path string, take func([]byte, error)) {
-	etag, backoff := "", leastBackoff
+func (s *Server) watchPath(ctx context.Context, path string, handle func([]byte, error)) {
+	etag, backoff := "", minBackoff
 	for ctx.Err() == nil {
 		data, tag, err := s.readPlatform(ctx, path, etag)
 		s.metrics.platform.Inc(1)
 		if ctx.Err() != nil {
 			return
 		}
-		take(data, err)
+		handle(data, err)
 		if err != nil {
 			s.logs.entry.Warn("platform", zap.String("path", path), zap.Error(err))
-			backoff = min(2*backoff, mostBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		} else {
-			etag, backoff = tag, leastBackoff
+			etag, backoff = tag, minBackoff
 		}
 		// Jitter keeps entries that failed together from reading together.
 		if !sleeper.Sleep(ctx, backoff/2+time.Duration(rand.Int64N(int64(backoff)))) {
@@ -81,7 +81,7 @@
 		request.Header.Set("If-None-Match", etag)
 		request.Header.Set("Prefer", fmt.Sprintf("wait=%d", max(1, int(wait.Seconds()))))
 	}
-	response, err := s.traffic.Do(request)
+	response, err := s.trafficClient.Do(request)
 	if err != nil {
 		return nil, "", fmt.Errorf("read platform: %w", err)
 	}
