--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -25,7 +25,7 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// benchControl is an entry's control state at a size, without the network.
+// benchControl returns the control state of an entry in a system of the given size, without a network.
 func benchControl(b *testing.B, entries, engines int) *control {
 	b.Helper()
 	logs, err := logger.New(logger.Config{Level: "error", Output: io.Discard})
@@ -67,8 +67,8 @@
 	return c
 }
 
-// BenchmarkPublish is the cost of making the view anew, once for every change
-// that an entry hears of, and the memory of members, engines and view.
+// BenchmarkPublish measures the time to rebuild the view, which happens after every change of the control
+// state, and the memory that members, engines and view occupy.
 func BenchmarkPublish(b *testing.B) {
 	for _, size := range [][2]int{{7, 14}, {100, 150}, {380, 150}, {380, 600}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkTick is the cost of the control goroutine's own clock.
+// BenchmarkTick measures one periodic tick of the control goroutine.
 func BenchmarkTick(b *testing.B) {
 	for _, entries := range []int{7, 100, 380} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -103,9 +103,9 @@
 	}
 }
 
-// BenchmarkBeatBytes is the size of a heartbeat on a connection that has
-// carried one before, against what it carries.
-func BenchmarkBeatBytes(b *testing.B) {
+// BenchmarkHeartbeatBytes measures the encoded size of a heartbeat by the number of notices and loads in it, on
+// a gob stream that has sent the type before.
+func BenchmarkHeartbeatBytes(b *testing.B) {
 	for _, size := range [][2]int{{0, 0}, {4, 0}, {16, 0}, {0, 2}, {0, 6}} {
 		b.Run(fmt.Sprintf("notices=%d/loads=%d", size[0], size[1]), func(b *testing.B) {
 			beat := api.Heartbeat{
@@ -143,8 +143,8 @@
 	return c.Conn.Write(p)
 }
 
-// BenchmarkAsk is a question to a keeper at another entry: time and bytes both
-// ways over loopback, on a connection that was used before.
+// BenchmarkAsk measures a grant request to the keeper at another entry: the time, and the bytes in both
+// directions over loopback on a connection that was used before.
 func BenchmarkAsk(b *testing.B) {
 	c := benchControl(b, 1, 4)
 	k := c.keepers["engine-1"]
@@ -184,7 +184,7 @@
 	b.ReportMetric(float64(sent.Load())/float64(n), "bytes/op")
 }
 
-// benchEntry answers asks without a control goroutine.
+// benchEntry answers the Ask RPC without a control goroutine.
 type benchEntry struct{ c *control }
 
 func (e *benchEntry) Ask(args api.AskArgs, reply *api.AskReply) error {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// BenchmarkReport is the cost of one listing of a kept engine's holds.
+// BenchmarkReport measures how long a keeper takes to process one listing of its engine's holds.
 func BenchmarkReport(b *testing.B) {
 	for _, holds := range []int{10, 50, 200} {
 		b.Run(fmt.Sprintf("holds=%d", holds), func(b *testing.B) {
@@ -208,8 +208,8 @@
 	}
 }
 
-// BenchmarkTicket is the cost of a ticket issued, spent and finished, and the
-// memory of one that is kept with an answer of 200 bytes.
+// BenchmarkTicket measures issuing, spending and finishing a ticket, and the memory that a finished ticket
+// with a kept answer of 200 bytes occupies.
 func BenchmarkTicket(b *testing.B) {
 	now := time.Now()
 	s := spender.New(now, spender.Config{Name: "entry-1", Incarnation: 1, Life: time.Hour, MaxAnswerBytes: 1 << 30, Secret: make([]byte, 32)})
--- a/server/call.go
+++ b/server/call.go
@@ -18,9 +18,9 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// callService sends a call to an instance of a service and gives back its
-// whole answer. A call that may not be repeated is sent again only where no
-// byte of it left, or the instance says that it never started.
+// callService sends a service call to instances of the service until one answers, and writes the whole
+// answer to the caller. A call that must not be repeated is sent again only if no byte of it was sent or
+// the instance states that it never started it.
 func (s *Server) callService(x *exchange) *failure {
 	var tried []dispatcher.Instance
 	x.fingerprint = fingerprintOf(x)
@@ -60,28 +60,30 @@
 	return f
 }
 
-// slotsPerInstance is how many calls an instance of a service is taken to work on at once, which no document says. A call goes
-// to another data centre where each instance of this one has some two calls more than those there.
+// slotsPerInstance is the number of calls that an instance of a service is assumed to run in parallel, as
+// no document states it. Calls go to another data centre once each local instance has about two more calls
+// than the remote ones.
 const slotsPerInstance = 16
 
-// newCallDispatcher returns the board of an entry's calls to services.
+// newCallDispatcher returns the dispatcher that places this entry's service calls.
 func newCallDispatcher(dataCentre string) *dispatcher.Dispatcher {
 	return dispatcher.NewLocal(dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// placeCall finds the instance of the call's service that has the least to do and fails least, as far as
-// this entry has seen, of this data centre rather than another.
+// placeCall selects an instance of the call's service. It prefers instances in this data centre, with few
+// calls in progress and few failures as seen by this entry.
 func (s *Server) placeCall(x *exchange, tried []dispatcher.Instance) (*dispatcher.Placement, *failure) {
 	p, refusal := s.callDispatcher.Place(time.Now(), dispatcher.Demand{Service: x.service.Name, Avoid: tried})
 	if refusal == nil {
 		return p, nil
 	}
-	f := newFailure(api.CodeNoUpstream, "no instance of service %s can take the call now", x.service.Name)
+	f := newFailure(api.CodeNoUpstream, "no instance of service %s can accept the call now", x.service.Name)
 	f.retryAfter, f.err = s.retryAfter(), refusal
 	return nil, f
 }
 
-// sendCall sends a call to the instance that was found for it. The result is what that tells of the instance.
+// sendCall sends a service call to the selected instance and writes the answer to the caller. The Result
+// reports what the attempt shows about the instance, for the dispatcher's statistics.
 func (s *Server) sendCall(x *exchange, p *dispatcher.Placement) (dispatcher.Result, *failure) {
 	client := s.trafficClient
 	if !x.repeatable {
@@ -103,7 +105,7 @@
 		f := newFailure(api.CodeUpstreamFailed, "service %s did not answer", x.service.Name)
 		f.err = err
 		if !*connected {
-			x.unresolvedAttempts-- // no byte left for the service
+			x.unresolvedAttempts-- // no byte was sent to the service
 			return dispatcher.Unreachable, f
 		}
 		x.detectCrash(x.ctx, attempt)
@@ -116,7 +118,7 @@
 		x.detectCrash(x.ctx, attempt)
 	}
 	if err != nil {
-		f := newFailure(api.CodeUpstreamFailed, "service %s broke off", x.service.Name)
+		f := newFailure(api.CodeUpstreamFailed, "the answer of service %s could not be read", x.service.Name)
 		f.err = err
 		return x.unansweredResult(), f
 	}
@@ -140,7 +142,8 @@
 	return dispatcher.Answered, nil
 }
 
-// unansweredResult is what a call without an answer tells of its instance: nothing where its caller left.
+// unansweredResult returns the dispatcher result of a call that got no answer. If the caller disconnected,
+// the instance is not blamed.
 func (x *exchange) unansweredResult() dispatcher.Result {
 	if errors.Is(x.ctx.Err(), context.Canceled) {
 		return dispatcher.Abandoned
@@ -148,8 +151,8 @@
 	return dispatcher.Incomplete
 }
 
-// callRequest makes the request to a service. The bool is set once a
-// connection was had, so that a byte may have left.
+// callRequest builds the HTTP request to a service instance. The returned bool becomes true once the
+// transport has a connection, from which point a byte may have been sent.
 func (x *exchange) callRequest(i dispatcher.Instance) (*http.Request, *bool, error) {
 	connected := new(bool)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { *connected = true }}
@@ -157,17 +160,17 @@
 	url := "http://" + i.Address.String() + x.request.URL.Path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(x.body))
 	if err != nil {
-		return nil, nil, fmt.Errorf("make request: %w", err)
+		return nil, nil, fmt.Errorf("build request: %w", err)
 	}
 	if !x.repeatable {
-		request.GetBody = nil // the transport can't send it again by itself
+		request.GetBody = nil // keeps the transport from resending the request by itself
 	}
 	request.Header.Set("Content-Type", x.request.Header.Get("Content-Type"))
 	request.Header.Set(api.HeaderRequestID, x.id)
 	return request, connected, nil
 }
 
-// errAnswerTooLarge is an answer over the limit, which can't be given whole.
+// errAnswerTooLarge reports an answer that exceeds Callers.MaxBody and is therefore not relayed.
 var errAnswerTooLarge = errors.New("answer is too large")
 
 func readAnswer(response *http.Response, limit int64) ([]byte, error) {
--- a/server/call_test.go
+++ b/server/call_test.go
@@ -11,7 +11,7 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// All calls went to the instance that the document names first, while the others were idle.
+// Guards against calls all going to the instance that the document lists first while the others are idle.
 func TestCallsAreSpreadOverInstances(t *testing.T) {
 	withCrashingServices(t, 3, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
@@ -22,12 +22,13 @@
 		served := c.answerCounts()
 		is.Equal(len(served), 3)
 		for _, n := range served {
-			is.True(n >= 10) // a third each would be 30
+			is.True(n >= 10) // an even spread would be 30
 		}
 	})
 }
 
-// An instance that froze took a third of all calls, each until its limit, for as long as it was listed.
+// Guards against a frozen instance receiving a third of all calls, each of which runs into its timeout, for
+// as long as the instance is listed.
 func TestCallsAvoidAFrozenInstance(t *testing.T) {
 	withCrashingServices(t, 3, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
@@ -39,7 +40,7 @@
 				failed++
 			}
 		}
-		is.True(failed <= 6) // two an entry at most
+		is.True(failed <= 6) // at most two per entry
 		c.freeze(netip.Addr{})
 		time.Sleep(20 * time.Second)
 		before := c.answerCounts()[host(4, 2)]
@@ -47,6 +48,6 @@
 			_, err := caller.Call(context.Background(), "dispatch", "lookup", []byte("{}"), client.Options{Timeout: time.Second})
 			is.NoErr(err)
 		}
-		is.True(c.answerCounts()[host(4, 2)] > before) // it is used again
+		is.True(c.answerCounts()[host(4, 2)] > before) // the instance is used again
 	})
 }
--- a/server/complete.go
+++ b/server/complete.go
@@ -18,18 +18,17 @@
 )
 
 const (
-	// maxAttempts bounds the engines that one request is sent to.
+	// maxAttempts is the maximum number of attempts per request, over all upstreams.
 	maxAttempts = 4
-	// maxKeepersAsked is how many keepers are asked in one round of placement.
+	// maxKeepersAsked is the maximum number of keepers asked in one round of placement.
 	maxKeepersAsked = 3
-	// groupWaitDivisor is the part of a request's remaining time that it may
-	// wait for a group of engines, and groupPause the least pause between
-	// tries. Past it the request is given up and refused at once.
+	// A request waits at most its remaining time divided by groupWaitDivisor for a group of engines, and is
+	// then refused at once. Tries are at least minGroupRetryInterval apart.
 	groupWaitDivisor      = 4
 	minGroupRetryInterval = 80 * time.Millisecond
 )
 
-// completion is the work on one prompt.
+// completion holds the state of one prompt across its attempts.
 type completion struct {
 	x            *exchange
 	relayer      *relayer.Relayer
@@ -39,14 +38,13 @@
 	triedEngines []string
 	version      string
 	attempts     int
-	// answerStartedAt is when the last attempt's answer did; zero before.
+	// answerStartedAt is the time of the first token of the last attempt; zero before it.
 	answerStartedAt time.Time
 }
 
-// complete places a prompt and relays its answer, resuming it elsewhere where
-// an engine fails.
+// complete places a prompt on an engine, relays the answer, and resumes it on another engine if one fails.
 func (s *Server) complete(x *exchange) *failure {
-	x.body = nil // the decoded prompt is enough from here on
+	x.body = nil // only the decoded prompt is needed from here on
 	x.fingerprint = fingerprintOf(x)
 	c := &completion{x: x, relayer: relayer.New(x.id), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	if x.completion.Seed == 0 {
@@ -76,7 +74,7 @@
 	return n.Foreign + n.Stale + n.Repeated
 }
 
-// canRetry reports whether another attempt is allowed and of use.
+// canRetry reports whether another attempt is permitted and can succeed.
 func (c *completion) canRetry(f *failure) bool {
 	x := c.x
 	if f.code != api.CodeUpstreamFailed || c.attempts >= maxAttempts || x.ctx.Err() != nil {
@@ -85,11 +83,12 @@
 	if x.isCrashSuspect() {
 		return false
 	}
-	// What may have run is not run again, unless the request is repeatable.
+	// An attempt that may have run is not repeated unless the request is repeatable.
 	return x.repeatable || x.unresolvedAttempts == 0
 }
 
-// finalFailure makes the last failure the answer, at once.
+// finalFailure converts the failure of the last attempt into the one that the caller gets, without further
+// waiting.
 func (c *completion) finalFailure(f *failure) *failure {
 	x := c.x
 	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.remaining() <= 0 {
@@ -101,8 +100,7 @@
 	return f
 }
 
-// attempt places the prompt once and relays what comes. It returns nil when
-// the answer is whole.
+// attempt places the prompt once and relays the answer. It returns nil once the answer is complete.
 func (c *completion) attempt() *failure {
 	needs := c.requirements()
 	if c.needsGroup(needs) {
@@ -124,7 +122,8 @@
 	}
 }
 
-// class is what the engines schedule the prompt by.
+// class returns the length class by which engines schedule the prompt. All prompts are of class Longest if
+// the policy gives short prompts no weight.
 func (c *completion) class() router.Class {
 	policy := c.x.view.accepted.Document.Policy
 	if policy.ShortWeight == 0 {
@@ -133,7 +132,7 @@
 	return router.ClassOf(api.PromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
 }
 
-// needsGroup reports whether no single engine of the model holds the prompt.
+// needsGroup reports whether no single engine of the model has enough memory for the prompt.
 func (c *completion) needsGroup(needs router.Requirements) bool {
 	for _, e := range c.x.view.accepted.Document.Engines {
 		if e.Model == needs.Model && e.MemoryTokens >= needs.MemoryTokens {
@@ -143,7 +142,7 @@
 	return true
 }
 
-// place finds an engine whose keeper grants the attempt.
+// place asks keepers in turn until one grants the attempt. It returns the engine and the ID of the attempt.
 func (c *completion) place(needs router.Requirements) (*router.Engine, string, *failure) {
 	x := c.x
 	p := placer.New(time.Now(), x.remaining(), c.random)
@@ -167,8 +166,8 @@
 	}
 }
 
-// chooseEngines orders the engines to ask. When every engine failed the request
-// once, all are tried again, as one may be back.
+// chooseEngines returns the engines to ask, best first. If every engine has failed the request once, all
+// are eligible again, as a failed engine may have recovered.
 func (c *completion) chooseEngines(needs *router.Requirements) []router.Choice {
 	board := c.x.server.current.Load().board
 	choices := board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
@@ -189,12 +188,12 @@
 	return answer
 }
 
-// placementFailure is the refusal of a prompt that was given up.
+// placementFailure returns the failure for a prompt that no engine could be found for.
 func (c *completion) placementFailure(kind placer.Kind, needs router.Requirements) *failure {
 	f := newFailure(api.CodeNoUpstream, "no engine serves model %s now", needs.Model)
 	switch kind {
 	case placer.NoRoom:
-		f = newFailure(api.CodeOverloaded, "no engine of model %s can take the prompt now", needs.Model)
+		f = newFailure(api.CodeOverloaded, "no engine of model %s can accept the prompt now", needs.Model)
 	case placer.TooLate:
 		f = newFailure(api.CodeNoUpstream, "no engine of model %s can answer within the time limit now", needs.Model)
 	}
@@ -209,7 +208,8 @@
 		zap.Duration("predicted_ms", choice.Predicted), zap.Duration("wait_ms", answer.Wait))
 }
 
-// finish ends a whole answer.
+// finish completes the response after the whole answer was received: the end marker of a stream, or the
+// collected answer.
 func (c *completion) finish() *failure {
 	x := c.x
 	if x.completion.Stream {
@@ -226,7 +226,8 @@
 	return nil
 }
 
-// deliver gives text of the answer to the caller.
+// deliver passes a piece of the answer to the caller: as an event of a stream, or collected until the
+// answer is complete.
 func (c *completion) deliver(offset int, text string, usage *api.CompletionUsage) {
 	x := c.x
 	c.usage = usage
--- a/server/control.go
+++ b/server/control.go
@@ -25,33 +25,37 @@
 )
 
 const (
-	// maxKeptAnswerBytes bounds the answers kept for calls that run at most once.
+	// maxKeptAnswerBytes bounds the kept answers of at-most-once calls, both each one and all together.
 	maxKeptAnswerBytes = 8 << 20
-	// tickInterval is the period of the control goroutine's own clock.
+	// tickInterval is the period of the control goroutine's tick.
 	tickInterval = 100 * time.Millisecond
-	// suspendThreshold is a gap between ticks that means this process was paused.
+	// suspendThreshold is the time between two ticks above which this process is assumed to have been
+	// suspended.
 	suspendThreshold = time.Second
-	// orderRetryInterval is how long an order to an engine is awaited.
+	// orderRetryInterval is how long an engine has to report an order as done before the order is sent
+	// again.
 	orderRetryInterval = 30 * time.Second
-	// minWeightLoadInterval is the least time between loads from the weight store.
+	// minWeightLoadInterval is the minimum time between model loads from the weight store, over the whole
+	// fleet.
 	minWeightLoadInterval = 500 * time.Millisecond
 )
 
-// listSlack is added to the length of a watch before a list that the platform
-// did not confirm counts as old.
+// listSlack is added to Timing.Watch to get the age at which an instance list that the platform has not
+// confirmed again counts as old.
 const listSlack = 2 * time.Second
 
-// largeDocumentBytes is the size from which memory is given back after parsing.
+// largeDocumentBytes is the document size from which memory is returned to the operating system after
+// parsing.
 const largeDocumentBytes = 64 << 10
 
-// parseGCPercent is the growth of the heap between collections while a large
-// document is parsed.
+// parseGCPercent is the garbage collection target, as in debug.SetGCPercent, while a large document is
+// parsed.
 const parseGCPercent = 20
 
-// sourcePlatform names the platform among the sources of documents.
+// sourcePlatform names the platform as a source of documents in the adopter and in logs.
 const sourcePlatform = "platform"
 
-// control is all control state. Only the control goroutine touches it.
+// control holds all control state. Only the control goroutine accesses it.
 type control struct {
 	server   *Server
 	adopter  *adopter.Adopter
@@ -60,22 +64,22 @@
 	admitter *admitter.Admitter
 	spender  *spender.Spender
 	planner  *planner.Planner
-	// keepers are of the engines that this entry keeps, by engine name.
+	// keepers holds the ledger of each engine that this entry is the keeper of, by engine name.
 	keepers map[string]*keeper.Keeper
-	// lastSteps are what the planner last decided, by engine name.
+	// lastSteps holds the planner's last decision for each kept engine, by engine name.
 	lastSteps map[string]planner.Step
-	// instances is the newest list, by name; lister decides which that is.
+	// instances is the instance list in use, by name; lister decides which list that is.
 	instances map[string]api.Instance
 	lister    *lister.Lister
-	// engineLoads outlive boards, by engine name.
+	// engineLoads holds the load of each engine, by engine name. Loads are shared by successive boards.
 	engineLoads map[string]*router.Load
-	// ownHolds are this entry's holds on engines, by engine name and hold id.
+	// ownHolds holds this entry's holds, by engine name and hold ID.
 	ownHolds map[string]map[string]*ownHold
 	stopping bool
 	lastTick time.Time
-	// resumedAt is when this process last ran again after a pause.
+	// resumedAt is when this process last resumed after a suspension; zero if it never did.
 	resumedAt time.Time
-	// dirty says that the view is out of date.
+	// dirty is true if the published view is out of date.
 	dirty bool
 }
 
@@ -107,11 +111,11 @@
 	}
 }
 
-// onControl runs a command on the control goroutine and waits for it. After the
-// control goroutine has ended it does nothing.
+// onControl runs a command on the control goroutine and waits for it to return. It does nothing once the
+// control goroutine has ended.
 func (s *Server) onControl(command func(*control)) { s.control.Do(command) }
 
-// publishIfDirty makes a new view where something changed.
+// publishIfDirty publishes a new view if the control state has changed since the last one.
 func (c *control) publishIfDirty() {
 	if c.dirty {
 		c.publishView()
@@ -130,13 +134,13 @@
 	c.server.metrics.inFlight.Update(float64(c.admitter.InFlight()))
 }
 
-// hasJustResumed reports whether this process was paused and ran again no longer ago
-// than the slack that requests have past their limit.
+// hasJustResumed reports whether this process was suspended and resumed less than deadlineSlack ago, or has
+// not yet ticked since. Requests may then overrun their deadline.
 func (c *control) hasJustResumed(now time.Time) bool {
 	return now.Sub(c.lastTick) > suspendThreshold || now.Sub(c.resumedAt) < deadlineSlack
 }
 
-// recordMemberChanges logs changes of members and has the view made anew.
+// recordMemberChanges logs state changes of members and marks the view as out of date.
 func (c *control) recordMemberChanges(changes []prober.Change) {
 	for _, change := range changes {
 		c.server.logs.members.Info("member", zap.String("name", change.Name), zap.String("from", string(change.From)),
@@ -145,7 +149,8 @@
 	}
 }
 
-// offerDocument considers a document that was parsed, and logs what became of it.
+// offerDocument passes a parsed document, or the error that made it invalid, to the adopter and logs the
+// result.
 func (c *control) offerDocument(now time.Time, digest string, offered *validator.Accepted, err error, source string) {
 	before := c.adopter.Version()
 	result := c.adopter.Parsed(now, digest, offered, err)
@@ -171,10 +176,9 @@
 	}
 }
 
-// considerDocument takes in a document's bytes. It is parsed on the goroutine that
-// read it: a large one takes longer than control may stand still.
-// One document is parsed at a time, since platform and peers often bring the
-// same one at once.
+// considerDocument parses a configuration document and offers it to the adopter. It parses on the calling
+// goroutine, as a large document would block the control goroutine for too long. Only one document is
+// parsed at a time, since the platform and peers often deliver the same one at once.
 func (s *Server) considerDocument(data []byte, source string) {
 	s.parseLock <- struct{}{}
 	defer func() { <-s.parseLock }()
@@ -185,8 +189,8 @@
 		return
 	}
 	if len(data) >= largeDocumentBytes {
-		// Parsing leaves many times the document's size behind, which an
-		// entry on a small instance can't keep until the next collection.
+		// Parsing allocates many times the document's size, which an entry on a small instance can't afford
+		// to retain until the next collection.
 		defer debug.FreeOSMemory()
 		defer debug.SetGCPercent(debug.SetGCPercent(parseGCPercent))
 	}
@@ -197,7 +201,8 @@
 	s.onControl(func(c *control) { c.offerDocument(time.Now(), digest, offered, err, source) })
 }
 
-// recordSourceAsked notes that a source of documents was asked.
+// recordSourceAsked records that a source of documents has answered or could not be reached. The entry is
+// ready once all sources are recorded and a document is in force.
 func (c *control) recordSourceAsked(source string) {
 	wasReady := c.adopter.Ready()
 	c.adopter.Asked(source)
@@ -206,7 +211,7 @@
 	}
 }
 
-// recordHeartbeat takes in a heartbeat.
+// recordHeartbeat updates members, leaving upstreams and engine loads from another entry's heartbeat.
 func (c *control) recordHeartbeat(now time.Time, heartbeat api.Heartbeat) {
 	before, known := c.prober.Find(heartbeat.From)
 	c.recordMemberChanges(c.prober.ReceiveHeartbeat(now, heartbeat))
@@ -224,7 +229,7 @@
 	}
 }
 
-// recordLoadDigest takes over what a keeper says of an engine.
+// recordLoadDigest updates an engine's load, incarnation and leaving state from its keeper's load digest.
 func (c *control) recordLoadDigest(now time.Time, digest api.LoadDigest) {
 	c.loadOf(digest.Engine).Heard(now, queueFromWire(digest.QueuedTokens), digest.FreeTokens)
 	c.recordIncarnation(digest.Engine, digest.Incarnation)
@@ -233,7 +238,8 @@
 	}
 }
 
-// recordIncarnation takes in an engine's incarnation; a new one may be used again.
+// recordIncarnation records the incarnation that an engine reported. A new incarnation of an engine that
+// was leaving may be used again.
 func (c *control) recordIncarnation(engine string, incarnation uint64) {
 	before := c.drainer.IsUsable(engine)
 	c.drainer.ObserveIncarnation(engine, incarnation)
@@ -242,7 +248,7 @@
 	}
 }
 
-// announceLeaving logs and passes on that an upstream began to leave.
+// announceLeaving logs that an upstream is leaving and queues a notice of it for other entries.
 func (c *control) announceLeaving(name string, source drainer.Source) {
 	c.server.logs.keep.Info("upstream_leaving", zap.String("name", name), zap.String("source", string(source)))
 	kind := api.KindEngine
@@ -254,8 +260,9 @@
 	c.dirty = true
 }
 
-// offerInstanceList considers an instance list; data is nil where the platform had no
-// news. Age is how long ago the platform confirmed the list.
+// offerInstanceList passes an instance list to the lister and applies the list if it replaces the one in
+// use. Data is nil if the platform reported no change; age is the time since the platform confirmed the
+// list.
 func (c *control) offerInstanceList(now time.Time, data []byte, age time.Duration) {
 	if !c.lister.Offer(now, data, age) {
 		return
@@ -268,7 +275,7 @@
 	c.applyInstanceList(now, list)
 }
 
-// applyInstanceList takes over an instance list.
+// applyInstanceList makes an instance list the one in use. Instances with an invalid address are left out.
 func (c *control) applyInstanceList(now time.Time, list api.InstanceList) {
 	c.prober.ApplyInstanceList(now, list.Instances)
 	instances := make(map[string]api.Instance, len(list.Instances))
@@ -295,7 +302,7 @@
 	return l
 }
 
-// buildHeartbeat is what this entry says of itself.
+// buildHeartbeat returns this entry's heartbeat, without quarantine updates.
 func (c *control) buildHeartbeat(now time.Time) api.Heartbeat {
 	version := c.adopter.Version()
 	heartbeat := api.Heartbeat{
--- a/server/convert.go
+++ b/server/convert.go
@@ -6,10 +6,10 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// digestToWire converts an engine's load for other entries.
+// digestToWire converts a keeper's load digest to its wire form.
 func digestToWire(d keeper.Digest) api.LoadDigest {
 	out := api.LoadDigest{Engine: d.Engine, Incarnation: d.Incarnation, Leaving: d.Leaving, FreeTokens: d.FreeTokens}
-	// Trailing zeros are left out: most engines have nothing queued.
+	// Trailing zeros are omitted, as most engines have nothing queued.
 	for c, tokens := range d.Queued {
 		if tokens == 0 {
 			continue
@@ -22,16 +22,15 @@
 	return out
 }
 
-// queueFromWire converts what another entry said is queued. What it says of classes
-// that do not exist is left out.
+// queueFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown to this
+// version are ignored.
 func queueFromWire(tokens []int) router.Queue {
 	var q router.Queue
 	copy(q[:], tokens)
 	return q
 }
 
-// classFromWire converts a class from the wire; one that does not exist counts as
-// the longest.
+// classFromWire converts a prompt's length class from its wire form. An unknown class becomes Longest.
 func classFromWire(class int) router.Class {
 	if class < 0 || class >= router.Classes {
 		return router.Longest
--- a/server/crash.go
+++ b/server/crash.go
@@ -10,7 +10,8 @@
 	"github.com/sapphireramp/sapphireramp/quarantiner"
 )
 
-// fingerprintOf names what a prompt or a call asks for, whatever id it has.
+// fingerprintOf returns the hash that identifies requests of equal content: same organisation, target and
+// prompt or body, whatever the request ID.
 func fingerprintOf(x *exchange) quarantiner.Fingerprint {
 	organisation := []byte(x.organisation.Name)
 	if r := x.completion; r != nil {
@@ -19,34 +20,37 @@
 	return quarantiner.FingerprintOf(organisation, []byte(x.service.Name), []byte(x.callName), x.body)
 }
 
-// checkQuarantine refuses a request that crashes the upstreams that run it.
+// checkQuarantine returns a failure if the request is quarantined for crashing the upstreams that run it,
+// and nil otherwise.
 func (x *exchange) checkQuarantine() *failure {
 	now := time.Now()
 	until, ok := x.server.quarantine.QuarantinedUntil(now, x.fingerprint)
 	if !ok {
 		return nil
 	}
-	f := newFailure(api.CodeQuarantined, "upstreams ended one after the other that ran this request")
+	f := newFailure(api.CodeQuarantined, "the request is quarantined: upstreams that ran it crashed one after the other")
 	f.retryAfter = until.Sub(now)
 	return f
 }
 
-// isCrashSuspect reports whether an attempt broke off that is not to be made again elsewhere, since
-// upstreams have ended under the request before.
+// isCrashSuspect reports whether the last attempt was interrupted and upstreams have crashed under the same
+// content before. Such a request is not retried, so that it can't crash another upstream.
 func (x *exchange) isCrashSuspect() bool {
 	return x.interrupted && x.server.quarantine.IsSuspect(x.fingerprint)
 }
 
-// attemptInfo is an attempt as a proof of whether its upstream can run the request.
+// attemptInfo describes an attempt for crash detection.
 type attemptInfo struct {
 	upstream string
 	address  string
-	// sentAt is when the attempt was sent, began when its answer did; zero where it did not.
+	// sentAt is when the attempt was sent. answerStartedAt is when its answer began: the first token of an
+	// engine, the response header of a service; zero if it did not begin.
 	sentAt, answerStartedAt time.Time
 }
 
-// detectCrash finds out whether an attempt that broke off did so because its upstream has ended. The
-// request does not wait for that. Ctx is the attempt's: one that this entry ended tells nothing.
+// detectCrash finds out in the background whether an interrupted attempt ended because its upstream
+// crashed, and records the crash for the quarantine. Ctx is the attempt's context: if this entry cancelled
+// it, the interruption shows nothing about the upstream and is ignored.
 func (x *exchange) detectCrash(ctx context.Context, attempt attemptInfo) {
 	if context.Cause(ctx) != nil {
 		return
@@ -68,7 +72,7 @@
 	}()
 }
 
-// logQuarantineDecisions logs requests that are refused from now on.
+// logQuarantineDecisions logs the requests that are quarantined from now on.
 func (s *Server) logQuarantineDecisions(now time.Time, decisions []quarantiner.Decision, source string) {
 	for _, d := range decisions {
 		s.logs.route.Warn("quarantined", d.LogFields(now, source)...)
--- a/server/crash_call_test.go
+++ b/server/crash_call_test.go
@@ -11,20 +11,20 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// Instances of a service end one after the other under one call that is made again and again through all
+// Instances of a service crash one after the other under one call that is repeated through all
 // entries, as engines did under one prompt.
-func TestCallThatCrashesServicesIsStopped(t *testing.T) {
+func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
 		for i := range 40 {
-			// May be repeated or not: what it does to instances is the same.
+			// Both repeatable calls and at-most-once calls crash instances.
 			call := []string{"lookup", "truck"}[i/20]
 			_, err := f.client(1).Call(context.Background(), "dispatch", call, []byte(crashingBody), client.Options{Timeout: 5 * time.Second, Once: call == "truck"})
 			is.True(err != nil)
 			time.Sleep(200 * time.Millisecond)
 		}
 		is.True(len(c.crashTimes()) >= 6)  // three for each call
-		is.True(len(c.crashTimes()) <= 12) // and what was under way
+		is.True(len(c.crashTimes()) <= 12) // and the calls that were in progress
 		time.Sleep(5 * time.Second)
 		for range 10 {
 			_, err := f.client(1).Call(context.Background(), "dispatch", "lookup", []byte("{}"), client.Options{Timeout: 5 * time.Second})
@@ -33,8 +33,8 @@
 	})
 }
 
-// A call that runs beside one that crashes instances is not refused for it.
-func TestCallBesideOneThatCrashesServices(t *testing.T) {
+// Guards against quarantining a call that runs at the same time as one that crashes instances.
+func TestCallBesideCrashingCallIsNotQuarantined(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
 		for range 30 {
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -17,17 +17,17 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// crashingPrompt has a prompt end each engine that runs it, 60 ms after it has begun; the engine is back
-// after 2.5 s.
+// crashingPrompt makes each engine that runs a certain prompt crash 60 ms after receiving it. The engine
+// restarts after 2.5 s.
 type crashingPrompt struct {
 	fleet *testFleet
 	text  string
 	lock  sync.Mutex
-	// arrivals are when it came to an engine.
+	// arrivals holds the times at which an engine received the prompt.
 	arrivals []time.Time
 }
 
-// wrap serves an engine that the prompt ends.
+// wrap returns the handler of an engine that crashes under the prompt.
 func (c *crashingPrompt) wrap(e *testEngine, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -68,9 +68,9 @@
 	go func() { _ = e.web.Serve(listener) }()
 }
 
-// Engines end one after the other under one prompt that is asked again and again through all entries, as
-// on the users' platform.
-func TestPromptThatCrashesEnginesIsStopped(t *testing.T) {
+// Engines crash one after the other under one prompt that is sent repeatedly through all entries, as
+// happened on the users' platform. Guards against one prompt crashing engine after engine.
+func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	withTestFleet(t, 3, 6, func(f *testFleet) {
 		is := is.New(t)
 		c := &crashingPrompt{fleet: f, text: "crash "}
@@ -85,7 +85,7 @@
 			return err
 		}
 		for range 40 {
-			_ = ask("crash " + strings.Repeat("a", 100)) // ends engines, or is refused
+			_ = ask("crash " + strings.Repeat("a", 100)) // crashes an engine or is refused
 			time.Sleep(200 * time.Millisecond)
 		}
 		c.lock.Lock()
--- a/server/decode_test.go
+++ b/server/decode_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Whatever a caller sends is read or refused; it never brings the daemon down.
+// FuzzDecodePrompt checks that any request body is either decoded or refused and never makes the daemon
+// panic.
 func FuzzDecodePrompt(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"p","max_tokens":1,"stream":true}`))
 	f.Add([]byte(`{"max_tokens":1e999}`))
@@ -10,7 +11,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := DecodePrompt(body)
 		if (r == nil) == (err == nil) {
-			t.Fatal("neither a prompt nor an error, or both")
+			t.Fatal("DecodePrompt must return either a prompt or an error")
 		}
 	})
 }
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -12,65 +12,64 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// exchange is one request on its way through the filters. It is owned by the
-// goroutine that serves it.
+// exchange holds the state of one request while it passes through the filters. The goroutine that serves
+// the request owns it.
 type exchange struct {
 	server  *Server
 	writer  http.ResponseWriter
 	request *http.Request
 	id      string
 	arrived time.Time
-	// view is the one in force at arrival; routing uses the newest instead.
+	// view is the view in force when the request arrived. Routing uses the newest view instead.
 	view         *view
 	organisation *validator.Organisation
 	body         []byte
-	// bodyRead says that nothing of the body is left on the connection.
+	// bodyRead is true once the whole request body has been read from the connection.
 	bodyRead bool
-	// completion is set for prompts, service and call for service calls.
+	// completion is set for prompts; service and callName are set for service calls.
 	completion *api.CompletionRequest
 	service    *validator.Service
 	callName   string
-	// fingerprint is what the request asks for, cut is true once an upstream broke its last
-	// attempt off.
+	// fingerprint identifies requests of equal content. interrupted is true if an upstream broke off the
+	// last attempt.
 	fingerprint quarantiner.Fingerprint
 	interrupted bool
 
 	timeout      time.Duration
 	timeoutGiven bool
-	// deadline is on the monotonic clock; ctx ends at it.
+	// deadline is when the request's time limit ends, on the monotonic clock; ctx expires at it.
 	deadline time.Time
 	ctx      context.Context
 
 	// repeatable is false for a request that may run at most once.
 	repeatable bool
 	ticket     spender.Ticket
-	// answerRecorder keeps the answer of a request that runs at most once.
+	// answerRecorder keeps the answer of an at-most-once request; nil for others.
 	answerRecorder *recorder
 
-	// unresolvedAttempts is how many attempts left for an upstream and are not known
-	// never to have started there. It never falls below zero.
+	// unresolvedAttempts is the number of attempts that were sent, got no complete answer and may have
+	// started at an upstream. It is never negative.
 	unresolvedAttempts int
-	// answerBegun says that part of an answer was passed on to the caller.
+	// answerBegun is true once part of an answer has been written to the caller.
 	answerBegun bool
-	// failureWritten says that the failure was written to the caller.
+	// failureWritten is true once a failure has been written to the caller.
 	failureWritten bool
-	// bodyStalled says that the caller was refused and did not send the rest of its
-	// body in time.
+	// bodyStalled is true if the caller was refused and the rest of its body did not end within
+	// discardTimeout and maxDiscardedBytes.
 	bodyStalled bool
 }
 
-// failure ends a request without a whole answer.
+// failure describes why a request ends without a complete answer.
 type failure struct {
 	code       string
 	message    string
 	param      string
 	retryAfter time.Duration
 	elsewhere  []string
-	// outcome overrides the one worked out from what was sent; empty
-	// otherwise. An earlier presentation of a ticket may have run although
-	// this one did not.
+	// outcome, if not empty, overrides the outcome derived from the attempts sent. It is set where an
+	// earlier presentation of the same ticket may have run although this one did not.
 	outcome api.Outcome
-	// err is the cause, for the log.
+	// err is the cause; it is logged and not sent to the caller.
 	err error
 }
 
@@ -85,12 +84,13 @@
 	return &failure{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// handler serves an exchange; filter wraps a handler with one concern.
+// handler serves an exchange. It returns nil if the request was answered. filter wraps a handler to add one
+// concern, such as authentication.
 type handler func(*exchange) *failure
 
 type filter func(handler) handler
 
-// chain puts filters before a handler, the first outermost.
+// chain wraps a handler in filters, the first one outermost.
 func chain(last handler, filters ...filter) handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		last = filters[i](last)
@@ -98,7 +98,8 @@
 	return last
 }
 
-// outcome is the honest outcome of a request that failed.
+// outcome returns NotRun if a failed request is known not to have run and Unknown if it may have, unless the
+// failure states another outcome.
 func (x *exchange) outcome(f *failure) api.Outcome {
 	if f.outcome != "" {
 		return f.outcome
@@ -109,11 +110,11 @@
 	return api.NotRun
 }
 
-// remaining is the time left to the request, read anew on every call so that a
-// process that was paused does not act on what was true before.
+// remaining returns the time left until the request's deadline. It reads the clock on every call, so that a
+// process that was suspended does not act on an outdated value.
 func (x *exchange) remaining() time.Duration { return time.Until(x.deadline) }
 
-// errorDetail is the error as the caller is told it.
+// errorDetail returns the error that is sent to the caller.
 func (x *exchange) errorDetail(f *failure) api.ErrorDetail {
 	return api.ErrorDetail{
 		Code: f.code, Message: f.message, Param: f.param, Outcome: x.outcome(f),
--- a/server/filters.go
+++ b/server/filters.go
@@ -21,11 +21,11 @@
 	"github.com/sapphireramp/sapphireramp/asserter"
 )
 
-// deadlineSlack is how long after its limit the last of an answer or refusal
-// may still be on its way to the caller.
+// deadlineSlack is how long after a request's deadline the end of its answer or refusal may still be
+// written to the caller.
 const deadlineSlack = 250 * time.Millisecond
 
-// handler returns the entry's HTTP interface.
+// handler returns the entry's HTTP handler.
 func (s *Server) handler() http.Handler {
 	complete := chain(s.complete, s.writeOutcome, s.recoverPanic, s.checkServing, s.authenticate, s.parseOptions, s.admit, s.decodePrompt, s.atMostOnce)
 	call := chain(s.callService, s.writeOutcome, s.recoverPanic, s.checkServing, s.authenticate, s.parseOptions, s.findCall, s.admit, s.readCall, s.atMostOnce)
@@ -51,7 +51,7 @@
 	}
 }
 
-// writeOutcome writes the error of a request that failed, and logs every request.
+// writeOutcome is a filter that writes the error of a failed request, and logs and counts every request.
 func (s *Server) writeOutcome(next handler) handler {
 	return func(x *exchange) *failure {
 		f := next(x)
@@ -76,23 +76,23 @@
 		}
 		s.logs.entry.Info("request", fields...)
 		if x.bodyStalled {
-			// The refusal was sent whole. Without this, http.Server waits for
-			// the rest of the body with no limit, and so does a stop.
+			// The refusal was sent completely. Without this panic, http.Server would wait for the rest of
+			// the body without limit, and so would a shutdown.
 			panic(http.ErrAbortHandler)
 		}
 		return nil
 	}
 }
 
-// writeFailure writes a failure to the caller: as the response, or as the last
-// event of an answer that has begun.
+// writeFailure writes a failure to the caller, once: as the response, or as the last event of a stream that
+// has begun.
 func (x *exchange) writeFailure(f *failure) {
 	if x.failureWritten {
 		return
 	}
 	x.failureWritten = true
-	// After a pause the limit may be long past; the caller is told all the
-	// same, within the slack from now.
+	// If this process was suspended, the deadline may be long past. The caller still gets the failure,
+	// within the slack from now.
 	connection := http.NewResponseController(x.writer)
 	_ = connection.SetWriteDeadline(time.Now().Add(deadlineSlack))
 	detail := x.errorDetail(f)
@@ -113,26 +113,26 @@
 	}
 	var body bytes.Buffer
 	_ = json.NewEncoder(&body).Encode(api.Error{Error: detail})
-	h.Set("Content-Length", strconv.Itoa(body.Len())) // the flush sends it whole
+	h.Set("Content-Length", strconv.Itoa(body.Len())) // the flush then sends the complete response
 	x.writer.WriteHeader(api.StatusCode(f.code))
 	_, _ = x.writer.Write(body.Bytes())
 }
 
 const (
-	// maxDiscardedBytes is how much of an unread body is read after a refusal, and
-	// dropTime for how long.
+	// After a refusal, at most maxDiscardedBytes of the unread body are read and discarded, for at most
+	// discardTimeout.
 	maxDiscardedBytes = 64 << 20
 	discardTimeout    = 2 * time.Second
 )
 
-// discardBody sends a refusal off and reads what the caller is still sending: a
-// connection closed on unread bytes is reset, and the refusal lost with it.
+// discardBody flushes a refusal and then reads and discards what the caller is still sending. Closing a
+// connection with unread bytes resets it, and the caller could lose the refusal.
 func (x *exchange) discardBody(connection *http.ResponseController) {
 	_ = connection.Flush()
 	_ = connection.SetReadDeadline(time.Now().Add(discardTimeout))
 	_, err := io.CopyN(io.Discard, x.request.Body, maxDiscardedBytes)
 	if err != io.EOF {
-		x.bodyStalled = true // the deadline stays: http.Server reads once more
+		x.bodyStalled = true // the read deadline stays set, as http.Server reads once more
 		return
 	}
 	_ = connection.SetReadDeadline(time.Time{})
@@ -154,23 +154,23 @@
 	}
 }
 
-// checkServing refuses while this entry takes no callers. A stopping entry still
-// serves the tickets that only it can spend. With each answer it has the caller
-// leave the connection: one that stayed open would be closed at the entry's end,
-// under a request that may be on its way.
+// checkServing is a filter that refuses requests while this entry accepts no callers. An entry that is
+// shutting down still serves requests with tickets that it issued, as no other entry can spend them. It
+// closes the connection after each answer, since a connection that stays open would be closed when the
+// entry exits, possibly with a request already sent on it.
 func (s *Server) checkServing(next handler) handler {
 	return func(x *exchange) *failure {
 		if x.view.stopping {
 			x.writer.Header().Set("Connection", "close")
 		}
 		if !x.view.ready || x.view.accepted == nil {
-			f := newFailure(api.CodeNotReady, "this entry has yet to learn the configuration in force")
+			f := newFailure(api.CodeNotReady, "this entry has not received the configuration in force yet")
 			f.retryAfter = s.retryAfter()
 			return f
 		}
 		ownTicket := strings.HasPrefix(x.request.Header.Get(api.HeaderIdempotencyKey), s.settings.Name+".")
 		if x.view.stopping && !ownTicket {
-			f := newFailure(api.CodeStopping, "this entry is stopping")
+			f := newFailure(api.CodeStopping, "this entry is shutting down")
 			for _, e := range x.view.acceptingEntries {
 				f.elsewhere = append(f.elsewhere, e.Address.String())
 			}
@@ -181,7 +181,7 @@
 	}
 }
 
-// minRetryAfter is for refusals that another entry would not make.
+// minRetryAfter is the Retry-After of a refusal for which the caller can turn to another entry at once.
 const minRetryAfter = 100 * time.Millisecond
 
 func (s *Server) retryAfter() time.Duration {
@@ -190,18 +190,18 @@
 	return d
 }
 
-// authenticate finds the organisation by its bearer key.
+// authenticate is a filter that identifies the organisation by the bearer key.
 func (s *Server) authenticate(next handler) handler {
 	return func(x *exchange) *failure {
 		key, bearer := strings.CutPrefix(x.request.Header.Get("Authorization"), "Bearer ")
 		if !bearer || key == "" {
-			f := newFailure(api.CodeUnknownOrganisation, "Authorization: a bearer key is needed")
+			f := newFailure(api.CodeUnknownOrganisation, "Authorization: a bearer key is required")
 			f.param = "Authorization"
 			return f
 		}
 		o, ok := x.view.accepted.OrganisationByKey(key)
 		if !ok {
-			f := newFailure(api.CodeUnknownOrganisation, "Authorization: the key is no organisation's")
+			f := newFailure(api.CodeUnknownOrganisation, "Authorization: the key belongs to no organisation")
 			f.param = "Authorization"
 			return f
 		}
@@ -210,7 +210,7 @@
 	}
 }
 
-// parseOptions reads the time limit and whether the request may be repeated.
+// parseOptions is a filter that reads the time limit and the repeatable flag from the request headers.
 func (s *Server) parseOptions(next handler) handler {
 	return func(x *exchange) *failure {
 		if value := x.request.Header.Get(api.HeaderTimeout); value != "" {
@@ -237,8 +237,8 @@
 	return f
 }
 
-// readBody reads the body within the request's limit. A caller that sends
-// nothing more does not hold the request.
+// readBody reads the request body, up to Callers.MaxBody bytes and until the request's deadline, so that a
+// caller that stops sending does not occupy the request for longer.
 func (x *exchange) readBody() *failure {
 	limit := x.server.settings.Callers.MaxBody
 	connection := http.NewResponseController(x.writer)
@@ -252,7 +252,7 @@
 		return newFailure(api.CodeDeadline, "the time limit passed before the body was read")
 	}
 	if err != nil {
-		f := newFailure(api.CodeBadRequest, "body: could not be read whole")
+		f := newFailure(api.CodeBadRequest, "body: could not be read completely")
 		f.err = err
 		return f
 	}
@@ -260,7 +260,8 @@
 	return nil
 }
 
-// DecodePrompt reads a caller's prompt strictly. Errors name the field.
+// DecodePrompt decodes the JSON body of a completion request. Unknown fields and trailing data are errors.
+// Errors name the field concerned where there is one.
 func DecodePrompt(body []byte) (*api.CompletionRequest, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -274,7 +275,7 @@
 	return &r, nil
 }
 
-// decodePrompt reads a prompt and checks it against the document.
+// decodePrompt is a filter that reads a prompt and validates it against the configuration document.
 func (s *Server) decodePrompt(next handler) handler {
 	return func(x *exchange) *failure {
 		if f := x.readBody(); f != nil {
@@ -300,7 +301,7 @@
 		return f
 	}
 	if !slices.Contains(x.organisation.Models, r.Model) {
-		f := newFailure(api.CodeModelNotAllowed, "model: %q: not one of the organisation's", r.Model)
+		f := newFailure(api.CodeModelNotAllowed, "model: %q: not allowed for the organisation", r.Model)
 		f.param = "model"
 		return f
 	}
@@ -323,13 +324,13 @@
 	return nil
 }
 
-// findCall finds the service and call in the document.
+// findCall is a filter that looks up the service and the call in the configuration document.
 func (s *Server) findCall(next handler) handler {
 	return func(x *exchange) *failure {
 		name, call := x.request.PathValue("service"), x.request.PathValue("call")
 		service, ok := x.view.accepted.Service(name)
 		if !ok || !slices.Contains(x.organisation.Services, name) {
-			return newFailure(api.CodeUnknownService, "service: %.100q: not one of the organisation's", name)
+			return newFailure(api.CodeUnknownService, "service: %.100q: unknown, or not allowed for the organisation", name)
 		}
 		repeatable, ok := service.Repeatable(call)
 		if !ok {
@@ -341,7 +342,7 @@
 	}
 }
 
-// readCall reads the body of a service call.
+// readCall is a filter that reads the body of a service call.
 func (s *Server) readCall(next handler) handler {
 	return func(x *exchange) *failure {
 		if f := x.readBody(); f != nil {
@@ -351,9 +352,9 @@
 	}
 }
 
-// admit takes the request into the table of those in flight, and sees that
-// it leaves in time. It comes before the body is read, so that bodies in
-// memory are bounded too.
+// admit is a filter that adds the request to the table of requests in flight, sets its deadline and removes
+// it at the end. It precedes the filters that read the body, so that the number of bodies in memory is
+// bounded too.
 func (s *Server) admit(next handler) handler {
 	return func(x *exchange) *failure {
 		limits := x.view.accepted.Document.Limits
@@ -372,14 +373,14 @@
 		defer s.releaseRequest(x)
 		ctx := x.request.Context()
 		if !x.repeatable {
-			// The answer is kept for a caller that asks again, so the
-			// request goes on when this one hangs up.
+			// The answer is kept for a caller that presents the ticket again, so the request continues
+			// after this caller disconnects.
 			ctx = context.WithoutCancel(ctx)
 		}
 		var cancel context.CancelFunc
 		x.ctx, cancel = context.WithDeadline(ctx, x.deadline)
 		defer cancel()
-		// A caller that reads no more does not hold the request.
+		// A caller that stops reading does not occupy the request past its deadline.
 		_ = http.NewResponseController(x.writer).SetWriteDeadline(x.deadline.Add(deadlineSlack))
 		return next(x)
 	}
@@ -388,7 +389,7 @@
 func (s *Server) releaseRequest(x *exchange) {
 	s.onControl(func(c *control) {
 		present, late := c.admitter.Release(time.Now(), x.id)
-		s.asserter.Check(present, asserter.LeakedFlight, "request %s left twice", x.id)
-		s.asserter.Check(late <= deadlineSlack || c.hasJustResumed(time.Now()), asserter.OutlivedLimit, "request %s: %s late", x.id, late)
+		s.asserter.Check(present, asserter.LeakedFlight, "request %s was released twice", x.id)
+		s.asserter.Check(late <= deadlineSlack || c.hasJustResumed(time.Now()), asserter.OutlivedLimit, "request %s: released %s after its deadline", x.id, late)
 	})
 }
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -28,7 +28,8 @@
 
 const testKey = "test-key"
 
-// testFleet is a whole system in one process and in virtual time.
+// testFleet is a whole system of entries, engines, a service and the platform in one process and in virtual
+// time.
 type testFleet struct {
 	t               testing.TB
 	net             *network.Network
@@ -49,7 +50,7 @@
 	stop     context.CancelFunc
 	// done is closed when the entry's Run has returned.
 	done chan struct{}
-	// dead says that the entry was killed and not started anew.
+	// dead is true while the entry is killed and not yet restarted.
 	dead bool
 }
 
@@ -68,7 +69,7 @@
 
 var callerHost = host(0, 1)
 
-// withTestFleet runs f in virtual time on a fleet that is ready.
+// withTestFleet runs f in virtual time on a fleet that has had 3 s to become ready.
 func withTestFleet(t *testing.T, entries, engines int, f func(*testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -166,7 +167,7 @@
 	_ = e.web.Close()
 }
 
-// settingsOf are the settings of an entry, the same in every incarnation.
+// settingsOf returns the settings of an entry, the same for every incarnation.
 func (f *testFleet) settingsOf(e *testEntry) loader.Settings {
 	s := loader.Defaults()
 	s.Name, s.DataCentre = e.name, "dc"
@@ -206,7 +207,7 @@
 	}(e.server)
 }
 
-// killEntry cuts an entry off for good; what it was doing ends unheard.
+// killEntry cuts all connections of an entry and ends it, so that nobody sees how its requests end.
 func (f *testFleet) killEntry(e *testEntry) {
 	e.dead = true
 	f.net.Kill(e.host)
@@ -231,7 +232,7 @@
 	return out
 }
 
-// client returns a caller of the fleet.
+// client returns a client that uses all entries and makes at most the given number of tries.
 func (f *testFleet) client(tries int) *client.Client {
 	c := client.Config{Key: testKey, Tries: tries, HTTP: f.httpClient()}
 	for _, e := range f.entries {
@@ -244,7 +245,7 @@
 	return &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(callerHost), DisableKeepAlives: true}}
 }
 
-// engineReport is what an engine says it did.
+// engineReport is what the stand-in engine reports to tests about the requests that it ran.
 type engineReport struct {
 	Requests         map[string]int
 	LateAfterLeaving int
@@ -271,7 +272,7 @@
 func (w *memoryWriter) Write(p []byte) (int, error) { return w.body.Write(p) }
 func (w *memoryWriter) WriteHeader(int)             {}
 
-// close stops everything, so that the bubble can end.
+// close stops all processes, as the synctest bubble ends only when its goroutines have.
 func (f *testFleet) close() {
 	for _, e := range f.entries {
 		e.stop()
--- a/server/group.go
+++ b/server/group.go
@@ -19,7 +19,8 @@
 	"github.com/sapphireramp/sapphireramp/sleeper"
 )
 
-// attemptGroup runs a prompt that no single engine holds on a group.
+// attemptGroup runs a prompt that is too large for any single engine on a group of engines. It
+// retries the reservation for at most the remaining time divided by groupWaitDivisor.
 func (c *completion) attemptGroup(needs router.Requirements) *failure {
 	x := c.x
 	giveUpAt := time.Now().Add(x.remaining() / groupWaitDivisor)
@@ -39,8 +40,8 @@
 	}
 }
 
-// reserveGroup takes every share of a group, or none. Lost is called when an
-// engine turns out to have lost its share later.
+// reserveGroup reserves every shard of a group of engines, or none. OnLost is called if an engine later
+// turns out to have lost its shard's hold.
 func (c *completion) reserveGroup(ctx context.Context, needs router.Requirements, onLost func()) (*reserver.Reserver, *failure) {
 	x := c.x
 	s := x.server
@@ -93,7 +94,8 @@
 	return out
 }
 
-// runReservation does what a reservation asks for until all or nothing is held.
+// runReservation executes the steps of a reservation. It returns true once all shards are held and
+// false once none is.
 func (s *Server) runReservation(ctx context.Context, group *reserver.Reserver, onLost func()) bool {
 	for {
 		effect := group.Next()
@@ -116,8 +118,8 @@
 	}
 }
 
-// reserveShard asks an engine for memory. When it is not held, maybe says
-// that the engine may have made the hold all the same.
+// reserveShard requests memory for a shard from an engine. If held is false, maybeHeld reports whether the
+// engine may have made the hold all the same.
 func (s *Server) reserveShard(ctx context.Context, shard reserver.Share, onLost func()) (held, maybeHeld bool) {
 	engine, ok := s.current.Load().board.Engine(shard.Engine)
 	if !ok {
@@ -147,8 +149,8 @@
 	return false, false
 }
 
-// releaseShard gives memory back. One that can't be reached is left to the
-// engine's keeper, since nobody renews it any more.
+// releaseShard gives up the hold of a shard. If the engine can't be reached, its keeper frees the hold
+// later, since nobody renews it any more.
 func (s *Server) releaseShard(shard reserver.Share) {
 	s.unregisterHold(shard.Engine, shard.HoldID)
 	u, ok := s.current.Load().engines[shard.Engine]
@@ -160,7 +162,8 @@
 	}
 }
 
-// freeHold gives up a hold on an engine if it is at least olderThan old.
+// freeHold deletes a hold on an engine if the hold's age is at least olderThan. A hold that the engine does
+// not have is no error.
 func (s *Server) freeHold(address, id string, olderThan time.Duration) error {
 	base := sling.New().Client(s.engineClient).Base("http://" + address)
 	path := fmt.Sprintf("%s/%s?older_than=%s", api.PathHolds, id, api.FormatSeconds(olderThan))
@@ -174,8 +177,7 @@
 	return nil
 }
 
-// runGroup streams the answer from the group's first engine, and gives all
-// shares back afterwards.
+// runGroup streams the answer from the first engine of the group, and releases all shards afterwards.
 func (c *completion) runGroup(ctx context.Context, group *reserver.Reserver) *failure {
 	s := c.x.server
 	defer func() {
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -12,7 +12,7 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// runHeartbeats sends heartbeats until the context ends.
+// runHeartbeats sends heartbeats periodically until the context ends.
 func (s *Server) runHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(s.settings.Timing.Heartbeat)
 	defer tick.Stop()
@@ -26,8 +26,8 @@
 	}
 }
 
-// sendHeartbeats exchanges one heartbeat with each neighbour, and waits for at most
-// one period.
+// sendHeartbeats exchanges one heartbeat with each target and returns when all have answered, after one
+// heartbeat period at the latest.
 func (s *Server) sendHeartbeats(ctx context.Context) {
 	var targets []netip.AddrPort
 	var heartbeat api.Heartbeat
@@ -60,8 +60,8 @@
 	}
 }
 
-// heartbeatTargets are the peers to send a heartbeat: neighbours, and peers from the
-// settings that no member is known at.
+// heartbeatTargets returns the peer addresses to send a heartbeat to: the targets chosen by the prober, and
+// peers from the settings at whose address no member is known.
 func (c *control) heartbeatTargets(now time.Time) []netip.AddrPort {
 	var out []netip.AddrPort
 	known := map[netip.AddrPort]bool{}
@@ -79,8 +79,8 @@
 	return out
 }
 
-// receiveHeartbeat takes in a heartbeat, and fetches what the sender has newer: its
-// document or its instance list.
+// receiveHeartbeat records another entry's heartbeat and fetches its document and instance list if either
+// is newer than this entry's.
 func (s *Server) receiveHeartbeat(heartbeat api.Heartbeat) {
 	hasNewer := false
 	s.onControl(func(c *control) {
@@ -96,7 +96,8 @@
 	go s.fetchFromPeer(heartbeat.PeerAddress, heartbeat.From)
 }
 
-// fetchFromPeer asks a peer for its document and list, and considers both.
+// fetchFromPeer fetches a peer's configuration document and instance list and offers both for use. Source
+// names the peer in logs.
 func (s *Server) fetchFromPeer(address netip.AddrPort, source string) {
 	var reply api.FetchReply
 	err := s.peerPool.Call(address, rpcName+".Fetch", api.FetchArgs{From: s.settings.Name}, &reply, fetchTimeout)
@@ -112,9 +113,9 @@
 	}
 }
 
-// fetchFromPeers asks each peer in the settings for its document once, before this
-// entry takes callers, so that a stale answer of the configuration service
-// does not stand in for what peers know.
+// fetchFromPeers fetches the document of each peer in the settings once. The entry accepts no callers
+// before that, so that an outdated answer of the platform does not come into force while a peer has a newer
+// document.
 func (s *Server) fetchFromPeers(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, address := range s.settings.Peers {
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -15,13 +15,14 @@
 	"github.com/sapphireramp/sapphireramp/planner"
 )
 
-// keptEngine is an engine that this entry keeps, as the polling loop needs it.
+// keptEngine is the name and address of an engine that this entry is the keeper of.
 type keptEngine struct {
 	name    string
 	address string
 }
 
-// pollKeptEngines polls the engines that this entry keeps until the context ends.
+// pollKeptEngines polls the engines that this entry is the keeper of until the context ends. A new poll of
+// an engine starts only after its last one has ended.
 func (s *Server) pollKeptEngines(ctx context.Context) {
 	tick := time.NewTicker(s.settings.Timing.Poll)
 	defer tick.Stop()
@@ -66,7 +67,8 @@
 	return out
 }
 
-// pollEngine asks a kept engine for its load and, where list is true, its holds.
+// pollEngine reads a kept engine's load and, if listHolds is true, its holds, and carries out what follows
+// from them.
 func (s *Server) pollEngine(ctx context.Context, engine keptEngine, listHolds bool) {
 	load, err := s.fetchEngineLoad(ctx, engine.address)
 	if err != nil {
@@ -93,7 +95,8 @@
 	}
 }
 
-// recordEngineReport takes in what a kept engine said, and returns what is to be done.
+// recordEngineReport updates the keeper of an engine from the engine's report. It returns the orphaned
+// holds to free and the order to send, nil if there is none.
 func (c *control) recordEngineReport(now time.Time, name string, load api.EngineLoad, holds *api.EngineHolds) ([]keeper.Orphan, *api.EngineOrder) {
 	k, ok := c.keepers[name]
 	if !ok {
@@ -114,7 +117,7 @@
 	return orphans, c.planOrder(now, name, k, load)
 }
 
-// planOrder decides whether a kept engine is due an order.
+// planOrder returns the order to change what a kept engine serves, or nil if none is due.
 func (c *control) planOrder(now time.Time, name string, k *keeper.Keeper, load api.EngineLoad) *api.EngineOrder {
 	accepted := c.adopter.Current()
 	if accepted == nil || load.Leaving {
@@ -176,7 +179,7 @@
 func (s *Server) getFromEngine(ctx context.Context, address, path string, target any) error {
 	request, err := sling.New().Base("http://" + address).Get(path).Request()
 	if err != nil {
-		return fmt.Errorf("make read: %w", err)
+		return fmt.Errorf("build read request: %w", err)
 	}
 	response, err := sling.New().Client(s.engineClient).Do(request.WithContext(ctx), target, nil)
 	if err != nil {
--- a/server/peers.go
+++ b/server/peers.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// rpcName is the name of the service between entries.
+	// rpcName is the net/rpc service name under which entries call each other.
 	rpcName = "Entry"
-	// heartbeatTimeout, fetchTimeout and askTimeout bound calls between entries.
+	// heartbeatTimeout, fetchTimeout and askTimeout bound the RPCs between entries.
 	heartbeatTimeout = time.Second
 	fetchTimeout     = 3 * time.Second
 	askTimeout       = 100 * time.Millisecond
-	// engineAskTimeout bounds the question to an engine whose keeper is silent.
+	// engineAskTimeout bounds the load request to an engine whose keeper does not answer.
 	engineAskTimeout = 300 * time.Millisecond
 )
 
-// PeerService is what one entry serves to others over net/rpc.
+// PeerService implements the net/rpc methods that other entries call on this entry.
 type PeerService struct{ server *Server }
 
-// servePeers serves other entries until the listener is closed.
+// servePeers serves RPCs of other entries until the listener is closed.
 func (s *Server) servePeers(ctx context.Context) {
 	calls := rpc.NewServer()
 	if err := calls.RegisterName(rpcName, &PeerService{server: s}); err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Beat takes in another entry's heartbeat and answers with this one's.
+// Beat records the caller's heartbeat and replies with this entry's own.
 func (e *PeerService) Beat(heartbeat api.Heartbeat, reply *api.Heartbeat) error {
 	e.server.receiveHeartbeat(heartbeat)
 	e.server.onControl(func(c *control) {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Fetch answers with the configuration document in force and the instance
-// list.
+// Fetch replies with the configuration document in force, as published, and the instance list in use.
+// Either is empty if this entry has none.
 func (e *PeerService) Fetch(_ api.FetchArgs, reply *api.FetchReply) error {
 	e.server.onControl(func(c *control) {
 		reply.List, reply.ListAge = c.lister.Current(), c.lister.Age(time.Now())
@@ -78,13 +78,14 @@
 	return nil
 }
 
-// Ask answers a request to start an attempt on an engine that this entry keeps.
+// Ask decides whether an attempt may start on an engine that this entry is the keeper of. Reply.Keeper is
+// false if this entry is not the keeper.
 func (e *PeerService) Ask(args api.AskArgs, reply *api.AskReply) error {
 	e.server.onControl(func(c *control) { *reply = c.decideAsk(time.Now(), args) })
 	return nil
 }
 
-// decideAsk decides on a request for an engine that this entry keeps.
+// decideAsk asks the local keeper of an engine whether an attempt may start.
 func (c *control) decideAsk(now time.Time, args api.AskArgs) api.AskReply {
 	k, ok := c.keepers[args.Engine]
 	if !ok {
@@ -104,8 +105,8 @@
 	return reply
 }
 
-// askKeeper asks an engine's keeper, wherever it is, whether an attempt may start.
-// Where the keeper is silent the engine itself is asked.
+// askKeeper asks the keeper of an engine, here or at another entry, whether an attempt may start. If the
+// keeper does not answer or has no report of the engine yet, the engine itself is asked.
 func (s *Server) askKeeper(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
 	now := time.Now()
 	reply := api.AskReply{}
@@ -131,7 +132,7 @@
 	return keeper.Answer{Granted: reply.Granted, Wait: reply.Wait, Reason: keeper.Reason(reply.Reason)}
 }
 
-// recordLeaving notes word from a keeper or an engine that an engine leaves.
+// recordLeaving records that a keeper or an engine reported an engine as leaving.
 func (s *Server) recordLeaving(engine string, incarnation uint64) {
 	s.onControl(func(c *control) {
 		incarnation = max(incarnation, c.drainer.LatestIncarnation(engine))
@@ -141,8 +142,8 @@
 	})
 }
 
-// askEngineDirectly decides alone on the engine's own, fresh word. The engine's hard
-// limit on memory is what keeps such decisions of several entries harmless.
+// askEngineDirectly decides without the keeper, from a load report requested from the engine now. Several
+// entries may decide so at once; the engine then refuses attempts beyond its memory limit.
 func (s *Server) askEngineDirectly(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
 	ctx, cancel := context.WithTimeout(ctx, engineAskTimeout)
 	defer cancel()
--- a/server/renew.go
+++ b/server/renew.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// renewalsPerLease is how often a hold is renewed within its lease, and
-	// lookParts how often the holds are looked through for that. A hold that
-	// lives shorter than a part of its lease is never renewed at all.
+	// A hold is renewed renewalsPerLease times within its lease, and holds are checked for due renewals
+	// renewalChecksPerLease times within a lease. A hold that ends before the first renewal is due is never
+	// renewed.
 	renewalsPerLease      = 3
 	renewalChecksPerLease = 9
 )
 
-// ownHold is one hold of this entry's on an engine.
+// ownHold is a hold of this entry: engine memory reserved for an attempt or a shard, under a lease.
 type ownHold struct {
-	// lastRenewed is when it was made or last renewed.
+	// lastRenewed is when the hold was registered or last renewed.
 	lastRenewed time.Time
-	// onLost is called when the engine turns out not to have it.
+	// onLost is called if the engine turns out not to have the hold.
 	onLost func()
 }
 
-// registerHold notes a hold that is to be renewed until releaseHold; lost is called when
-// the engine turns out not to have it.
+// registerHold starts the periodic renewal of a hold, until unregisterHold. OnLost is called if the engine
+// turns out not to have the hold.
 func (s *Server) registerHold(engine, id string, onLost func()) {
 	s.onControl(func(c *control) {
 		if c.ownHolds[engine] == nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// dueHolds returns the holds to renew now, by engine, and counts them as
-// renewed: one that can't be reached is tried again a part of a lease later.
+// dueHolds returns the IDs of the holds to renew now, by engine, and marks them as renewed. A renewal that
+// fails is therefore tried again only at the next due time.
 func (c *control) dueHolds(now time.Time) map[string][]string {
 	due := map[string][]string{}
 	for engine, holds := range c.ownHolds {
@@ -92,15 +92,15 @@
 		s.logs.keep.Warn("renew_failed", zap.String("engine", engine), zap.Int("holds", len(ids)), zap.Error(err))
 		return
 	}
-	// A hold that was asked for and is not made yet, or was given back
-	// meanwhile, is not lost: only one still wanted some time later is.
+	// A missing hold may not have been made yet, or may have been released meanwhile. It is lost only if it
+	// is still registered and missing after engineCallTimeout.
 	if len(missing.IDs) > 0 {
 		time.AfterFunc(engineCallTimeout, func() { s.reportLostHolds(engine, u.Address.String(), missing.IDs) })
 	}
 }
 
-// reportLostHolds looks again at holds that the engine did not know, and ends the
-// attempts of those that are really gone.
+// reportLostHolds asks the engine again to renew the holds that it did not have, and calls onLost for those
+// that are still missing and registered.
 func (s *Server) reportLostHolds(engine, address string, ids []string) {
 	var missing api.EngineRenewal
 	base := sling.New().Client(s.engineClient).Base("http://" + address)
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
-// Package server is the entry daemon: the shell round the decision cores. One
-// control goroutine owns all control state and publishes immutable views;
-// requests are served on goroutines of their own.
+// Package server implements the entry daemon around the packages that make its decisions. One control
+// goroutine owns all control state and publishes immutable views of it; each request is served on a
+// goroutine of its own.
 package server
 
 import (
@@ -30,22 +30,27 @@
 	"github.com/sapphireramp/sapphireramp/sequencer"
 )
 
-// Config of an entry. Every field is needed but for Dial and Listen.
+// Config configures a Server. All fields but Dial, Listen and OnViolation are required.
 type Config struct {
+	// Settings are those of this entry, read by package loader.
 	Settings loader.Settings
-	// Incarnation is greater than that of any earlier run under this name.
-	Incarnation    uint64
-	Logs           *logger.Logs
+	// Incarnation is greater than that of every earlier process of the same name.
+	Incarnation uint64
+	Logs        *logger.Logs
+	// MetricScope receives the metrics of this entry; MetricsHandler serves them to callers at
+	// api.PathMetrics.
 	MetricScope    tally.Scope
 	MetricsHandler http.Handler
-	// Dial and Listen stand in for the network; nil means TCP.
+	// Dial and Listen replace the network in tests; nil means TCP.
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Listen func(address netip.AddrPort) (net.Listener, error)
-	// OnViolation is called when an invariant is broken; tests make it fatal.
+	// OnViolation is called when an invariant is violated, in addition to the log and the metric. Tests use
+	// it to fail.
 	OnViolation func(name, detail string)
 }
 
-// Server is one entry.
+// Server is one entry. It serves callers, exchanges heartbeats with its peers, and is the keeper of the engines
+// assigned to it: it grants their memory and reconciles what they hold.
 type Server struct {
 	config   Config
 	settings loader.Settings
@@ -53,28 +58,27 @@
 	metrics  metrics
 	logs     logs
 
-	// control runs commands on the control goroutine, the only one that
-	// touches its state.
+	// control runs commands on the control goroutine, the only one that accesses the control state.
 	control *sequencer.Sequencer[*control]
-	// parseLock is held while a document is parsed.
+	// parseLock is a semaphore that is held while a document is parsed.
 	parseLock chan struct{}
-	// current is the view in force; it is replaced, never changed.
+	// current is the view in force. It is replaced, never modified.
 	current atomic.Pointer[view]
 
-	// sealKeys are of the consoles whose seals are accepted; none means that
-	// documents need no seal.
+	// sealKeys are the public keys of the consoles whose signatures on documents are accepted. If empty,
+	// documents need no signature.
 	sealKeys []ed25519.PublicKey
 
-	// callDispatcher places calls at instances of services.
+	// callDispatcher places service calls on instances.
 	callDispatcher *dispatcher.Dispatcher
-	// quarantine holds the requests that are refused as they crash upstreams, presence finds out
-	// whether an upstream has ended.
+	// quarantine decides which requests are refused because they crash upstreams. presence detects whether
+	// an upstream's process has ended.
 	quarantine *quarantiner.Quarantiner
 	presence   *connector.ExitDetector
 
 	peerPool *connector.Pool
-	// engineClient is the client for short calls to engines, traffic for streams,
-	// and single for calls that may run at most once.
+	// engineClient makes short calls to engines; trafficClient sends attempts and reads the platform;
+	// singleUseClient sends attempts that may run at most once, each on a new connection.
 	engineClient    *http.Client
 	trafficClient   *http.Client
 	singleUseClient *http.Client
@@ -84,10 +88,12 @@
 	background     sync.WaitGroup
 }
 
+// logs holds one logger per layer, named as in package logger.
 type logs struct {
 	entry, route, keep, members, document *zap.Logger
 }
 
+// metrics holds the metrics that are updated by this package; newMetrics gives their names.
 type metrics struct {
 	requests    tally.Scope
 	firstToken  tally.Histogram
@@ -106,11 +112,12 @@
 	dialTimeout = time.Second
 	// engineCallTimeout bounds a short call to an engine.
 	engineCallTimeout = time.Second
-	// maxIdlePerUpstream are kept to each upstream.
+	// maxIdlePerUpstream is the maximum number of idle connections per upstream.
 	maxIdlePerUpstream = 32
 )
 
-// New returns an entry that listens but does not serve yet.
+// New returns an entry whose listeners are open and which serves nothing before Run. It returns an error if
+// a seal key is invalid or an address can't be listened on.
 func New(c Config) (*Server, error) {
 	dial := c.Dial
 	if dial == nil {
@@ -139,7 +146,7 @@
 	for _, text := range c.Settings.SealKeys {
 		key, err := sealer.ParsePublic(text)
 		if err != nil {
-			return nil, fmt.Errorf("seal key: %w", err)
+			return nil, fmt.Errorf("parse seal key: %w", err)
 		}
 		s.sealKeys = append(s.sealKeys, key)
 	}
@@ -179,8 +186,8 @@
 	}
 }
 
-// newDialer returns a dialer whose connections leave from this entry's own
-// address, so that what it reaches can tell which entry it is.
+// newDialer returns a dialer whose connections originate from this entry's own address, so that the remote
+// end can identify the entry by it.
 func newDialer(own netip.Addr) *net.Dialer {
 	d := &net.Dialer{Timeout: dialTimeout}
 	if !own.IsUnspecified() {
@@ -195,8 +202,8 @@
 		MaxIdleConnsPerHost: maxIdlePerUpstream,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
-		// A kept connection may be closed under a request; one that may run
-		// at most once gets a connection of its own.
+		// The upstream may close an idle connection while a request is being sent on it. A request that may
+		// run at most once therefore gets a new connection.
 		DisableKeepAlives: singleUse,
 	}
 }
@@ -209,15 +216,16 @@
 	}
 }
 
-// newID returns 128 random bits as text.
+// newID returns a random UUID (version 4) as text.
 func newID() string { return uuid.NewString() }
 
-// Run serves until stop ends, then stops gracefully: it returns when nothing
-// is in progress and callers have had time to learn other addresses.
+// Run serves until stop is cancelled and then shuts down gracefully: it returns once no request is in
+// progress and callers have had time to fetch other addresses. It returns an error if callers can't be
+// served.
 func (s *Server) Run(stop context.Context) error {
 	secret := make([]byte, 32)
 	if _, err := rand.Read(secret); err != nil {
-		return fmt.Errorf("draw ticket secret: %w", err)
+		return fmt.Errorf("generate ticket secret: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -264,9 +272,9 @@
 	}()
 }
 
-// drain tells peers and callers, serves what is in progress, and returns when
-// addresses given out earlier have expired. Shutdown drops a request that it
-// reads once it has begun, without an answer, so it comes after the last one.
+// drain announces the shutdown to peers and callers, serves the requests in progress, and returns once
+// addresses given to callers have expired. Web.Shutdown is called last, as it gives no answer to a request
+// that it reads once called.
 func (s *Server) drain(web *http.Server, connections *connector.ActiveConns, serveErr <-chan error) {
 	s.onControl(func(c *control) {
 		c.stopping = true
@@ -280,14 +288,14 @@
 		time.Sleep(drainPollInterval)
 	}
 	_ = s.callerListener.Close()
-	<-serveErr // every connection that was accepted is counted by now
+	<-serveErr // every accepted connection is counted by now
 	connections.WaitIdle(time.Time{}, drainPollInterval)
 	if err := web.Shutdown(context.Background()); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		s.logs.entry.Warn("shutdown", zap.Error(err))
 	}
 }
 
-// drainPollInterval is how often a stopping entry looks for requests in progress.
+// drainPollInterval is how often an entry that is shutting down checks for requests in progress.
 const drainPollInterval = 20 * time.Millisecond
 
 func (s *Server) inFlight() int {
--- a/server/services_test.go
+++ b/server/services_test.go
@@ -14,18 +14,18 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// crashingServices are instances of a service, each of which a call of one body ends; it is back after
-// 2.5 s.
+// crashingServices are instances of a service that crash under calls with the body crashingBody and restart
+// after 2.5 s.
 type crashingServices struct {
 	fleet *testFleet
 	lock  sync.Mutex
-	// crashedAt are when the body came to an instance.
+	// crashedAt holds the times of all crashes.
 	crashedAt []time.Time
-	// frozen is an instance that takes calls and answers none.
+	// frozen is the address of an instance that accepts calls and answers none; zero for none.
 	frozen netip.Addr
-	// answers is how many calls each instance has answered.
+	// answers is the number of calls answered, by instance.
 	answers map[netip.Addr]int
-	// servers are the servers of those that run; nil once all are closed.
+	// servers holds the servers of the running instances; nil once all are closed.
 	servers map[netip.Addr]*http.Server
 }
 
@@ -102,7 +102,8 @@
 	return maps.Clone(c.answers)
 }
 
-// withCrashingServices runs f on a fleet of three entries whose service has instances that a call can end.
+// withCrashingServices runs f on a fleet of three entries whose service has instances that a call can
+// crash.
 func withCrashingServices(t *testing.T, instances int, f func(*testFleet, *crashingServices)) {
 	withTestFleet(t, 3, 6, func(fleet *testFleet) {
 		c := &crashingServices{fleet: fleet, answers: map[netip.Addr]int{}, servers: map[netip.Addr]*http.Server{}}
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -20,8 +20,8 @@
 	"github.com/sapphireramp/sapphireramp/standin/platform"
 )
 
-// TestMain fixes what rapid draws, so that every run gives one verdict, unless
-// the command line says otherwise.
+// TestMain fixes rapid's seed and number of checks, so that every run has the same result, unless they are
+// given on the command line.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -36,20 +36,20 @@
 
 var soakSeconds = flag.Int("soak.seconds", 20, "virtual seconds of failures in each random run")
 
-// soak is one random run: callers ask while a drawn schedule of failures goes
-// on, and the promises are checked on every answer and at rest.
+// soak is one random run: callers send requests while a random schedule of faults is applied. Every answer
+// is checked, and the state of the system after all requests have ended.
 type soak struct {
 	*testFleet
 	lock sync.Mutex
 	sent int
-	// processLock is held while processes are ended or started. A channel, since
-	// virtual time stands still while anyone waits for a mutex.
+	// processLock is held while processes are ended or started. It is a channel because virtual time does
+	// not advance while a goroutine waits for a mutex.
 	processLock chan struct{}
 	outcomes    map[api.Outcome]int
 	background  sync.WaitGroup
 }
 
-// callerSlack is how long after its limit a caller may learn the outcome.
+// callerSlack is how long after its time limit a caller may receive the outcome.
 const callerSlack = deadlineSlack
 
 func (s *soak) sendPrompt(n int) {
@@ -70,7 +70,7 @@
 	s.countOutcome(err)
 }
 
-// checkWhole checks that an answer is the request's own, each token once.
+// checkWhole checks that an answer belongs to its request and contains each token once.
 func (s *soak) checkWhole(n int, r api.CompletionRequest, result client.Result) {
 	var want strings.Builder
 	tag := engine.Tag(r)
@@ -97,7 +97,8 @@
 	s.sent++
 }
 
-// callAtMostOnce sends a call that may run at most once, again and again.
+// callAtMostOnce sends an at-most-once call with retries and checks that the number of its executions
+// agrees with the outcome.
 func (s *soak) callAtMostOnce(n int) {
 	defer s.background.Done()
 	body := fmt.Sprintf(`{"truck":%d}`, n)
@@ -120,14 +121,15 @@
 		s.t.Errorf("truck %d ran %d times", n, ran)
 	}
 	if err == nil && ran != 1 {
-		s.t.Errorf("truck %d was answered and ran %d times", n, ran)
+		s.t.Errorf("truck %d was answered, but ran %d times", n, ran)
 	}
 	if notRun && ran != 0 {
-		s.t.Errorf("truck %d was said not to have run, and ran", n)
+		s.t.Errorf("truck %d was reported as not run, but ran", n)
 	}
 }
 
-// fault is one drawn failure.
+// fault is one random fault. Kind selects what fails, First and Second select the entries or engine that
+// are affected.
 type fault struct {
 	Delay         time.Duration
 	Kind          int
@@ -176,12 +178,12 @@
 	}
 }
 
-// leaveEngine has an engine leave while callers go on, and then end.
+// leaveEngine has an engine announce that it is leaving while callers continue, and kills it after 5 s.
 func (s *soak) leaveEngine(e *testEngine) {
 	e.server.Drain(context.Background())
 	time.Sleep(5 * time.Second)
 	if n := s.engineReport(e).LateAfterLeaving; n != 0 {
-		s.t.Errorf("%s was given %d streams late after it began to leave", e.name, n)
+		s.t.Errorf("%s received %d streams late after it announced that it was leaving", e.name, n)
 	}
 	s.killEngine(e)
 }
@@ -196,7 +198,7 @@
 	return n
 }
 
-// endAndRestart ends something if that is allowed now, and starts it again later.
+// endAndRestart ends a process if allowed returns true, and starts it again after the given time.
 func (s *soak) endAndRestart(allowed func() bool, end func(), length time.Duration, start func()) {
 	s.processLock <- struct{}{}
 	ok := allowed()
@@ -222,7 +224,8 @@
 	s.net.Mend(a, b)
 }
 
-// checkAtRest checks what holds once failures and callers are gone.
+// checkAtRest checks, after all faults and callers have ended, that no memory is held, no request is in
+// flight and all entries have the same document.
 func (s *soak) checkAtRest() {
 	lease := s.entries[0].settings.Timing.Lease
 	time.Sleep(3*lease + 5*time.Second)
@@ -267,8 +270,8 @@
 	s.checkAtRest()
 }
 
-// TestSoak runs random schedules of failures in virtual time. It draws the
-// same schedules every time, unless -rapid.seed or -rapid.checks say more.
+// TestSoak runs random schedules of faults in virtual time. The schedules are the same in every run, unless
+// -rapid.seed or -rapid.checks is given.
 func TestSoak(t *testing.T) {
 	total := map[api.Outcome]int{}
 	runs := 0
@@ -286,7 +289,7 @@
 			total[o] += n
 		}
 		if !ok {
-			rt.Fatalf("promises broken under %+v", faults)
+			rt.Fatalf("checks failed under the faults %+v", faults)
 		}
 	})
 	t.Logf("runs %d, answered %d, not run %d, unknown %d", runs, total[api.Answered], total[api.NotRun], total[api.Unknown])
--- a/server/status.go
+++ b/server/status.go
@@ -15,14 +15,14 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// handleAddresses answers a caller that asks which entries to use.
+// handleAddresses returns the addresses of the entries that accept callers.
 func (s *Server) handleAddresses(w http.ResponseWriter, _ *http.Request) {
 	v := s.current.Load()
 	writeJSON(w, api.Addresses{Entries: v.acceptingEntries, LifeSeconds: s.settings.Callers.AddressLife.Seconds()})
 }
 
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
-	s.onControl(func(*control) {}) // a control goroutine that hangs shows here
+	s.onControl(func(*control) {}) // hangs if the control goroutine hangs
 	_, _ = w.Write([]byte("ok\n"))
 }
 
@@ -36,7 +36,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// handleStatus tells an operator what this entry believes.
+// handleStatus returns this entry's state, for operators.
 func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	var status api.Status
 	s.onControl(func(c *control) { status = c.status(time.Now()) })
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -21,27 +21,27 @@
 	"github.com/sapphireramp/sapphireramp/standin/engine"
 )
 
-// These tests are of one promise: what a stopping entry took gets its whole
-// answer, or a refusal that is true, however long that takes.
+// These tests check that a request accepted by an entry that is shutting down gets its complete answer or a
+// truthful refusal, however long that takes.
 
-// withReadyFleet runs f on a fleet of two entries that take callers and three
-// engines, the fewest that the document's longest prompt fits on.
+// withReadyFleet runs a function on a fleet of two entries that accept callers and three engines, the fewest
+// that can hold the document's longest prompt.
 func withReadyFleet(t *testing.T, run func(*testFleet)) {
 	t.Helper()
 	withTestFleet(t, 2, 3, func(f *testFleet) {
-		time.Sleep(5 * time.Second) // keepers hear from their engines
+		time.Sleep(5 * time.Second) // keepers receive reports of their engines
 		run(f)
 	})
 }
 
-// maxStopTime is how long an entry of a test fleet takes to stop with nothing in
-// progress, and a second more.
+// maxStopTime returns the time that an entry of a test fleet needs to shut down without requests in
+// progress, plus a second.
 func (e *testEntry) maxStopTime() time.Duration {
 	c := e.settings.Callers
 	return c.AddressLife + c.DrainSlack + 2*e.settings.Timing.Heartbeat + time.Second
 }
 
-// hasEnded reports whether an entry's Run returned within a time.
+// hasEnded reports whether the entry's Run returns within the given time.
 func (e *testEntry) hasEnded(within time.Duration) bool {
 	select {
 	case <-e.done:
@@ -51,14 +51,14 @@
 	}
 }
 
-// directClient returns a caller that uses one entry only.
+// directClient returns a client that uses one entry only.
 func (f *testFleet) directClient(e *testEntry, tries int) *client.Client {
 	c := client.Config{Key: testKey, Tries: tries, HTTP: f.httpClient(), Direct: true}
 	c.Seeds = append(c.Seeds, e.settings.Address)
 	return client.New(c)
 }
 
-// dial returns a caller's connection to an entry.
+// dial opens a connection from the caller's host to an entry.
 func (f *testFleet) dial(e *testEntry) net.Conn {
 	c, err := f.net.Dialer(callerHost)(context.Background(), "tcp", e.settings.Address.String())
 	if err != nil {
@@ -67,7 +67,7 @@
 	return c
 }
 
-// rawPrompt is a whole request for a prompt, header and body.
+// rawPrompt returns a complete HTTP request for a prompt.
 func rawPrompt(r api.CompletionRequest) (header, body string) {
 	data, _ := json.Marshal(r)
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n", api.PathCompletions, testKey, len(data)), string(data)
@@ -81,11 +81,10 @@
 	return all.String()
 }
 
-// A stop comes 0.5 s into answers that take 20 s, ten times as long as an
-// idle entry takes to end. Each is whole: a stream, a whole answer, a prompt
-// on a group of engines, a call that runs at most once, and one that another
-// entry passed on to the one that stops.
-func TestStoppingEntryEndsWhatItTook(t *testing.T) {
+// The shutdown starts 0.5 s into answers that take 20 s, ten times the shutdown time of an idle entry.
+// Guards against cutting off any kind of answer: a stream, a response in one piece, a prompt on a group of
+// engines, an at-most-once call, and one that another entry forwarded to the entry that shuts down.
+func TestStoppingEntryFinishesAcceptedRequests(t *testing.T) {
 	long := api.CompletionRequest{Model: "model", Prompt: "a long answer", MaxTokens: 1000}
 	streamed, joint := long, long
 	streamed.Stream = true
@@ -142,7 +141,7 @@
 	}
 }
 
-// An engine dies under a stopping entry: the answer goes on from another one.
+// An engine crashes during the shutdown of an entry: the answer is resumed on another engine.
 func TestStoppingEntryResumesStream(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
@@ -158,7 +157,8 @@
 		time.Sleep(500 * time.Millisecond)
 		e.stop()
 		time.Sleep(e.maxStopTime())
-		// All are asked first: an answer that goes on elsewhere must not lose that engine too.
+		// All engines are queried before any is killed, so that an engine on which the answer resumes is not
+		// killed too.
 		serving := slices.DeleteFunc(slices.Clone(f.engines), func(engine *testEngine) bool { return f.engineReport(engine).UsedTokens == 0 })
 		is.True(len(serving) > 0)
 		for _, engine := range serving {
@@ -171,8 +171,8 @@
 	})
 }
 
-// A prompt's header comes before the stop, and the last byte of its body long
-// after the entry would have ended without it.
+// The header of a prompt arrives before the shutdown, and the last byte of its body long after an idle
+// entry would have exited.
 func TestStoppingEntryAwaitsBody(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
@@ -193,9 +193,9 @@
 	})
 }
 
-// The header itself comes byte by byte across the stop, on a new connection:
-// the refusal is true, and another entry serves the prompt.
-func TestStoppingEntryRefusesNewcomers(t *testing.T) {
+// The header of a prompt arrives in two pieces, one before and one after the shutdown starts, on a new
+// connection. The refusal is truthful, and another entry serves the prompt.
+func TestStoppingEntryRefusesNewRequests(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -224,8 +224,8 @@
 	})
 }
 
-// An unspent ticket of the stopping entry is still spent there, at any moment
-// until it ends; a ticket that outlives its entry is refused as unknown.
+// An unspent ticket can be spent at its entry until that entry exits; afterwards it is refused with outcome
+// unknown.
 func TestStoppingEntrySpendsItsTickets(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
@@ -262,12 +262,11 @@
 	})
 }
 
-// A caller asks a stopping entry again and again, on one connection for as long
-// as that is left open, and learns what became of every request that it sent.
-// Its bytes take a quarter of a second to come, so that one request is on its
-// way when the entry ends. Connections that the entry closed as idle at its end
-// took such a request with them, without an answer.
-func TestStoppingEntryAnswersKeptConnections(t *testing.T) {
+// A caller sends requests to an entry that is shutting down, on one connection for as long as it stays
+// open, and gets an answer to each. Sending takes a quarter of a second, so that one request is in transit
+// when the entry exits. Guards against the entry closing idle connections at its exit, which lost such a
+// request without an answer.
+func TestStoppingEntryAnswersOnKeepAliveConnections(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -278,13 +277,13 @@
 		for {
 			c, err := f.net.Dialer(callerHost)(context.Background(), "tcp", e.settings.Address.String())
 			if err != nil {
-				break // the entry takes no connections any more
+				break // the entry no longer accepts connections
 			}
 			answers := bufio.NewReader(c)
 			for closed := false; !closed; {
 				_, _ = io.WriteString(c, header+body)
 				response, err := http.ReadResponse(answers, nil)
-				is.NoErr(err) // a request that was sent has no answer
+				is.NoErr(err) // a request that was sent got no answer
 				is.Equal(response.Header.Get(api.HeaderOutcome), string(api.NotRun))
 				_, err = io.Copy(io.Discard, response.Body)
 				is.NoErr(err)
@@ -296,10 +295,10 @@
 	})
 }
 
-// A caller that was refused sends no more of its body and keeps its connection
-// open. The stop does not wait for it: an operator who saw the entry stay would
-// end it by force, and the answers in progress with it.
-func TestStalledCallerDoesNotHoldStop(t *testing.T) {
+// A caller that was refused sends no more of its body and keeps its connection open. Guards against the
+// shutdown waiting for that caller: an operator would then kill the entry, along with the answers in
+// progress.
+func TestStalledCallerDoesNotDelayShutdown(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		e := f.entries[0]
@@ -312,14 +311,14 @@
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		is.NoErr(err)
 		is.Equal(response.Header.Get(api.HeaderOutcome), string(api.NotRun))
-		is.True(e.hasEnded(time.Minute)) // the entry waits for a caller that says nothing
+		is.True(e.hasEnded(time.Minute)) // the entry waits for a caller that sends nothing
 	})
 }
 
-// Callers whose addresses are from before a stop send calls that may run at
-// most once, and may try four times. Where the stopping entry was the one asked
-// for a ticket, its refusal ended the call, with another entry ready.
-func TestTicketIsHadElsewhereAtAStop(t *testing.T) {
+// Callers that got their addresses before a shutdown send at-most-once calls with up to four tries. Guards
+// against a call failing because the entry that is shutting down refused it a ticket while another entry
+// was ready.
+func TestTicketIsIssuedElsewhereDuringShutdown(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
 		var callers []*client.Client
--- a/server/stream.go
+++ b/server/stream.go
@@ -20,30 +20,31 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// maxEventBytes bounds one server-sent event of an engine.
+// maxEventBytes is the maximum size of one server-sent event of an engine.
 const maxEventBytes = 1 << 20
 
-// prefillTimeoutFactor multiplies the estimated prefill time in waiting for a first
-// token, as the estimate may be off.
+// prefillTimeoutFactor multiplies the estimated prefill time in the timeout for the first token, as the
+// estimate may be too low.
 const prefillTimeoutFactor = 3
 
-// engineAttempt is one attempt on an engine.
+// engineAttempt describes one attempt on an engine.
 type engineAttempt struct {
 	engine    *router.Engine
 	attemptID string
-	// holdIDs is the hold ids of a group, empty for one engine.
+	// holdIDs are the hold IDs of the group; empty for a single engine.
 	holdIDs []string
-	// groupSize is how many engines prefill together, 0 for one.
+	// groupSize is the number of engines that prefill the prompt together; 0 for a single engine.
 	groupSize int
 }
 
-// errSilent says that an engine's stream stopped without a word.
-var errSilent = errors.New("engine is silent")
+// errSilent reports that an engine sent nothing within the silence timeout.
+var errSilent = errors.New("engine sent nothing for too long")
 
-// errHoldLost says that the engine no longer has the attempt's hold.
+// errHoldLost reports that the engine no longer has a hold that the attempt needs.
 var errHoldLost = errors.New("engine no longer has the hold")
 
-// runAttempt sends an attempt and relays its answer.
+// runAttempt sends an attempt to its engine and relays the answer. It returns nil once the answer is
+// complete.
 func (c *completion) runAttempt(ctx context.Context, r engineAttempt) *failure {
 	x := c.x
 	s := x.server
@@ -90,8 +91,8 @@
 	return attemptInfo{upstream: r.engine.Name, address: r.engine.Address, sentAt: sentAt, answerStartedAt: c.answerStartedAt}
 }
 
-// sendAttempt dispatches an attempt. When it returns a failure the exchange's count
-// of pending attempts says whether anything may have started.
+// sendAttempt sends an attempt and returns the engine's response if its status is OK. On failure,
+// x.unresolvedAttempts shows whether the engine may have started the attempt.
 func (c *completion) sendAttempt(ctx context.Context, cancel context.CancelCauseFunc, r engineAttempt) (*http.Response, *failure) {
 	x := c.x
 	s := x.server
@@ -102,8 +103,8 @@
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, trace))
-	// The time is read again: this process may have been paused since the
-	// engine was chosen, which may be leaving by now.
+	// The clock and the view are read again, as this process may have been suspended since the engine was
+	// chosen, and the engine may be leaving by now.
 	if x.remaining() <= 0 {
 		return nil, newFailure(api.CodeDeadline, "the time limit has passed")
 	}
@@ -121,7 +122,7 @@
 	silenceTimer.Stop()
 	if err != nil {
 		if !connected {
-			x.unresolvedAttempts-- // no byte left for the engine
+			x.unresolvedAttempts-- // no byte was sent to the engine
 		}
 		f := newFailure(api.CodeUpstreamFailed, "engine %s did not answer", r.engine.Name)
 		f.err = contextCause(ctx, err)
@@ -130,7 +131,7 @@
 	if response.StatusCode != http.StatusOK {
 		defer func() { _ = response.Body.Close() }()
 		if response.Header.Get(api.HeaderStarted) == "false" {
-			x.unresolvedAttempts-- // the engine says that it never started
+			x.unresolvedAttempts-- // the engine states that it never started the attempt
 			r.engine.Load.Free.Store(0)
 		}
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, 200))
@@ -141,7 +142,7 @@
 	return response, nil
 }
 
-// contextCause prefers why a context was ended over the error that it led to.
+// contextCause returns the reason why the context was cancelled, or err if it was not.
 func contextCause(ctx context.Context, err error) error {
 	if why := context.Cause(ctx); why != nil {
 		return why
@@ -159,10 +160,10 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.engine.Address+api.PathCompletions, bytes.NewReader(data))
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("build request: %w", err)
 	}
 	if !x.repeatable {
-		request.GetBody = nil // the transport can't send it again by itself
+		request.GetBody = nil // keeps the transport from resending the request by itself
 	}
 	h := request.Header
 	h.Set("Content-Type", "application/json")
@@ -178,14 +179,15 @@
 	return request, nil
 }
 
-// priority is higher for shorter prompts, as the document weighs it.
+// priority returns the priority that engines schedule the prompt by. It is higher for shorter classes, as
+// weighted by the document's policy.
 func (c *completion) priority() int {
 	policy := c.x.view.accepted.Document.Policy
 	return router.Priority(c.class(), policy.ShortWeight)
 }
 
-// relayChunks relays an attempt's chunks until the answer is whole or the attempt
-// has failed.
+// relayChunks relays the chunks of an attempt's answer to the caller. It returns nil once the answer is
+// complete, and otherwise why the attempt failed. It calls onFirstToken for every chunk that it accepts.
 func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, r engineAttempt, body io.Reader, onFirstToken func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
 	prefill := router.Engine{PrefillRate: r.engine.PrefillRate * max(1, r.groupSize), Load: &router.Load{}}
@@ -212,9 +214,9 @@
 		case relayer.Drop:
 			continue
 		case relayer.Broken:
-			return c.streamFailure(r, fmt.Errorf("chunk at %d of %d delivered", chunk.Offset, offset))
+			return c.streamFailure(r, fmt.Errorf("chunk at offset %d, but %d tokens were delivered", chunk.Offset, offset))
 		}
-		c.x.server.asserter.Check(chunk.ID == c.x.id, asserter.ForeignChunk, "request %s got a chunk of %s", c.x.id, chunk.ID)
+		c.x.server.asserter.Check(chunk.ID == c.x.id, asserter.ForeignChunk, "request %s received a chunk of request %s", c.x.id, chunk.ID)
 		silenceTimer.Reset(silence)
 		onFirstToken()
 		pace.start()
@@ -228,23 +230,23 @@
 	return c.streamFailure(r, contextCause(ctx, scanner.Err()))
 }
 
-// minPaceTokens is how many tokens show an engine's pace.
+// minPaceTokens is the minimum number of tokens from which an engine's pace is measured.
 const minPaceTokens = 8
 
-// tokenPace measures the time between the tokens of one attempt.
+// tokenPace measures the mean time between the answer tokens of one attempt.
 type tokenPace struct {
 	startOffset int
 	firstToken  time.Time
 }
 
-// start marks the first token.
+// start records the time of the first token.
 func (p *tokenPace) start() {
 	if p.firstToken.IsZero() {
 		p.firstToken = time.Now()
 	}
 }
 
-// record tells the router how fast the engine was, when enough tokens came.
+// record adds the measured pace to the engine's load if the attempt delivered enough tokens.
 func (p *tokenPace) record(load *router.Load, delivered int) {
 	tokens := delivered - p.startOffset
 	if p.firstToken.IsZero() || tokens < minPaceTokens {
@@ -253,9 +255,10 @@
 	load.Paced(time.Now(), time.Since(p.firstToken)/time.Duration(tokens))
 }
 
-// streamFailure ends an attempt that may have done work.
+// streamFailure returns the failure of an attempt whose stream ended early or was invalid. The engine may
+// have run the attempt.
 func (c *completion) streamFailure(r engineAttempt, err error) *failure {
-	f := newFailure(api.CodeUpstreamFailed, "engine %s broke off", r.engine.Name)
+	f := newFailure(api.CodeUpstreamFailed, "the answer of engine %s was cut off or invalid", r.engine.Name)
 	f.err = err
 	if err == nil {
 		f.err = io.ErrUnexpectedEOF
@@ -263,7 +266,8 @@
 	return f
 }
 
-// writeEvent writes one event to the caller, and the response's start first.
+// writeEvent writes one server-sent event to the caller, preceded by the response header if it is the
+// first.
 func (x *exchange) writeEvent(chunk api.CompletionChunk) {
 	if !x.answerBegun {
 		x.answerBegun = true
@@ -281,14 +285,14 @@
 	_ = http.NewResponseController(x.writer).Flush()
 }
 
-// writeDone marks the end of a whole answer.
+// writeDone writes the end marker of a complete stream.
 func (x *exchange) writeDone() {
 	_, _ = fmt.Fprintf(x.writer, "data: %s\n\n", api.DoneMarker)
 	_ = http.NewResponseController(x.writer).Flush()
 }
 
-// cancelStream tells an engine that an attempt is given up. It is only a
-// kindness: a hold that nobody renews is freed by the engine's keeper.
+// cancelStream asks an engine in the background to end an attempt that was given up. Failures are ignored:
+// the engine's keeper frees holds that nobody renews.
 func (s *Server) cancelStream(address, attemptID string) {
 	go func() {
 		request, err := http.NewRequest(http.MethodDelete, "http://"+address+api.PathStreams+attemptID, nil)
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -16,19 +16,19 @@
 	"github.com/sapphireramp/sapphireramp/spender"
 )
 
-// inProgressRetryAfter is when to ask again for the answer of a call in progress.
+// inProgressRetryAfter is the Retry-After for a request whose answer is not available yet.
 const inProgressRetryAfter = time.Second
 
-// issueTicket gives a caller a ticket that this incarnation alone can spend.
+// issueTicket writes a new ticket to the caller. Only this incarnation of this entry can spend it.
 func (s *Server) issueTicket(x *exchange) *failure {
 	if x.view.stopping {
-		return newFailure(api.CodeStopping, "this entry is stopping")
+		return newFailure(api.CodeStopping, "this entry is shutting down")
 	}
 	var text string
 	var err error
 	s.onControl(func(c *control) { text, err = c.spender.Issue(time.Now()) })
 	if err != nil {
-		f := newFailure(api.CodeOverloaded, "no ticket can be issued")
+		f := newFailure(api.CodeOverloaded, "no ticket could be issued")
 		f.err, f.retryAfter = err, time.Second
 		return f
 	}
@@ -36,8 +36,9 @@
 	return nil
 }
 
-// atMostOnce sees that a request that may run at most once is spent in the memory
-// of the one incarnation that issued its ticket, wherever it arrived.
+// atMostOnce is a filter for requests that may run at most once. It spends the request's ticket, or
+// forwards the request to the incarnation that issued the ticket, since only that one has the record of
+// whether it was spent.
 func (s *Server) atMostOnce(next handler) handler {
 	return func(x *exchange) *failure {
 		if x.repeatable {
@@ -51,7 +52,7 @@
 		}
 		ticket, err := spender.Parse(key)
 		if err != nil {
-			f := newFailure(api.CodeTicketUnknown, "%s: no ticket of this system", api.HeaderIdempotencyKey)
+			f := newFailure(api.CodeTicketUnknown, "%s: not a ticket of this system", api.HeaderIdempotencyKey)
 			f.param, f.err = api.HeaderIdempotencyKey, err
 			return f
 		}
@@ -63,7 +64,7 @@
 	}
 }
 
-// requestDigest names the request that a ticket is spent for.
+// requestDigest returns the hash that binds a ticket to its request.
 func (x *exchange) requestDigest() [sha256.Size]byte {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%s\n%s\n", x.organisation.Name, x.request.URL.Path)
@@ -92,17 +93,17 @@
 		replayAnswer(x.writer, answer)
 		return nil
 	case spender.InProgress:
-		f := newFailure(api.CodeTicketInProgress, "the request is running for an earlier call with this ticket")
+		f := newFailure(api.CodeTicketInProgress, "an earlier request with this ticket is still running")
 		f.outcome, f.retryAfter = api.Unknown, inProgressRetryAfter
 		return f
 	case spender.Ran:
-		f := newFailure(api.CodeTicketSpent, "the ticket was spent, and the answer is no longer kept")
+		f := newFailure(api.CodeTicketSpent, "the ticket was spent and its answer is no longer kept")
 		f.outcome = api.Unknown
 		return f
 	case spender.Expired:
-		return newFailure(api.CodeTicketExpired, "the ticket was never spent and can no longer be")
+		return newFailure(api.CodeTicketExpired, "the ticket expired before it was spent")
 	}
-	return newFailure(api.CodeTicketUnknown, "the ticket is not this entry's")
+	return newFailure(api.CodeTicketUnknown, "the ticket was not issued by this entry")
 }
 
 func replayAnswer(w http.ResponseWriter, a *spender.Answer) {
@@ -113,14 +114,14 @@
 	_, _ = w.Write(a.Body)
 }
 
-// runWithTicket runs a request whose ticket was just spent, and keeps its answer.
-// A request that truly did not run gives its ticket back.
+// runWithTicket runs a request whose ticket was just spent, and keeps its answer. If the request is known
+// not to have run, the ticket can be spent again.
 func (s *Server) runWithTicket(x *exchange, next handler) *failure {
 	x.answerRecorder = &recorder{ResponseWriter: x.writer, limit: maxKeptAnswerBytes}
 	x.writer = x.answerRecorder
 	finished := false
 	defer func() {
-		if !finished { // a panic: what ran is not known
+		if !finished { // a panic: the request may have run
 			s.onControl(func(c *control) { c.spender.Finish(time.Now(), x.ticket, nil) })
 		}
 	}()
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// recorder keeps what is written to the caller.
+// recorder is a ResponseWriter that also keeps what is written, up to limit bytes.
 type recorder struct {
 	http.ResponseWriter
 	limit    int
@@ -161,7 +162,7 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write keeps the bytes even when the caller has hung up.
+// Write keeps the bytes even if the caller has disconnected.
 func (r *recorder) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
@@ -175,7 +176,7 @@
 	return len(p), nil
 }
 
-// Unwrap lets a http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 func (r *recorder) answer(outcome string) *spender.Answer {
@@ -185,20 +186,20 @@
 	return &spender.Answer{Status: r.status, ContentType: r.Header().Get("Content-Type"), Outcome: outcome, Body: bytes.Clone(r.body.Bytes())}
 }
 
-// forwardToOwner passes a request to the incarnation that its ticket is bound to and
-// relays the answer. It is passed on once only, and run by nobody else.
+// forwardToOwner forwards a request to the incarnation that issued its ticket and relays the answer. A
+// request that was forwarded already is not forwarded again, and no other entry runs it.
 func (s *Server) forwardToOwner(x *exchange) *failure {
 	if x.request.Header.Get(api.HeaderForwarded) != "" {
-		return ownerGoneFailure("the ticket's entry is not the one it was issued by")
+		return ownerGoneFailure("the request was forwarded to an entry that did not issue its ticket")
 	}
 	owner, known := s.current.Load().members[x.ticket.Owner]
 	switch {
 	case x.ticket.Owner == s.settings.Name:
-		return ownerGoneFailure("the ticket was issued before this entry restarted")
+		return ownerGoneFailure("this entry has restarted since it issued the ticket")
 	case !known || !owner.Address.IsValid():
-		return ownerGoneFailure("the ticket's entry is not known here")
+		return ownerGoneFailure("the entry that issued the ticket is not known to this one")
 	case owner.Incarnation > x.ticket.Incarnation:
-		return ownerGoneFailure("the ticket was issued before its entry restarted")
+		return ownerGoneFailure("the entry that issued the ticket has restarted since")
 	}
 	s.logs.route.Info("forward", zap.String("request", x.id), zap.String("entry", owner.Name), zap.String("reason", "ticket"))
 	timeout := x.remaining()
@@ -210,7 +211,7 @@
 	url := "http://" + owner.Address.String() + x.request.URL.Path
 	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(x.ctx, trace), http.MethodPost, url, bytes.NewReader(x.body))
 	if err != nil {
-		return &failure{code: api.CodeBadRequest, message: "the request could not be passed on", err: err}
+		return &failure{code: api.CodeBadRequest, message: "the request could not be forwarded", err: err}
 	}
 	for _, name := range []string{"Authorization", "Content-Type", api.HeaderIdempotencyKey, api.HeaderRepeatable} {
 		if v := x.request.Header.Get(name); v != "" {
@@ -221,7 +222,7 @@
 	r.Header.Set(api.HeaderForwarded, s.settings.Name)
 	response, err := s.singleUseClient.Do(r)
 	if err != nil {
-		f := ownerGoneFailure("the ticket's entry did not answer")
+		f := ownerGoneFailure("the entry that issued the ticket did not answer")
 		f.err, f.retryAfter = err, inProgressRetryAfter
 		if connected {
 			x.unresolvedAttempts++
@@ -232,19 +233,19 @@
 	return x.relayResponse(response)
 }
 
-// ownerGoneFailure says that the ticket can't be spent any more. Whether an earlier
-// call with it ran is not known to anybody.
+// ownerGoneFailure returns the failure for a ticket whose issuing incarnation can't be reached or has
+// ended. The outcome is unknown, as an earlier request with the ticket may have run.
 func ownerGoneFailure(message string) *failure {
-	f := newFailure(api.CodeTicketOwnerGone, "%s: this call did not run; whether an earlier one did is not known", message)
+	f := newFailure(api.CodeTicketOwnerGone, "%s: this request did not run; an earlier one with the ticket may have", message)
 	f.outcome = api.Unknown
 	return f
 }
 
-// errAnswerCutOff is an answer that ended before it was whole.
+// errAnswerCutOff reports a forwarded answer that ended early.
 var errAnswerCutOff = errors.New("answer was cut off")
 
-// relayResponse passes on another entry's response as it comes. One that is cut off
-// is cut off for the caller too, so that it is never taken for whole.
+// relayResponse copies another entry's response to the caller as it arrives. If it is cut off, the caller's
+// connection is aborted too, so that the caller can't mistake the answer for complete.
 func (x *exchange) relayResponse(response *http.Response) *failure {
 	h := x.writer.Header()
 	for _, name := range []string{"Content-Type", "Retry-After", api.HeaderOutcome, api.HeaderRequestID} {
--- a/server/view.go
+++ b/server/view.go
@@ -18,34 +18,33 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// remoteLatency stands for the time of one way to another data centre, and
-// localLatency within one, until they are measured.
+// localLatency and remoteLatency are the assumed one-way network latencies within a data centre and to
+// another one. They are not measured.
 const (
 	localLatency  = 200 * time.Microsecond
 	remoteLatency = 1500 * time.Microsecond
 )
 
-// view is what traffic goroutines see of the control state. It is never
-// changed once published.
+// view is an immutable snapshot of the control state for the goroutines that serve requests.
 type view struct {
-	// accepted is nil until a document is in force.
+	// accepted is the configuration document in force; nil if there is none yet.
 	accepted *validator.Accepted
 	board    *router.Board
-	// engines holds the engines of the document that the list names.
+	// engines holds the engines of the document that are in the instance list, by name.
 	engines map[string]upstream
 	members map[string]prober.Member
-	// acceptingEntries are the entries that take new callers, by name.
+	// acceptingEntries are the entries that accept new callers, sorted by name.
 	acceptingEntries []api.EntryAddress
 	ready            bool
 	stopping         bool
 }
 
-// upstream is one engine or instance of a service.
+// upstream is an engine or an instance of a service.
 type upstream struct {
 	Name       string
 	Address    netip.AddrPort
 	DataCentre string
-	// Keeper is that of an engine.
+	// Keeper is the name of the entry that is the engine's keeper; empty for services.
 	Keeper string
 	Usable bool
 }
@@ -54,7 +53,7 @@
 	return &view{board: router.NewBoard(nil)}
 }
 
-// publishView makes the view anew, and begins or ends keeping engines.
+// publishView builds and publishes a new view, and starts or stops being the keeper of engines accordingly.
 func (c *control) publishView() {
 	c.dirty = false
 	v := emptyView()
@@ -74,7 +73,7 @@
 	c.server.current.Store(v)
 }
 
-// fillMembers fills in the members and returns those that can keep engines.
+// fillMembers sets the view's members and accepting entries. It returns the entries that can be keepers.
 func (c *control) fillMembers(v *view) []assigner.Member {
 	settings := c.server.settings
 	var candidates []assigner.Member
@@ -137,7 +136,7 @@
 	return remoteLatency
 }
 
-// usableInstances lists the usable instances of a document's services.
+// usableInstances returns the usable instances of the document's services.
 func (c *control) usableInstances(a *validator.Accepted) []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, s := range a.Document.Services {
@@ -150,7 +149,8 @@
 	return out
 }
 
-// countUpstreams counts engines and instances of services; one instance may be of several.
+// countUpstreams returns the number of distinct engines and service instances. One instance may belong to
+// several services.
 func countUpstreams(engines map[string]upstream, services []dispatcher.Instance) int {
 	others := map[string]bool{}
 	for _, i := range services {
@@ -161,9 +161,8 @@
 	return len(engines) + len(others)
 }
 
-// updateKeepers begins to keep engines that are this entry's, and ends to keep
-// others. A new keeper knows nothing and grants nothing until the engine has
-// told it what it holds.
+// updateKeepers makes this entry the keeper of the engines assigned to it and of no others. A new keeper grants
+// nothing until its engine has reported its holds.
 func (c *control) updateKeepers(v *view) {
 	for name := range c.keepers {
 		if u, ok := v.engines[name]; !ok || u.Keeper != c.server.settings.Name {
@@ -188,8 +187,8 @@
 	}
 }
 
-// grantTTL is how long a grant counts beside what its engine reports: longer
-// than load reports lag.
+// grantTTL is how long a grant counts in addition to the memory that its engine reports. It is longer than
+// load reports lag.
 const grantTTL = 2 * time.Second
 
 func (s *Server) keeperConfig(engine string, memory, rate int) keeper.Config {
--- a/server/watch.go
+++ b/server/watch.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// minBackoff and mostBackoff bound the pause after a failed read of
-	// the platform; a read that succeeds at once is followed by leastBackoff
-	// too, so that no entry reads more than a few times a second.
+	// The delay after a failed read of the platform doubles from minBackoff to maxBackoff. A successful
+	// read is followed by minBackoff too, which limits each entry to a few reads per second.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// watchSlack is added to the wait of a watch for the answer to come.
+	// watchSlack is added to Timing.Watch to get the timeout of a read of the platform, so that the answer
+	// can arrive.
 	watchSlack = 2 * time.Second
 )
 
-// watchConfig keeps a watch on the configuration document.
+// watchConfig watches the configuration document until the context ends.
 func (s *Server) watchConfig(ctx context.Context) {
 	s.watchPath(ctx, api.PathConfig, func(data []byte, err error) {
 		if err == nil && data != nil {
@@ -35,7 +35,7 @@
 	})
 }
 
-// watchInstances keeps a watch on the list of instances.
+// watchInstances watches the instance list until the context ends.
 func (s *Server) watchInstances(ctx context.Context) {
 	s.watchPath(ctx, api.PathInstances, func(data []byte, err error) {
 		if err != nil {
@@ -45,8 +45,8 @@
 	})
 }
 
-// watchPath reads a key of the platform again and again, each read waiting for
-// news, and passes on what it reads: nil where there was no news.
+// watchPath reads a path of the platform repeatedly until the context ends. Each read waits at the platform
+// for a change. It calls handle with the data read, nil if nothing changed, or with the error.
 func (s *Server) watchPath(ctx context.Context, path string, handle func([]byte, error)) {
 	etag, backoff := "", minBackoff
 	for ctx.Err() == nil {
@@ -62,7 +62,7 @@
 		} else {
 			etag, backoff = tag, minBackoff
 		}
-		// Jitter keeps entries that failed together from reading together.
+		// The jitter keeps entries whose reads failed at the same time from reading at the same time again.
 		if !sleeper.Sleep(ctx, backoff/2+time.Duration(rand.Int64N(int64(backoff)))) {
 			return
 		}
@@ -75,7 +75,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.settings.Platform.String()+path, nil)
 	if err != nil {
-		return nil, "", fmt.Errorf("make read: %w", err)
+		return nil, "", fmt.Errorf("build read request: %w", err)
 	}
 	if etag != "" {
 		request.Header.Set("If-None-Match", etag)
