--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -188,7 +188,7 @@
 type benchEntry struct{ c *control }
 
 func (e *benchEntry) Ask(args api.AskArgs, reply *api.AskReply) error {
-	*reply = e.c.decideAsk(time.Now(), args)
+	*reply = e.c.askLocalKeeper(time.Now(), args)
 	return nil
 }
 
--- a/server/complete.go
+++ b/server/complete.go
@@ -50,7 +50,7 @@
 	if x.completion.Seed == 0 {
 		x.completion.Seed = c.random.Uint64()>>1 | 1
 	}
-	defer func() { s.metrics.dropped.Inc(int64(c.droppedChunks())) }()
+	defer func() { s.metrics.droppedChunks.Inc(int64(c.droppedChunks())) }()
 	for {
 		if f := x.checkQuarantine(); f != nil {
 			return f
@@ -58,12 +58,12 @@
 		f := c.attempt()
 		if f == nil {
 			s.quarantine.RecordSuccess(time.Now(), x.fingerprint)
-			return c.finish()
+			return c.finishAnswer()
 		}
 		if !c.canRetry(f) {
 			return c.finalFailure(f)
 		}
-		s.metrics.resumed.Inc(1)
+		s.metrics.resumedAttempts.Inc(1)
 		s.logs.route.Info("retry", zap.String("request", x.id), zap.Int("attempt", c.attempts),
 			zap.Int("delivered", c.relayer.Delivered()), zap.String("reason", f.Error()))
 	}
@@ -106,7 +106,7 @@
 	if c.needsGroup(needs) {
 		return c.attemptGroup(needs)
 	}
-	engine, attemptID, f := c.place(needs)
+	engine, attemptID, f := c.placePrompt(needs)
 	if f != nil {
 		return f
 	}
@@ -142,8 +142,8 @@
 	return true
 }
 
-// place asks keepers in turn until one grants the attempt. It returns the engine and the ID of the attempt.
-func (c *completion) place(needs router.Requirements) (*router.Engine, string, *failure) {
+// placePrompt asks keepers in turn until one grants the attempt. It returns the engine and the ID of the attempt.
+func (c *completion) placePrompt(needs router.Requirements) (*router.Engine, string, *failure) {
 	x := c.x
 	p := placer.New(time.Now(), x.remaining(), c.random)
 	attemptID := newID()
@@ -208,9 +208,9 @@
 		zap.Duration("predicted_ms", choice.Predicted), zap.Duration("wait_ms", answer.Wait))
 }
 
-// finish completes the response after the whole answer was received: the end marker of a stream, or the
+// finishAnswer completes the response after the whole answer was received: the end marker of a stream, or the
 // collected answer.
-func (c *completion) finish() *failure {
+func (c *completion) finishAnswer() *failure {
 	x := c.x
 	if x.completion.Stream {
 		x.writeDone()
--- a/server/control.go
+++ b/server/control.go
@@ -176,10 +176,10 @@
 	}
 }
 
-// considerDocument parses a configuration document and offers it to the adopter. It parses on the calling
+// receiveDocument parses a configuration document and offers it to the adopter. It parses on the calling
 // goroutine, as a large document would block the control goroutine for too long. Only one document is
 // parsed at a time, since the platform and peers often deliver the same one at once.
-func (s *Server) considerDocument(data []byte, source string) {
+func (s *Server) receiveDocument(data []byte, source string) {
 	s.parseLock <- struct{}{}
 	defer func() { <-s.parseLock }()
 	digest := validator.Digest(data)
@@ -213,10 +213,10 @@
 
 // recordHeartbeat updates members, leaving upstreams and engine loads from another entry's heartbeat.
 func (c *control) recordHeartbeat(now time.Time, heartbeat api.Heartbeat) {
-	before, known := c.prober.Find(heartbeat.From)
+	before, wasKnown := c.prober.Find(heartbeat.From)
 	c.recordMemberChanges(c.prober.ReceiveHeartbeat(now, heartbeat))
 	after, _ := c.prober.Find(heartbeat.From)
-	if !known || before.Ready != after.Ready || before.Incarnation != after.Incarnation {
+	if !wasKnown || before.Ready != after.Ready || before.Incarnation != after.Incarnation {
 		c.dirty = true
 	}
 	for _, n := range heartbeat.Notices {
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -61,11 +61,11 @@
 
 func (c *crashingPrompt) startEngine(e *testEngine) {
 	c.fleet.startEngine(e)
-	_ = e.web.Close()
+	_ = e.httpServer.Close()
 	c.fleet.net.Kill(e.host)
 	listener, _ := c.fleet.net.Listen(netip.AddrPortFrom(e.host, 80))
-	e.web = &http.Server{Handler: c.wrap(e, e.server.Handler())}
-	go func() { _ = e.web.Serve(listener) }()
+	e.httpServer = &http.Server{Handler: c.wrap(e, e.server.Handler())}
+	go func() { _ = e.httpServer.Serve(listener) }()
 }
 
 // Engines crash one after the other under one prompt that is sent repeatedly through all entries, as
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -55,12 +55,12 @@
 }
 
 type testEngine struct {
-	name   string
-	host   netip.Addr
-	server *engine.Server
-	stop   context.CancelFunc
-	web    *http.Server
-	dead   bool
+	name       string
+	host       netip.Addr
+	server     *engine.Server
+	stop       context.CancelFunc
+	httpServer *http.Server
+	dead       bool
 }
 
 func host(kind, number int) netip.Addr {
@@ -157,14 +157,14 @@
 	}, false)
 	e.stop, e.dead = stop, false
 	go e.server.Run(ctx)
-	e.web = f.serve(e.host, e.server.Handler())
+	e.httpServer = f.serve(e.host, e.server.Handler())
 }
 
 func (f *testFleet) killEngine(e *testEngine) {
 	e.dead = true
 	e.stop()
 	f.net.Kill(e.host)
-	_ = e.web.Close()
+	_ = e.httpServer.Close()
 }
 
 // settingsOf returns the settings of an entry, the same for every incarnation.
@@ -283,7 +283,7 @@
 	}
 	for _, e := range f.engines {
 		e.stop()
-		_ = e.web.Close()
+		_ = e.httpServer.Close()
 		f.net.Kill(e.host)
 	}
 	f.net.Kill(host(9, 1))
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -106,7 +106,7 @@
 		return
 	}
 	if len(reply.Document) > 0 {
-		s.considerDocument(reply.Document, source)
+		s.receiveDocument(reply.Document, source)
 	}
 	if len(reply.List) > 0 {
 		s.onControl(func(c *control) { c.offerInstanceList(time.Now(), reply.List, reply.ListAge) })
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -149,12 +149,12 @@
 		zap.Uint64("incarnation", orphan.Hold.Incarnation), zap.String("kind", orphan.Hold.Kind), zap.Int("tokens", orphan.Hold.Tokens),
 		zap.Float64("age_s", orphan.Hold.AgeSeconds), zap.Error(err))
 	if err == nil {
-		s.metrics.orphans.Inc(1)
+		s.metrics.freedOrphans.Inc(1)
 	}
 }
 
 func (s *Server) sendOrder(ctx context.Context, engine keptEngine, order api.EngineOrder) {
-	s.metrics.orders.Inc(1)
+	s.metrics.sentOrders.Inc(1)
 	request, err := sling.New().Client(s.engineClient).Base("http://" + engine.address).Post(api.PathOrders).BodyJSON(order).Request()
 	if err != nil {
 		return
--- a/server/peers.go
+++ b/server/peers.go
@@ -81,12 +81,12 @@
 // Ask decides whether an attempt may start on an engine that this entry is the keeper of. Reply.Keeper is
 // false if this entry is not the keeper.
 func (e *PeerService) Ask(args api.AskArgs, reply *api.AskReply) error {
-	e.server.onControl(func(c *control) { *reply = c.decideAsk(time.Now(), args) })
+	e.server.onControl(func(c *control) { *reply = c.askLocalKeeper(time.Now(), args) })
 	return nil
 }
 
-// decideAsk asks the local keeper of an engine whether an attempt may start.
-func (c *control) decideAsk(now time.Time, args api.AskArgs) api.AskReply {
+// askLocalKeeper asks the local keeper of an engine whether an attempt may start.
+func (c *control) askLocalKeeper(now time.Time, args api.AskArgs) api.AskReply {
 	k, ok := c.keepers[args.Engine]
 	if !ok {
 		return api.AskReply{}
@@ -111,7 +111,7 @@
 	now := time.Now()
 	reply := api.AskReply{}
 	if engine.Keeper == s.settings.Name {
-		s.onControl(func(c *control) { reply = c.decideAsk(now, args) })
+		s.onControl(func(c *control) { reply = c.askLocalKeeper(now, args) })
 	} else if member, ok := s.current.Load().members[engine.Keeper]; ok {
 		err := s.peerPool.Call(member.PeerAddress, rpcName+".Ask", args, &reply, askTimeout)
 		if err != nil {
--- a/server/server.go
+++ b/server/server.go
@@ -95,17 +95,17 @@
 
 // metrics holds the metrics that are updated by this package; newMetrics gives their names.
 type metrics struct {
-	requests    tally.Scope
-	firstToken  tally.Histogram
-	dropped     tally.Counter
-	resumed     tally.Counter
-	orphans     tally.Counter
-	orders      tally.Counter
-	inFlight    tally.Gauge
-	revision    tally.Gauge
-	violations  tally.Scope
-	platform    tally.Counter
-	askFailures tally.Counter
+	requests        tally.Scope
+	firstToken      tally.Histogram
+	droppedChunks   tally.Counter
+	resumedAttempts tally.Counter
+	freedOrphans    tally.Counter
+	sentOrders      tally.Counter
+	inFlight        tally.Gauge
+	revision        tally.Gauge
+	violations      tally.Scope
+	platformReads   tally.Counter
+	askFailures     tally.Counter
 }
 
 const (
@@ -172,17 +172,17 @@
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		requests:    scope.SubScope("requests"),
-		firstToken:  scope.Histogram("first_token_seconds", tally.MustMakeExponentialDurationBuckets(10*time.Millisecond, 2, 14)),
-		dropped:     scope.Counter("chunks_dropped"),
-		resumed:     scope.Counter("attempts_resumed"),
-		orphans:     scope.Counter("orphans_freed"),
-		orders:      scope.Counter("orders_sent"),
-		inFlight:    scope.Gauge("requests_in_flight"),
-		revision:    scope.Gauge("document_revision"),
-		violations:  scope.SubScope("violations"),
-		platform:    scope.Counter("platform_calls"),
-		askFailures: scope.Counter("keeper_ask_failures"),
+		requests:        scope.SubScope("requests"),
+		firstToken:      scope.Histogram("first_token_seconds", tally.MustMakeExponentialDurationBuckets(10*time.Millisecond, 2, 14)),
+		droppedChunks:   scope.Counter("chunks_dropped"),
+		resumedAttempts: scope.Counter("attempts_resumed"),
+		freedOrphans:    scope.Counter("orphans_freed"),
+		sentOrders:      scope.Counter("orders_sent"),
+		inFlight:        scope.Gauge("requests_in_flight"),
+		revision:        scope.Gauge("document_revision"),
+		violations:      scope.SubScope("violations"),
+		platformReads:   scope.Counter("platform_calls"),
+		askFailures:     scope.Counter("keeper_ask_failures"),
 	}
 }
 
@@ -241,9 +241,9 @@
 	s.runInBackground(ctx, s.fetchFromPeers)
 
 	connections := connector.NewActiveConns()
-	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, ConnState: connections.OnStateChange}
+	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, ConnState: connections.OnStateChange}
 	serveErr := make(chan error, 1)
-	go func() { serveErr <- web.Serve(s.callerListener) }()
+	go func() { serveErr <- httpServer.Serve(s.callerListener) }()
 	s.logs.entry.Info("started", zap.String("name", s.settings.Name), zap.Stringer("address", s.settings.Address),
 		zap.Stringer("peer_address", s.settings.PeerAddress), zap.Uint64("incarnation", s.config.Incarnation))
 	if len(s.sealKeys) == 0 {
@@ -254,7 +254,7 @@
 		return fmt.Errorf("serve callers: %w", err)
 	case <-stop.Done():
 	}
-	s.drain(web, connections, serveErr)
+	s.drain(httpServer, connections, serveErr)
 	cancel()
 	_ = s.peerListener.Close()
 	s.peerPool.Close()
@@ -273,9 +273,9 @@
 }
 
 // drain announces the shutdown to peers and callers, serves the requests in progress, and returns once
-// addresses given to callers have expired. Web.Shutdown is called last, as it gives no answer to a request
+// addresses given to callers have expired. http.Server.Shutdown is called last, as it gives no answer to a request
 // that it reads once called.
-func (s *Server) drain(web *http.Server, connections *connector.ActiveConns, serveErr <-chan error) {
+func (s *Server) drain(httpServer *http.Server, connections *connector.ActiveConns, serveErr <-chan error) {
 	s.onControl(func(c *control) {
 		c.stopping = true
 		c.publishView()
@@ -290,7 +290,7 @@
 	_ = s.callerListener.Close()
 	<-serveErr // every accepted connection is counted by now
 	connections.WaitIdle(time.Time{}, drainPollInterval)
-	if err := web.Shutdown(context.Background()); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := httpServer.Shutdown(context.Background()); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		s.logs.entry.Warn("shutdown", zap.Error(err))
 	}
 }
--- a/server/stream.go
+++ b/server/stream.go
@@ -45,16 +45,16 @@
 
 // runAttempt sends an attempt to its engine and relays the answer. It returns nil once the answer is
 // complete.
-func (c *completion) runAttempt(ctx context.Context, r engineAttempt) *failure {
+func (c *completion) runAttempt(ctx context.Context, attempt engineAttempt) *failure {
 	x := c.x
 	s := x.server
 	c.attempts++
-	c.triedEngines = append(c.triedEngines, r.engine.Name)
+	c.triedEngines = append(c.triedEngines, attempt.engine.Name)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	s.registerHold(r.engine.Name, r.attemptID, func() { cancel(errHoldLost) })
-	defer s.unregisterHold(r.engine.Name, r.attemptID)
-	load := r.engine.Load
+	s.registerHold(attempt.engine.Name, attempt.attemptID, func() { cancel(errHoldLost) })
+	defer s.unregisterHold(attempt.engine.Name, attempt.attemptID)
+	load := attempt.engine.Load
 	prefill := int64(api.PromptTokens(len(x.completion.Prompt)))
 	load.OwnFlight.Add(1)
 	class := c.class()
@@ -71,32 +71,32 @@
 
 	sentAt, unresolvedBefore := time.Now(), x.unresolvedAttempts
 	x.interrupted, c.answerStartedAt = false, time.Time{}
-	response, f := c.sendAttempt(ctx, cancel, r)
+	response, f := c.sendAttempt(ctx, cancel, attempt)
 	if f != nil && x.unresolvedAttempts > unresolvedBefore {
-		x.detectCrash(ctx, c.attemptInfo(r, sentAt))
+		x.detectCrash(ctx, c.attemptInfo(attempt, sentAt))
 	}
 	if f != nil {
 		return f
 	}
 	defer func() { _ = response.Body.Close() }()
-	f = c.relayChunks(ctx, cancel, r, response.Body, onFirstToken)
+	f = c.relayChunks(ctx, cancel, attempt, response.Body, onFirstToken)
 	if f != nil {
-		x.detectCrash(ctx, c.attemptInfo(r, sentAt))
-		s.cancelStream(r.engine.Address, r.attemptID)
+		x.detectCrash(ctx, c.attemptInfo(attempt, sentAt))
+		s.cancelStream(attempt.engine.Address, attempt.attemptID)
 	}
 	return f
 }
 
-func (c *completion) attemptInfo(r engineAttempt, sentAt time.Time) attemptInfo {
-	return attemptInfo{upstream: r.engine.Name, address: r.engine.Address, sentAt: sentAt, answerStartedAt: c.answerStartedAt}
+func (c *completion) attemptInfo(attempt engineAttempt, sentAt time.Time) attemptInfo {
+	return attemptInfo{upstream: attempt.engine.Name, address: attempt.engine.Address, sentAt: sentAt, answerStartedAt: c.answerStartedAt}
 }
 
 // sendAttempt sends an attempt and returns the engine's response if its status is OK. On failure,
 // x.unresolvedAttempts shows whether the engine may have started the attempt.
-func (c *completion) sendAttempt(ctx context.Context, cancel context.CancelCauseFunc, r engineAttempt) (*http.Response, *failure) {
+func (c *completion) sendAttempt(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt) (*http.Response, *failure) {
 	x := c.x
 	s := x.server
-	request, err := c.buildRequest(ctx, r)
+	request, err := c.buildRequest(ctx, attempt)
 	if err != nil {
 		return nil, &failure{code: api.CodeBadRequest, message: "the request could not be encoded", err: err}
 	}
@@ -108,8 +108,8 @@
 	if x.remaining() <= 0 {
 		return nil, newFailure(api.CodeDeadline, "the time limit has passed")
 	}
-	if u, ok := s.current.Load().engines[r.engine.Name]; !ok || !u.Usable {
-		return nil, newFailure(api.CodeUpstreamFailed, "engine %s is leaving", r.engine.Name)
+	if u, ok := s.current.Load().engines[attempt.engine.Name]; !ok || !u.Usable {
+		return nil, newFailure(api.CodeUpstreamFailed, "engine %s is leaving", attempt.engine.Name)
 	}
 	client := s.trafficClient
 	if !x.repeatable {
@@ -124,7 +124,7 @@
 		if !connected {
 			x.unresolvedAttempts-- // no byte was sent to the engine
 		}
-		f := newFailure(api.CodeUpstreamFailed, "engine %s did not answer", r.engine.Name)
+		f := newFailure(api.CodeUpstreamFailed, "engine %s did not answer", attempt.engine.Name)
 		f.err = contextCause(ctx, err)
 		return nil, f
 	}
@@ -132,10 +132,10 @@
 		defer func() { _ = response.Body.Close() }()
 		if response.Header.Get(api.HeaderStarted) == "false" {
 			x.unresolvedAttempts-- // the engine states that it never started the attempt
-			r.engine.Load.Free.Store(0)
+			attempt.engine.Load.Free.Store(0)
 		}
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, 200))
-		f := newFailure(api.CodeUpstreamFailed, "engine %s refused", r.engine.Name)
+		f := newFailure(api.CodeUpstreamFailed, "engine %s refused", attempt.engine.Name)
 		f.err = fmt.Errorf("status %d: %s", response.StatusCode, strings.TrimSpace(string(reason)))
 		return nil, f
 	}
@@ -150,7 +150,7 @@
 	return err
 }
 
-func (c *completion) buildRequest(ctx context.Context, r engineAttempt) (*http.Request, error) {
+func (c *completion) buildRequest(ctx context.Context, attempt engineAttempt) (*http.Request, error) {
 	x := c.x
 	body := *x.completion
 	body.Stream = true
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode prompt: %w", err)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.engine.Address+api.PathCompletions, bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+attempt.engine.Address+api.PathCompletions, bytes.NewReader(data))
 	if err != nil {
 		return nil, fmt.Errorf("build request: %w", err)
 	}
@@ -168,13 +168,13 @@
 	h := request.Header
 	h.Set("Content-Type", "application/json")
 	h.Set(api.HeaderRequestID, x.id)
-	h.Set(api.HeaderAttemptID, r.attemptID)
+	h.Set(api.HeaderAttemptID, attempt.attemptID)
 	h.Set(api.HeaderOwner, x.server.settings.Name)
 	h.Set(api.HeaderIncarnation, strconv.FormatUint(x.server.config.Incarnation, 10))
 	h.Set(api.HeaderPriority, strconv.Itoa(c.priority()))
-	h.Set(api.HeaderResumeFrom, strconv.Itoa(c.relayer.Begin(r.attemptID)))
-	if len(r.holdIDs) > 0 {
-		h.Set(api.HeaderGroup, strings.Join(r.holdIDs, ","))
+	h.Set(api.HeaderResumeFrom, strconv.Itoa(c.relayer.Begin(attempt.attemptID)))
+	if len(attempt.holdIDs) > 0 {
+		h.Set(api.HeaderGroup, strings.Join(attempt.holdIDs, ","))
 	}
 	return request, nil
 }
@@ -188,15 +188,15 @@
 
 // relayChunks relays the chunks of an attempt's answer to the caller. It returns nil once the answer is
 // complete, and otherwise why the attempt failed. It calls onFirstToken for every chunk that it accepts.
-func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, r engineAttempt, body io.Reader, onFirstToken func()) *failure {
+func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onFirstToken func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
-	prefill := router.Engine{PrefillRate: r.engine.PrefillRate * max(1, r.groupSize), Load: &router.Load{}}
+	prefill := router.Engine{PrefillRate: attempt.engine.PrefillRate * max(1, attempt.groupSize), Load: &router.Load{}}
 	estimated := prefill.Predict(time.Now(), router.Longest, api.PromptTokens(len(c.x.completion.Prompt))) +
-		r.engine.Predict(time.Now(), router.Longest, 0)
+		attempt.engine.Predict(time.Now(), router.Longest, 0)
 	silenceTimer := time.AfterFunc(silence+prefillTimeoutFactor*estimated, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
 	pace := tokenPace{startOffset: c.relayer.Delivered()}
-	defer func() { pace.record(r.engine.Load, c.relayer.Delivered()) }()
+	defer func() { pace.record(attempt.engine.Load, c.relayer.Delivered()) }()
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
@@ -206,7 +206,7 @@
 		}
 		var chunk api.CompletionChunk
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return c.streamFailure(r, err)
+			return c.streamFailure(attempt, err)
 		}
 		offset := c.relayer.Delivered()
 		text, verdict := c.relayer.Accept(chunk)
@@ -214,20 +214,20 @@
 		case relayer.Drop:
 			continue
 		case relayer.Broken:
-			return c.streamFailure(r, fmt.Errorf("chunk at offset %d, but %d tokens were delivered", chunk.Offset, offset))
+			return c.streamFailure(attempt, fmt.Errorf("chunk at offset %d, but %d tokens were delivered", chunk.Offset, offset))
 		}
 		c.x.server.asserter.Check(chunk.ID == c.x.id, asserter.ForeignChunk, "request %s received a chunk of request %s", c.x.id, chunk.ID)
 		silenceTimer.Reset(silence)
 		onFirstToken()
 		pace.start()
-		c.version = r.engine.Version
+		c.version = attempt.engine.Version
 		c.deliver(offset, text, chunk.Usage)
 		if verdict == relayer.Whole {
 			c.x.unresolvedAttempts--
 			return nil
 		}
 	}
-	return c.streamFailure(r, contextCause(ctx, scanner.Err()))
+	return c.streamFailure(attempt, contextCause(ctx, scanner.Err()))
 }
 
 // minPaceTokens is the minimum number of tokens from which an engine's pace is measured.
@@ -257,8 +257,8 @@
 
 // streamFailure returns the failure of an attempt whose stream ended early or was invalid. The engine may
 // have run the attempt.
-func (c *completion) streamFailure(r engineAttempt, err error) *failure {
-	f := newFailure(api.CodeUpstreamFailed, "the answer of engine %s was cut off or invalid", r.engine.Name)
+func (c *completion) streamFailure(attempt engineAttempt, err error) *failure {
+	f := newFailure(api.CodeUpstreamFailed, "the answer of engine %s was cut off or invalid", attempt.engine.Name)
 	f.err = err
 	if err == nil {
 		f.err = io.ErrUnexpectedEOF
--- a/server/watch.go
+++ b/server/watch.go
@@ -29,7 +29,7 @@
 func (s *Server) watchConfig(ctx context.Context) {
 	s.watchPath(ctx, api.PathConfig, func(data []byte, err error) {
 		if err == nil && data != nil {
-			s.considerDocument(data, sourcePlatform)
+			s.receiveDocument(data, sourcePlatform)
 		}
 		s.onControl(func(c *control) { c.recordSourceAsked(sourcePlatform) })
 	})
@@ -51,7 +51,7 @@
 	etag, backoff := "", minBackoff
 	for ctx.Err() == nil {
 		data, tag, err := s.readPlatform(ctx, path, etag)
-		s.metrics.platform.Inc(1)
+		s.metrics.platformReads.Inc(1)
 		if ctx.Err() != nil {
 			return
 		}
