--- a/api/api.go
+++ b/api/api.go
@@ -25,19 +25,19 @@
 	HeaderAttemptID = "X-Attempt-Id"
 	// HeaderOwner is the name of the instance that owns an attempt or hold.
 	HeaderOwner = "X-Owner"
-	// HeaderIncarnation is the incarnation of the owner.
-	HeaderIncarnation = "X-Owner-Incarnation"
+	// HeaderOwnerIncarnation is the incarnation of the owner.
+	HeaderOwnerIncarnation = "X-Owner-Incarnation"
 	// HeaderPriority is an integer; a higher one is scheduled first.
 	HeaderPriority = "X-Priority"
 	// HeaderResumeFrom is the count of answer tokens already delivered.
 	HeaderResumeFrom = "X-Resume-From"
-	// HeaderGroup lists the hold ids that a group request may draw on.
-	HeaderGroup = "X-Group-Holds"
+	// HeaderGroupHolds lists the hold ids that a group request may draw on.
+	HeaderGroupHolds = "X-Group-Holds"
 	// HeaderOutcome tells the caller what became of its request.
 	HeaderOutcome = "X-Outcome"
-	// HeaderForwarded marks a request passed on by another entry, which is
+	// HeaderForwardedByEntry marks a request passed on by another entry, which is
 	// therefore never passed on again.
-	HeaderForwarded = "X-Forwarded-By-Entry"
+	HeaderForwardedByEntry = "X-Forwarded-By-Entry"
 	// HeaderStarted is "false" on an upstream's error when the upstream
 	// confirms that the request never started there.
 	HeaderStarted = "X-Started"
@@ -46,12 +46,12 @@
 // Outcome says what became of a request.
 type Outcome string
 
-// The outcomes. Unknown is the only honest one when a request left for an
+// The outcomes. OutcomeUnknown is the only honest one when a request left for an
 // upstream and nothing confirmed what happened to it there.
 const (
-	Answered Outcome = "answered"
-	NotRun   Outcome = "not_run"
-	Unknown  Outcome = "unknown"
+	OutcomeAnswered Outcome = "answered"
+	OutcomeNotRun   Outcome = "not_run"
+	OutcomeUnknown  Outcome = "unknown"
 )
 
 // Codes of errors sent to callers.
@@ -64,7 +64,7 @@
 	CodeModelNotAllowed     = "model_not_allowed"
 	CodePromptTooLong       = "prompt_too_long"
 	CodeDeadlinePast        = "deadline_past"
-	CodeDeadline            = "deadline_exceeded"
+	CodeDeadlineExceeded    = "deadline_exceeded"
 	CodeOverloaded          = "overloaded"
 	CodeOrganisationLimit   = "organisation_limit"
 	CodeNoUpstream          = "no_upstream"
@@ -148,8 +148,8 @@
 // the length of the prompt's text.
 const BytesPerToken = 4
 
-// PromptTokens estimates the tokens of a prompt of n bytes, at least 1.
-func PromptTokens(n int) int {
+// EstimatePromptTokens estimates the tokens of a prompt of n bytes, at least 1.
+func EstimatePromptTokens(n int) int {
 	return max(1, (n+BytesPerToken-1)/BytesPerToken)
 }
 
@@ -172,8 +172,8 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// StatusCode gives the HTTP status for an error code.
-func StatusCode(code string) int {
+// HTTPStatus gives the HTTP status for an error code.
+func HTTPStatus(code string) int {
 	switch code {
 	case CodeBadRequest, CodePromptTooLong, CodeDeadlinePast, CodeTicketRequired, CodeTicketUnknown:
 		return http.StatusBadRequest
@@ -189,7 +189,7 @@
 		return http.StatusTooManyRequests
 	case CodeTicketExpired, CodeTicketOwnerGone, CodeTicketInProgress, CodeTicketSpent:
 		return http.StatusConflict
-	case CodeDeadline:
+	case CodeDeadlineExceeded:
 		return http.StatusGatewayTimeout
 	case CodeUpstreamFailed:
 		return http.StatusBadGateway
--- a/api/entry.go
+++ b/api/entry.go
@@ -58,11 +58,11 @@
 	InFlight   int
 	Violations map[string]int
 	// LoadNews is of entries on the users' platform only.
-	LoadNews *LoadNews `json:",omitempty"`
+	LoadNews *LoadUpdateCounts `json:",omitempty"`
 }
 
-// LoadNews is how an entry tells others of load, and what it told and heard since its start.
-type LoadNews struct {
+// LoadUpdateCounts is how an entry tells others of load, and what it told and heard since its start.
+type LoadUpdateCounts struct {
 	// PlacingPeers are told of each change, Peers of all load from time to time; in RelayedCentres one entry
 	// drawn for each message passes it on.
 	Peers, PlacingPeers, RelayedCentres int
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -8,8 +8,8 @@
 	PathHolds       = "/v1/holds"
 	PathOrders      = "/v1/orders"
 	PathStreams     = "/v1/streams/"
-	PathEvents      = "/v1/cache/events"
-	PathKV          = "/v1/kv/"
+	PathCacheEvents = "/v1/cache/events"
+	PathKVTransfer  = "/v1/kv/"
 	PathConfig      = "/config"
 	PathInstances   = "/instances"
 )
@@ -57,8 +57,8 @@
 	Holds []EngineHold `json:"holds"`
 }
 
-// EngineRenewal resets the age of holds; the answer lists those not there.
-type EngineRenewal struct {
+// EngineHoldRenewal resets the age of holds; the answer lists those not there.
+type EngineHoldRenewal struct {
 	IDs []string `json:"ids"`
 }
 
--- a/client/client.go
+++ b/client/client.go
@@ -323,7 +323,7 @@
 		return leastWait, o.Ticket != ""
 	}
 	d := refused.Detail
-	if d.RetryAfterSeconds <= 0 || (d.Outcome != api.NotRun && o.Ticket == "") {
+	if d.RetryAfterSeconds <= 0 || (d.Outcome != api.OutcomeNotRun && o.Ticket == "") {
 		return 0, false
 	}
 	return time.Duration(d.RetryAfterSeconds * float64(time.Second)), true
--- a/cmd/sapphireramp/ask.go
+++ b/cmd/sapphireramp/ask.go
@@ -115,9 +115,9 @@
 
 // summarise prints what became of a request as one line.
 func summarise(r client.Result, err error, print bool) error {
-	outcome := api.Answered
+	outcome := api.OutcomeAnswered
 	if err != nil {
-		outcome = api.Unknown
+		outcome = api.OutcomeUnknown
 	}
 	if refused, ok := asOutcome(err); ok {
 		outcome = refused.Detail.Outcome
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -61,26 +61,26 @@
 	// Engines may drop idle connections without notice, and an order that meets
 	// that can't be told from one that was refused.
 	orders := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	store := platform.NewStore(&http.Client{}, settings.Store)
+	store := platform.NewStore(&http.Client{}, settings.StoreAddress)
 	config := launcher.Config{
-		Name: settings.Name, DataCentre: settings.DataCentre, Callers: settings.Callers, Ready: settings.Ready,
-		Peers: settings.Peers, Directory: settings.Directory, Shares: settings.Shares,
-		AddressLife: min(addressLife, settings.AddressLife), Settings: changeable(settings),
+		Name: settings.Name, DataCentre: settings.DataCentre, Callers: settings.CallerAddress, Ready: settings.ReadinessAddress,
+		Peers: settings.PeerAddress, Directory: settings.DirectoryAddress, Shares: settings.LoadAddress,
+		AddressLife: min(addressLife, settings.MaxAddressTTL), Settings: changeable(settings),
 		Reload: func() (launcher.Settings, error) {
 			s, err := platform.LoadSettings()
 			return changeable(s), err
 		},
 		Store:    controller.Store{Read: store.Read, Watch: store.Watch, DecodeConfig: platform.DecodeConfig},
-		Protocol: platform.Protocol(), Orders: platform.Orders(orders),
-		InForce:          settings.InForce,
+		Protocol: platform.Protocol(), Orders: platform.NewReservationClient(orders),
+		InForce:          settings.MaxPropagation,
 		Speed:            settings.Speed,
 		MaxIdle:          settings.MaxIdle,
-		HoldTime:         min(settings.MaxHold, settings.MaxUnused*holdPart/100),
-		DirectoryHandler: platform.Directory, ReadyHandler: platform.Readiness,
+		HoldTime:         min(settings.MaxReservationTTL, settings.MaxReservedAfterUse*holdPart/100),
+		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
 		Log: log, Scope: metrics.Scope, MetricsPage: metrics.Page, Asserter: invariants,
 	}
 	if metricsPort > 0 {
-		config.Metrics = netip.AddrPortFrom(settings.Callers.Addr(), metricsPort)
+		config.Metrics = netip.AddrPortFrom(settings.CallerAddress.Addr(), metricsPort)
 	}
 	reload := make(chan struct{}, 1)
 	go forwardHangups(reload)
@@ -90,7 +90,7 @@
 // changeable are the settings that may change while the entry runs.
 func changeable(s platform.Settings) launcher.Settings {
 	return launcher.Settings{
-		Seeds: s.Seeds, Grace: s.Grace,
+		Seeds: s.Seeds, Grace: s.ShutdownGrace,
 		Budget: budgeter.Config{Ratio: s.RetryRatio, Window: s.RetryWindow, Slack: s.RetrySlack},
 	}
 }
--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -166,9 +166,9 @@
 	r := l.request
 	r.Prompt = strings.Repeat(filler, tokens)
 	result, err := l.client.Complete(ctx, r, client.Options{Timeout: l.timeout}, nil)
-	outcome := api.Answered
+	outcome := api.OutcomeAnswered
 	if err != nil {
-		outcome = api.Unknown
+		outcome = api.OutcomeUnknown
 	}
 	if refused, ok := asOutcome(err); ok {
 		outcome = refused.Detail.Outcome
@@ -185,7 +185,7 @@
 	_, _ = fmt.Printf("%-10s %8s %8s %8s %10s %10s %10s\n", "tokens", "answered", "not_run", "unknown", "p50_ms", "p95_ms", "p99_ms")
 	for i, c := range lengthClasses {
 		t := l.classes[i]
-		_, _ = fmt.Printf("%-10s %8d %8d %8d %10.1f %10.1f %10.1f\n", c.name, t.outcomes[api.Answered], t.outcomes[api.NotRun], t.outcomes[api.Unknown],
+		_, _ = fmt.Printf("%-10s %8d %8d %8d %10.1f %10.1f %10.1f\n", c.name, t.outcomes[api.OutcomeAnswered], t.outcomes[api.OutcomeNotRun], t.outcomes[api.OutcomeUnknown],
 			millis(t.firstToken, 50), millis(t.firstToken, 95), millis(t.firstToken, 99))
 	}
 }
--- a/controller/loadcounts.go
+++ b/controller/loadcounts.go
@@ -39,8 +39,8 @@
 }
 
 // status returns the counts and the numbers of peers in a view.
-func (n *loadCounts) status(v *view) *api.LoadNews {
-	return &api.LoadNews{
+func (n *loadCounts) status(v *view) *api.LoadUpdateCounts {
+	return &api.LoadUpdateCounts{
 		Peers: v.allPaths.count(), PlacingPeers: v.placingPaths.count(), RelayedCentres: len(v.allPaths.relayed),
 		Told: n.sent.status(), Relayed: n.relayed.status(), Heard: n.received.status(), Malformed: n.malformed.Load(),
 	}
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -97,7 +97,7 @@
 		f.dispatcher.Update(table, f.instances)
 		invariants := asserter.New(func(name, detail string) { t.Errorf("%s: %s", name, detail) })
 		handler := forwarder.New(forwarder.Config{
-			Protocol: platform.Protocol(), Reservations: platform.Orders(&http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(entryHost), DisableKeepAlives: true}}),
+			Protocol: platform.Protocol(), Reservations: platform.NewReservationClient(&http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(entryHost), DisableKeepAlives: true}}),
 			ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second, View: f.view.Load, Dispatcher: f.dispatcher, Quarantine: f.quarantine,
 			RetryBudget: budgeter.New(budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}),
 			Dial:        f.net.Dialer(entryHost), Log: zap.NewNop(), Scope: tally.NoopScope, Asserter: invariants,
--- a/server/call.go
+++ b/server/call.go
@@ -43,7 +43,7 @@
 			return nil
 		}
 		if x.ctx.Err() != nil || x.remaining() <= 0 {
-			late := newFailure(api.CodeDeadline, "the time limit has passed")
+			late := newFailure(api.CodeDeadlineExceeded, "the time limit has passed")
 			late.retryAfter, late.err = s.retryAfter(), f.err
 			return late
 		}
@@ -95,7 +95,7 @@
 		return dispatcher.Answered, &failure{code: api.CodeBadRequest, message: "the call could not be encoded", err: err}
 	}
 	if x.remaining() <= 0 {
-		return dispatcher.Answered, newFailure(api.CodeDeadline, "the time limit has passed")
+		return dispatcher.Answered, newFailure(api.CodeDeadlineExceeded, "the time limit has passed")
 	}
 	x.unresolvedAttempts++
 	x.interrupted = false
@@ -131,7 +131,7 @@
 	x.unresolvedAttempts--
 	h := x.writer.Header()
 	h.Set("Content-Type", response.Header.Get("Content-Type"))
-	h.Set(api.HeaderOutcome, string(api.Answered))
+	h.Set(api.HeaderOutcome, string(api.OutcomeAnswered))
 	h.Set(api.HeaderRequestID, x.id)
 	x.writer.WriteHeader(response.StatusCode)
 	_, _ = x.writer.Write(body)
--- a/server/complete.go
+++ b/server/complete.go
@@ -92,7 +92,7 @@
 func (c *completion) finalFailure(f *failure) *failure {
 	x := c.x
 	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.remaining() <= 0 {
-		return &failure{code: api.CodeDeadline, message: "the time limit has passed", retryAfter: x.server.retryAfter(), err: f.err}
+		return &failure{code: api.CodeDeadlineExceeded, message: "the time limit has passed", retryAfter: x.server.retryAfter(), err: f.err}
 	}
 	if f.retryAfter == 0 && f.code == api.CodeUpstreamFailed {
 		f.retryAfter = x.server.retryAfter()
@@ -115,7 +115,7 @@
 
 func (c *completion) requirements() router.Requirements {
 	r := c.x.completion
-	prompt := api.PromptTokens(len(r.Prompt))
+	prompt := api.EstimatePromptTokens(len(r.Prompt))
 	return router.Requirements{
 		Model: r.Model, Adapter: r.Adapter, Version: c.version, Class: c.class(),
 		PrefillTokens: prompt + c.relayer.Delivered(), MemoryTokens: prompt + r.MaxTokens, AnswerTokens: r.MaxTokens, Avoid: c.triedEngines,
@@ -129,7 +129,7 @@
 	if policy.ShortWeight == 0 {
 		return router.Longest
 	}
-	return router.ClassOf(api.PromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
+	return router.ClassOf(api.EstimatePromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
 }
 
 // needsGroup reports whether no single engine of the model has enough memory for the prompt.
@@ -217,7 +217,7 @@
 		return nil
 	}
 	h := x.writer.Header()
-	h.Set(api.HeaderOutcome, string(api.Answered))
+	h.Set(api.HeaderOutcome, string(api.OutcomeAnswered))
 	h.Set(api.HeaderRequestID, x.id)
 	writeJSON(x.writer, api.CompletionChunk{
 		ID: x.id, Usage: c.usage,
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -105,9 +105,9 @@
 		return f.outcome
 	}
 	if x.unresolvedAttempts > 0 || x.answerBegun {
-		return api.Unknown
+		return api.OutcomeUnknown
 	}
-	return api.NotRun
+	return api.OutcomeNotRun
 }
 
 // remaining returns the time left until the request's deadline. It reads the clock on every call, so that a
--- a/server/filters.go
+++ b/server/filters.go
@@ -55,11 +55,11 @@
 func (s *Server) writeOutcome(next handler) handler {
 	return func(x *exchange) *failure {
 		f := next(x)
-		outcome := api.Answered
+		outcome := api.OutcomeAnswered
 		code := "ok"
 		if f != nil {
 			outcome, code = x.outcome(f), f.code
-			s.asserter.Check(outcome != api.NotRun || x.unresolvedAttempts == 0, asserter.NotRunAfterSend, "request %s: %s", x.id, code)
+			s.asserter.Check(outcome != api.OutcomeNotRun || x.unresolvedAttempts == 0, asserter.NotRunAfterSend, "request %s: %s", x.id, code)
 			x.writeFailure(f)
 		}
 		s.metrics.requests.Tagged(map[string]string{"outcome": string(outcome), "code": code}).Counter("total").Inc(1)
@@ -114,7 +114,7 @@
 	var body bytes.Buffer
 	_ = json.NewEncoder(&body).Encode(api.Error{Error: detail})
 	h.Set("Content-Length", strconv.Itoa(body.Len())) // the flush then sends the complete response
-	x.writer.WriteHeader(api.StatusCode(f.code))
+	x.writer.WriteHeader(api.HTTPStatus(f.code))
 	_, _ = x.writer.Write(body.Bytes())
 }
 
@@ -249,7 +249,7 @@
 		return newFailure(api.CodeBodyTooLarge, "body: must be at most %d bytes", limit)
 	}
 	if err != nil && x.remaining() <= 0 {
-		return newFailure(api.CodeDeadline, "the time limit passed before the body was read")
+		return newFailure(api.CodeDeadlineExceeded, "the time limit passed before the body was read")
 	}
 	if err != nil {
 		f := newFailure(api.CodeBadRequest, "body: could not be read completely")
@@ -315,7 +315,7 @@
 	if r.MaxTokens < 1 || r.MaxTokens > limits.MaxNewTokens {
 		return badParam("max_tokens", strconv.Itoa(r.MaxTokens), fmt.Sprintf("1 to %d", limits.MaxNewTokens))
 	}
-	tokens := api.PromptTokens(len(r.Prompt))
+	tokens := api.EstimatePromptTokens(len(r.Prompt))
 	if tokens > limits.MaxPromptTokens {
 		f := newFailure(api.CodePromptTooLong, "prompt: %d tokens: must be at most %d", tokens, limits.MaxPromptTokens)
 		f.param = "prompt"
--- a/server/renew.go
+++ b/server/renew.go
@@ -85,9 +85,9 @@
 	if !ok {
 		return
 	}
-	var missing api.EngineRenewal
+	var missing api.EngineHoldRenewal
 	base := sling.New().Client(s.engineClient).Base("http://" + u.Address.String())
-	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineRenewal{IDs: ids}).ReceiveSuccess(&missing)
+	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineHoldRenewal{IDs: ids}).ReceiveSuccess(&missing)
 	if err != nil {
 		s.logs.keep.Warn("renew_failed", zap.String("engine", engine), zap.Int("holds", len(ids)), zap.Error(err))
 		return
@@ -102,9 +102,9 @@
 // reportLostHolds asks the engine again to renew the holds that it did not have, and calls onLost for those
 // that are still missing and registered.
 func (s *Server) reportLostHolds(engine, address string, ids []string) {
-	var missing api.EngineRenewal
+	var missing api.EngineHoldRenewal
 	base := sling.New().Client(s.engineClient).Base("http://" + address)
-	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineRenewal{IDs: ids}).ReceiveSuccess(&missing)
+	_, err := base.Post(api.PathHolds + "/renew").BodyJSON(api.EngineHoldRenewal{IDs: ids}).ReceiveSuccess(&missing)
 	if err != nil {
 		return
 	}
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -83,13 +83,13 @@
 }
 
 func (s *soak) countOutcome(err error) {
-	outcome := api.Answered
+	outcome := api.OutcomeAnswered
 	var refused *client.OutcomeError
 	switch {
 	case errors.As(err, &refused):
 		outcome = refused.Detail.Outcome
 	case err != nil:
-		outcome = api.Unknown
+		outcome = api.OutcomeUnknown
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -109,7 +109,7 @@
 	}
 	s.countOutcome(err)
 	var refused *client.OutcomeError
-	notRun := errors.As(err, &refused) && refused.Detail.Outcome == api.NotRun
+	notRun := errors.As(err, &refused) && refused.Detail.Outcome == api.OutcomeNotRun
 	time.Sleep(10 * time.Second)
 	ran := 0
 	for _, e := range s.service.Executions() {
@@ -292,5 +292,5 @@
 			rt.Fatalf("checks failed under the faults %+v", faults)
 		}
 	})
-	t.Logf("runs %d, answered %d, not run %d, unknown %d", runs, total[api.Answered], total[api.NotRun], total[api.Unknown])
+	t.Logf("runs %d, answered %d, not run %d, unknown %d", runs, total[api.OutcomeAnswered], total[api.OutcomeNotRun], total[api.OutcomeUnknown])
 }
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -212,7 +212,7 @@
 		var refusal api.Error
 		is.NoErr(json.NewDecoder(response.Body).Decode(&refusal))
 		is.Equal(refusal.Error.Code, api.CodeStopping)
-		is.Equal(refusal.Error.Outcome, api.NotRun)
+		is.Equal(refusal.Error.Outcome, api.OutcomeNotRun)
 		is.Equal(response.Header.Get("Retry-After"), "1")
 		is.Equal(refusal.Error.Elsewhere, []string{f.entries[1].settings.Address.String()})
 		is.Equal(len(f.engineReport(f.engines[0]).Requests), 0)
@@ -251,7 +251,7 @@
 			case err == nil:
 				is.Equal(ran, 1)
 			case errors.As(err, &refused):
-				is.Equal(refused.Detail.Outcome, api.Unknown)
+				is.Equal(refused.Detail.Outcome, api.OutcomeUnknown)
 				is.Equal(ran, 0)
 			default:
 				is.NoErr(err)
@@ -284,7 +284,7 @@
 				_, _ = io.WriteString(c, header+body)
 				response, err := http.ReadResponse(answers, nil)
 				is.NoErr(err) // a request that was sent got no answer
-				is.Equal(response.Header.Get(api.HeaderOutcome), string(api.NotRun))
+				is.Equal(response.Header.Get(api.HeaderOutcome), string(api.OutcomeNotRun))
 				_, err = io.Copy(io.Discard, response.Body)
 				is.NoErr(err)
 				closed = response.Close
@@ -310,7 +310,7 @@
 		_, _ = io.WriteString(c, header+body[:10])
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		is.NoErr(err)
-		is.Equal(response.Header.Get(api.HeaderOutcome), string(api.NotRun))
+		is.Equal(response.Header.Get(api.HeaderOutcome), string(api.OutcomeNotRun))
 		is.True(e.hasEnded(time.Minute)) // the entry waits for a caller that sends nothing
 	})
 }
--- a/server/stream.go
+++ b/server/stream.go
@@ -55,7 +55,7 @@
 	s.registerHold(attempt.engine.Name, attempt.attemptID, func() { cancel(errHoldLost) })
 	defer s.unregisterHold(attempt.engine.Name, attempt.attemptID)
 	load := attempt.engine.Load
-	prefill := int64(api.PromptTokens(len(x.completion.Prompt)))
+	prefill := int64(api.EstimatePromptTokens(len(x.completion.Prompt)))
 	load.OwnFlight.Add(1)
 	class := c.class()
 	load.OwnTokens[class].Add(prefill)
@@ -106,7 +106,7 @@
 	// The clock and the view are read again, as this process may have been suspended since the engine was
 	// chosen, and the engine may be leaving by now.
 	if x.remaining() <= 0 {
-		return nil, newFailure(api.CodeDeadline, "the time limit has passed")
+		return nil, newFailure(api.CodeDeadlineExceeded, "the time limit has passed")
 	}
 	if u, ok := s.current.Load().engines[attempt.engine.Name]; !ok || !u.Usable {
 		return nil, newFailure(api.CodeUpstreamFailed, "engine %s is leaving", attempt.engine.Name)
@@ -170,11 +170,11 @@
 	h.Set(api.HeaderRequestID, x.id)
 	h.Set(api.HeaderAttemptID, attempt.attemptID)
 	h.Set(api.HeaderOwner, x.server.settings.Name)
-	h.Set(api.HeaderIncarnation, strconv.FormatUint(x.server.config.Incarnation, 10))
+	h.Set(api.HeaderOwnerIncarnation, strconv.FormatUint(x.server.config.Incarnation, 10))
 	h.Set(api.HeaderPriority, strconv.Itoa(c.priority()))
 	h.Set(api.HeaderResumeFrom, strconv.Itoa(c.relayer.Begin(attempt.attemptID)))
 	if len(attempt.holdIDs) > 0 {
-		h.Set(api.HeaderGroup, strings.Join(attempt.holdIDs, ","))
+		h.Set(api.HeaderGroupHolds, strings.Join(attempt.holdIDs, ","))
 	}
 	return request, nil
 }
@@ -191,7 +191,7 @@
 func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onFirstToken func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
 	prefill := router.Engine{PrefillRate: attempt.engine.PrefillRate * max(1, attempt.groupSize), Load: &router.Load{}}
-	estimated := prefill.Predict(time.Now(), router.Longest, api.PromptTokens(len(c.x.completion.Prompt))) +
+	estimated := prefill.Predict(time.Now(), router.Longest, api.EstimatePromptTokens(len(c.x.completion.Prompt))) +
 		attempt.engine.Predict(time.Now(), router.Longest, 0)
 	silenceTimer := time.AfterFunc(silence+prefillTimeoutFactor*estimated, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -94,11 +94,11 @@
 		return nil
 	case spender.InProgress:
 		f := newFailure(api.CodeTicketInProgress, "an earlier request with this ticket is still running")
-		f.outcome, f.retryAfter = api.Unknown, inProgressRetryAfter
+		f.outcome, f.retryAfter = api.OutcomeUnknown, inProgressRetryAfter
 		return f
 	case spender.Ran:
 		f := newFailure(api.CodeTicketSpent, "the ticket was spent and its answer is no longer kept")
-		f.outcome = api.Unknown
+		f.outcome = api.OutcomeUnknown
 		return f
 	case spender.Expired:
 		return newFailure(api.CodeTicketExpired, "the ticket expired before it was spent")
@@ -127,10 +127,10 @@
 	}()
 	f := next(x)
 	finished = true
-	outcome := api.Answered
+	outcome := api.OutcomeAnswered
 	if f != nil {
 		outcome = x.outcome(f)
-		if outcome == api.NotRun {
+		if outcome == api.OutcomeNotRun {
 			s.onControl(func(c *control) { c.spender.Unspend(x.ticket) })
 			return f
 		}
@@ -189,7 +189,7 @@
 // forwardToOwner forwards a request to the incarnation that issued its ticket and relays the answer. A
 // request that was forwarded already is not forwarded again, and no other entry runs it.
 func (s *Server) forwardToOwner(x *exchange) *failure {
-	if x.request.Header.Get(api.HeaderForwarded) != "" {
+	if x.request.Header.Get(api.HeaderForwardedByEntry) != "" {
 		return ownerGoneFailure("the request was forwarded to an entry that did not issue its ticket")
 	}
 	owner, known := s.current.Load().members[x.ticket.Owner]
@@ -204,7 +204,7 @@
 	s.logs.route.Info("forward", zap.String("request", x.id), zap.String("entry", owner.Name), zap.String("reason", "ticket"))
 	timeout := x.remaining()
 	if timeout <= 0 {
-		return newFailure(api.CodeDeadline, "the time limit has passed")
+		return newFailure(api.CodeDeadlineExceeded, "the time limit has passed")
 	}
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
@@ -219,7 +219,7 @@
 		}
 	}
 	r.Header.Set(api.HeaderTimeout, api.FormatSeconds(timeout))
-	r.Header.Set(api.HeaderForwarded, s.settings.Name)
+	r.Header.Set(api.HeaderForwardedByEntry, s.settings.Name)
 	response, err := s.singleUseClient.Do(r)
 	if err != nil {
 		f := ownerGoneFailure("the entry that issued the ticket did not answer")
@@ -237,7 +237,7 @@
 // ended. The outcome is unknown, as an earlier request with the ticket may have run.
 func ownerGoneFailure(message string) *failure {
 	f := newFailure(api.CodeTicketOwnerGone, "%s: this request did not run; an earlier one with the ticket may have", message)
-	f.outcome = api.Unknown
+	f.outcome = api.OutcomeUnknown
 	return f
 }
 
--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -208,7 +208,7 @@
 	if st.request.Model != b.load.Model {
 		return nil, RefusedError{404, "model is not loaded"}
 	}
-	prompt := api.PromptTokens(len(st.request.Prompt))
+	prompt := api.EstimatePromptTokens(len(st.request.Prompt))
 	need := prompt + st.request.MaxTokens
 	if len(st.group) > 0 {
 		need = 0
@@ -252,7 +252,7 @@
 	}
 	prefix := s.request.Prompt[:PrefixBytes]
 	if at := slices.Index(b.cache, prefix); at >= 0 {
-		s.prefill -= float64(api.PromptTokens(PrefixBytes))
+		s.prefill -= float64(api.EstimatePromptTokens(PrefixBytes))
 		b.cache = slices.Delete(b.cache, at, at+1)
 	} else {
 		b.event(prefix, false)
@@ -269,7 +269,7 @@
 	h.Write([]byte(prefix))
 	b.events = append(b.events, api.EngineCacheEvent{
 		Sequence: uint64(len(b.events) + 1), Prefix: fmt.Sprintf("%016x", h.Sum64()),
-		Tokens: api.PromptTokens(PrefixBytes), Dropped: dropped,
+		Tokens: api.EstimatePromptTokens(PrefixBytes), Dropped: dropped,
 	})
 }
 
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -94,8 +94,8 @@
 	mux.HandleFunc("DELETE "+api.PathHolds+"/{id}", s.freeHold)
 	mux.HandleFunc("DELETE "+api.PathStreams+"{id}", s.freeHold)
 	mux.HandleFunc("POST "+api.PathOrders, s.order)
-	mux.HandleFunc("GET "+api.PathEvents, s.cacheEvents)
-	mux.HandleFunc("POST "+api.PathKV+"{prefix}/{direction}", s.kv)
+	mux.HandleFunc("GET "+api.PathCacheEvents, s.cacheEvents)
+	mux.HandleFunc("POST "+api.PathKVTransfer+"{prefix}/{direction}", s.kv)
 	mux.HandleFunc("POST /control/leave", s.leave)
 	mux.HandleFunc("GET /control/ran", s.ran)
 	return mux
@@ -123,10 +123,10 @@
 		attemptID: r.Header.Get(api.HeaderAttemptID),
 		owner:     r.Header.Get(api.HeaderOwner),
 	}
-	st.incarnation, _ = strconv.ParseUint(r.Header.Get(api.HeaderIncarnation), 10, 64)
+	st.incarnation, _ = strconv.ParseUint(r.Header.Get(api.HeaderOwnerIncarnation), 10, 64)
 	st.priority, _ = strconv.Atoi(r.Header.Get(api.HeaderPriority))
 	st.resumeFrom, _ = strconv.Atoi(r.Header.Get(api.HeaderResumeFrom))
-	if group := r.Header.Get(api.HeaderGroup); group != "" {
+	if group := r.Header.Get(api.HeaderGroupHolds); group != "" {
 		st.group = strings.Split(group, ",")
 	}
 	return st, json.NewDecoder(r.Body).Decode(&st.request)
@@ -226,7 +226,7 @@
 }
 
 func (s *Server) renewHolds(w http.ResponseWriter, r *http.Request) {
-	var renewal, gone api.EngineRenewal
+	var renewal, gone api.EngineHoldRenewal
 	if err := json.NewDecoder(r.Body).Decode(&renewal); err != nil {
 		refuse(w, err)
 		return
@@ -279,10 +279,10 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	incarnation, _ := strconv.ParseUint(r.Header.Get(api.HeaderIncarnation), 10, 64)
+	incarnation, _ := strconv.ParseUint(r.Header.Get(api.HeaderOwnerIncarnation), 10, 64)
 	h := api.EngineHold{
 		ID: r.Header.Get(api.HeaderAttemptID), Owner: r.Header.Get(api.HeaderOwner),
-		Incarnation: incarnation, Kind: kind, Tokens: api.PromptTokens(PrefixBytes),
+		Incarnation: incarnation, Kind: kind, Tokens: api.EstimatePromptTokens(PrefixBytes),
 	}
 	var err error
 	s.with(func(b *Batcher) { err = b.Hold(time.Now(), h) })
