--- a/api/api.go
+++ b/api/api.go
@@ -149,8 +149,8 @@
 const BytesPerToken = 4
 
 // EstimatePromptTokens estimates the tokens of a prompt of n bytes, at least 1.
-func EstimatePromptTokens(n int) int {
-	return max(1, (n+BytesPerToken-1)/BytesPerToken)
+func EstimatePromptTokens(promptBytes int) int {
+	return max(1, (promptBytes+BytesPerToken-1)/BytesPerToken)
 }
 
 // ParseSeconds reads a decimal number of seconds. The result is negative or
@@ -160,8 +160,8 @@
 	if err != nil {
 		return 0, err
 	}
-	const most = float64(1<<62) / float64(time.Second)
-	if seconds != seconds || seconds > most || seconds < -most {
+	const maxSeconds = float64(1<<62) / float64(time.Second)
+	if seconds != seconds || seconds > maxSeconds || seconds < -maxSeconds {
 		return 0, strconv.ErrRange
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
