--- a/api/api.go
+++ b/api/api.go
@@ -1,6 +1,6 @@
-// Package api holds the plain wire types that sapphireramp exchanges with
-// callers, upstreams, the platform and between its own instances. It holds no
-// behaviour beyond conversions; the core types live in their own packages.
+// Package api defines the wire types, paths and headers that sapphireramp exchanges with callers,
+// upstreams and the platform, and between its own instances. It contains no logic except
+// conversions; the types used internally are in the packages that work with them.
 package api
 
 import (
@@ -11,50 +11,55 @@
 
 // Header names used towards callers and upstreams.
 const (
-	// HeaderTimeout is the caller's time limit for a request, in decimal
-	// seconds counted from its arrival. A duration, so clocks need not agree.
+	// HeaderTimeout is the caller's time limit for a request in decimal seconds, counted from the
+	// arrival of the request. It is a duration, so clocks need not agree.
 	HeaderTimeout = "X-Request-Timeout"
-	// HeaderIdempotencyKey carries the ticket of a request that may run at
-	// most once.
+	// HeaderIdempotencyKey is the ticket of a request that may run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderRepeatable is "false" on a request that may run at most once.
 	HeaderRepeatable = "X-Repeatable"
-	// HeaderRequestID is the id of a request, 128 random bits.
+	// HeaderRequestID is the id of a request: 128 random bits.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderAttemptID is the id of one attempt at a request, 128 random bits.
+	// HeaderAttemptID is the id of one attempt of a request: 128 random bits.
 	HeaderAttemptID = "X-Attempt-Id"
-	// HeaderOwner is the name of the instance that owns an attempt or hold.
+	// HeaderOwner is the name of the entry that owns an attempt or a hold.
 	HeaderOwner = "X-Owner"
-	// HeaderOwnerIncarnation is the incarnation of the owner.
+	// HeaderOwnerIncarnation is the incarnation of the entry in HeaderOwner.
 	HeaderOwnerIncarnation = "X-Owner-Incarnation"
-	// HeaderPriority is an integer; a higher one is scheduled first.
+	// HeaderPriority is the scheduling priority at the engine: an integer, where a higher one is
+	// scheduled first.
 	HeaderPriority = "X-Priority"
-	// HeaderResumeFrom is the count of answer tokens already delivered.
+	// HeaderResumeFrom is the number of answer tokens that the caller already has. The engine
+	// continues after them.
 	HeaderResumeFrom = "X-Resume-From"
-	// HeaderGroupHolds lists the hold ids that a group request may draw on.
+	// HeaderGroupHolds lists, separated by commas, the ids of the holds whose memory a request to a
+	// group of engines may use.
 	HeaderGroupHolds = "X-Group-Holds"
-	// HeaderOutcome tells the caller what became of its request.
+	// HeaderOutcome is the Outcome of the request, sent to the caller.
 	HeaderOutcome = "X-Outcome"
-	// HeaderForwardedByEntry marks a request passed on by another entry, which is
-	// therefore never passed on again.
+	// HeaderForwardedByEntry is the name of the entry that forwarded the request to this one. A
+	// request with this header is not forwarded again.
 	HeaderForwardedByEntry = "X-Forwarded-By-Entry"
-	// HeaderStarted is "false" on an upstream's error when the upstream
-	// confirms that the request never started there.
+	// HeaderStarted is "false" on an error response if the upstream confirms that it did not start
+	// the request.
 	HeaderStarted = "X-Started"
 )
 
-// Outcome says what became of a request.
+// Outcome states whether a request was executed.
 type Outcome string
 
-// The outcomes. OutcomeUnknown is the only honest one when a request left for an
-// upstream and nothing confirmed what happened to it there.
+// Outcomes of a request.
 const (
+	// OutcomeAnswered means that an upstream answered the request.
 	OutcomeAnswered Outcome = "answered"
-	OutcomeNotRun   Outcome = "not_run"
-	OutcomeUnknown  Outcome = "unknown"
+	// OutcomeNotRun means that the request certainly was not executed.
+	OutcomeNotRun Outcome = "not_run"
+	// OutcomeUnknown means that the request was sent to an upstream and that nothing confirms
+	// whether it was executed there.
+	OutcomeUnknown Outcome = "unknown"
 )
 
-// Codes of errors sent to callers.
+// Codes of errors sent to callers; HTTPStatus returns the status of each.
 const (
 	CodeBadRequest          = "bad_request"
 	CodeBodyTooLarge        = "body_too_large"
@@ -63,98 +68,121 @@
 	CodeUnknownService      = "unknown_service"
 	CodeModelNotAllowed     = "model_not_allowed"
 	CodePromptTooLong       = "prompt_too_long"
-	CodeDeadlinePast        = "deadline_past"
-	CodeDeadlineExceeded    = "deadline_exceeded"
-	CodeOverloaded          = "overloaded"
-	CodeOrganisationLimit   = "organisation_limit"
-	CodeNoUpstream          = "no_upstream"
-	CodeUpstreamFailed      = "upstream_failed"
-	// CodeQuarantined refuses requests that crash the upstreams that run them.
-	CodeQuarantined      = "quarantined"
-	CodeStopping         = "stopping"
-	CodeNotReady         = "not_ready"
-	CodeTicketRequired   = "ticket_required"
-	CodeTicketUnknown    = "ticket_unknown"
-	CodeTicketExpired    = "ticket_expired"
-	CodeTicketOwnerGone  = "ticket_owner_gone"
+	// CodeDeadlinePast is for a request that arrives with a time limit of 0 or less.
+	CodeDeadlinePast = "deadline_past"
+	// CodeDeadlineExceeded is for a request whose time limit ended before its answer.
+	CodeDeadlineExceeded = "deadline_exceeded"
+	// CodeOverloaded is for a request that finds no capacity at the entry or at the engines.
+	CodeOverloaded = "overloaded"
+	// CodeOrganisationLimit is for a request above the limit of its organisation on requests in
+	// flight.
+	CodeOrganisationLimit = "organisation_limit"
+	// CodeNoUpstream is for a request that no upstream can accept or answer in time.
+	CodeNoUpstream     = "no_upstream"
+	CodeUpstreamFailed = "upstream_failed"
+	// CodeQuarantined is for a request that crashes the upstreams that run it.
+	CodeQuarantined = "quarantined"
+	// CodeStopping is for a request at an entry that is shutting down.
+	CodeStopping = "stopping"
+	// CodeNotReady is for a request at an entry that has no configuration yet.
+	CodeNotReady = "not_ready"
+	// CodeTicketRequired is for a request that may run at most once and has no ticket.
+	CodeTicketRequired = "ticket_required"
+	CodeTicketUnknown  = "ticket_unknown"
+	CodeTicketExpired  = "ticket_expired"
+	// CodeTicketOwnerGone is for a ticket whose issuer, an entry, can't be reached or has restarted.
+	CodeTicketOwnerGone = "ticket_owner_gone"
+	// CodeTicketInProgress is for a ticket whose request is still running.
 	CodeTicketInProgress = "ticket_in_progress"
-	CodeTicketSpent      = "ticket_spent"
+	// CodeTicketSpent is for a ticket whose request has ended, if its answer is no longer kept.
+	CodeTicketSpent = "ticket_spent"
 )
 
-// Error is the body of every refusal or failure sent to a caller.
+// Error is the body of every error response to a caller.
 type Error struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail follows the error object of the completions protocol, with the
-// outcome added.
+// ErrorDetail describes why a request failed. It has the form of the error object of the
+// completions protocol, with the outcome and hints for a retry added.
 type ErrorDetail struct {
-	Code    string  `json:"code"`
-	Message string  `json:"message"`
+	// Code is one of the Code constants.
+	Code    string `json:"code"`
+	Message string `json:"message"`
+	// Param is the name of the invalid parameter or header; empty if none is at fault.
 	Param   string  `json:"param,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// RetryAfterSeconds is how long to wait before asking again; 0 when
-	// asking again would not help.
+	// RetryAfterSeconds is how long to wait before a retry; 0 if a retry would not help.
 	RetryAfterSeconds float64 `json:"retry_after_seconds,omitempty"`
-	// Elsewhere lists entries to go to instead, where this one is stopping.
+	// Elsewhere lists the addresses of other entries that accept callers; empty unless this entry
+	// is shutting down.
 	Elsewhere []string `json:"elsewhere,omitempty"`
 }
 
-// CompletionRequest is a caller's prompt.
+// CompletionRequest is a caller's request to complete a prompt.
 type CompletionRequest struct {
-	Model     string `json:"model"`
-	Adapter   string `json:"adapter,omitempty"`
-	Prompt    string `json:"prompt"`
-	MaxTokens int    `json:"max_tokens"`
-	Stream    bool   `json:"stream"`
-	// Temperature and TopP are passed on to the engine as they are.
+	Model string `json:"model"`
+	// Adapter is the name of the adapter of the model to use; empty for none.
+	Adapter string `json:"adapter,omitempty"`
+	Prompt  string `json:"prompt"`
+	// MaxTokens is the maximum length of the answer in tokens.
+	MaxTokens int `json:"max_tokens"`
+	// Stream is true if the answer is to be sent as server-sent events.
+	Stream bool `json:"stream"`
+	// Temperature and TopP are sampling parameters, forwarded to the engine unchanged; nil if the
+	// caller set none.
 	Temperature *float64 `json:"temperature,omitempty"`
 	TopP        *float64 `json:"top_p,omitempty"`
-	// Seed makes sampling repeatable, so that an answer can be resumed on
-	// another engine.
+	// Seed makes sampling deterministic, so that another engine can resume the answer.
 	Seed uint64 `json:"seed,omitempty"`
 }
 
-// CompletionChunk is one server-sent event of an answer. Offset is the number
-// of answer tokens before this chunk.
+// CompletionChunk is the data of one server-sent event of an answer.
 type CompletionChunk struct {
-	ID        string             `json:"id"`
-	AttemptID string             `json:"attempt_id,omitempty"`
-	Offset    int                `json:"offset"`
-	Choices   []CompletionChoice `json:"choices"`
-	Usage     *CompletionUsage   `json:"usage,omitempty"`
-	Error     *ErrorDetail       `json:"error,omitempty"`
+	// ID is the id of the request, AttemptID that of the attempt that generated the chunk.
+	ID        string `json:"id"`
+	AttemptID string `json:"attempt_id,omitempty"`
+	// Offset is the number of answer tokens before this chunk.
+	Offset  int                `json:"offset"`
+	Choices []CompletionChoice `json:"choices"`
+	// Usage is nil except in the last chunk.
+	Usage *CompletionUsage `json:"usage,omitempty"`
+	// Error is why the stream ends early; nil if it does not.
+	Error *ErrorDetail `json:"error,omitempty"`
 }
 
-// CompletionChoice carries the text of a chunk; each chunk has exactly one.
+// CompletionChoice is the text of a chunk. Each chunk has exactly one choice.
 type CompletionChoice struct {
 	Index int    `json:"index"`
 	Text  string `json:"text"`
-	// Tokens is how many answer tokens Text holds.
-	Tokens       int    `json:"tokens"`
+	// Tokens is the number of answer tokens in Text.
+	Tokens int `json:"tokens"`
+	// FinishReason is why the answer ends; empty before the last chunk.
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// CompletionUsage counts tokens; present on the last chunk only.
+// CompletionUsage is the numbers of tokens in the prompt and the answer of a request.
 type CompletionUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// DoneMarker is the data of the event that ends a whole stream.
+// DoneMarker is the data of the last event of a complete stream.
 const DoneMarker = "[DONE]"
 
-// BytesPerToken is the fixed ratio by which prompt tokens are estimated from
-// the length of the prompt's text.
+// BytesPerToken is the assumed number of bytes of text per token, from which the length of a prompt
+// in tokens is estimated.
 const BytesPerToken = 4
 
-// EstimatePromptTokens estimates the tokens of a prompt of n bytes, at least 1.
+// EstimatePromptTokens returns the estimated number of tokens in a prompt of promptBytes bytes. It is
+// at least 1.
 func EstimatePromptTokens(promptBytes int) int {
 	return max(1, (promptBytes+BytesPerToken-1)/BytesPerToken)
 }
 
-// ParseSeconds reads a decimal number of seconds. The result is negative or
-// zero only when the text says so.
+// ParseSeconds parses a decimal number of seconds. It returns an error for text that is no number,
+// and strconv.ErrRange for NaN and numbers too large for a time.Duration; an overflow thus never
+// turns a large positive number into a negative or zero duration.
 func ParseSeconds(text string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -167,12 +195,13 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// FormatSeconds is the inverse of ParseSeconds, to the millisecond.
+// FormatSeconds formats a duration as decimal seconds with three places, for ParseSeconds.
 func FormatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// HTTPStatus gives the HTTP status for an error code.
+// HTTPStatus returns the HTTP status for one of the Code constants: 503 for codes that have no more
+// specific status.
 func HTTPStatus(code string) int {
 	switch code {
 	case CodeBadRequest, CodePromptTooLong, CodeDeadlinePast, CodeTicketRequired, CodeTicketUnknown:
--- a/api/entry.go
+++ b/api/entry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Paths of an entry, towards callers and operators.
+// Paths at which an entry serves callers and operators.
 const (
 	PathAddresses = "/v1/addresses"
 	PathTickets   = "/v1/tickets"
@@ -15,191 +15,225 @@
 	PathMetrics   = "/metrics"
 )
 
-// Addresses is the answer to a caller that asks where to connect.
+// Addresses is the response to PathAddresses: the entries that a caller may connect to.
 type Addresses struct {
 	Entries []EntryAddress
-	// LifeSeconds is how long the caller may keep this answer.
+	// LifeSeconds is how long the caller may cache this response.
 	LifeSeconds float64
 }
 
-// EntryAddress is one entry that takes new callers.
+// EntryAddress is the address of one entry that accepts new callers.
 type EntryAddress struct {
 	Name       string
 	Address    netip.AddrPort
 	DataCentre string
 }
 
-// Ticket allows one request to run at most once.
+// Ticket is the response to PathTickets: a token that makes sure that the requests sent with it are
+// executed at most once in all.
 type Ticket struct {
-	Ticket      string
+	Ticket string
+	// LifeSeconds is how long the ticket may be used.
 	LifeSeconds float64
 }
 
-// Status is what one entry believes.
+// Status is the state of one entry and its view of other entries and of upstreams, for operators.
 type Status struct {
+	// Name, DataCentre and Incarnation identify the entry that reports the status.
 	Name        string
 	DataCentre  string
 	Incarnation uint64
-	Ready       bool
-	Stopping    bool
-	Revision    uint64
-	Digest      string
-	// Confirmed is how long ago the platform last confirmed what is believed of
-	// it; negative where it never did. Entries on the users' platform only.
+	// Ready is true if the entry has the configuration that it needs to accept callers, Stopping if it
+	// is shutting down.
+	Ready    bool
+	Stopping bool
+	// Revision and Digest identify the configuration in force. Digest is empty on the users'
+	// platform.
+	Revision uint64
+	Digest   string
+	// Confirmed is how long ago the platform last confirmed the entry's state; negative if it never
+	// did. Set on the users' platform only.
 	Confirmed time.Duration `json:",omitempty"`
-	// Quarantined is how many requests are refused as they crash upstreams. Entries on the
-	// users' platform only.
+	// Quarantined is the number of fingerprints whose requests are refused because they crash
+	// upstreams. Set on the users' platform only.
 	Quarantined int `json:",omitempty"`
-	// Superseded lists digests that lost to another document of the same
-	// revision.
+	// Superseded lists the digests of documents that lost to another document of the same revision.
 	Superseded []string
 	Members    []MemberStatus
 	Engines    []EngineStatus
-	InFlight   int
+	// InFlight is the number of requests in flight at the entry.
+	InFlight int
+	// Violations is the number of violations by the name of the invariant.
 	Violations map[string]int
-	// LoadNews is of entries on the users' platform only.
+	// LoadNews is the counts of load updates. Set on the users' platform only.
 	LoadNews *LoadUpdateCounts `json:",omitempty"`
 }
 
-// LoadUpdateCounts is how an entry tells others of load, and what it told and heard since its start.
+// LoadUpdateCounts is the number of entries that an entry sends its load updates to, and the number
+// of load updates that it has sent and received since its start.
 type LoadUpdateCounts struct {
-	// PlacingPeers are told of each change, Peers of all load from time to time; in RelayedCentres one entry
-	// drawn for each message passes it on.
+	// Peers is the number of entries that receive the full load periodically, PlacingPeers the
+	// number of those that receive each change because they place requests. RelayedCentres is the
+	// number of data centres in which an entry, chosen at random for each message, relays it to the
+	// others.
 	Peers, PlacingPeers, RelayedCentres int
-	// Told are messages of its own load, Relayed those of other data centres that it passed on,
-	// each counted once for every entry that it was sent to. Heard are all that came.
+	// Told counts the messages with the entry's own load, Relayed those from other data centres that
+	// the entry passed on; both count a message once for each entry that it is sent to. Heard counts
+	// all messages received.
 	Told, Relayed, Heard MessageCount
-	// Malformed messages came and could not be read.
+	// Malformed is the number of received messages that could not be decoded.
 	Malformed int64
 }
 
-// MessageCount is a number of messages, and their payload in bytes.
+// MessageCount is a number of messages and the total size of their payloads in bytes.
 type MessageCount struct {
 	Messages, Bytes int64
 }
 
-// MemberStatus is one entry as another believes it to be.
+// MemberStatus is an entry's view of another entry.
 type MemberStatus struct {
-	Name        string
+	Name string
+	// State is the member's state as the prober names it.
 	State       string
 	Incarnation uint64
-	Heard       time.Duration
-	// Speed is in processor cores, 0 where it is not known.
+	// Heard is the time since the last heartbeat from the member; 0 if there was none.
+	Heard time.Duration
+	// Speed is the member's speed in processor cores; 0 if unknown.
 	Speed float64
-	// Strained entries have more to do than they can.
+	// Strained is true if the member reports that it is overloaded.
 	Strained bool
-	// Takes is true of entries that callers are sent to.
+	// Takes is true if callers are given the member's address.
 	Takes bool
 }
 
-// EngineStatus is one engine as an entry believes it to be.
+// EngineStatus is an entry's view of one engine; on the users' platform, of any upstream.
 type EngineStatus struct {
-	Name         string
-	Address      netip.AddrPort
-	DataCentre   string
-	State        string
-	Model        string
-	Version      string
-	Keeper       string
-	Fence        uint64
+	Name       string
+	Address    netip.AddrPort
+	DataCentre string
+	// State is InstanceLive or InstanceLeaving.
+	State   string
+	Model   string
+	Version string
+	// Keeper is the name of the entry that keeps the engine.
+	Keeper string
+	// Fence is the highest fencing number that the engine reports.
+	Fence uint64
+	// MemoryTokens and UsedTokens are the capacity of the engine's KV memory and its use, in tokens.
 	MemoryTokens int
 	UsedTokens   int
+	// QueuedTokens is the estimated number of prompt tokens that wait to be prefilled.
 	QueuedTokens int
-	Holds        int
-	Grants       int
-	InFlight     int
-	// Service and Failures are of upstreams on the users' platform: the part of
-	// requests that is expected to fail there, from 0 to 1.
+	// Holds is the number of holds that the engine listed last, Grants the number of grants that it
+	// does not list yet.
+	Holds  int
+	Grants int
+	// InFlight is the number of requests in flight at the engine.
+	InFlight int
+	// Service is the name of the upstream's service, Failures the estimated fraction of its requests
+	// that fail, from 0 to 1. Both are set on the users' platform only.
 	Service  string  `json:",omitempty"`
 	Failures float64 `json:",omitempty"`
-	// PausedFor is how long yet the upstream wants nothing from the entry asked.
+	// PausedFor is the time left until the end of the upstream's backoff; 0 if there is none.
 	PausedFor time.Duration `json:",omitempty"`
-	// Heard says that the entry asked keeps the engine and has listed it.
+	// Heard is true if the reporting entry keeps the engine and has received its list of holds.
 	Heard bool
 }
 
-// Notice is news of an instance's state, passed between entries. A notice
-// about an incarnation never applies to a later one.
+// Notice reports a state of an instance and is gossiped between entries. A notice about an
+// incarnation never applies to a later one.
 type Notice struct {
+	// Kind is KindEntry, KindEngine or KindService.
 	Kind        string
 	Name        string
 	Incarnation uint64
-	State       string
+	// State is NoticeLeaving, NoticeDead or NoticeLive.
+	State string
 	// Sequence orders the notices about one incarnation.
 	Sequence uint64
-	// Ready says of a live entry that it takes callers.
+	// Ready is true if the notice is about an entry that accepts callers.
 	Ready bool
 }
 
-// States that a notice can carry.
+// States in a Notice.
 const (
 	NoticeLeaving = "leaving"
 	NoticeDead    = "dead"
 	NoticeLive    = "live"
 )
 
-// Heartbeat is sent between entries on every beat.
+// Heartbeat is sent periodically from each entry to others, which answer with their own.
 type Heartbeat struct {
+	// From is the name of the sender, Incarnation its incarnation.
 	From        string
 	Incarnation uint64
+	// PeerAddress is where the sender accepts heartbeats, Address where it accepts callers.
 	PeerAddress netip.AddrPort
 	Address     netip.AddrPort
 	DataCentre  string
-	Stopping    bool
-	Ready       bool
-	// Revision and Digest name the document in force; the digest is
-	// shortened.
+	// Stopping is true if the sender is shutting down, Ready if it has the configuration that it needs
+	// to accept callers.
+	Stopping bool
+	Ready    bool
+	// Revision and Digest identify the configuration in force at the sender. Digest is a prefix of
+	// the document's digest.
 	Revision uint64
 	Digest   string
 	Notices  []Notice
-	// ListDigest names the sender's instance list, shortened, and ListAge is how long
-	// ago the platform last confirmed it; negative when it never did.
+	// ListDigest is a prefix of the digest of the sender's instance list. ListAge is how long ago
+	// the platform last confirmed the list; negative if it never did.
 	ListDigest string
 	ListAge    time.Duration
-	// Loads are of the engines that the sender keeps.
+	// Loads is the loads of the engines that the sender keeps.
 	Loads []LoadDigest
-	// Quarantine is what the sender learned lately of requests that crash upstreams; in an
-	// answer, all that it refuses where the other refuses something else.
+	// Quarantine is the sender's recent reports of requests that crash upstreams. In the response to
+	// a heartbeat it includes all quarantines if those of the two entries differ.
 	Quarantine QuarantineNews
 }
 
-// FetchArgs asks a peer for its configuration document.
+// FetchArgs is the arguments of the call Fetch, by which an entry gets the configuration document and
+// the instance list of another. From is the name of the calling entry.
 type FetchArgs struct{ From string }
 
-// FetchReply is the configuration document as its publisher wrote it, and the
-// instance list as the platform gave it.
+// FetchReply is the reply to the call Fetch.
 type FetchReply struct {
+	// Document is the configuration document in force, as published; List is the instance list as
+	// the platform sent it. Each is empty if the entry has none.
 	Document []byte
 	List     []byte
 	// ListAge is how long ago the platform last confirmed the list.
 	ListAge time.Duration
 }
 
-// AskArgs asks the keeper of an engine for a grant.
+// AskArgs is the arguments of the call Ask, by which an entry requests a grant for an attempt from the
+// keeper of an engine.
 type AskArgs struct {
 	Engine string
 	Model  string
-	// AttemptID is the id the grant is for; the engine lists its hold under
-	// the same id.
+	// AttemptID is the id of the attempt. The engine lists the hold of the attempt under this id.
 	AttemptID string
-	// Class numbers the classes of length, the shortest 0.
-	Class         int
+	// Class is the number of the length class of the prompt; the shortest class is 0.
+	Class int
+	// PrefillTokens is the number of prompt tokens to prefill, MemoryTokens the KV memory that the
+	// attempt needs in tokens.
 	PrefillTokens int
 	MemoryTokens  int
-	// Remaining is the time left to the request. A duration, because the
+	// Remaining is the time left until the deadline of the request. It is a duration because the
 	// clocks of two instances need not agree.
 	Remaining time.Duration
 }
 
-// AskReply is the keeper's answer.
+// AskReply is the reply to the call Ask.
 type AskReply struct {
-	// Keeper is false when the instance asked does not keep the engine.
+	// Keeper is false if the called entry is not the keeper of the engine; the other fields are then
+	// zero.
 	Keeper  bool
 	Granted bool
-	Reason  string
-	// Wait is how long the prompt would queue before its prefill starts.
+	// Reason is the keeper.Reason for the decision.
+	Reason string
+	// Wait is the estimated time that the prompt would queue before its prefill starts.
 	Wait time.Duration
-	// Load is the keeper's estimate of the engine asked for.
+	// Load is the keeper's estimate of the engine's load. It may be zero if the engine is leaving.
 	Load LoadDigest
 }
 
@@ -207,8 +241,11 @@
 type LoadDigest struct {
 	Engine      string
 	Incarnation uint64
-	Leaving     bool
-	// QueuedTokens is by class of length, the shortest first.
+	// Leaving is true if the engine accepts no new requests.
+	Leaving bool
+	// QueuedTokens is the number of prompt tokens that wait to be prefilled, by length class; the
+	// shortest class is the first. Trailing classes may be missing.
 	QueuedTokens []int
-	FreeTokens   int
+	// FreeTokens is the KV memory that is neither held nor granted, in tokens.
+	FreeTokens int
 }
--- a/api/quarantine.go
+++ b/api/quarantine.go
@@ -1,29 +1,35 @@
 package api
 
-// QuarantineNews is what entries tell each other of requests that crash the upstreams that
-// run them.
+// QuarantineNews is an update that entries gossip about requests that crash the upstreams that run
+// them. Such requests are identified by a fingerprint of their content.
 type QuarantineNews struct {
-	// Strikes are ends of upstreams, Answers are contents that one answered.
+	// Strikes is recent crashes of upstreams.
 	Strikes []StrikeNews
+	// Answers is fingerprints whose requests an upstream completed; Age is the time since then.
 	Answers []ContentNews
-	// Quarantined are all contents that the sender refuses, told to one whose Digest is another.
+	// Quarantined is all fingerprints that the sender has quarantined; Age is the time since the
+	// start of each quarantine. It is empty unless the update answers one with another Digest.
 	Quarantined []ContentNews
-	// Digest is a hash of the contents that the sender refuses.
+	// Digest is a hash of the fingerprints that the sender has quarantined.
 	Digest uint32
 }
 
-// StrikeNews is the end of an upstream's run while it worked on a content.
+// StrikeNews is a crash: the exit of an upstream's incarnation while it ran requests with a
+// fingerprint.
 type StrikeNews struct {
-	// Content is a hash of what the request asks for, Run one of the name of the run.
+	// Content is the fingerprint, Run a hash that identifies the incarnation.
 	Content uint64
 	Run     uint32
-	// Age is how many milliseconds ago the run ended, Ran and Longest how many it had worked on the
-	// last and on the first request for the content.
+	// Age is the time since the exit in milliseconds. Ran and Longest are for how many milliseconds
+	// the incarnation had run the last and the first of its unanswered requests with the
+	// fingerprint.
 	Age, Ran, Longest uint32
 }
 
-// ContentNews says for how many milliseconds something has been so of a content.
+// ContentNews is a fingerprint and the time since an event that concerns it.
 type ContentNews struct {
+	// Content is the fingerprint.
 	Content uint64
-	Age     uint32
+	// Age is the time since the event in milliseconds.
+	Age uint32
 }
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -1,20 +1,24 @@
 package api
 
-// Paths of an engine, a service and the platform.
+// Paths at which engines, services and the platform serve entries. PathCompletions and PathServices
+// are also paths at which an entry serves callers.
 const (
 	PathCompletions = "/v1/completions"
-	PathServices    = "/v1/services/"
-	PathLoad        = "/v1/load"
-	PathHolds       = "/v1/holds"
-	PathOrders      = "/v1/orders"
+	// PathServices is followed by the names of a service and of a call, with a slash between them.
+	PathServices = "/v1/services/"
+	PathLoad     = "/v1/load"
+	PathHolds    = "/v1/holds"
+	PathOrders   = "/v1/orders"
+	// PathStreams is followed by the id of the attempt whose stream is to be ended.
 	PathStreams     = "/v1/streams/"
 	PathCacheEvents = "/v1/cache/events"
-	PathKVTransfer  = "/v1/kv/"
-	PathConfig      = "/config"
-	PathInstances   = "/instances"
+	// PathKVTransfer is followed by a prefix, a slash and "export" or "import".
+	PathKVTransfer = "/v1/kv/"
+	PathConfig     = "/config"
+	PathInstances  = "/instances"
 )
 
-// EngineLoad is an engine's own report; it lags by the engine's report period.
+// EngineLoad is an engine's report of its load. It is up to one report period of the engine old.
 type EngineLoad struct {
 	Name        string   `json:"name"`
 	Incarnation uint64   `json:"incarnation"`
@@ -23,88 +27,109 @@
 	Version     string   `json:"version"`
 	Adapters    []string `json:"adapters"`
 	Role        string   `json:"role"`
-	// Fence is the highest fencing number the engine has seen.
+	// Fence is the highest fencing number of an order that the engine has seen.
 	Fence uint64 `json:"fence"`
-	// MemoryTokens and UsedTokens count KV memory in tokens.
+	// MemoryTokens is the capacity of the engine's KV memory in tokens, UsedTokens how much of it is
+	// in use.
 	MemoryTokens int `json:"memory_tokens"`
 	UsedTokens   int `json:"used_tokens"`
-	// QueuedTokens is prompt tokens not yet prefilled.
+	// QueuedTokens is the number of prompt tokens that wait to be prefilled.
 	QueuedTokens int `json:"queued_tokens"`
-	Streams      int `json:"streams"`
+	// Streams is the number of streams that the engine is running.
+	Streams int `json:"streams"`
 }
 
-// EngineHold is memory that an owner has on an engine.
+// EngineHold is KV memory of an engine that is held for an attempt, a prompt or a transfer.
 type EngineHold struct {
-	ID          string `json:"id"`
+	ID string `json:"id"`
+	// Owner is the name of the entry that owns the hold, Incarnation the incarnation of that entry.
 	Owner       string `json:"owner"`
 	Incarnation uint64 `json:"incarnation"`
-	Kind        string `json:"kind"`
-	Tokens      int    `json:"tokens"`
+	// Kind is one of the Hold constants.
+	Kind string `json:"kind"`
+	// Tokens is the size of the held memory.
+	Tokens int `json:"tokens"`
 	// AgeSeconds is the time since the hold was made or last renewed.
 	AgeSeconds float64 `json:"age_seconds"`
 }
 
-// Kinds of hold.
+// Kinds of holds.
 const (
+	// HoldStream is the memory of a running stream.
 	HoldStream = "stream"
-	HoldGroup  = "group"
+	// HoldGroup is the memory of one shard of a prompt that a group of engines holds.
+	HoldGroup = "group"
+	// HoldImport and HoldExport are memory in use while the KV cache of a prefix is imported or
+	// exported.
 	HoldImport = "import"
 	HoldExport = "export"
 )
 
-// EngineHolds lists the holds on an engine.
+// EngineHolds is the list of all holds on an engine.
 type EngineHolds struct {
 	Holds []EngineHold `json:"holds"`
 }
 
-// EngineHoldRenewal resets the age of holds; the answer lists those not there.
+// EngineHoldRenewal is a request to reset the age of holds. The response has the same type and lists
+// the holds that the engine does not have.
 type EngineHoldRenewal struct {
+	// IDs is the ids of the holds.
 	IDs []string `json:"ids"`
 }
 
-// EngineOrder tells an engine to change what it serves.
+// EngineOrder is an order to an engine to load another model, version or adapters, or to change its
+// role.
 type EngineOrder struct {
+	// Fence is the fencing number of the order. An engine that checks fences refuses an order whose
+	// number is not above EngineLoad.Fence.
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
-	Issuer   string   `json:"issuer"`
+	// Issuer is the name of the entry that sends the order. An engine that checks orders refuses
+	// those of unknown issuers.
+	Issuer string `json:"issuer"`
 }
 
-// EngineCacheEvent tells of a prefix put into or dropped from an engine's cache.
+// EngineCacheEvent reports that a prefix was added to or dropped from an engine's cache.
 type EngineCacheEvent struct {
+	// Sequence numbers the events of an engine.
 	Sequence uint64 `json:"sequence"`
 	Prefix   string `json:"prefix"`
-	Tokens   int    `json:"tokens"`
-	Dropped  bool   `json:"dropped"`
+	// Tokens is the length of the prefix.
+	Tokens int `json:"tokens"`
+	// Dropped is true if the prefix was dropped, false if it was added.
+	Dropped bool `json:"dropped"`
 }
 
-// States of an instance in the platform's list.
+// States of an instance in the platform's instance list.
 const (
 	InstanceLive    = "live"
 	InstanceLeaving = "leaving"
 )
 
-// Kinds of instance in the platform's list.
+// Kinds of instances in the platform's instance list.
 const (
 	KindEntry   = "entry"
 	KindEngine  = "engine"
 	KindService = "service"
 )
 
-// Instance is one line of the platform's instance list.
+// Instance is one element of the platform's instance list.
 type Instance struct {
-	Name    string `json:"name"`
+	Name string `json:"name"`
+	// Kind is KindEntry, KindEngine or KindService.
 	Kind    string `json:"kind"`
 	Address string `json:"address"`
-	// PeerAddress is the address for net/rpc, of entries only.
+	// PeerAddress is where an entry accepts net/rpc calls of other entries; empty for other kinds.
 	PeerAddress string `json:"peer_address,omitempty"`
 	DataCentre  string `json:"data_centre"`
-	State       string `json:"state"`
+	// State is InstanceLive or InstanceLeaving.
+	State string `json:"state"`
 }
 
-// InstanceList is the platform's list; it lags.
+// InstanceList is the platform's list of all instances. It lags behind their actual state.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
