--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -27,8 +27,8 @@
 	// OrganisationLimit bounds the organisation's requests in flight.
 	OrganisationLimit int
 	// Timeout is the caller's limit; Given is false where it named none.
-	Timeout time.Duration
-	Given   bool
+	Timeout    time.Duration
+	HasTimeout bool
 }
 
 // Refusal says why a request was not admitted. A refused request was not run.
@@ -76,7 +76,7 @@
 // not.
 func (a *Admitter) Admit(now time.Time, l Limits, r Request) (time.Time, *Refusal) {
 	timeout := r.Timeout
-	if !r.Given {
+	if !r.HasTimeout {
 		timeout = l.DefaultTimeout
 	}
 	if timeout <= 0 {
--- a/admitter/example_test.go
+++ b/admitter/example_test.go
@@ -49,7 +49,7 @@
 				_, refusal := a.Admit(time.Now(), limits, admitter.Request{ID: "0", Organisation: "p", OrganisationLimit: 1})
 				is.Equal(refusal, nil)
 			}
-			_, refusal := a.Admit(time.Now(), limits, admitter.Request{ID: "1", Organisation: "o", OrganisationLimit: 1, Timeout: c.timeout, Given: true})
+			_, refusal := a.Admit(time.Now(), limits, admitter.Request{ID: "1", Organisation: "o", OrganisationLimit: 1, Timeout: c.timeout, HasTimeout: true})
 			is.Equal(refusal.Code, c.code)
 			is.Equal(refusal.RetryAfter > 0, c.retry)
 		})
--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -14,13 +14,13 @@
 // maxRemembered bounds the digests remembered as refused or superseded.
 const maxRemembered = 64
 
-// Verdict says what became of an offered document.
-type Verdict int
+// OfferStatus says what became of an offered document.
+type OfferStatus int
 
 // The verdicts.
 const (
 	// Adopted: the document is now in force.
-	Adopted Verdict = iota
+	Adopted OfferStatus = iota
 	// Same: the document was in force already.
 	Same
 	// Older: a greater document is in force.
@@ -33,15 +33,15 @@
 
 var verdictNames = [...]string{"Adopted", "Same", "Older", "Superseded", "Refused"}
 
-func (v Verdict) String() string { return verdictNames[v] }
+func (v OfferStatus) String() string { return verdictNames[v] }
 
 // Result is the outcome of an offer.
 type Result struct {
-	Verdict Verdict
+	Status  OfferStatus
 	Version validator.Version
-	// Loser is the digest of a document of the same revision that lost to
+	// LoserDigest is the digest of a document of the same revision that lost to
 	// another, empty otherwise. Its publisher has to be told.
-	Loser string
+	LoserDigest string
 	// Err says why the document was refused.
 	Err error
 	// AdoptedAt is when the document in force came into force.
@@ -72,13 +72,13 @@
 	return a
 }
 
-// Asked notes that a source has answered, or could not be reached in time.
-func (a *Adopter) Asked(source string) {
+// MarkSourceTried notes that a source has answered, or could not be reached in time.
+func (a *Adopter) MarkSourceTried(source string) {
 	delete(a.awaited, source)
 }
 
-// Ready reports whether a document is in force and every source was asked.
-func (a *Adopter) Ready() bool {
+// IsReady reports whether a document is in force and every source was asked.
+func (a *Adopter) IsReady() bool {
 	return a.current != nil && len(a.awaited) == 0
 }
 
@@ -93,14 +93,14 @@
 	return a.current.Version
 }
 
-// Superseded lists the digests of documents that lost a tie, oldest first.
-func (a *Adopter) Superseded() []string {
+// SupersededDigests lists the digests of documents that lost a tie, oldest first.
+func (a *Adopter) SupersededDigests() []string {
 	return append([]string(nil), a.superseded...)
 }
 
-// Wants reports whether a peer's version, whose digest may be shortened, is
+// ShouldFetch reports whether a peer's version, whose digest may be shortened, is
 // worth fetching.
-func (a *Adopter) Wants(v validator.Version) bool {
+func (a *Adopter) ShouldFetch(v validator.Version) bool {
 	for digest := range a.refused {
 		if v.Digest != "" && strings.HasPrefix(digest, v.Digest) {
 			return false
@@ -114,50 +114,50 @@
 // Offer considers a document's bytes.
 func (a *Adopter) Offer(now time.Time, data []byte) Result {
 	digest := validator.Digest(data)
-	if result, seen := a.Seen(digest); seen {
+	if result, seen := a.KnownResult(digest); seen {
 		return result
 	}
 	offered, err := validator.Parse(data)
-	return a.Parsed(now, digest, offered, err)
+	return a.OfferParsed(now, digest, offered, err)
 }
 
-// Seen answers for a document that is in force or was refused before, so that
+// KnownResult answers for a document that is in force or was refused before, so that
 // it need not be parsed again.
-func (a *Adopter) Seen(digest string) (Result, bool) {
+func (a *Adopter) KnownResult(digest string) (Result, bool) {
 	if a.current != nil && digest == a.current.Version.Digest {
-		return Result{Verdict: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
+		return Result{Status: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
 	}
 	if err, bad := a.refused[digest]; bad {
-		return Result{Verdict: Refused, Version: validator.Version{Digest: digest}, Err: err}, true
+		return Result{Status: Refused, Version: validator.Version{Digest: digest}, Err: err}, true
 	}
 	return Result{}, false
 }
 
-// Parsed considers a document that was parsed already, away from the goroutine
+// OfferParsed considers a document that was parsed already, away from the goroutine
 // that owns the adopter; err is why it is not valid, or nil.
-func (a *Adopter) Parsed(now time.Time, digest string, offered *validator.Accepted, err error) Result {
+func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.Accepted, err error) Result {
 	if err != nil {
 		a.refuse(digest, err)
-		return Result{Verdict: Refused, Version: validator.Version{Digest: digest}, Err: err}
+		return Result{Status: Refused, Version: validator.Version{Digest: digest}, Err: err}
 	}
 	old := a.Version()
 	tied := a.current != nil && old.Revision == offered.Version.Revision && old.Digest != offered.Version.Digest
 	result := Result{Version: offered.Version, AdoptedAt: a.adoptedAt}
 	switch {
 	case old == offered.Version:
-		result.Verdict = Same
+		result.Status = Same
 	case old.Less(offered.Version):
 		a.current, a.adoptedAt = offered, now
-		result.Verdict, result.AdoptedAt = Adopted, now
+		result.Status, result.AdoptedAt = Adopted, now
 		if tied {
-			result.Loser = old.Digest
+			result.LoserDigest = old.Digest
 		}
 	case tied:
-		result.Verdict, result.Loser = Superseded, offered.Version.Digest
+		result.Status, result.LoserDigest = Superseded, offered.Version.Digest
 	default:
-		result.Verdict = Older
+		result.Status = Older
 	}
-	a.remember(result.Loser)
+	a.remember(result.LoserDigest)
 	return result
 }
 
--- a/adopter/adopter_test.go
+++ b/adopter/adopter_test.go
@@ -42,26 +42,26 @@
 	})
 }
 
-func TestLoserOfTieIsTold(t *testing.T) {
+func TestLoserOfTieIsReported(t *testing.T) {
 	is := is.New(t)
 	a := adopter.New()
 	first, second := document(2, "one"), document(2, "two")
 	a.Offer(time.Time{}, first)
 	result := a.Offer(time.Time{}, second)
 	loser := min(validator.Digest(first), validator.Digest(second))
-	is.Equal(result.Loser, loser)
-	is.Equal(a.Superseded(), []string{loser})
+	is.Equal(result.LoserDigest, loser)
+	is.Equal(a.SupersededDigests(), []string{loser})
 }
 
-func TestWantsShortenedDigest(t *testing.T) {
+func TestShouldFetchComparesShortenedDigest(t *testing.T) {
 	is := is.New(t)
 	a := adopter.New()
 	a.Offer(time.Time{}, document(2, "one"))
 	own := a.Version()
 	own.Digest = validator.Shorten(own.Digest)
-	is.True(!a.Wants(own))
-	is.True(a.Wants(validator.Version{Revision: 3, Digest: "00"}))
+	is.True(!a.ShouldFetch(own))
+	is.True(a.ShouldFetch(validator.Version{Revision: 3, Digest: "00"}))
 	bad := []byte("Revision: 9")
 	a.Offer(time.Time{}, bad)
-	is.True(!a.Wants(validator.Version{Revision: 9, Digest: validator.Shorten(validator.Digest(bad))}))
+	is.True(!a.ShouldFetch(validator.Version{Revision: 9, Digest: validator.Shorten(validator.Digest(bad))}))
 }
--- a/adopter/example_test.go
+++ b/adopter/example_test.go
@@ -22,13 +22,13 @@
 func Example() {
 	now := time.Now()
 	a := adopter.New("platform", "peer")
-	fmt.Println(a.Offer(now, document(2, "")).Verdict)
-	fmt.Println(a.Offer(now, document(1, "")).Verdict)
-	fmt.Println(a.Offer(now, []byte("Revision: 3")).Verdict)
-	a.Asked("platform")
-	fmt.Println(a.Ready())
-	a.Asked("peer")
-	fmt.Println(a.Ready(), a.Version().Revision)
+	fmt.Println(a.Offer(now, document(2, "")).Status)
+	fmt.Println(a.Offer(now, document(1, "")).Status)
+	fmt.Println(a.Offer(now, []byte("Revision: 3")).Status)
+	a.MarkSourceTried("platform")
+	fmt.Println(a.IsReady())
+	a.MarkSourceTried("peer")
+	fmt.Println(a.IsReady(), a.Version().Revision)
 	// Output:
 	// Adopted
 	// Older
--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -72,17 +72,17 @@
 	return w
 }
 
-// Requested counts a request for a service.
-func (b *Budgeter) Requested(now time.Time, service string) {
+// RecordRequest counts a request for a service.
+func (b *Budgeter) RecordRequest(now time.Time, service string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	w := b.window(now, service)
 	w.requests[w.newest%buckets]++
 }
 
-// Spend takes one repeat out of the budget and reports whether there was one.
+// SpendRetry takes one repeat out of the budget and reports whether there was one.
 // Entries is how many entries share the budget.
-func (b *Budgeter) Spend(now time.Time, service string, entries int) bool {
+func (b *Budgeter) SpendRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	w := b.window(now, service)
@@ -93,8 +93,8 @@
 	return true
 }
 
-// Left reports whether there is a repeat to spend.
-func (b *Budgeter) Left(now time.Time, service string, entries int) bool {
+// HasRetry reports whether there is a repeat to spend.
+func (b *Budgeter) HasRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.left(b.window(now, service), entries)
--- a/budgeter/budgeter_test.go
+++ b/budgeter/budgeter_test.go
@@ -23,10 +23,10 @@
 		for tick := range 600 {
 			now := start.Add(time.Duration(tick) * 50 * time.Millisecond)
 			if tick%(entry+2) == 0 {
-				b.Requested(now, "lm")
+				b.RecordRequest(now, "lm")
 				requested = append(requested, now)
 			}
-			if b.Spend(now, "lm", entries) {
+			if b.SpendRetry(now, "lm", entries) {
 				repeated = append(repeated, now)
 			}
 		}
@@ -52,9 +52,9 @@
 	is := is.New(t)
 	b := budgeter.New(config)
 	now := time.Unix(1000, 0)
-	for b.Spend(now, "lm", 7) {
+	for b.SpendRetry(now, "lm", 7) {
 	}
-	is.True(!b.Spend(now, "lm", 7))
-	is.True(b.Spend(now, "app", 7)) // each service has its own
-	is.True(b.Spend(now.Add(11*time.Second), "lm", 7))
+	is.True(!b.SpendRetry(now, "lm", 7))
+	is.True(b.SpendRetry(now, "app", 7)) // each service has its own
+	is.True(b.SpendRetry(now.Add(11*time.Second), "lm", 7))
 }
--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -64,7 +64,7 @@
 		}
 		if printKey {
 			key, _ := sealer.ParseSeed(s.SealSeed)
-			_, err := fmt.Println(sealer.FormatPublic(key))
+			_, err := fmt.Println(sealer.FormatPublicKey(key))
 			return err
 		}
 		return runConsole(ctx, s)
@@ -91,7 +91,7 @@
 	web := &http.Server{Addr: s.Address.String(), Handler: c.Handler(), ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout}
 	failed := make(chan error, 1)
 	go func() { failed <- web.ListenAndServe() }()
-	log.Info("console", zap.Stringer("address", s.Address), zap.String("seal_key", sealer.FormatPublic(key)))
+	log.Info("console", zap.Stringer("address", s.Address), zap.String("seal_key", sealer.FormatPublicKey(key)))
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serve console: %w", err)
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	caller := x.ctx
 	x.ctx, x.hasCallerLeft = ctx, func() bool { return caller.Err() != nil }
-	f.retryBudget.Requested(time.Now(), x.service)
+	f.retryBudget.RecordRequest(time.Now(), x.service)
 	var fail *failure
 	if x.isStream() {
 		fail = f.serveStream(x)
@@ -62,7 +62,7 @@
 	if x.sentCount >= x.route.MaxAttempts || f.isSuspect(x, a) {
 		return false
 	}
-	if !f.retryBudget.Spend(time.Now(), x.service, f.view().MaxEntries) {
+	if !f.retryBudget.SpendRetry(time.Now(), x.service, f.view().MaxEntries) {
 		f.metrics.retriesDenied.Inc(1)
 		f.log.Warn("retry_budget_used_up", zap.String("request", x.metadata.ID), zap.String("service", x.service))
 		return false
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -104,7 +104,7 @@
 		// it before this entry exits. After that the caller abandons a silent engine anyway.
 		d = x.limitToStop(v, d)
 	}
-	return f.dispatcher.Accepts(now, d) && f.retryBudget.Left(now, x.service, v.MaxEntries)
+	return f.dispatcher.Accepts(now, d) && f.retryBudget.HasRetry(now, x.service, v.MaxEntries)
 }
 
 // recordRead notes that the upstream sent something.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -20,33 +20,33 @@
 	Engine string
 	// Lease is the age at which an unrenewed hold is an orphan.
 	Lease time.Duration
-	// GrantLife is how long a grant counts while the engine does not list
+	// GrantTTL is how long a grant counts while the engine does not list
 	// it; longer than the load report lags, which counts it afterwards.
-	GrantLife time.Duration
+	GrantTTL time.Duration
 	// MemoryTokens and PrefillRate are as the document states them.
 	MemoryTokens int
 	PrefillRate  int
 }
 
-// Ask is a request to start an attempt.
-type Ask struct {
+// GrantRequest is a request to start an attempt.
+type GrantRequest struct {
 	AttemptID string
 	// Model is the one that the attempt needs loaded.
 	Model string
 	// Class is what the engine schedules the prompt by.
-	Class         router.Class
+	Class         router.LengthClass
 	PrefillTokens int
 	MemoryTokens  int
 	// Remaining is the time left to the request.
 	Remaining time.Duration
 }
 
-// Answer to an Ask.
-type Answer struct {
+// GrantReply to an Ask.
+type GrantReply struct {
 	Granted bool
-	// Wait is how long the prompt would queue before its prefill starts.
-	Wait   time.Duration
-	Reason Reason
+	// QueueWait is how long the prompt would queue before its prefill starts.
+	QueueWait time.Duration
+	Reason    Reason
 }
 
 // Reason for an answer.
@@ -54,10 +54,10 @@
 
 // The reasons.
 const (
-	Free       Reason = "free"
-	Memory     Reason = "memory"
+	MemoryFree Reason = "free"
+	MemoryFull Reason = "memory"
 	TooLate    Reason = "too_late"
-	NotHeard   Reason = "not_heard"
+	NoReport   Reason = "not_heard"
 	Leaving    Reason = "leaving"
 	WrongModel Reason = "wrong_model"
 	Changing   Reason = "changing"
@@ -66,7 +66,7 @@
 type grant struct {
 	memory  int
 	prefill int
-	class   router.Class
+	class   router.LengthClass
 	expires time.Time
 }
 
@@ -84,7 +84,7 @@
 	grants map[string]grant
 	// backlog is the estimated prompt tokens not yet prefilled, by class, at
 	// backlogAt. None is negative.
-	backlog   [router.Classes]float64
+	backlog   [router.ClassCount]float64
 	backlogAt time.Time
 	// lastGrant is when a grant was last given.
 	lastGrant time.Time
@@ -102,19 +102,19 @@
 // Configure takes over what a new document states about the engine.
 func (k *Keeper) Configure(config Config) { k.config = config }
 
-// Changing stops or resumes grants around an order to the engine.
-func (k *Keeper) Changing(changing bool) { k.changing = changing }
+// SetChanging stops or resumes grants around an order to the engine.
+func (k *Keeper) SetChanging(changing bool) { k.changing = changing }
 
 // Orphan is a hold to free if it is still at least OlderThan old; the engine
 // checks the age, so a renewal in between wins.
 type Orphan struct {
-	Hold      api.EngineHold
-	OlderThan time.Duration
+	Hold   api.EngineHold
+	MinAge time.Duration
 }
 
-// Report takes in the engine's load and its listing of holds, and returns
+// RecordReport takes in the engine's load and its listing of holds, and returns
 // the orphans to free.
-func (k *Keeper) Report(now time.Time, load api.EngineLoad, holds []api.EngineHold) []Orphan {
+func (k *Keeper) RecordReport(now time.Time, load api.EngineLoad, holds []api.EngineHold) []Orphan {
 	if load.Incarnation != k.load.Incarnation {
 		k.forget()
 		k.load.Incarnation = load.Incarnation
@@ -127,19 +127,19 @@
 		used += h.Tokens
 		delete(k.grants, h.ID)
 		if h.AgeSeconds > k.config.Lease.Seconds() {
-			orphans = append(orphans, Orphan{Hold: h, OlderThan: k.config.Lease})
+			orphans = append(orphans, Orphan{Hold: h, MinAge: k.config.Lease})
 		}
 	}
 	k.listed = true
-	k.ReportLoad(now, load)
+	k.RecordLoad(now, load)
 	k.used = used // a listing does not lag
 	return orphans
 }
 
-// ReportLoad takes in the engine's load without a listing of holds. Until the
+// RecordLoad takes in the engine's load without a listing of holds. Until the
 // first listing the keeper knows nothing of the engine's memory, and it
 // grants nothing.
-func (k *Keeper) ReportLoad(now time.Time, load api.EngineLoad) {
+func (k *Keeper) RecordLoad(now time.Time, load api.EngineLoad) {
 	if load.Incarnation != k.load.Incarnation {
 		k.forget()
 	}
@@ -151,7 +151,7 @@
 	k.heard = now
 	k.used = load.UsedTokens
 	k.expire(now)
-	if now.Sub(k.lastGrant) > k.config.GrantLife {
+	if now.Sub(k.lastGrant) > k.config.GrantTTL {
 		k.correct(load.QueuedTokens)
 	}
 }
@@ -161,7 +161,7 @@
 	clear(k.grants)
 	clear(k.holds)
 	k.listed, k.heard = false, time.Time{}
-	k.backlog = [router.Classes]float64{}
+	k.backlog = [router.ClassCount]float64{}
 }
 
 // correct takes the engine's word for how much is queued; of which classes
@@ -200,35 +200,35 @@
 	}
 }
 
-// Ask decides on an attempt.
-func (k *Keeper) Ask(now time.Time, a Ask) Answer {
+// RequestGrant decides on an attempt.
+func (k *Keeper) RequestGrant(now time.Time, a GrantRequest) GrantReply {
 	k.drain(now)
 	k.expire(now)
-	wait := k.Wait(now, a.Class)
+	wait := k.QueueWait(now, a.Class)
 	if reason := k.closed(now, a); reason != "" {
-		return Answer{Wait: wait, Reason: reason}
+		return GrantReply{QueueWait: wait, Reason: reason}
 	}
 	if a.MemoryTokens > k.FreeTokens() {
-		return Answer{Wait: wait, Reason: Memory}
+		return GrantReply{QueueWait: wait, Reason: MemoryFull}
 	}
 	prefill := rateTime(float64(a.PrefillTokens), k.config.PrefillRate)
 	if wait+prefill > a.Remaining {
-		return Answer{Wait: wait, Reason: TooLate}
+		return GrantReply{QueueWait: wait, Reason: TooLate}
 	}
-	k.grants[a.AttemptID] = grant{memory: a.MemoryTokens, prefill: a.PrefillTokens, class: a.Class, expires: now.Add(k.config.GrantLife)}
+	k.grants[a.AttemptID] = grant{memory: a.MemoryTokens, prefill: a.PrefillTokens, class: a.Class, expires: now.Add(k.config.GrantTTL)}
 	k.backlog[a.Class] += float64(a.PrefillTokens)
 	k.lastGrant = now
-	return Answer{Granted: true, Wait: wait, Reason: Free}
+	return GrantReply{Granted: true, QueueWait: wait, Reason: MemoryFree}
 }
 
 func rateTime(tokens float64, rate int) time.Duration {
 	return time.Duration(tokens / float64(max(1, rate)) * float64(time.Second))
 }
 
-func (k *Keeper) closed(now time.Time, a Ask) Reason {
+func (k *Keeper) closed(now time.Time, a GrantRequest) Reason {
 	switch {
 	case k.heard.IsZero() || now.Sub(k.heard) > k.config.Lease:
-		return NotHeard
+		return NoReport
 	case k.load.Leaving:
 		return Leaving
 	case k.load.Model != a.Model:
@@ -239,22 +239,22 @@
 	return ""
 }
 
-// Wait estimates how long a prompt of the class would queue.
-func (k *Keeper) Wait(now time.Time, class router.Class) time.Duration {
+// QueueWait estimates how long a prompt of the class would queue.
+func (k *Keeper) QueueWait(now time.Time, class router.LengthClass) time.Duration {
 	k.drain(now)
-	return rateTime(float64(k.queue().Before(class)), k.config.PrefillRate)
+	return rateTime(float64(k.queue().AheadOf(class)), k.config.PrefillRate)
 }
 
-func (k *Keeper) queue() router.Queue {
-	var q router.Queue
+func (k *Keeper) queue() router.TokensByClass {
+	var q router.TokensByClass
 	for c, tokens := range k.backlog {
 		q[c] = int(tokens)
 	}
 	return q
 }
 
-// Done takes in word that an attempt has ended, or never began.
-func (k *Keeper) Done(attemptID string) {
+// EndAttempt takes in word that an attempt has ended, or never began.
+func (k *Keeper) EndAttempt(attemptID string) {
 	if g, ok := k.grants[attemptID]; ok {
 		k.backlog[g.class] = max(0, k.backlog[g.class]-float64(g.prefill))
 	}
@@ -278,35 +278,35 @@
 	return max(0, free)
 }
 
-// Load returns the engine's last report.
-func (k *Keeper) Load() api.EngineLoad { return k.load }
+// LastLoad returns the engine's last report.
+func (k *Keeper) LastLoad() api.EngineLoad { return k.load }
 
-// Heard returns when the engine last answered.
-func (k *Keeper) Heard() time.Time { return k.heard }
+// LastReportAt returns when the engine last answered.
+func (k *Keeper) LastReportAt() time.Time { return k.heard }
 
-// Holds is how many holds the engine listed last.
-func (k *Keeper) Holds() int { return len(k.holds) }
+// HoldCount is how many holds the engine listed last.
+func (k *Keeper) HoldCount() int { return len(k.holds) }
 
-// Grants is how many grants the engine does not list yet.
-func (k *Keeper) Grants() int { return len(k.grants) }
+// GrantCount is how many grants the engine does not list yet.
+func (k *Keeper) GrantCount() int { return len(k.grants) }
 
-// Digest is an engine's load as its keeper estimates it.
-type Digest struct {
-	Engine      string
-	Incarnation uint64
-	Leaving     bool
-	Queued      router.Queue
-	FreeTokens  int
+// LoadEstimate is an engine's load as its keeper estimates it.
+type LoadEstimate struct {
+	Engine       string
+	Incarnation  uint64
+	Leaving      bool
+	QueuedTokens router.TokensByClass
+	FreeTokens   int
 }
 
-// Digest is the engine's load as estimated now.
-func (k *Keeper) Digest(now time.Time) Digest {
+// EstimateLoad is the engine's load as estimated now.
+func (k *Keeper) EstimateLoad(now time.Time) LoadEstimate {
 	k.drain(now)
-	return Digest{
-		Engine:      k.config.Engine,
-		Incarnation: k.load.Incarnation,
-		Leaving:     k.load.Leaving,
-		Queued:      k.queue(),
-		FreeTokens:  k.FreeTokens(),
+	return LoadEstimate{
+		Engine:       k.config.Engine,
+		Incarnation:  k.load.Incarnation,
+		Leaving:      k.load.Leaving,
+		QueuedTokens: k.queue(),
+		FreeTokens:   k.FreeTokens(),
 	}
 }
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -146,7 +146,7 @@
 	faults.Require(s.Listen != s.PeerListen, "PeerListen", s.PeerListen, "other than Listen")
 	faults.Require(s.Platform.IsValid() && s.Platform.Port() != 0, "Platform", s.Platform, "IP:port")
 	for i, k := range s.SealKeys {
-		_, err := sealer.ParsePublic(k)
+		_, err := sealer.ParsePublicKey(k)
 		faults.Require(err == nil, fmt.Sprintf("SealKeys[%d]", i), k, "32 bytes in hex")
 	}
 	known := false
--- a/placer/example_test.go
+++ b/placer/example_test.go
@@ -17,11 +17,11 @@
 	now := time.Now()
 	p := placer.New(now, 10*time.Second, rand.New(rand.NewPCG(1, 1)))
 	fmt.Println(p.Next(now).Kind)
-	p.Round([]router.Choice{{Engine: &router.Engine{Name: "a"}}, {Engine: &router.Engine{Name: "b"}}})
+	p.SetChoices([]router.Choice{{Engine: &router.Engine{Name: "a"}}, {Engine: &router.Engine{Name: "b"}}})
 	fmt.Println(p.Next(now).Choice.Engine.Name)
-	p.Answered(keeper.Answer{Reason: keeper.Memory})
+	p.RecordReply(keeper.GrantReply{Reason: keeper.MemoryFull})
 	fmt.Println(p.Next(now).Choice.Engine.Name)
-	p.Answered(keeper.Answer{Granted: true})
+	p.RecordReply(keeper.GrantReply{Granted: true})
 	fmt.Println(p.Next(now).Kind, p.Next(now).Choice.Engine.Name)
 	// Output:
 	// Choose
@@ -32,21 +32,21 @@
 
 // What can't be done in time is given up at once; what finds no room after a
 // part of its time, long before its deadline.
-func TestGivesUp(t *testing.T) {
+func TestGivesUpSearch(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one := []router.Choice{{Engine: &router.Engine{Name: "a"}}}
 	p := placer.New(now, 8*time.Second, rand.New(rand.NewPCG(1, 1)))
-	p.Round(nil)
+	p.SetChoices(nil)
 	is.Equal(p.Next(now).Kind, placer.NoEngine)
-	p.Round(one)
-	p.Answered(keeper.Answer{Reason: keeper.TooLate})
+	p.SetChoices(one)
+	p.RecordReply(keeper.GrantReply{Reason: keeper.TooLate})
 	is.Equal(p.Next(now).Kind, placer.TooLate)
-	p.Round(one)
-	p.Answered(keeper.Answer{Reason: keeper.Memory})
+	p.SetChoices(one)
+	p.RecordReply(keeper.GrantReply{Reason: keeper.MemoryFull})
 	is.Equal(p.Next(now).Kind, placer.Pause)
 	is.Equal(p.Next(now).Kind, placer.Choose)
-	p.Round(one)
-	p.Answered(keeper.Answer{Reason: keeper.Memory})
+	p.SetChoices(one)
+	p.RecordReply(keeper.GrantReply{Reason: keeper.MemoryFull})
 	is.Equal(p.Next(now.Add(2*time.Second)).Kind, placer.NoRoom)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -21,13 +21,13 @@
 	mostPause  = 80 * time.Millisecond
 )
 
-// Kind of a step.
-type Kind int
+// StepKind of a step.
+type StepKind int
 
 // The kinds.
 const (
 	// Ask: ask the keeper of Choice's engine, then call Answered.
-	Ask Kind = iota
+	Ask StepKind = iota
 	// Choose: choose engines anew, then call Round.
 	Choose
 	// Pause: wait for Pause, then go on with Next.
@@ -44,11 +44,11 @@
 
 var kindNames = [...]string{"Ask", "Choose", "Pause", "Placed", "NoEngine", "TooLate", "NoRoom"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k StepKind) String() string { return kindNames[k] }
 
 // Step is what is to be done next.
 type Step struct {
-	Kind   Kind
+	Kind   StepKind
 	Choice router.Choice
 	Pause  time.Duration
 }
@@ -70,14 +70,14 @@
 	return &Placer{random: random, patience: now.Add(left / patiencePart)}
 }
 
-// Round takes the engines chosen for a round, best first.
-func (p *Placer) Round(choices []router.Choice) {
+// SetChoices takes the engines chosen for a round, best first.
+func (p *Placer) SetChoices(choices []router.Choice) {
 	p.choices, p.asked, p.late = choices, 0, 0
 	p.chosen = true
 }
 
-// Answered takes the answer to the last Ask.
-func (p *Placer) Answered(a keeper.Answer) {
+// RecordReply takes the answer to the last Ask.
+func (p *Placer) RecordReply(a keeper.GrantReply) {
 	p.granted = a.Granted
 	if a.Granted {
 		return
--- a/planner/example_test.go
+++ b/planner/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/sapphireramp/sapphireramp/planner"
 )
 
-var config = planner.Config{Keeper: "entry-1", Settle: 6 * time.Second, Retry: 30 * time.Second, LoadInterval: time.Second}
+var config = planner.Config{Keeper: "entry-1", SettleTime: 6 * time.Second, RetryInterval: 30 * time.Second, WeightLoadInterval: time.Second}
 
 func Example() {
 	now := time.Now()
@@ -35,17 +35,17 @@
 
 // Every order has a greater fence than the engine has seen, and two keepers
 // never use one fence.
-func TestFence(t *testing.T) {
+func TestNextFenceIsGreaterAndUnique(t *testing.T) {
 	is := is.New(t)
-	a, b := planner.Fence(5, "entry-1"), planner.Fence(5, "entry-2")
+	a, b := planner.NextFence(5, "entry-1"), planner.NextFence(5, "entry-2")
 	is.True(a > 5)
 	is.True(b > 5)
 	is.True(a != b)
-	is.True(planner.Fence(max(a, b), "entry-1") > max(a, b))
+	is.True(planner.NextFence(max(a, b), "entry-1") > max(a, b))
 }
 
 // Loads from the weight store are spread over time by each entry's share.
-func TestPace(t *testing.T) {
+func TestWeightLoadsAreSpaced(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := planner.New(config)
@@ -54,9 +54,9 @@
 	two := api.EngineLoad{Name: "engine-2", Model: "m", Version: "1"}
 	p.Plan(now, wanted, one, 0, 7)
 	p.Plan(now, wanted, two, 0, 7)
-	now = now.Add(config.Settle)
+	now = now.Add(config.SettleTime)
 	is.Equal(p.Plan(now, wanted, one, 0, 7).Step, planner.Send)
 	is.Equal(p.Plan(now, wanted, two, 0, 7).Step, planner.Pace)
-	now = now.Add(7 * config.LoadInterval)
+	now = now.Add(7 * config.WeightLoadInterval)
 	is.Equal(p.Plan(now, wanted, two, 0, 7).Step, planner.Send)
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -18,16 +18,16 @@
 // that two keepers never use one number for different orders.
 const keeperBits = 16
 
-// Fence is the fencing number of the next order by a keeper to an engine
+// NextFence is the fencing number of the next order by a keeper to an engine
 // that last saw the number seen.
-func Fence(seen uint64, keeper string) uint64 {
+func NextFence(seen uint64, keeper string) uint64 {
 	next := seen>>keeperBits + 1
 	id := assigner.Weight("fence", keeper) & (1<<keeperBits - 1)
 	return next<<keeperBits | id
 }
 
-// Wanted is what an engine should serve, as the document says.
-func Wanted(e validator.Engine) api.EngineOrder {
+// WantedOrder is what an engine should serve, as the document says.
+func WantedOrder(e validator.Engine) api.EngineOrder {
 	return api.EngineOrder{Model: e.Model, Version: e.Version, Adapters: e.Adapters, Role: e.Role}
 }
 
@@ -63,14 +63,14 @@
 type Config struct {
 	// Keeper is the name of the entry that orders.
 	Keeper string
-	// Settle is how long what is wanted must stay the same before an order,
+	// SettleTime is how long what is wanted must stay the same before an order,
 	// and at least a keeper's lease, so that an earlier keeper has stopped.
-	Settle time.Duration
-	// Retry is how long an order is awaited before it is sent again.
-	Retry time.Duration
-	// LoadInterval is the least time between loads from the weight store by
+	SettleTime time.Duration
+	// RetryInterval is how long an order is awaited before it is sent again.
+	RetryInterval time.Duration
+	// WeightLoadInterval is the least time between loads from the weight store by
 	// the whole fleet; each entry takes its part of it.
-	LoadInterval time.Duration
+	WeightLoadInterval time.Duration
 }
 
 type engine struct {
@@ -112,17 +112,17 @@
 		e.sent = time.Time{}
 		return Decision{Step: Nothing}
 	}
-	if !e.sent.IsZero() && now.Sub(e.sent) < p.config.Retry {
+	if !e.sent.IsZero() && now.Sub(e.sent) < p.config.RetryInterval {
 		return Decision{Step: Await, Reason: "ordered"}
 	}
-	if now.Sub(e.since) < p.config.Settle {
+	if now.Sub(e.since) < p.config.SettleTime {
 		return Decision{Step: Drain, Reason: "settling"}
 	}
 	if streams > 0 {
 		return Decision{Step: Drain, Reason: fmt.Sprintf("%d holds", streams)}
 	}
 	loads := load.Model != wanted.Model || load.Version != wanted.Version || !sameSet(load.Adapters, wanted.Adapters)
-	pace := p.config.LoadInterval * time.Duration(max(1, entries))
+	pace := p.config.WeightLoadInterval * time.Duration(max(1, entries))
 	if loads && !p.lastLoad.IsZero() && now.Sub(p.lastLoad) < pace {
 		return Decision{Step: Pace, Reason: "weight store"}
 	}
@@ -131,7 +131,7 @@
 	}
 	e.sent = now
 	order := wanted
-	order.Fence = Fence(load.Fence, p.config.Keeper)
+	order.Fence = NextFence(load.Fence, p.config.Keeper)
 	order.Issuer = p.config.Keeper
 	return Decision{Step: Send, Order: order, Reason: "differs"}
 }
--- a/relayer/example_test.go
+++ b/relayer/example_test.go
@@ -45,7 +45,7 @@
 
 // Whatever chunks come, in whatever order, what is delivered is the start of
 // the right answer, and it is whole only when all of it is.
-func TestAnyChunks(t *testing.T) {
+func TestDeliveredTextIsPrefixOfAnswer(t *testing.T) {
 	const length = 6
 	rapid.Check(t, func(t *rapid.T) {
 		r := relayer.New("request")
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -6,13 +6,13 @@
 
 import "github.com/sapphireramp/sapphireramp/api"
 
-// Verdict on a chunk.
-type Verdict int
+// ChunkResult on a chunk.
+type ChunkResult int
 
 // The verdicts.
 const (
 	// Deliver: pass the text on to the caller.
-	Deliver Verdict = iota
+	Deliver ChunkResult = iota
 	// Drop: a late, crossed or repeated chunk; go on reading.
 	Drop
 	// Whole: the answer is complete; the text, if any, is to be passed on.
@@ -23,15 +23,15 @@
 
 var verdictNames = [...]string{"Deliver", "Drop", "Whole", "Broken"}
 
-func (v Verdict) String() string { return verdictNames[v] }
+func (v ChunkResult) String() string { return verdictNames[v] }
 
-// Counts of chunks that were not delivered, by reason.
-type Counts struct {
-	Foreign  int
-	Stale    int
-	Repeated int
-	Gap      int
-	Short    int
+// UndeliveredCounts of chunks that were not delivered, by reason.
+type UndeliveredCounts struct {
+	Foreign     int
+	Stale       int
+	Repeated    int
+	WrongOffset int
+	WrongTotal  int
 }
 
 // Relayer assembles one answer. It is not safe for concurrent use.
@@ -42,7 +42,7 @@
 	// delivered is the answer tokens passed on. It never falls.
 	delivered int
 	whole     bool
-	counts    Counts
+	counts    UndeliveredCounts
 }
 
 // New returns a relayer for a request.
@@ -63,12 +63,12 @@
 // IsWhole reports whether the end marker with the right count was seen.
 func (r *Relayer) IsWhole() bool { return r.whole }
 
-// Counts returns what was not delivered.
-func (r *Relayer) Counts() Counts { return r.counts }
+// Undelivered returns what was not delivered.
+func (r *Relayer) Undelivered() UndeliveredCounts { return r.counts }
 
 // Accept judges a chunk. On Deliver and Whole the text returned is to be
 // passed on, and only that.
-func (r *Relayer) Accept(c api.CompletionChunk) (string, Verdict) {
+func (r *Relayer) Accept(c api.CompletionChunk) (string, ChunkResult) {
 	if c.ID != r.requestID {
 		r.counts.Foreign++
 		return "", Drop
@@ -78,36 +78,36 @@
 		return "", Drop
 	}
 	if len(c.Choices) != 1 {
-		r.counts.Gap++
+		r.counts.WrongOffset++
 		return "", Broken
 	}
 	choice := c.Choices[0]
 	switch {
 	case choice.Tokens < 0 || c.Offset < 0 || c.Offset > r.delivered:
-		r.counts.Gap++
+		r.counts.WrongOffset++
 		return "", Broken
 	case c.Offset < r.delivered && c.Offset+choice.Tokens > r.delivered:
 		// The chunk spans the offset reached: its text can't be cut.
-		r.counts.Gap++
+		r.counts.WrongOffset++
 		return "", Broken
 	case c.Offset < r.delivered && choice.FinishReason == "":
 		r.counts.Repeated++
 		return "", Drop
 	case c.Offset < r.delivered:
-		r.counts.Short++
+		r.counts.WrongTotal++
 		return "", Broken
 	}
 	return r.take(c, choice)
 }
 
-func (r *Relayer) take(c api.CompletionChunk, choice api.CompletionChoice) (string, Verdict) {
+func (r *Relayer) take(c api.CompletionChunk, choice api.CompletionChoice) (string, ChunkResult) {
 	reached := c.Offset + choice.Tokens
 	if choice.FinishReason == "" {
 		r.delivered = reached
 		return choice.Text, Deliver
 	}
 	if c.Usage == nil || c.Usage.CompletionTokens != reached {
-		r.counts.Short++
+		r.counts.WrongTotal++
 		return "", Broken
 	}
 	r.delivered = reached
--- a/reserver/example_test.go
+++ b/reserver/example_test.go
@@ -28,10 +28,10 @@
 	fmt.Println(shares, err)
 	r := reserver.New(shares)
 	fmt.Println(r.Next().Reserve.Engine)
-	r.Reserved()
-	r.Refused(false)
+	r.RecordReserved()
+	r.RecordRefused(false)
 	fmt.Println(r.Next().Release.Engine)
-	r.Released()
+	r.RecordReleased()
 	fmt.Println(r.Next().Failed)
 	// Output:
 	// [{a 1 75} {c 2 75}] <nil>
@@ -40,7 +40,7 @@
 	// true
 }
 
-func TestPlanSaysWhyNot(t *testing.T) {
+func TestPlanErrors(t *testing.T) {
 	is := is.New(t)
 	_, err := reserver.Plan(engines, 1000, 3, counter())
 	var tooLong reserver.TooLongError
@@ -51,7 +51,7 @@
 }
 
 // Whatever the engines answer, in the end all shares are held or none is.
-func TestAllOrNothing(t *testing.T) {
+func TestReservesAllShardsOrNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []reserver.Candidate
 		for i := range rapid.IntRange(1, 8).Draw(t, "engines") {
@@ -79,7 +79,7 @@
 	for {
 		e := r.Next()
 		switch {
-		case e.Held:
+		case e.AllHeld:
 			if len(held) != want {
 				t.Fatalf("held %d of %d", len(held), want)
 			}
@@ -91,16 +91,16 @@
 			return
 		case e.Release != nil:
 			delete(held, e.Release.HoldID)
-			r.Released()
+			r.RecordReleased()
 		case rapid.IntRange(0, 3).Draw(t, "answer") > 0:
 			held[e.Reserve.HoldID] = true
-			r.Reserved()
+			r.RecordReserved()
 		default:
 			maybe := rapid.Bool().Draw(t, "maybe")
 			if maybe {
 				held[e.Reserve.HoldID] = true
 			}
-			r.Refused(maybe)
+			r.RecordRefused(maybe)
 		}
 	}
 }
--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -19,8 +19,8 @@
 	MemoryTokens int
 }
 
-// Share is one engine's part of a group.
-type Share struct {
+// Shard is one engine's part of a group.
+type Shard struct {
 	Engine string
 	HoldID string
 	Tokens int
@@ -28,26 +28,26 @@
 
 // TooLongError says that no group of the fleet could ever hold a prompt.
 type TooLongError struct {
-	Tokens, Most, MaxGroup int
+	Tokens, MaxTokens, MaxGroup int
 }
 
 func (e TooLongError) Error() string {
-	return fmt.Sprintf("prompt and answer take %d tokens of memory: a group of at most %d engines holds %d", e.Tokens, e.MaxGroup, e.Most)
+	return fmt.Sprintf("prompt and answer take %d tokens of memory: a group of at most %d engines holds %d", e.Tokens, e.MaxGroup, e.MaxTokens)
 }
 
 // BusyError says that a group could hold the prompt, but not now.
 type BusyError struct {
-	Tokens, Free int
+	Tokens, FreeTokens int
 }
 
 func (e BusyError) Error() string {
-	return fmt.Sprintf("prompt and answer take %d tokens of memory: %d are free in one data centre now", e.Tokens, e.Free)
+	return fmt.Sprintf("prompt and answer take %d tokens of memory: %d are free in one data centre now", e.Tokens, e.FreeTokens)
 }
 
 // Plan picks the fewest engines of one data centre whose free memory holds
 // the tokens. The shares are in order of name, which is the order in which
 // every entry reserves.
-func Plan(candidates []Candidate, tokens, maxGroup int, newID func() string) ([]Share, error) {
+func Plan(candidates []Candidate, tokens, maxGroup int, newID func() string) ([]Shard, error) {
 	centres := map[string][]Candidate{}
 	for _, c := range candidates {
 		centres[c.DataCentre] = append(centres[c.DataCentre], c)
@@ -68,10 +68,10 @@
 		}
 	}
 	if most < tokens {
-		return nil, TooLongError{Tokens: tokens, Most: most, MaxGroup: maxGroup}
+		return nil, TooLongError{Tokens: tokens, MaxTokens: most, MaxGroup: maxGroup}
 	}
 	if best == nil {
-		return nil, BusyError{Tokens: tokens, Free: mostFree}
+		return nil, BusyError{Tokens: tokens, FreeTokens: mostFree}
 	}
 	return shares(best, tokens, newID), nil
 }
@@ -119,78 +119,78 @@
 }
 
 // shares splits the tokens in proportion to free memory.
-func shares(group []Candidate, tokens int, newID func() string) []Share {
+func shares(group []Candidate, tokens int, newID func() string) []Shard {
 	slices.SortFunc(group, func(a, b Candidate) int { return strings.Compare(a.Name, b.Name) })
 	total := 0
 	for _, c := range group {
 		total += c.FreeTokens
 	}
-	out := make([]Share, len(group))
+	out := make([]Shard, len(group))
 	left := tokens
 	for i, c := range group {
 		part := min(left, c.FreeTokens, (tokens*c.FreeTokens+total-1)/total)
-		out[i] = Share{Engine: c.Name, HoldID: newID(), Tokens: part}
+		out[i] = Shard{Engine: c.Name, HoldID: newID(), Tokens: part}
 		left -= part
 	}
 	return out
 }
 
-// Effect is what the owner has to do next.
-type Effect struct {
+// Action is what the owner has to do next.
+type Action struct {
 	// Reserve or Release is set, never both.
-	Reserve *Share
-	Release *Share
-	// Held says that every share is held.
-	Held bool
+	Reserve *Shard
+	Release *Shard
+	// AllHeld says that every share is held.
+	AllHeld bool
 	// Failed says that nothing is held and the group can't be had now.
 	Failed bool
 }
 
 // Reserver drives one reservation. It is not safe for concurrent use.
 type Reserver struct {
-	shares []Share
+	shares []Shard
 	// held is how many of shares, from the first, are or may be held.
 	held    int
 	failing bool
 }
 
 // New returns a reservation of the shares, of which none is held.
-func New(shares []Share) *Reserver {
+func New(shares []Shard) *Reserver {
 	return &Reserver{shares: shares}
 }
 
 // Next returns what to do. Every Reserve is followed by Reserved or Refused;
 // every Release by Released.
-func (r *Reserver) Next() Effect {
+func (r *Reserver) Next() Action {
 	switch {
 	case r.failing && r.held > 0:
-		return Effect{Release: &r.shares[r.held-1]}
+		return Action{Release: &r.shares[r.held-1]}
 	case r.failing:
-		return Effect{Failed: true}
+		return Action{Failed: true}
 	case r.held < len(r.shares):
-		return Effect{Reserve: &r.shares[r.held]}
+		return Action{Reserve: &r.shares[r.held]}
 	}
-	return Effect{Held: true}
+	return Action{AllHeld: true}
 }
 
-// Reserved notes that the share asked for last is held.
-func (r *Reserver) Reserved() { r.held++ }
+// RecordReserved notes that the share asked for last is held.
+func (r *Reserver) RecordReserved() { r.held++ }
 
-// Refused notes that the share asked for last is not held, or, where maybe is
+// RecordRefused notes that the share asked for last is not held, or, where maybe is
 // true, that it is not known: it is released too, to be sure.
-func (r *Reserver) Refused(maybe bool) {
+func (r *Reserver) RecordRefused(maybe bool) {
 	if maybe {
 		r.held++
 	}
 	r.failing = true
 }
 
-// Released notes that the share named last is given up. One that could not be
+// RecordReleased notes that the share named last is given up. One that could not be
 // reached is left to its lease.
-func (r *Reserver) Released() { r.held-- }
+func (r *Reserver) RecordReleased() { r.held-- }
 
-// Release starts to give back a group that is held or partly held.
-func (r *Reserver) Release() { r.failing = true }
+// ReleaseAll starts to give back a group that is held or partly held.
+func (r *Reserver) ReleaseAll() { r.failing = true }
 
-// Shares are the shares of the group, in the order of reservation.
-func (r *Reserver) Shares() []Share { return r.shares }
+// Shards are the shares of the group, in the order of reservation.
+func (r *Reserver) Shards() []Shard { return r.shares }
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func benchBoard(engines int) *Board {
+func benchBoard(engines int) *EngineIndex {
 	var list []*Engine
 	for i := range engines {
 		list = append(list, &Engine{
@@ -15,7 +15,7 @@
 			MemoryTokens: 400_000, PrefillRate: 20_000, Load: &Load{},
 		})
 	}
-	return NewBoard(list)
+	return NewEngineIndex(list)
 }
 
 // BenchmarkChoose is the cost of routing one request; goroutines choose at
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -15,22 +15,22 @@
 	now := time.Now()
 	busy := &router.Engine{Name: "busy", Model: "m", MemoryTokens: 1000, PrefillRate: 100, Load: &router.Load{}}
 	idle := &router.Engine{Name: "idle", Model: "m", MemoryTokens: 1000, PrefillRate: 100, Load: &router.Load{}}
-	busy.Load.Heard(now, router.Queue{500}, 500)
-	board := router.NewBoard([]*router.Engine{busy, idle})
+	busy.Load.RecordReport(now, router.TokensByClass{500}, 500)
+	board := router.NewEngineIndex([]*router.Engine{busy, idle})
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, c := range board.Choose(now, router.Predicted, router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100}, 2, random) {
-		fmt.Println(c.Engine.Name, c.Predicted)
+		fmt.Println(c.Engine.Name, c.PredictedTime)
 	}
 	// Output:
 	// idle 1s
 	// busy 6s
 }
 
-func TestChooseFits(t *testing.T) {
+func TestChooseRespectsRequirements(t *testing.T) {
 	is := is.New(t)
 	small := &router.Engine{Name: "small", Model: "m", Version: "1", MemoryTokens: 10, Load: &router.Load{}}
 	large := &router.Engine{Name: "large", Model: "m", Version: "2", Adapters: []string{"x"}, MemoryTokens: 100, Load: &router.Load{}}
-	board := router.NewBoard([]*router.Engine{small, large})
+	board := router.NewEngineIndex([]*router.Engine{small, large})
 	for _, policy := range []router.Policy{router.Predicted, router.PowerOfTwo, router.FewestOwn, router.RoundRobin, router.RandomOrder} {
 		choose := func(w router.Requirements) int {
 			w.Model = "m"
@@ -40,24 +40,24 @@
 		is.Equal(choose(router.Requirements{MemoryTokens: 50}), 1)
 		is.Equal(choose(router.Requirements{Version: "1"}), 1)
 		is.Equal(choose(router.Requirements{Adapter: "x"}), 1)
-		is.Equal(choose(router.Requirements{Avoid: []string{"small", "large"}}), 0)
+		is.Equal(choose(router.Requirements{Exclude: []string{"small", "large"}}), 0)
 	}
 }
 
 // An engine that works slowly is asked last, until what was seen of it is old.
-func TestSlowEngineIsAskedLast(t *testing.T) {
+func TestSlowEngineIsChosenLast(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	slow := &router.Engine{Name: "slow", Model: "m", MemoryTokens: 1000, PrefillRate: 1000, Load: &router.Load{}}
 	fast := &router.Engine{Name: "fast", Model: "m", MemoryTokens: 1000, PrefillRate: 100, Load: &router.Load{}}
-	board := router.NewBoard([]*router.Engine{slow, fast})
+	board := router.NewEngineIndex([]*router.Engine{slow, fast})
 	first := func(now time.Time) string {
-		w := router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100, AnswerTokens: 100}
+		w := router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100, MaxAnswerTokens: 100}
 		return board.Choose(now, router.Predicted, w, 2, rand.New(rand.NewPCG(1, 1)))[0].Engine.Name
 	}
 	is.Equal(first(now), "slow")
-	slow.Load.Paced(now, 120*time.Millisecond)
-	fast.Load.Paced(now, 30*time.Millisecond)
+	slow.Load.RecordTimePerToken(now, 120*time.Millisecond)
+	fast.Load.RecordTimePerToken(now, 30*time.Millisecond)
 	is.Equal(first(now), "fast")
 	is.Equal(first(now.Add(10*time.Minute)), "slow")
 }
--- a/router/router.go
+++ b/router/router.go
@@ -23,13 +23,13 @@
 	RandomOrder Policy = "RandomOrder"
 )
 
-// Class of a prompt's length.
-type Class int
+// LengthClass of a prompt's length.
+type LengthClass int
 
 // The classes, and the longest prompt of each in multiples of the longest of
 // the short class.
 const (
-	Short Class = iota
+	Short LengthClass = iota
 	Medium
 	Long
 	Longest
@@ -40,14 +40,14 @@
 	longFactor   = 32
 )
 
-// Classes is how many classes there are.
-const Classes = int(Longest) + 1
+// ClassCount is how many classes there are.
+const ClassCount = int(Longest) + 1
 
-// Queue is prompt tokens waiting, by class.
-type Queue [Classes]int
+// TokensByClass is prompt tokens waiting, by class.
+type TokensByClass [ClassCount]int
 
-// Before is how many tokens engines prefill before a prompt of the class.
-func (q Queue) Before(c Class) int {
+// AheadOf is how many tokens engines prefill before a prompt of the class.
+func (q TokensByClass) AheadOf(c LengthClass) int {
 	sum := 0
 	for _, tokens := range q[:c+1] {
 		sum += tokens
@@ -56,7 +56,7 @@
 }
 
 // ClassOf is the class of a prompt, given the longest prompt of the short one.
-func ClassOf(tokens, shortTokens int) Class {
+func ClassOf(tokens, shortTokens int) LengthClass {
 	switch {
 	case tokens <= shortTokens:
 		return Short
@@ -71,7 +71,7 @@
 // Priority is what engines schedule a prompt by: the shorter, the higher, up
 // to the weight that the document gives the short class. The weight is 0, or
 // at least 3, so that no two classes have one priority.
-func Priority(class Class, shortWeight int) int {
+func Priority(class LengthClass, shortWeight int) int {
 	return shortWeight * int(Longest-class) / int(Longest)
 }
 
@@ -82,21 +82,21 @@
 // Load is what an entry knows of an engine's load. Fields are written by any
 // goroutine; a reader may see them one update apart.
 type Load struct {
-	// OwnTokens is prompt tokens this entry sent and saw no first token of,
+	// OwnPrefillTokens is prompt tokens this entry sent and saw no first token of,
 	// by class.
-	OwnTokens [Classes]atomic.Int64
-	// OwnFlight is this entry's attempts in progress.
-	OwnFlight atomic.Int64
-	// Queued, by class, and Free are as the keeper last said.
-	Queued [Classes]atomic.Int64
-	Free   atomic.Int64
+	OwnPrefillTokens [ClassCount]atomic.Int64
+	// OwnInFlight is this entry's attempts in progress.
+	OwnInFlight atomic.Int64
+	// QueuedTokens, by class, and Free are as the keeper last said.
+	QueuedTokens [ClassCount]atomic.Int64
+	FreeTokens   atomic.Int64
 	// pace is the time between answer tokens that this entry saw last, and
 	// pacedAt when, in nanoseconds; both 0 before the first.
 	pace    atomic.Int64
 	pacedAt atomic.Int64
-	// SaidAt is when the keeper said so, in nanoseconds since the epoch of
+	// ReportedAt is when the keeper said so, in nanoseconds since the epoch of
 	// the entry's clock; 0 when it never did.
-	SaidAt atomic.Int64
+	ReportedAt atomic.Int64
 }
 
 // Engine is one engine that may be chosen.
@@ -111,22 +111,22 @@
 	Keeper       string
 	MemoryTokens int
 	PrefillRate  int
-	// Distance is the time of one way between the entry and the engine.
-	Distance time.Duration
+	// OneWayDelay is the time of one way between the entry and the engine.
+	OneWayDelay time.Duration
 	// Load is shared by successive boards.
 	Load *Load
 }
 
-// Board is all engines that may be chosen. It is never changed.
-type Board struct {
+// EngineIndex is all engines that may be chosen. It is never changed.
+type EngineIndex struct {
 	engines map[string][]*Engine
 	byName  map[string]*Engine
 	turn    *atomic.Uint64
 }
 
-// NewBoard returns a board of the engines.
-func NewBoard(engines []*Engine) *Board {
-	b := &Board{engines: map[string][]*Engine{}, byName: make(map[string]*Engine, len(engines)), turn: &atomic.Uint64{}}
+// NewEngineIndex returns a board of the engines.
+func NewEngineIndex(engines []*Engine) *EngineIndex {
+	b := &EngineIndex{engines: map[string][]*Engine{}, byName: make(map[string]*Engine, len(engines)), turn: &atomic.Uint64{}}
 	for _, e := range engines {
 		b.engines[e.Model] = append(b.engines[e.Model], e)
 		b.byName[e.Name] = e
@@ -135,14 +135,14 @@
 }
 
 // Engine finds an engine by name.
-func (b *Board) Engine(name string) (*Engine, bool) {
+func (b *EngineIndex) Engine(name string) (*Engine, bool) {
 	e, ok := b.byName[name]
 	return e, ok
 }
 
-// Serving returns the engines that serve a model. The slice is not to be
+// EnginesFor returns the engines that serve a model. The slice is not to be
 // changed.
-func (b *Board) Serving(model string) []*Engine { return b.engines[model] }
+func (b *EngineIndex) EnginesFor(model string) []*Engine { return b.engines[model] }
 
 // Requirements is what a prompt needs.
 type Requirements struct {
@@ -152,27 +152,27 @@
 	// not continued by another version.
 	Version string
 	// Class is what the engines schedule the prompt by.
-	Class Class
+	Class LengthClass
 	// PrefillTokens are to be prefilled; MemoryTokens is the memory needed.
 	PrefillTokens int
 	MemoryTokens  int
-	// AnswerTokens is the longest that the answer may be.
-	AnswerTokens int
-	// Avoid names engines that failed the request already.
-	Avoid []string
+	// MaxAnswerTokens is the longest that the answer may be.
+	MaxAnswerTokens int
+	// Exclude names engines that failed the request already.
+	Exclude []string
 }
 
 // Choice is one engine to ask, in order of preference.
 type Choice struct {
 	Engine *Engine
-	// Predicted is the estimated time to first token and, for an engine much
+	// PredictedTime is the estimated time to first token and, for an engine much
 	// slower than others at the tokens that follow, the time lost by that.
-	Predicted time.Duration
+	PredictedTime time.Duration
 }
 
 // Choose returns at most most engines to ask, best first. It returns none
 // when no engine fits.
-func (b *Board) Choose(now time.Time, policy Policy, w Requirements, most int, random *rand.Rand) []Choice {
+func (b *EngineIndex) Choose(now time.Time, policy Policy, w Requirements, most int, random *rand.Rand) []Choice {
 	serving := b.engines[w.Model]
 	choices := make([]Choice, 0, min(len(serving), sampled))
 	start := 0
@@ -188,20 +188,20 @@
 		if !e.fits(w) {
 			continue
 		}
-		choices = append(choices, Choice{Engine: e, Predicted: e.Predict(now, w.Class, w.PrefillTokens)})
+		choices = append(choices, Choice{Engine: e, PredictedTime: e.PredictFirstToken(now, w.Class, w.PrefillTokens)})
 		if len(choices) == limit {
 			break
 		}
 	}
 	if policy == Predicted {
-		addSlowness(now, choices, w.AnswerTokens)
+		addSlowness(now, choices, w.MaxAnswerTokens)
 	}
 	b.order(policy, choices, random)
 	return choices[:min(most, len(choices))]
 }
 
 func (e *Engine) fits(w Requirements) bool {
-	if w.MemoryTokens > e.MemoryTokens || slices.Contains(w.Avoid, e.Name) {
+	if w.MemoryTokens > e.MemoryTokens || slices.Contains(w.Exclude, e.Name) {
 		return false
 	}
 	if w.Version != "" && w.Version != e.Version {
@@ -210,21 +210,21 @@
 	return w.Adapter == "" || slices.Contains(e.Adapters, w.Adapter)
 }
 
-// Predict estimates the time to first token of a prompt on the engine: what the
+// PredictFirstToken estimates the time to first token of a prompt on the engine: what the
 // keeper said was queued before it, less what was prefilled since, or what
 // this entry sent, whichever is more.
-func (e *Engine) Predict(now time.Time, class Class, prefill int) time.Duration {
+func (e *Engine) PredictFirstToken(now time.Time, class LengthClass, prefill int) time.Duration {
 	rate := float64(max(1, e.PrefillRate))
-	queued := float64(before(&e.Load.Queued, class))
-	if said := e.Load.SaidAt.Load(); said != 0 {
+	queued := float64(before(&e.Load.QueuedTokens, class))
+	if said := e.Load.ReportedAt.Load(); said != 0 {
 		queued = max(0, queued-rate*now.Sub(time.Unix(0, said)).Seconds())
 	}
-	queued = max(queued, float64(before(&e.Load.OwnTokens, class)))
+	queued = max(queued, float64(before(&e.Load.OwnPrefillTokens, class)))
 	seconds := (queued + float64(prefill)) / rate
-	return 2*e.Distance + time.Duration(seconds*float64(time.Second))
+	return 2*e.OneWayDelay + time.Duration(seconds*float64(time.Second))
 }
 
-func before(tokens *[Classes]atomic.Int64, class Class) int64 {
+func before(tokens *[ClassCount]atomic.Int64, class LengthClass) int64 {
 	sum := int64(0)
 	for c := range class + 1 {
 		sum += tokens[c].Load()
@@ -232,7 +232,7 @@
 	return sum
 }
 
-func (b *Board) order(policy Policy, choices []Choice, random *rand.Rand) {
+func (b *EngineIndex) order(policy Policy, choices []Choice, random *rand.Rand) {
 	switch policy {
 	case Predicted:
 		slices.SortStableFunc(choices, byPredicted)
@@ -250,16 +250,16 @@
 
 func byPredicted(x, y Choice) int {
 	switch {
-	case x.Predicted < y.Predicted:
+	case x.PredictedTime < y.PredictedTime:
 		return -1
-	case x.Predicted > y.Predicted:
+	case x.PredictedTime > y.PredictedTime:
 		return 1
 	}
 	return 0
 }
 
 func byFlight(x, y Choice) int {
-	return int(x.Engine.Load.OwnFlight.Load() - y.Engine.Load.OwnFlight.Load())
+	return int(x.Engine.Load.OwnInFlight.Load() - y.Engine.Load.OwnInFlight.Load())
 }
 
 func shuffle(choices []Choice, random *rand.Rand) {
@@ -294,8 +294,8 @@
 	slowFactor = 2
 )
 
-// Paced takes in the time between answer tokens of an attempt.
-func (l *Load) Paced(now time.Time, pace time.Duration) {
+// RecordTimePerToken takes in the time between answer tokens of an attempt.
+func (l *Load) RecordTimePerToken(now time.Time, pace time.Duration) {
 	if before := l.freshPace(now); before > 0 {
 		pace = before + time.Duration(paceWeight*float64(pace-before))
 	}
@@ -325,16 +325,16 @@
 	for i, c := range choices {
 		pace := c.Engine.Load.freshPace(now)
 		if pace > slowFactor*fastest {
-			choices[i].Predicted += time.Duration(answer) * (pace - fastest)
+			choices[i].PredictedTime += time.Duration(answer) * (pace - fastest)
 		}
 	}
 }
 
-// Heard takes over what a keeper said of the engine.
-func (l *Load) Heard(now time.Time, queued Queue, free int) {
+// RecordReport takes over what a keeper said of the engine.
+func (l *Load) RecordReport(now time.Time, queued TokensByClass, free int) {
 	for c, tokens := range queued {
-		l.Queued[c].Store(int64(tokens))
+		l.QueuedTokens[c].Store(int64(tokens))
 	}
-	l.Free.Store(int64(free))
-	l.SaidAt.Store(now.UnixNano())
+	l.FreeTokens.Store(int64(free))
+	l.ReportedAt.Store(now.UnixNano())
 }
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -349,7 +349,7 @@
 	if f.options["seal"] != "true" {
 		return "[]"
 	}
-	return "[" + sealer.FormatPublic(sealKey) + "]"
+	return "[" + sealer.FormatPublicKey(sealKey) + "]"
 }
 
 func (f *fleet) publishList() error {
--- a/sealer/example_test.go
+++ b/sealer/example_test.go
@@ -28,7 +28,7 @@
 	// Seal: missing: must be the document's last line
 }
 
-func TestSealOnce(t *testing.T) {
+func TestSealReplacesExistingSeal(t *testing.T) {
 	is := is.New(t)
 	sealed := sealer.Seal([]byte("Revision: 1"), key)
 	is.Equal(sealer.Seal(sealed, key), sealed)
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -19,15 +19,15 @@
 // domain keeps a signature from being taken for one of something else.
 const domain = "sapphireramp document\n"
 
-// MissingError says that a document has no seal as its last line.
-type MissingError struct{}
+// MissingSealError says that a document has no seal as its last line.
+type MissingSealError struct{}
 
-func (MissingError) Error() string { return "Seal: missing: must be the document's last line" }
+func (MissingSealError) Error() string { return "Seal: missing: must be the document's last line" }
 
-// InvalidError says that no accepted key made a document's seal.
-type InvalidError struct{ Reason string }
+// InvalidSealError says that no accepted key made a document's seal.
+type InvalidSealError struct{ Reason string }
 
-func (e InvalidError) Error() string { return "Seal: not valid: " + e.Reason }
+func (e InvalidSealError) Error() string { return "Seal: not valid: " + e.Reason }
 
 // Seal returns the document with a seal by the key; one that it has already
 // is replaced.
@@ -64,30 +64,30 @@
 func Verify(document []byte, keys []ed25519.PublicKey) error {
 	text, seal := split(document)
 	if seal == "" {
-		return MissingError{}
+		return MissingSealError{}
 	}
 	signature, err := base64.RawStdEncoding.DecodeString(seal)
 	if err != nil {
-		return InvalidError{Reason: "not base64"}
+		return InvalidSealError{Reason: "not base64"}
 	}
 	for _, k := range keys {
 		if ed25519.Verify(k, message(text), signature) {
 			return nil
 		}
 	}
-	return InvalidError{Reason: "no accepted key made it, or the document was changed since"}
+	return InvalidSealError{Reason: "no accepted key made it, or the document was changed since"}
 }
 
 // KeyError says that a text is no key.
-type KeyError struct{ Want int }
+type KeyError struct{ WantBytes int }
 
-func (e KeyError) Error() string { return fmt.Sprintf("must be %d bytes in hex", e.Want) }
+func (e KeyError) Error() string { return fmt.Sprintf("must be %d bytes in hex", e.WantBytes) }
 
-// ParsePublic reads a public key in hex.
-func ParsePublic(text string) (ed25519.PublicKey, error) {
+// ParsePublicKey reads a public key in hex.
+func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
-		return nil, KeyError{Want: ed25519.PublicKeySize}
+		return nil, KeyError{WantBytes: ed25519.PublicKeySize}
 	}
 	return raw, nil
 }
@@ -96,12 +96,12 @@
 func ParseSeed(text string) (ed25519.PrivateKey, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != ed25519.SeedSize {
-		return nil, KeyError{Want: ed25519.SeedSize}
+		return nil, KeyError{WantBytes: ed25519.SeedSize}
 	}
 	return ed25519.NewKeyFromSeed(raw), nil
 }
 
-// FormatPublic is a key's public part in hex.
-func FormatPublic(key ed25519.PrivateKey) string {
+// FormatPublicKey is a key's public part in hex.
+func FormatPublicKey(key ed25519.PrivateKey) string {
 	return hex.EncodeToString(key.Public().(ed25519.PublicKey))
 }
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -149,7 +149,7 @@
 	c := benchControl(b, 1, 4)
 	k := c.keepers["engine-1"]
 	now := time.Now()
-	k.Report(now, api.EngineLoad{Name: "engine-1", Model: "model", Version: "1"}, nil)
+	k.RecordReport(now, api.EngineLoad{Name: "engine-1", Model: "model", Version: "1"}, nil)
 	calls := rpc.NewServer()
 	_ = calls.RegisterName(rpcName, &benchEntry{c: c})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -196,13 +196,13 @@
 func BenchmarkReport(b *testing.B) {
 	for _, holds := range []int{10, 50, 200} {
 		b.Run(fmt.Sprintf("holds=%d", holds), func(b *testing.B) {
-			k := keeper.New(keeper.Config{Engine: "engine-1", Lease: time.Minute, GrantLife: time.Minute, MemoryTokens: 1 << 30, PrefillRate: 1})
+			k := keeper.New(keeper.Config{Engine: "engine-1", Lease: time.Minute, GrantTTL: time.Minute, MemoryTokens: 1 << 30, PrefillRate: 1})
 			var list []api.EngineHold
 			for range holds {
 				list = append(list, api.EngineHold{ID: newID(), Owner: "entry-1", Tokens: 100})
 			}
 			for b.Loop() {
-				k.Report(time.Now(), api.EngineLoad{}, list)
+				k.RecordReport(time.Now(), api.EngineLoad{}, list)
 			}
 		})
 	}
@@ -212,7 +212,7 @@
 // with a kept answer of 200 bytes occupies.
 func BenchmarkTicket(b *testing.B) {
 	now := time.Now()
-	s := spender.New(now, spender.Config{Name: "entry-1", Incarnation: 1, Life: time.Hour, MaxAnswerBytes: 1 << 30, Secret: make([]byte, 32)})
+	s := spender.New(now, spender.Config{Name: "entry-1", Incarnation: 1, TicketTTL: time.Hour, MaxAnswerBytes: 1 << 30, Secret: make([]byte, 32)})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -222,7 +222,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		t, _ := spender.Parse(text)
+		t, _ := spender.ParseTicket(text)
 		_, _, _ = s.Spend(now, t, [32]byte{})
 		s.Finish(now, t, &spender.Answer{Body: make([]byte, 200)})
 		n++
--- a/server/complete.go
+++ b/server/complete.go
@@ -70,7 +70,7 @@
 }
 
 func (c *completion) droppedChunks() int {
-	n := c.relayer.Counts()
+	n := c.relayer.Undelivered()
 	return n.Foreign + n.Stale + n.Repeated
 }
 
@@ -118,13 +118,13 @@
 	prompt := api.EstimatePromptTokens(len(r.Prompt))
 	return router.Requirements{
 		Model: r.Model, Adapter: r.Adapter, Version: c.version, Class: c.class(),
-		PrefillTokens: prompt + c.relayer.Delivered(), MemoryTokens: prompt + r.MaxTokens, AnswerTokens: r.MaxTokens, Avoid: c.triedEngines,
+		PrefillTokens: prompt + c.relayer.Delivered(), MemoryTokens: prompt + r.MaxTokens, MaxAnswerTokens: r.MaxTokens, Exclude: c.triedEngines,
 	}
 }
 
 // class returns the length class by which engines schedule the prompt. All prompts are of class Longest if
 // the policy gives short prompts no weight.
-func (c *completion) class() router.Class {
+func (c *completion) class() router.LengthClass {
 	policy := c.x.view.accepted.Document.Policy
 	if policy.ShortWeight == 0 {
 		return router.Longest
@@ -151,9 +151,9 @@
 		step := p.Next(time.Now())
 		switch step.Kind {
 		case placer.Choose:
-			p.Round(c.chooseEngines(&needs))
+			p.SetChoices(c.chooseEngines(&needs))
 		case placer.Ask:
-			p.Answered(c.askKeeper(step.Choice, needs, attemptID))
+			p.RecordReply(c.askKeeper(step.Choice, needs, attemptID))
 		case placer.Pause:
 			if !sleeper.Sleep(x.ctx, step.Pause) {
 				return nil, "", newFailure(api.CodeOverloaded, "no engine was free in time")
@@ -172,13 +172,13 @@
 	board := c.x.server.current.Load().board
 	choices := board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	if len(choices) == 0 && len(c.triedEngines) > 0 {
-		needs.Avoid, c.triedEngines = nil, nil
+		needs.Exclude, c.triedEngines = nil, nil
 		choices = board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	}
 	return choices
 }
 
-func (c *completion) askKeeper(choice router.Choice, needs router.Requirements, attemptID string) keeper.Answer {
+func (c *completion) askKeeper(choice router.Choice, needs router.Requirements, attemptID string) keeper.GrantReply {
 	x := c.x
 	answer := x.server.askKeeper(x.ctx, choice.Engine, api.AskArgs{
 		Engine: choice.Engine.Name, Model: needs.Model, AttemptID: attemptID, Class: int(needs.Class),
@@ -189,7 +189,7 @@
 }
 
 // placementFailure returns the failure for a prompt that no engine could be found for.
-func (c *completion) placementFailure(kind placer.Kind, needs router.Requirements) *failure {
+func (c *completion) placementFailure(kind placer.StepKind, needs router.Requirements) *failure {
 	f := newFailure(api.CodeNoUpstream, "no engine serves model %s now", needs.Model)
 	switch kind {
 	case placer.NoRoom:
@@ -201,11 +201,11 @@
 	return f
 }
 
-func (x *exchange) logRoute(choice router.Choice, answer keeper.Answer, needs router.Requirements) {
+func (x *exchange) logRoute(choice router.Choice, answer keeper.GrantReply, needs router.Requirements) {
 	x.server.logs.route.Info("route", zap.String("request", x.id), zap.String("organisation", x.organisation.Name),
 		zap.String("model", needs.Model), zap.Int("tokens", needs.PrefillTokens), zap.String("engine", choice.Engine.Name),
 		zap.String("keeper", choice.Engine.Keeper), zap.Bool("granted", answer.Granted), zap.String("reason", string(answer.Reason)),
-		zap.Duration("predicted_ms", choice.Predicted), zap.Duration("wait_ms", answer.Wait))
+		zap.Duration("predicted_ms", choice.PredictedTime), zap.Duration("wait_ms", answer.QueueWait))
 }
 
 // finishAnswer completes the response after the whole answer was received: the end marker of a stream, or the
--- a/server/control.go
+++ b/server/control.go
@@ -97,10 +97,10 @@
 		drainer:  drainer.New(),
 		admitter: admitter.New(rand.New(rand.NewPCG(s.config.Incarnation, uint64(s.settings.Address.Port())))),
 		spender: spender.New(now, spender.Config{
-			Name: s.settings.Name, Incarnation: s.config.Incarnation, Life: s.settings.Callers.TicketLife,
+			Name: s.settings.Name, Incarnation: s.config.Incarnation, TicketTTL: s.settings.Callers.TicketLife,
 			MaxAnswerBytes: maxKeptAnswerBytes, Secret: secret,
 		}),
-		planner:     planner.New(planner.Config{Keeper: s.settings.Name, Settle: t.Lease, Retry: orderRetryInterval, LoadInterval: minWeightLoadInterval}),
+		planner:     planner.New(planner.Config{Keeper: s.settings.Name, SettleTime: t.Lease, RetryInterval: orderRetryInterval, WeightLoadInterval: minWeightLoadInterval}),
 		keepers:     map[string]*keeper.Keeper{},
 		lastSteps:   map[string]planner.Step{},
 		instances:   map[string]api.Instance{},
@@ -153,24 +153,24 @@
 // result.
 func (c *control) offerDocument(now time.Time, digest string, offered *validator.Accepted, err error, source string) {
 	before := c.adopter.Version()
-	result := c.adopter.Parsed(now, digest, offered, err)
+	result := c.adopter.OfferParsed(now, digest, offered, err)
 	c.server.asserter.Check(!c.adopter.Version().Less(before), asserter.RevisionWentBack, "revision %d after %d", c.adopter.Version().Revision, before.Revision)
 	fields := []zap.Field{
-		zap.String("verdict", result.Verdict.String()), zap.Uint64("revision", result.Version.Revision),
+		zap.String("verdict", result.Status.String()), zap.Uint64("revision", result.Version.Revision),
 		zap.String("digest", result.Version.Digest), zap.String("source", source),
 	}
-	if result.Loser != "" {
-		fields = append(fields, zap.String("loser", result.Loser))
+	if result.LoserDigest != "" {
+		fields = append(fields, zap.String("loser", result.LoserDigest))
 	}
 	switch {
 	case result.Err != nil:
 		c.server.logs.document.Error("document", append(fields, zap.Error(result.Err))...)
-	case result.Verdict == adopter.Adopted, result.Verdict == adopter.Superseded:
+	case result.Status == adopter.Adopted, result.Status == adopter.Superseded:
 		c.server.logs.document.Info("document", fields...)
 	default:
 		c.server.logs.document.Debug("document", fields...)
 	}
-	if result.Verdict == adopter.Adopted {
+	if result.Status == adopter.Adopted {
 		c.server.metrics.revision.Update(float64(result.Version.Revision))
 		c.dirty = true
 	}
@@ -184,7 +184,7 @@
 	defer func() { <-s.parseLock }()
 	digest := validator.Digest(data)
 	seen := false
-	s.onControl(func(c *control) { _, seen = c.adopter.Seen(digest) })
+	s.onControl(func(c *control) { _, seen = c.adopter.KnownResult(digest) })
 	if seen {
 		return
 	}
@@ -204,9 +204,9 @@
 // recordSourceAsked records that a source of documents has answered or could not be reached. The entry is
 // ready once all sources are recorded and a document is in force.
 func (c *control) recordSourceAsked(source string) {
-	wasReady := c.adopter.Ready()
-	c.adopter.Asked(source)
-	if c.adopter.Ready() != wasReady {
+	wasReady := c.adopter.IsReady()
+	c.adopter.MarkSourceTried(source)
+	if c.adopter.IsReady() != wasReady {
 		c.dirty = true
 	}
 }
@@ -231,7 +231,7 @@
 
 // recordLoadDigest updates an engine's load, incarnation and leaving state from its keeper's load digest.
 func (c *control) recordLoadDigest(now time.Time, digest api.LoadDigest) {
-	c.loadOf(digest.Engine).Heard(now, queueFromWire(digest.QueuedTokens), digest.FreeTokens)
+	c.loadOf(digest.Engine).RecordReport(now, queueFromWire(digest.QueuedTokens), digest.FreeTokens)
 	c.recordIncarnation(digest.Engine, digest.Incarnation)
 	if digest.Leaving && c.drainer.MarkLeaving(digest.Engine, digest.Incarnation) {
 		c.announceLeaving(digest.Engine, drainer.FromPeer)
@@ -308,13 +308,13 @@
 	heartbeat := api.Heartbeat{
 		From: c.server.settings.Name, Incarnation: c.server.config.Incarnation,
 		PeerAddress: c.server.settings.PeerAddress, Address: c.server.settings.Address,
-		DataCentre: c.server.settings.DataCentre, Stopping: c.stopping, Ready: c.adopter.Ready(),
+		DataCentre: c.server.settings.DataCentre, Stopping: c.stopping, Ready: c.adopter.IsReady(),
 		Revision: version.Revision, Digest: validator.Shorten(version.Digest), Notices: c.prober.NextNotices(),
 		ListDigest: validator.Shorten(c.lister.Digest()), ListAge: c.lister.Age(now),
 	}
 	for _, k := range c.keepers {
-		if !k.Heard().IsZero() {
-			heartbeat.Loads = append(heartbeat.Loads, digestToWire(k.Digest(now)))
+		if !k.LastReportAt().IsZero() {
+			heartbeat.Loads = append(heartbeat.Loads, digestToWire(k.EstimateLoad(now)))
 		}
 	}
 	return heartbeat
--- a/server/convert.go
+++ b/server/convert.go
@@ -7,10 +7,10 @@
 )
 
 // digestToWire converts a keeper's load digest to its wire form.
-func digestToWire(d keeper.Digest) api.LoadDigest {
+func digestToWire(d keeper.LoadEstimate) api.LoadDigest {
 	out := api.LoadDigest{Engine: d.Engine, Incarnation: d.Incarnation, Leaving: d.Leaving, FreeTokens: d.FreeTokens}
 	// Trailing zeros are omitted, as most engines have nothing queued.
-	for c, tokens := range d.Queued {
+	for c, tokens := range d.QueuedTokens {
 		if tokens == 0 {
 			continue
 		}
@@ -24,16 +24,16 @@
 
 // queueFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown to this
 // version are ignored.
-func queueFromWire(tokens []int) router.Queue {
-	var q router.Queue
+func queueFromWire(tokens []int) router.TokensByClass {
+	var q router.TokensByClass
 	copy(q[:], tokens)
 	return q
 }
 
 // classFromWire converts a prompt's length class from its wire form. An unknown class becomes Longest.
-func classFromWire(class int) router.Class {
-	if class < 0 || class >= router.Classes {
+func classFromWire(class int) router.LengthClass {
+	if class < 0 || class >= router.ClassCount {
 		return router.Longest
 	}
-	return router.Class(class)
+	return router.LengthClass(class)
 }
--- a/server/filters.go
+++ b/server/filters.go
@@ -364,7 +364,7 @@
 				MaxInFlight: limits.MaxInFlight, MaxTimeout: limits.MaxTimeout, DefaultTimeout: limits.DefaultTimeout,
 			}, admitter.Request{
 				ID: x.id, Organisation: x.organisation.Name, OrganisationLimit: x.organisation.MaxInFlight,
-				Timeout: x.timeout, Given: x.timeoutGiven,
+				Timeout: x.timeout, HasTimeout: x.timeoutGiven,
 			})
 		})
 		if refusal != nil {
--- a/server/group.go
+++ b/server/group.go
@@ -68,7 +68,7 @@
 	return nil, f
 }
 
-func engineNames(shards []reserver.Share) []string {
+func engineNames(shards []reserver.Shard) []string {
 	names := make([]string, len(shards))
 	for i, shard := range shards {
 		names[i] = shard.Engine
@@ -78,16 +78,16 @@
 
 func (c *completion) groupCandidates(needs router.Requirements) []reserver.Candidate {
 	var out []reserver.Candidate
-	for _, e := range c.x.server.current.Load().board.Serving(needs.Model) {
-		if slices.Contains(needs.Avoid, e.Name) || (needs.Version != "" && e.Version != needs.Version) {
+	for _, e := range c.x.server.current.Load().board.EnginesFor(needs.Model) {
+		if slices.Contains(needs.Exclude, e.Name) || (needs.Version != "" && e.Version != needs.Version) {
 			continue
 		}
 		if needs.Adapter != "" && !slices.Contains(e.Adapters, needs.Adapter) {
 			continue
 		}
 		free := e.MemoryTokens
-		if e.Load.SaidAt.Load() != 0 {
-			free = int(e.Load.Free.Load())
+		if e.Load.ReportedAt.Load() != 0 {
+			free = int(e.Load.FreeTokens.Load())
 		}
 		out = append(out, reserver.Candidate{Name: e.Name, DataCentre: e.DataCentre, FreeTokens: free, MemoryTokens: e.MemoryTokens})
 	}
@@ -100,19 +100,19 @@
 	for {
 		effect := group.Next()
 		switch {
-		case effect.Held:
+		case effect.AllHeld:
 			return true
 		case effect.Failed:
 			return false
 		case effect.Release != nil:
 			s.releaseShard(*effect.Release)
-			group.Released()
+			group.RecordReleased()
 		default:
 			held, maybeHeld := s.reserveShard(ctx, *effect.Reserve, onLost)
 			if held {
-				group.Reserved()
+				group.RecordReserved()
 			} else {
-				group.Refused(maybeHeld)
+				group.RecordRefused(maybeHeld)
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 
 // reserveShard requests memory for a shard from an engine. If held is false, maybeHeld reports whether the
 // engine may have made the hold all the same.
-func (s *Server) reserveShard(ctx context.Context, shard reserver.Share, onLost func()) (held, maybeHeld bool) {
+func (s *Server) reserveShard(ctx context.Context, shard reserver.Shard, onLost func()) (held, maybeHeld bool) {
 	engine, ok := s.current.Load().board.Engine(shard.Engine)
 	if !ok {
 		return false, false
@@ -144,14 +144,14 @@
 	if response.StatusCode == http.StatusCreated {
 		return true, false
 	}
-	engine.Load.Free.Store(0)
+	engine.Load.FreeTokens.Store(0)
 	s.unregisterHold(shard.Engine, shard.HoldID)
 	return false, false
 }
 
 // releaseShard gives up the hold of a shard. If the engine can't be reached, its keeper frees the hold
 // later, since nobody renews it any more.
-func (s *Server) releaseShard(shard reserver.Share) {
+func (s *Server) releaseShard(shard reserver.Shard) {
 	s.unregisterHold(shard.Engine, shard.HoldID)
 	u, ok := s.current.Load().engines[shard.Engine]
 	if !ok {
@@ -181,10 +181,10 @@
 func (c *completion) runGroup(ctx context.Context, group *reserver.Reserver) *failure {
 	s := c.x.server
 	defer func() {
-		group.Release()
+		group.ReleaseAll()
 		s.runReservation(context.Background(), group, nil)
 	}()
-	shards := group.Shares()
+	shards := group.Shards()
 	engine, ok := s.current.Load().board.Engine(shards[0].Engine)
 	if !ok {
 		return newFailure(api.CodeUpstreamFailed, "engine %s is leaving", shards[0].Engine)
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -108,12 +108,12 @@
 	}
 	var orphans []keeper.Orphan
 	if holds == nil {
-		k.ReportLoad(now, load)
+		k.RecordLoad(now, load)
 	} else {
-		orphans = k.Report(now, load, holds.Holds)
+		orphans = k.RecordReport(now, load, holds.Holds)
 	}
-	digest := k.Digest(now)
-	c.loadOf(name).Heard(now, digest.Queued, digest.FreeTokens)
+	digest := k.EstimateLoad(now)
+	c.loadOf(name).RecordReport(now, digest.QueuedTokens, digest.FreeTokens)
 	return orphans, c.planOrder(now, name, k, load)
 }
 
@@ -128,8 +128,8 @@
 		return nil
 	}
 	entries := 1 + len(c.prober.Members())
-	decision := c.planner.Plan(now, planner.Wanted(*e), load, k.Holds()+k.Grants(), entries)
-	k.Changing(decision.Step != planner.Nothing)
+	decision := c.planner.Plan(now, planner.WantedOrder(*e), load, k.HoldCount()+k.GrantCount(), entries)
+	k.SetChanging(decision.Step != planner.Nothing)
 	if decision.Step != c.lastSteps[name] {
 		c.lastSteps[name] = decision.Step
 		c.server.logs.keep.Info("placement", zap.String("engine", name), zap.String("step", decision.Step.String()), zap.String("reason", decision.Reason))
@@ -144,7 +144,7 @@
 }
 
 func (s *Server) freeOrphan(engine keptEngine, orphan keeper.Orphan) {
-	err := s.freeHold(engine.address, orphan.Hold.ID, orphan.OlderThan)
+	err := s.freeHold(engine.address, orphan.Hold.ID, orphan.MinAge)
 	s.logs.keep.Info("orphan", zap.String("engine", engine.name), zap.String("hold", orphan.Hold.ID), zap.String("owner", orphan.Hold.Owner),
 		zap.Uint64("incarnation", orphan.Hold.Incarnation), zap.String("kind", orphan.Hold.Kind), zap.Int("tokens", orphan.Hold.Tokens),
 		zap.Float64("age_s", orphan.Hold.AgeSeconds), zap.Error(err))
--- a/server/peers.go
+++ b/server/peers.go
@@ -96,18 +96,18 @@
 		reply.Reason = string(keeper.Leaving)
 		return reply
 	}
-	answer := k.Ask(now, keeper.Ask{
+	answer := k.RequestGrant(now, keeper.GrantRequest{
 		AttemptID: args.AttemptID, Model: args.Model, Class: classFromWire(args.Class), PrefillTokens: args.PrefillTokens,
 		MemoryTokens: args.MemoryTokens, Remaining: args.Remaining,
 	})
-	reply.Granted, reply.Wait, reply.Reason = answer.Granted, answer.Wait, string(answer.Reason)
-	reply.Load = digestToWire(k.Digest(now))
+	reply.Granted, reply.Wait, reply.Reason = answer.Granted, answer.QueueWait, string(answer.Reason)
+	reply.Load = digestToWire(k.EstimateLoad(now))
 	return reply
 }
 
 // askKeeper asks the keeper of an engine, here or at another entry, whether an attempt may start. If the
 // keeper does not answer or has no report of the engine yet, the engine itself is asked.
-func (s *Server) askKeeper(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
+func (s *Server) askKeeper(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.GrantReply {
 	now := time.Now()
 	reply := api.AskReply{}
 	if engine.Keeper == s.settings.Name {
@@ -120,16 +120,16 @@
 			reply = api.AskReply{}
 		}
 	}
-	if !reply.Keeper || reply.Reason == string(keeper.NotHeard) {
+	if !reply.Keeper || reply.Reason == string(keeper.NoReport) {
 		return s.askEngineDirectly(ctx, engine, args)
 	}
 	if reply.Load.Engine == engine.Name {
-		engine.Load.Heard(now, queueFromWire(reply.Load.QueuedTokens), reply.Load.FreeTokens)
+		engine.Load.RecordReport(now, queueFromWire(reply.Load.QueuedTokens), reply.Load.FreeTokens)
 	}
 	if reply.Reason == string(keeper.Leaving) {
 		s.recordLeaving(engine.Name, 0)
 	}
-	return keeper.Answer{Granted: reply.Granted, Wait: reply.Wait, Reason: keeper.Reason(reply.Reason)}
+	return keeper.GrantReply{Granted: reply.Granted, QueueWait: reply.Wait, Reason: keeper.Reason(reply.Reason)}
 }
 
 // recordLeaving records that a keeper or an engine reported an engine as leaving.
@@ -144,22 +144,22 @@
 
 // askEngineDirectly decides without the keeper, from a load report requested from the engine now. Several
 // entries may decide so at once; the engine then refuses attempts beyond its memory limit.
-func (s *Server) askEngineDirectly(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.Answer {
+func (s *Server) askEngineDirectly(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.GrantReply {
 	ctx, cancel := context.WithTimeout(ctx, engineAskTimeout)
 	defer cancel()
 	load, err := s.fetchEngineLoad(ctx, engine.Address)
 	if err != nil {
-		return keeper.Answer{Reason: keeper.NotHeard}
+		return keeper.GrantReply{Reason: keeper.NoReport}
 	}
 	if load.Leaving {
 		s.recordLeaving(engine.Name, load.Incarnation)
-		return keeper.Answer{Reason: keeper.Leaving}
+		return keeper.GrantReply{Reason: keeper.Leaving}
 	}
 	k := keeper.New(s.keeperConfig(engine.Name, engine.MemoryTokens, engine.PrefillRate))
 	now := time.Now()
-	k.Report(now, load, []api.EngineHold{{Tokens: load.UsedTokens}})
-	engine.Load.Heard(now, k.Digest(now).Queued, k.FreeTokens())
-	return k.Ask(now, keeper.Ask{
+	k.RecordReport(now, load, []api.EngineHold{{Tokens: load.UsedTokens}})
+	engine.Load.RecordReport(now, k.EstimateLoad(now).QueuedTokens, k.FreeTokens())
+	return k.RequestGrant(now, keeper.GrantRequest{
 		AttemptID: args.AttemptID, Model: args.Model, Class: classFromWire(args.Class), PrefillTokens: args.PrefillTokens,
 		MemoryTokens: args.MemoryTokens, Remaining: args.Remaining,
 	})
--- a/server/server.go
+++ b/server/server.go
@@ -144,7 +144,7 @@
 		},
 	}
 	for _, text := range c.Settings.SealKeys {
-		key, err := sealer.ParsePublic(text)
+		key, err := sealer.ParsePublicKey(text)
 		if err != nil {
 			return nil, fmt.Errorf("parse seal key: %w", err)
 		}
--- a/server/status.go
+++ b/server/status.go
@@ -49,8 +49,8 @@
 	version := c.adopter.Version()
 	status := api.Status{
 		Name: settings.Name, DataCentre: settings.DataCentre, Incarnation: c.server.config.Incarnation,
-		Ready: c.adopter.Ready(), Stopping: c.stopping, Revision: version.Revision, Digest: version.Digest,
-		Superseded: c.adopter.Superseded(), InFlight: c.admitter.InFlight(),
+		Ready: c.adopter.IsReady(), Stopping: c.stopping, Revision: version.Revision, Digest: version.Digest,
+		Superseded: c.adopter.SupersededDigests(), InFlight: c.admitter.InFlight(),
 	}
 	for _, m := range c.prober.Members() {
 		member := api.MemberStatus{Name: m.Name, State: string(m.State), Incarnation: m.Incarnation}
@@ -77,16 +77,16 @@
 		status.State = api.InstanceLeaving
 	}
 	load := c.loadOf(name)
-	status.InFlight = int(load.OwnFlight.Load())
-	for class := range load.Queued {
-		status.QueuedTokens += int(load.Queued[class].Load())
+	status.InFlight = int(load.OwnInFlight.Load())
+	for class := range load.QueuedTokens {
+		status.QueuedTokens += int(load.QueuedTokens[class].Load())
 	}
 	if k, kept := c.keepers[name]; kept {
-		report := k.Load()
+		report := k.LastLoad()
 		status.Model, status.Version, status.Fence = report.Model, report.Version, report.Fence
 		status.UsedTokens = e.MemoryTokens - k.FreeTokens()
-		status.Heard = !k.Heard().IsZero()
-		status.Holds, status.Grants = k.Holds(), k.Grants()
+		status.Heard = !k.LastReportAt().IsZero()
+		status.Holds, status.Grants = k.HoldCount(), k.GrantCount()
 	}
 	return status
 }
--- a/server/stream.go
+++ b/server/stream.go
@@ -56,14 +56,14 @@
 	defer s.unregisterHold(attempt.engine.Name, attempt.attemptID)
 	load := attempt.engine.Load
 	prefill := int64(api.EstimatePromptTokens(len(x.completion.Prompt)))
-	load.OwnFlight.Add(1)
+	load.OwnInFlight.Add(1)
 	class := c.class()
-	load.OwnTokens[class].Add(prefill)
-	defer load.OwnFlight.Add(-1)
+	load.OwnPrefillTokens[class].Add(prefill)
+	defer load.OwnInFlight.Add(-1)
 	awaitingFirst := true
 	onFirstToken := func() {
 		if awaitingFirst {
-			load.OwnTokens[class].Add(-prefill)
+			load.OwnPrefillTokens[class].Add(-prefill)
 			awaitingFirst, c.answerStartedAt = false, time.Now()
 		}
 	}
@@ -132,7 +132,7 @@
 		defer func() { _ = response.Body.Close() }()
 		if response.Header.Get(api.HeaderStarted) == "false" {
 			x.unresolvedAttempts-- // the engine states that it never started the attempt
-			attempt.engine.Load.Free.Store(0)
+			attempt.engine.Load.FreeTokens.Store(0)
 		}
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, 200))
 		f := newFailure(api.CodeUpstreamFailed, "engine %s refused", attempt.engine.Name)
@@ -191,8 +191,8 @@
 func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onFirstToken func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
 	prefill := router.Engine{PrefillRate: attempt.engine.PrefillRate * max(1, attempt.groupSize), Load: &router.Load{}}
-	estimated := prefill.Predict(time.Now(), router.Longest, api.EstimatePromptTokens(len(c.x.completion.Prompt))) +
-		attempt.engine.Predict(time.Now(), router.Longest, 0)
+	estimated := prefill.PredictFirstToken(time.Now(), router.Longest, api.EstimatePromptTokens(len(c.x.completion.Prompt))) +
+		attempt.engine.PredictFirstToken(time.Now(), router.Longest, 0)
 	silenceTimer := time.AfterFunc(silence+prefillTimeoutFactor*estimated, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
 	pace := tokenPace{startOffset: c.relayer.Delivered()}
@@ -252,7 +252,7 @@
 	if p.firstToken.IsZero() || tokens < minPaceTokens {
 		return
 	}
-	load.Paced(time.Now(), time.Since(p.firstToken)/time.Duration(tokens))
+	load.RecordTimePerToken(time.Now(), time.Since(p.firstToken)/time.Duration(tokens))
 }
 
 // streamFailure returns the failure of an attempt whose stream ended early or was invalid. The engine may
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -50,7 +50,7 @@
 			f.param = api.HeaderIdempotencyKey
 			return f
 		}
-		ticket, err := spender.Parse(key)
+		ticket, err := spender.ParseTicket(key)
 		if err != nil {
 			f := newFailure(api.CodeTicketUnknown, "%s: not a ticket of this system", api.HeaderIdempotencyKey)
 			f.param, f.err = api.HeaderIdempotencyKey, err
@@ -75,7 +75,7 @@
 }
 
 func (s *Server) spendTicket(x *exchange, next handler) *failure {
-	var state spender.Fate
+	var state spender.SpendResult
 	var answer *spender.Answer
 	var err error
 	digest := x.requestDigest()
--- a/server/view.go
+++ b/server/view.go
@@ -29,7 +29,7 @@
 type view struct {
 	// accepted is the configuration document in force; nil if there is none yet.
 	accepted *validator.Accepted
-	board    *router.Board
+	board    *router.EngineIndex
 	// engines holds the engines of the document that are in the instance list, by name.
 	engines map[string]upstream
 	members map[string]prober.Member
@@ -50,7 +50,7 @@
 }
 
 func emptyView() *view {
-	return &view{board: router.NewBoard(nil)}
+	return &view{board: router.NewEngineIndex(nil)}
 }
 
 // publishView builds and publishes a new view, and starts or stops being the keeper of engines accordingly.
@@ -58,7 +58,7 @@
 	c.dirty = false
 	v := emptyView()
 	v.accepted = c.adopter.Current()
-	v.ready, v.stopping = c.adopter.Ready(), c.stopping
+	v.ready, v.stopping = c.adopter.IsReady(), c.stopping
 	v.engines = map[string]upstream{}
 	v.members = map[string]prober.Member{}
 	candidates := c.fillMembers(v)
@@ -123,10 +123,10 @@
 		engines = append(engines, &router.Engine{
 			Name: e.Name, Address: u.Address.String(), DataCentre: u.DataCentre, Model: e.Model, Version: e.Version,
 			Adapters: e.Adapters, Role: e.Role, Keeper: u.Keeper, MemoryTokens: e.MemoryTokens, PrefillRate: e.PrefillRate,
-			Distance: c.oneWayLatency(u.DataCentre), Load: c.loadOf(e.Name),
+			OneWayDelay: c.oneWayLatency(u.DataCentre), Load: c.loadOf(e.Name),
 		})
 	}
-	v.board = router.NewBoard(engines)
+	v.board = router.NewEngineIndex(engines)
 }
 
 func (c *control) oneWayLatency(dataCentre string) time.Duration {
@@ -193,5 +193,5 @@
 
 func (s *Server) keeperConfig(engine string, memory, rate int) keeper.Config {
 	t := s.settings.Timing
-	return keeper.Config{Engine: engine, Lease: t.Lease, GrantLife: grantTTL, MemoryTokens: memory, PrefillRate: rate}
+	return keeper.Config{Engine: engine, Lease: t.Lease, GrantTTL: grantTTL, MemoryTokens: memory, PrefillRate: rate}
 }
--- a/spender/example_test.go
+++ b/spender/example_test.go
@@ -16,7 +16,7 @@
 )
 
 func newSpender(incarnation uint64) *spender.Spender {
-	return spender.New(start, spender.Config{Name: "entry-1", Incarnation: incarnation, Life: time.Minute, MaxAnswerBytes: 100, Secret: []byte("secret")})
+	return spender.New(start, spender.Config{Name: "entry-1", Incarnation: incarnation, TicketTTL: time.Minute, MaxAnswerBytes: 100, Secret: []byte("secret")})
 }
 
 func issue(t testing.TB, s *spender.Spender) spender.Ticket {
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ticket, err := spender.Parse(text)
+	ticket, err := spender.ParseTicket(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 func Example() {
 	s := newSpender(1)
 	text, _ := s.Issue(start)
-	ticket, _ := spender.Parse(text)
+	ticket, _ := spender.ParseTicket(text)
 	for range 2 {
 		fate, _, _ := s.Spend(start, ticket, request)
 		fmt.Println(fate)
@@ -48,10 +48,10 @@
 	// Repeat done
 }
 
-func TestFates(t *testing.T) {
+func TestSpendResults(t *testing.T) {
 	is := is.New(t)
 	s := newSpender(1)
-	fateOf := func(s *spender.Spender, after time.Duration, ticket spender.Ticket) spender.Fate {
+	fateOf := func(s *spender.Spender, after time.Duration, ticket spender.Ticket) spender.SpendResult {
 		fate, _, _ := s.Spend(start.Add(after), ticket, request)
 		return fate
 	}
@@ -88,12 +88,12 @@
 		_, _, _ = s.Spend(start, ticket, request)
 		s.Finish(start, ticket, &spender.Answer{Body: make([]byte, 10)})
 	}
-	_, bytes := s.Kept()
+	_, bytes := s.Size()
 	is.True(bytes <= 100)
 	fate, _, _ := s.Spend(start, first, request)
 	is.Equal(fate, spender.Ran)
 	_, _, _ = s.Spend(start.Add(time.Hour), first, request)
-	records, bytes := s.Kept()
+	records, bytes := s.Size()
 	is.Equal(records, 0)
 	is.Equal(bytes, 0)
 }
@@ -104,7 +104,7 @@
 	f.Add("entry-1.")
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
-		ticket, err := spender.Parse(text)
+		ticket, err := spender.ParseTicket(text)
 		if err != nil {
 			return
 		}
--- a/spender/spender.go
+++ b/spender/spender.go
@@ -41,8 +41,8 @@
 
 func (e MalformedError) Error() string { return "malformed ticket: " + e.Reason }
 
-// Parse reads a ticket's text.
-func Parse(text string) (Ticket, error) {
+// ParseTicket reads a ticket's text.
+func ParseTicket(text string) (Ticket, error) {
 	owner, code, found := strings.Cut(text, ".")
 	if !found || owner == "" {
 		return Ticket{}, MalformedError{"no owner"}
@@ -68,21 +68,21 @@
 type Config struct {
 	Name        string
 	Incarnation uint64
-	// Life is how long a ticket may be spent and its answer is kept.
-	Life time.Duration
+	// TicketTTL is how long a ticket may be spent and its answer is kept.
+	TicketTTL time.Duration
 	// MaxAnswerBytes bounds all kept answers together.
 	MaxAnswerBytes int
 	// Secret signs tickets; it is random and leaves no incarnation.
 	Secret []byte
 }
 
-// Fate of a ticket that was presented.
-type Fate int
+// SpendResult of a ticket that was presented.
+type SpendResult int
 
 // The fates.
 const (
 	// Spent: this call alone may run the request, now.
-	Spent Fate = iota
+	Spent SpendResult = iota
 	// InProgress: an earlier call is running it.
 	InProgress
 	// Repeat: it ran; Answer is what the caller was or would be told.
@@ -97,7 +97,7 @@
 
 var fateNames = [...]string{"Spent", "InProgress", "Repeat", "Ran", "Expired", "Forged"}
 
-func (f Fate) String() string { return fateNames[f] }
+func (f SpendResult) String() string { return fateNames[f] }
 
 // Answer is what is kept of a finished call.
 type Answer struct {
@@ -185,13 +185,13 @@
 
 // Spend presents a ticket for a request, named by a digest of all that makes
 // it what it is. After Spent the caller runs the request and calls Finish.
-func (s *Spender) Spend(now time.Time, t Ticket, request [sha256.Size]byte) (Fate, *Answer, error) {
+func (s *Spender) Spend(now time.Time, t Ticket, request [sha256.Size]byte) (SpendResult, *Answer, error) {
 	s.expire(now)
 	if !s.genuine(t) {
 		return Forged, nil, nil
 	}
 	if !s.isSpent(t.number) {
-		if now.Sub(s.start)-t.issued > s.config.Life {
+		if now.Sub(s.start)-t.issued > s.config.TicketTTL {
 			return Expired, nil, nil
 		}
 		s.setSpent(t.number)
@@ -218,7 +218,7 @@
 		return
 	}
 	r.done = true
-	r.expires = now.Sub(s.start) + s.config.Life
+	r.expires = now.Sub(s.start) + s.config.TicketTTL
 	s.order = append(s.order, t.number)
 	if answer == nil || len(answer.Body) > s.config.MaxAnswerBytes {
 		return
@@ -280,5 +280,5 @@
 	}
 }
 
-// Kept is how many records are held, and the bytes of their answers.
-func (s *Spender) Kept() (records, bytes int) { return len(s.records), s.bytes }
+// Size is how many records are held, and the bytes of their answers.
+func (s *Spender) Size() (records, bytes int) { return len(s.records), s.bytes }
--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -67,7 +67,7 @@
 // demand is one request of a run.
 type demand struct {
 	at     time.Duration
-	class  router.Class
+	class  router.LengthClass
 	tokens int
 	answer int
 	entry  int
@@ -96,11 +96,11 @@
 	return out
 }
 
-func drawClass(random *rand.Rand) router.Class {
+func drawClass(random *rand.Rand) router.LengthClass {
 	n := random.IntN(100)
 	for c, l := range lengths {
 		if n < l.share {
-			return router.Class(c)
+			return router.LengthClass(c)
 		}
 		n -= l.share
 	}
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -127,7 +127,7 @@
 type simEntry struct {
 	number int
 	centre string
-	board  *router.Board
+	board  *router.EngineIndex
 	loads  map[string]*router.Load
 }
 
@@ -163,7 +163,7 @@
 		TokenTime: d.TokenTime, ReportLag: lag,
 	})
 	e.keeper = keeper.New(keeper.Config{
-		Engine: e.name, Lease: lease, GrantLife: grantLife, MemoryTokens: d.MemoryTokens, PrefillRate: d.PrefillRate,
+		Engine: e.name, Lease: lease, GrantTTL: grantLife, MemoryTokens: d.MemoryTokens, PrefillRate: d.PrefillRate,
 	})
 	owner := assigner.Owner(members, e.name, e.centre)
 	for n, m := range members {
@@ -196,10 +196,10 @@
 		e.loads[s.name] = &router.Load{}
 		engines = append(engines, &router.Engine{
 			Name: s.name, DataCentre: s.centre, Model: "model", Version: "1", MemoryTokens: d.MemoryTokens,
-			PrefillRate: d.PrefillRate, Distance: d.Distance, Load: e.loads[s.name],
+			PrefillRate: d.PrefillRate, OneWayDelay: d.Distance, Load: e.loads[s.name],
 		})
 	}
-	e.board = router.NewBoard(engines)
+	e.board = router.NewEngineIndex(engines)
 	f.entries = append(f.entries, e)
 }
 
@@ -267,24 +267,24 @@
 			continue
 		}
 		if f.now.Sub(s.listed) < listTime {
-			s.keeper.ReportLoad(f.now, s.batcher.Report())
+			s.keeper.RecordLoad(f.now, s.batcher.Report())
 			continue
 		}
 		s.listed = f.now
-		s.keeper.Report(f.now, s.batcher.Report(), s.batcher.Holds(f.now))
+		s.keeper.RecordReport(f.now, s.batcher.Report(), s.batcher.Holds(f.now))
 	}
 }
 
 // beat tells all entries what keepers know.
 func (f *fleet) beat() {
 	for _, s := range f.engines {
-		if s.keeper.Heard().IsZero() {
+		if s.keeper.LastReportAt().IsZero() {
 			continue
 		}
-		d := s.keeper.Digest(f.now)
+		d := s.keeper.EstimateLoad(f.now)
 		for _, e := range f.entries {
 			if f.reach(e, s) {
-				e.loads[s.name].Heard(f.now, d.Queued, d.FreeTokens)
+				e.loads[s.name].RecordReport(f.now, d.QueuedTokens, d.FreeTokens)
 			}
 		}
 	}
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -19,9 +19,9 @@
 )
 
 // classes in the order of the table.
-var classes = []router.Class{router.Short, router.Medium, router.Long, router.Longest}
+var classes = []router.LengthClass{router.Short, router.Medium, router.Long, router.Longest}
 
-var classNames = map[router.Class]string{router.Short: "1k-4k", router.Medium: "4k-32k", router.Long: "32k-128k", router.Longest: "128k-1M"}
+var classNames = map[router.LengthClass]string{router.Short: "1k-4k", router.Medium: "4k-32k", router.Long: "32k-128k", router.Longest: "128k-1M"}
 
 // ClassResult is what was measured of one class.
 type ClassResult struct {
@@ -33,7 +33,7 @@
 
 // Result of a run.
 type Result struct {
-	Classes map[router.Class]*ClassResult
+	Classes map[router.LengthClass]*ClassResult
 	// Goodput is prompt tokens a second of requests answered in time.
 	Goodput float64
 }
@@ -56,7 +56,7 @@
 
 func (f *fleet) result(start time.Time) Result {
 	const mostMicros, digits = 600_000_000, 3
-	out := Result{Classes: map[router.Class]*ClassResult{}}
+	out := Result{Classes: map[router.LengthClass]*ClassResult{}}
 	for _, c := range classes {
 		out.Classes[c] = &ClassResult{FirstToken: hdrhistogram.New(1, mostMicros, digits)}
 	}
@@ -83,7 +83,7 @@
 }
 
 // Quantile is a quantile of a class's time to first token, in milliseconds.
-func (r Result) Quantile(c router.Class, percent float64) float64 {
+func (r Result) Quantile(c router.LengthClass, percent float64) float64 {
 	return float64(r.Classes[c].FirstToken.ValueAtQuantile(percent)) / 1000
 }
 
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -43,7 +43,7 @@
 	placer   *placer.Placer
 	engine   *simEngine
 	attempt  string
-	group    []reserver.Share
+	group    []reserver.Shard
 	tried    []string
 	// sends is how often its caller sent it before.
 	sends int
@@ -84,8 +84,8 @@
 	step := r.placer.Next(f.now)
 	switch step.Kind {
 	case placer.Choose:
-		w := router.Requirements{Model: "model", Class: f.class(r), PrefillTokens: r.tokens, MemoryTokens: r.tokens + r.answer, AnswerTokens: r.answer, Avoid: r.tried}
-		r.placer.Round(r.entry.board.Choose(f.now, f.options.Policy, w, maxAsked, f.random))
+		w := router.Requirements{Model: "model", Class: f.class(r), PrefillTokens: r.tokens, MemoryTokens: r.tokens + r.answer, MaxAnswerTokens: r.answer, Exclude: r.tried}
+		r.placer.SetChoices(r.entry.board.Choose(f.now, f.options.Policy, w, maxAsked, f.random))
 		f.place(r)
 	case placer.Ask:
 		f.ask(r, f.byName[step.Choice.Engine.Name])
@@ -122,7 +122,7 @@
 func (f *fleet) ask(r *request, s *simEngine) {
 	r.attempt = f.newID()
 	if !f.options.Ask {
-		r.placer.Answered(keeper.Answer{Granted: true})
+		r.placer.RecordReply(keeper.GrantReply{Granted: true})
 		f.place(r)
 		return
 	}
@@ -135,15 +135,15 @@
 		if !f.options.Refuse {
 			left = time.Hour
 		}
-		answer := s.keeper.Ask(f.now, keeper.Ask{
+		answer := s.keeper.RequestGrant(f.now, keeper.GrantRequest{
 			AttemptID: r.attempt, Model: "model", Class: f.class(r), PrefillTokens: r.tokens, MemoryTokens: r.tokens + r.answer, Remaining: left,
 		})
 		if !f.reach(r.entry, s) {
-			answer = keeper.Answer{Reason: keeper.NotHeard}
+			answer = keeper.GrantReply{Reason: keeper.NoReport}
 		}
-		d := s.keeper.Digest(f.now)
-		r.entry.loads[s.name].Heard(f.now, d.Queued, d.FreeTokens)
-		r.placer.Answered(answer)
+		d := s.keeper.EstimateLoad(f.now)
+		r.entry.loads[s.name].RecordReport(f.now, d.QueuedTokens, d.FreeTokens)
+		r.placer.RecordReply(answer)
 		f.place(r)
 	})
 }
@@ -157,14 +157,14 @@
 
 // class is what the queue is estimated by: all one where engines go by order
 // of arrival.
-func (f *fleet) class(r *request) router.Class {
+func (f *fleet) class(r *request) router.LengthClass {
 	if !f.options.Classes {
 		return router.Longest
 	}
 	return f.level(r)
 }
 
-func (f *fleet) level(r *request) router.Class {
+func (f *fleet) level(r *request) router.LengthClass {
 	if f.options.Levels > 0 && int(r.class) >= f.options.Levels-1 {
 		return router.Longest
 	}
@@ -173,8 +173,8 @@
 
 func (f *fleet) dispatch(r *request, s *simEngine) {
 	load := r.entry.loads[s.name]
-	load.OwnFlight.Add(1)
-	load.OwnTokens[f.class(r)].Add(int64(r.tokens))
+	load.OwnInFlight.Add(1)
+	load.OwnPrefillTokens[f.class(r)].Add(int64(r.tokens))
 	r.counted, r.engine = true, s
 	f.after(f.deployment.Distance, func() { f.give(r, s) })
 }
@@ -221,9 +221,9 @@
 	}
 	f.pace(r)
 	load := r.entry.loads[r.engine.name]
-	load.OwnFlight.Add(-1)
+	load.OwnInFlight.Add(-1)
 	if r.counted {
-		load.OwnTokens[f.class(r)].Add(-int64(r.tokens))
+		load.OwnPrefillTokens[f.class(r)].Add(-int64(r.tokens))
 		r.counted = false
 	}
 	r.engine = nil
@@ -233,14 +233,14 @@
 func (f *fleet) pace(r *request) {
 	const leastPaced = 8
 	if f.options.Pace && r.made >= leastPaced {
-		r.entry.loads[r.engine.name].Paced(f.now, f.now.Sub(r.first)/time.Duration(r.made))
+		r.entry.loads[r.engine.name].RecordTimePerToken(f.now, f.now.Sub(r.first)/time.Duration(r.made))
 	}
 }
 
 func (f *fleet) firstToken(r *request) {
 	r.first = f.now.Add(f.deployment.Distance + f.deployment.CallerDistance)
 	if r.counted {
-		r.entry.loads[r.engine.name].OwnTokens[f.class(r)].Add(-int64(r.tokens))
+		r.entry.loads[r.engine.name].OwnPrefillTokens[f.class(r)].Add(-int64(r.tokens))
 		r.counted = false
 	}
 }
@@ -278,12 +278,12 @@
 		return
 	}
 	var candidates []reserver.Candidate
-	for _, e := range r.entry.board.Serving("model") {
+	for _, e := range r.entry.board.EnginesFor("model") {
 		s := f.byName[e.Name]
 		if f.reach(r.entry, s) {
 			free := f.deployment.MemoryTokens
-			if e.Load.SaidAt.Load() != 0 {
-				free = int(e.Load.Free.Load())
+			if e.Load.ReportedAt.Load() != 0 {
+				free = int(e.Load.FreeTokens.Load())
 			}
 			candidates = append(candidates, reserver.Candidate{Name: e.Name, DataCentre: e.DataCentre, FreeTokens: free, MemoryTokens: e.MemoryTokens})
 		}
@@ -300,7 +300,7 @@
 }
 
 // hold takes all shares or none.
-func (f *fleet) hold(shares []reserver.Share) bool {
+func (f *fleet) hold(shares []reserver.Shard) bool {
 	for i, share := range shares {
 		err := f.byName[share.Engine].batcher.Hold(f.now, api.EngineHold{ID: share.HoldID, Kind: api.HoldGroup, Tokens: share.Tokens})
 		if err == nil {
