--- a/spender/example_test.go
+++ b/spender/example_test.go
@@ -36,12 +36,12 @@
 	text, _ := s.Issue(start)
 	ticket, _ := spender.ParseTicket(text)
 	for range 2 {
-		fate, _, _ := s.Spend(start, ticket, request)
-		fmt.Println(fate)
+		result, _, _ := s.Spend(start, ticket, request)
+		fmt.Println(result)
 	}
 	s.Finish(start, ticket, &spender.Answer{Body: []byte("done")})
-	fate, answer, _ := s.Spend(start, ticket, request)
-	fmt.Println(fate, string(answer.Body))
+	result, answer, _ := s.Spend(start, ticket, request)
+	fmt.Println(result, string(answer.Body))
 	// Output:
 	// Spent
 	// InProgress
@@ -51,24 +51,24 @@
 func TestSpendResults(t *testing.T) {
 	is := is.New(t)
 	s := newSpender(1)
-	fateOf := func(s *spender.Spender, after time.Duration, ticket spender.Ticket) spender.SpendResult {
-		fate, _, _ := s.Spend(start.Add(after), ticket, request)
-		return fate
+	resultOf := func(s *spender.Spender, after time.Duration, ticket spender.Ticket) spender.SpendResult {
+		result, _, _ := s.Spend(start.Add(after), ticket, request)
+		return result
 	}
 	// Another incarnation can't spend it, nor can one with another secret.
-	is.Equal(fateOf(newSpender(2), 0, issue(t, s)), spender.Forged)
+	is.Equal(resultOf(newSpender(2), 0, issue(t, s)), spender.Forged)
 	// Past its life it is refused, and truly was not run.
-	is.Equal(fateOf(s, 2*time.Minute, issue(t, s)), spender.Expired)
+	is.Equal(resultOf(s, 2*time.Minute, issue(t, s)), spender.Expired)
 	// What ran is known to have run for as long as the incarnation lives.
 	ran := issue(t, s)
-	is.Equal(fateOf(s, 0, ran), spender.Spent)
+	is.Equal(resultOf(s, 0, ran), spender.Spent)
 	s.Finish(start, ran, &spender.Answer{Body: []byte("x")})
-	is.Equal(fateOf(s, time.Hour, ran), spender.Ran)
+	is.Equal(resultOf(s, time.Hour, ran), spender.Ran)
 	// What did not run may be spent again.
 	again := issue(t, s)
-	is.Equal(fateOf(s, 0, again), spender.Spent)
+	is.Equal(resultOf(s, 0, again), spender.Spent)
 	s.Unspend(again)
-	is.Equal(fateOf(s, 0, again), spender.Spent)
+	is.Equal(resultOf(s, 0, again), spender.Spent)
 	// For another request it is no good.
 	s.Finish(start, again, nil)
 	_, _, err := s.Spend(start, again, [32]byte{2})
@@ -90,8 +90,8 @@
 	}
 	_, bytes := s.Size()
 	is.True(bytes <= 100)
-	fate, _, _ := s.Spend(start, first, request)
-	is.Equal(fate, spender.Ran)
+	result, _, _ := s.Spend(start, first, request)
+	is.Equal(result, spender.Ran)
 	_, _, _ = s.Spend(start.Add(time.Hour), first, request)
 	records, bytes := s.Size()
 	is.Equal(records, 0)
@@ -108,9 +108,9 @@
 		if err != nil {
 			return
 		}
-		fate, _, _ := newSpender(9).Spend(start, ticket, request)
-		if fate != spender.Forged {
-			t.Fatalf("%q was taken for a ticket: %s", text, fate)
+		result, _, _ := newSpender(9).Spend(start, ticket, request)
+		if result != spender.Forged {
+			t.Fatalf("%q was taken for a ticket: %s", text, result)
 		}
 	})
 }
--- a/spender/spender.go
+++ b/spender/spender.go
@@ -19,9 +19,9 @@
 
 const (
 	// maxTickets bounds the tickets of one incarnation: one bit each, 1 MiB.
-	maxTickets = 8 << 20
-	signature  = 16
-	payload    = 8 + 8 + 8
+	maxTickets  = 8 << 20
+	macSize     = 16
+	payloadSize = 8 + 8 + 8
 )
 
 // Ticket is a parsed ticket. Only its own incarnation can tell whether it is
@@ -31,9 +31,9 @@
 	Owner       string
 	Incarnation uint64
 	number      uint64
-	// issued is the time of issue, counted from the incarnation's start.
-	issued time.Duration
-	mac    [signature]byte
+	// issuedAt is the time of issue, counted from the incarnation's start.
+	issuedAt time.Duration
+	mac      [macSize]byte
 }
 
 // MalformedError says that a text is no ticket.
@@ -43,24 +43,24 @@
 
 // ParseTicket reads a ticket's text.
 func ParseTicket(text string) (Ticket, error) {
-	owner, code, found := strings.Cut(text, ".")
+	owner, encoded, found := strings.Cut(text, ".")
 	if !found || owner == "" {
 		return Ticket{}, MalformedError{"no owner"}
 	}
-	raw, err := base64.RawURLEncoding.DecodeString(code)
+	raw, err := base64.RawURLEncoding.DecodeString(encoded)
 	if err != nil {
 		return Ticket{}, MalformedError{"not base64"}
 	}
-	if len(raw) != payload+signature {
+	if len(raw) != payloadSize+macSize {
 		return Ticket{}, MalformedError{fmt.Sprintf("%d bytes", len(raw))}
 	}
 	t := Ticket{
 		Owner:       owner,
 		Incarnation: binary.BigEndian.Uint64(raw),
 		number:      binary.BigEndian.Uint64(raw[8:]),
-		issued:      time.Duration(binary.BigEndian.Uint64(raw[16:])),
+		issuedAt:    time.Duration(binary.BigEndian.Uint64(raw[16:])),
 	}
-	copy(t.mac[:], raw[payload:])
+	copy(t.mac[:], raw[payloadSize:])
 	return t, nil
 }
 
@@ -95,9 +95,9 @@
 	Forged
 )
 
-var fateNames = [...]string{"Spent", "InProgress", "Repeat", "Ran", "Expired", "Forged"}
+var resultNames = [...]string{"Spent", "InProgress", "Repeat", "Ran", "Expired", "Forged"}
 
-func (f SpendResult) String() string { return fateNames[f] }
+func (f SpendResult) String() string { return resultNames[f] }
 
 // Answer is what is kept of a finished call.
 type Answer struct {
@@ -119,14 +119,14 @@
 // Spender holds the tickets of one incarnation. It is not safe for
 // concurrent use.
 type Spender struct {
-	config  Config
-	start   time.Time
-	issued  uint64
-	spent   []uint64
-	records map[uint64]*record
-	// order is the numbers of finished records, oldest first.
-	order []uint64
-	bytes int
+	config      Config
+	start       time.Time
+	issuedCount uint64
+	spentBits   []uint64
+	records     map[uint64]*record
+	// finished is the numbers of finished records, oldest first.
+	finished    []uint64
+	answerBytes int
 }
 
 // New returns a spender with no tickets.
@@ -143,12 +143,12 @@
 
 // Issue makes a ticket. Nothing is kept for it but a bit.
 func (s *Spender) Issue(now time.Time) (string, error) {
-	if s.issued >= maxTickets {
+	if s.issuedCount >= maxTickets {
 		return "", ExhaustedError{Limit: maxTickets}
 	}
-	number := s.issued
-	s.issued++
-	raw := make([]byte, payload, payload+signature)
+	number := s.issuedCount
+	s.issuedCount++
+	raw := make([]byte, payloadSize, payloadSize+macSize)
 	binary.BigEndian.PutUint64(raw, s.config.Incarnation)
 	binary.BigEndian.PutUint64(raw[8:], number)
 	binary.BigEndian.PutUint64(raw[16:], uint64(now.Sub(s.start)))
@@ -157,23 +157,23 @@
 	return s.config.Name + "." + base64.RawURLEncoding.EncodeToString(raw), nil
 }
 
-func (s *Spender) sign(raw []byte) [signature]byte {
+func (s *Spender) sign(raw []byte) [macSize]byte {
 	h := hmac.New(sha256.New, s.config.Secret)
 	h.Write([]byte(s.config.Name))
 	h.Write(raw)
-	var mac [signature]byte
+	var mac [macSize]byte
 	copy(mac[:], h.Sum(nil))
 	return mac
 }
 
-func (s *Spender) genuine(t Ticket) bool {
+func (s *Spender) isGenuine(t Ticket) bool {
 	if t.Owner != s.config.Name || t.Incarnation != s.config.Incarnation {
 		return false
 	}
-	raw := make([]byte, payload)
+	raw := make([]byte, payloadSize)
 	binary.BigEndian.PutUint64(raw, t.Incarnation)
 	binary.BigEndian.PutUint64(raw[8:], t.number)
-	binary.BigEndian.PutUint64(raw[16:], uint64(t.issued))
+	binary.BigEndian.PutUint64(raw[16:], uint64(t.issuedAt))
 	mac := s.sign(raw)
 	return hmac.Equal(mac[:], t.mac[:])
 }
@@ -186,25 +186,25 @@
 // Spend presents a ticket for a request, named by a digest of all that makes
 // it what it is. After Spent the caller runs the request and calls Finish.
 func (s *Spender) Spend(now time.Time, t Ticket, request [sha256.Size]byte) (SpendResult, *Answer, error) {
-	s.expire(now)
-	if !s.genuine(t) {
+	s.removeExpired(now)
+	if !s.isGenuine(t) {
 		return Forged, nil, nil
 	}
 	if !s.isSpent(t.number) {
-		if now.Sub(s.start)-t.issued > s.config.TicketTTL {
+		if now.Sub(s.start)-t.issuedAt > s.config.TicketTTL {
 			return Expired, nil, nil
 		}
 		s.setSpent(t.number)
 		s.records[t.number] = &record{digest: request}
 		return Spent, nil, nil
 	}
-	r, kept := s.records[t.number]
+	r, found := s.records[t.number]
 	switch {
-	case kept && r.digest != request:
+	case found && r.digest != request:
 		return Ran, nil, MismatchError{}
-	case kept && !r.done:
+	case found && !r.done:
 		return InProgress, nil, nil
-	case kept && r.answer != nil:
+	case found && r.answer != nil:
 		return Repeat, r.answer, nil
 	}
 	return Ran, nil, nil
@@ -219,13 +219,13 @@
 	}
 	r.done = true
 	r.expires = now.Sub(s.start) + s.config.TicketTTL
-	s.order = append(s.order, t.number)
+	s.finished = append(s.finished, t.number)
 	if answer == nil || len(answer.Body) > s.config.MaxAnswerBytes {
 		return
 	}
 	r.answer = answer
-	s.bytes += len(answer.Body)
-	s.shrink()
+	s.answerBytes += len(answer.Body)
+	s.evictAnswers()
 }
 
 // Unspend gives a ticket back after a call that truly did not run, so that
@@ -236,49 +236,49 @@
 		return
 	}
 	delete(s.records, t.number)
-	s.spent[t.number/64] &^= 1 << (t.number % 64)
+	s.spentBits[t.number/64] &^= 1 << (t.number % 64)
 }
 
 func (s *Spender) isSpent(number uint64) bool {
 	word := number / 64
-	return word < uint64(len(s.spent)) && s.spent[word]&(1<<(number%64)) != 0
+	return word < uint64(len(s.spentBits)) && s.spentBits[word]&(1<<(number%64)) != 0
 }
 
 func (s *Spender) setSpent(number uint64) {
-	for uint64(len(s.spent)) <= number/64 {
-		s.spent = append(s.spent, 0)
+	for uint64(len(s.spentBits)) <= number/64 {
+		s.spentBits = append(s.spentBits, 0)
 	}
-	s.spent[number/64] |= 1 << (number % 64)
+	s.spentBits[number/64] |= 1 << (number % 64)
 }
 
-// shrink drops the oldest answers while they are over the bound.
-func (s *Spender) shrink() {
-	for _, number := range s.order {
-		if s.bytes <= s.config.MaxAnswerBytes {
+// evictAnswers drops the oldest answers while they are over the bound.
+func (s *Spender) evictAnswers() {
+	for _, number := range s.finished {
+		if s.answerBytes <= s.config.MaxAnswerBytes {
 			return
 		}
-		s.drop(number)
+		s.dropAnswer(number)
 	}
 }
 
-func (s *Spender) drop(number uint64) {
+func (s *Spender) dropAnswer(number uint64) {
 	r := s.records[number]
 	if r.answer == nil {
 		return
 	}
-	s.bytes -= len(r.answer.Body)
+	s.answerBytes -= len(r.answer.Body)
 	r.answer = nil
 }
 
-// expire forgets records past their life; the bit stays.
-func (s *Spender) expire(now time.Time) {
+// removeExpired forgets records past their life; the bit stays.
+func (s *Spender) removeExpired(now time.Time) {
 	age := now.Sub(s.start)
-	for len(s.order) > 0 && s.records[s.order[0]].expires < age {
-		s.drop(s.order[0])
-		delete(s.records, s.order[0])
-		s.order = s.order[1:]
+	for len(s.finished) > 0 && s.records[s.finished[0]].expires < age {
+		s.dropAnswer(s.finished[0])
+		delete(s.records, s.finished[0])
+		s.finished = s.finished[1:]
 	}
 }
 
 // Size is how many records are held, and the bytes of their answers.
-func (s *Spender) Size() (records, bytes int) { return len(s.records), s.bytes }
+func (s *Spender) Size() (records, bytes int) { return len(s.records), s.answerBytes }
