--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -21,9 +21,9 @@
 	Broken
 )
 
-var verdictNames = [...]string{"Deliver", "Drop", "Whole", "Broken"}
+var resultNames = [...]string{"Deliver", "Drop", "Whole", "Broken"}
 
-func (v ChunkResult) String() string { return verdictNames[v] }
+func (v ChunkResult) String() string { return resultNames[v] }
 
 // UndeliveredCounts of chunks that were not delivered, by reason.
 type UndeliveredCounts struct {
@@ -97,20 +97,20 @@
 		r.counts.WrongTotal++
 		return "", Broken
 	}
-	return r.take(c, choice)
+	return r.acceptNext(c, choice)
 }
 
-func (r *Relayer) take(c api.CompletionChunk, choice api.CompletionChoice) (string, ChunkResult) {
-	reached := c.Offset + choice.Tokens
+func (r *Relayer) acceptNext(c api.CompletionChunk, choice api.CompletionChoice) (string, ChunkResult) {
+	nextOffset := c.Offset + choice.Tokens
 	if choice.FinishReason == "" {
-		r.delivered = reached
+		r.delivered = nextOffset
 		return choice.Text, Deliver
 	}
-	if c.Usage == nil || c.Usage.CompletionTokens != reached {
+	if c.Usage == nil || c.Usage.CompletionTokens != nextOffset {
 		r.counts.WrongTotal++
 		return "", Broken
 	}
-	r.delivered = reached
+	r.delivered = nextOffset
 	r.whole = true
 	return choice.Text, Whole
 }
