--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -64,22 +64,22 @@
 )
 
 type grant struct {
-	memory  int
-	prefill int
-	class   router.LengthClass
-	expires time.Time
+	memoryTokens  int
+	prefillTokens int
+	class         router.LengthClass
+	expiresAt     time.Time
 }
 
 // Keeper is the ledger of one engine. It is not safe for concurrent use.
 type Keeper struct {
-	config Config
-	load   api.EngineLoad
-	// heard is when the engine last answered; zero when it never did.
-	heard time.Time
+	config   Config
+	lastLoad api.EngineLoad
+	// lastReportAt is when the engine last answered; zero when it never did.
+	lastReportAt time.Time
 	// holds is the engine's last listing.
 	holds map[string]api.EngineHold
-	// used is the engine's memory held, as the last listing or report says.
-	used int
+	// usedTokens is the engine's memory held, as the last listing or report says.
+	usedTokens int
 	// grants are given and not yet listed. No id is in both grants and holds.
 	grants map[string]grant
 	// backlog is the estimated prompt tokens not yet prefilled, by class, at
@@ -115,9 +115,9 @@
 // RecordReport takes in the engine's load and its listing of holds, and returns
 // the orphans to free.
 func (k *Keeper) RecordReport(now time.Time, load api.EngineLoad, holds []api.EngineHold) []Orphan {
-	if load.Incarnation != k.load.Incarnation {
-		k.forget()
-		k.load.Incarnation = load.Incarnation
+	if load.Incarnation != k.lastLoad.Incarnation {
+		k.reset()
+		k.lastLoad.Incarnation = load.Incarnation
 	}
 	clear(k.holds)
 	var orphans []Orphan
@@ -132,7 +132,7 @@
 	}
 	k.listed = true
 	k.RecordLoad(now, load)
-	k.used = used // a listing does not lag
+	k.usedTokens = used // a listing does not lag
 	return orphans
 }
 
@@ -140,33 +140,33 @@
 // first listing the keeper knows nothing of the engine's memory, and it
 // grants nothing.
 func (k *Keeper) RecordLoad(now time.Time, load api.EngineLoad) {
-	if load.Incarnation != k.load.Incarnation {
-		k.forget()
+	if load.Incarnation != k.lastLoad.Incarnation {
+		k.reset()
 	}
-	k.drain(now)
-	k.load = load
+	k.advanceBacklog(now)
+	k.lastLoad = load
 	if !k.listed {
 		return
 	}
-	k.heard = now
-	k.used = load.UsedTokens
-	k.expire(now)
+	k.lastReportAt = now
+	k.usedTokens = load.UsedTokens
+	k.removeExpiredGrants(now)
 	if now.Sub(k.lastGrant) > k.config.GrantTTL {
-		k.correct(load.QueuedTokens)
+		k.scaleBacklog(load.QueuedTokens)
 	}
 }
 
-// forget drops what was known of an engine that has started anew.
-func (k *Keeper) forget() {
+// reset drops what was known of an engine that has started anew.
+func (k *Keeper) reset() {
 	clear(k.grants)
 	clear(k.holds)
-	k.listed, k.heard = false, time.Time{}
+	k.listed, k.lastReportAt = false, time.Time{}
 	k.backlog = [router.ClassCount]float64{}
 }
 
-// correct takes the engine's word for how much is queued; of which classes
+// scaleBacklog takes the engine's word for how much is queued; of which classes
 // it does not say, so they keep their parts.
-func (k *Keeper) correct(queued int) {
+func (k *Keeper) scaleBacklog(queued int) {
 	sum := 0.0
 	for _, tokens := range k.backlog {
 		sum += tokens
@@ -180,58 +180,58 @@
 	}
 }
 
-// drain estimates how far the engine has come with its backlog, the shorter
+// advanceBacklog estimates how far the engine has come with its backlog, the shorter
 // classes first.
-func (k *Keeper) drain(now time.Time) {
-	done := max(0, now.Sub(k.backlogAt).Seconds()*float64(k.config.PrefillRate))
+func (k *Keeper) advanceBacklog(now time.Time) {
+	prefilled := max(0, now.Sub(k.backlogAt).Seconds()*float64(k.config.PrefillRate))
 	for c := range k.backlog {
-		part := min(done, k.backlog[c])
-		k.backlog[c] -= part
-		done -= part
+		classTokens := min(prefilled, k.backlog[c])
+		k.backlog[c] -= classTokens
+		prefilled -= classTokens
 	}
 	k.backlogAt = now
 }
 
-func (k *Keeper) expire(now time.Time) {
+func (k *Keeper) removeExpiredGrants(now time.Time) {
 	for id, g := range k.grants {
-		if now.After(g.expires) {
+		if now.After(g.expiresAt) {
 			delete(k.grants, id)
 		}
 	}
 }
 
 // RequestGrant decides on an attempt.
-func (k *Keeper) RequestGrant(now time.Time, a GrantRequest) GrantReply {
-	k.drain(now)
-	k.expire(now)
-	wait := k.QueueWait(now, a.Class)
-	if reason := k.closed(now, a); reason != "" {
+func (k *Keeper) RequestGrant(now time.Time, r GrantRequest) GrantReply {
+	k.advanceBacklog(now)
+	k.removeExpiredGrants(now)
+	wait := k.QueueWait(now, r.Class)
+	if reason := k.refusalReason(now, r); reason != "" {
 		return GrantReply{QueueWait: wait, Reason: reason}
 	}
-	if a.MemoryTokens > k.FreeTokens() {
+	if r.MemoryTokens > k.FreeTokens() {
 		return GrantReply{QueueWait: wait, Reason: MemoryFull}
 	}
-	prefill := rateTime(float64(a.PrefillTokens), k.config.PrefillRate)
-	if wait+prefill > a.Remaining {
+	prefill := prefillTime(float64(r.PrefillTokens), k.config.PrefillRate)
+	if wait+prefill > r.Remaining {
 		return GrantReply{QueueWait: wait, Reason: TooLate}
 	}
-	k.grants[a.AttemptID] = grant{memory: a.MemoryTokens, prefill: a.PrefillTokens, class: a.Class, expires: now.Add(k.config.GrantTTL)}
-	k.backlog[a.Class] += float64(a.PrefillTokens)
+	k.grants[r.AttemptID] = grant{memoryTokens: r.MemoryTokens, prefillTokens: r.PrefillTokens, class: r.Class, expiresAt: now.Add(k.config.GrantTTL)}
+	k.backlog[r.Class] += float64(r.PrefillTokens)
 	k.lastGrant = now
 	return GrantReply{Granted: true, QueueWait: wait, Reason: MemoryFree}
 }
 
-func rateTime(tokens float64, rate int) time.Duration {
+func prefillTime(tokens float64, rate int) time.Duration {
 	return time.Duration(tokens / float64(max(1, rate)) * float64(time.Second))
 }
 
-func (k *Keeper) closed(now time.Time, a GrantRequest) Reason {
+func (k *Keeper) refusalReason(now time.Time, r GrantRequest) Reason {
 	switch {
-	case k.heard.IsZero() || now.Sub(k.heard) > k.config.Lease:
+	case k.lastReportAt.IsZero() || now.Sub(k.lastReportAt) > k.config.Lease:
 		return NoReport
-	case k.load.Leaving:
+	case k.lastLoad.Leaving:
 		return Leaving
-	case k.load.Model != a.Model:
+	case k.lastLoad.Model != r.Model:
 		return WrongModel
 	case k.changing:
 		return Changing
@@ -241,26 +241,26 @@
 
 // QueueWait estimates how long a prompt of the class would queue.
 func (k *Keeper) QueueWait(now time.Time, class router.LengthClass) time.Duration {
-	k.drain(now)
-	return rateTime(float64(k.queue().AheadOf(class)), k.config.PrefillRate)
+	k.advanceBacklog(now)
+	return prefillTime(float64(k.queuedTokens().AheadOf(class)), k.config.PrefillRate)
 }
 
-func (k *Keeper) queue() router.TokensByClass {
-	var q router.TokensByClass
+func (k *Keeper) queuedTokens() router.TokensByClass {
+	var queued router.TokensByClass
 	for c, tokens := range k.backlog {
-		q[c] = int(tokens)
+		queued[c] = int(tokens)
 	}
-	return q
+	return queued
 }
 
 // EndAttempt takes in word that an attempt has ended, or never began.
 func (k *Keeper) EndAttempt(attemptID string) {
 	if g, ok := k.grants[attemptID]; ok {
-		k.backlog[g.class] = max(0, k.backlog[g.class]-float64(g.prefill))
+		k.backlog[g.class] = max(0, k.backlog[g.class]-float64(g.prefillTokens))
 	}
 	delete(k.grants, attemptID)
 	if h, ok := k.holds[attemptID]; ok {
-		k.used -= h.Tokens
+		k.usedTokens -= h.Tokens
 	}
 	delete(k.holds, attemptID)
 }
@@ -268,21 +268,21 @@
 // FreeTokens is the engine's memory that is neither held nor granted.
 func (k *Keeper) FreeTokens() int {
 	free := k.config.MemoryTokens
-	if k.load.MemoryTokens > 0 {
-		free = min(free, k.load.MemoryTokens)
+	if k.lastLoad.MemoryTokens > 0 {
+		free = min(free, k.lastLoad.MemoryTokens)
 	}
-	free -= k.used
+	free -= k.usedTokens
 	for _, g := range k.grants {
-		free -= g.memory
+		free -= g.memoryTokens
 	}
 	return max(0, free)
 }
 
 // LastLoad returns the engine's last report.
-func (k *Keeper) LastLoad() api.EngineLoad { return k.load }
+func (k *Keeper) LastLoad() api.EngineLoad { return k.lastLoad }
 
 // LastReportAt returns when the engine last answered.
-func (k *Keeper) LastReportAt() time.Time { return k.heard }
+func (k *Keeper) LastReportAt() time.Time { return k.lastReportAt }
 
 // HoldCount is how many holds the engine listed last.
 func (k *Keeper) HoldCount() int { return len(k.holds) }
@@ -301,12 +301,12 @@
 
 // EstimateLoad is the engine's load as estimated now.
 func (k *Keeper) EstimateLoad(now time.Time) LoadEstimate {
-	k.drain(now)
+	k.advanceBacklog(now)
 	return LoadEstimate{
 		Engine:       k.config.Engine,
-		Incarnation:  k.load.Incarnation,
-		Leaving:      k.load.Leaving,
-		QueuedTokens: k.queue(),
+		Incarnation:  k.lastLoad.Incarnation,
+		Leaving:      k.lastLoad.Leaving,
+		QueuedTokens: k.queuedTokens(),
 		FreeTokens:   k.FreeTokens(),
 	}
 }
