--- a/reserver/example_test.go
+++ b/reserver/example_test.go
@@ -24,9 +24,9 @@
 }
 
 func Example() {
-	shares, err := reserver.Plan(engines, 150, 3, counter())
-	fmt.Println(shares, err)
-	r := reserver.New(shares)
+	shards, err := reserver.Plan(engines, 150, 3, counter())
+	fmt.Println(shards, err)
+	r := reserver.New(shards)
 	fmt.Println(r.Next().Reserve.Engine)
 	r.RecordReserved()
 	r.RecordRefused(false)
@@ -50,7 +50,7 @@
 	is.True(errors.As(err, &busy))
 }
 
-// Whatever the engines answer, in the end all shares are held or none is.
+// Whatever the engines answer, in the end all shards are held or none is.
 func TestReservesAllShardsOrNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []reserver.Candidate
@@ -59,29 +59,29 @@
 			candidates = append(candidates, reserver.Candidate{Name: fmt.Sprint(i), DataCentre: "x", FreeTokens: free, MemoryTokens: 100})
 		}
 		tokens := rapid.IntRange(1, 500).Draw(t, "tokens")
-		shares, err := reserver.Plan(candidates, tokens, 4, counter())
+		shards, err := reserver.Plan(candidates, tokens, 4, counter())
 		if err != nil {
 			return
 		}
 		sum := 0
-		for _, s := range shares {
+		for _, s := range shards {
 			sum += s.Tokens
 		}
 		if sum != tokens {
-			t.Fatalf("shares of %d add up to %d", tokens, sum)
+			t.Fatalf("shards of %d add up to %d", tokens, sum)
 		}
-		drive(t, reserver.New(shares), len(shares))
+		runReservation(t, reserver.New(shards), len(shards))
 	})
 }
 
-func drive(t *rapid.T, r *reserver.Reserver, want int) {
+func runReservation(t *rapid.T, r *reserver.Reserver, shardCount int) {
 	held := map[string]bool{}
 	for {
 		e := r.Next()
 		switch {
 		case e.AllHeld:
-			if len(held) != want {
-				t.Fatalf("held %d of %d", len(held), want)
+			if len(held) != shardCount {
+				t.Fatalf("held %d of %d", len(held), shardCount)
 			}
 			return
 		case e.Failed:
@@ -96,11 +96,11 @@
 			held[e.Reserve.HoldID] = true
 			r.RecordReserved()
 		default:
-			maybe := rapid.Bool().Draw(t, "maybe")
-			if maybe {
+			maybeHeld := rapid.Bool().Draw(t, "maybe")
+			if maybeHeld {
 				held[e.Reserve.HoldID] = true
 			}
-			r.RecordRefused(maybe)
+			r.RecordRefused(maybeHeld)
 		}
 	}
 }
--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -53,27 +53,27 @@
 		centres[c.DataCentre] = append(centres[c.DataCentre], c)
 	}
 	var best []Candidate
-	most, mostFree := 0, 0
+	maxTokens, maxFreeTokens := 0, 0
 	for _, name := range sortedKeys(centres) {
 		centre := centres[name]
-		most = max(most, largest(centre, maxGroup, func(c Candidate) int { return c.MemoryTokens }))
-		free := largest(centre, maxGroup, func(c Candidate) int { return c.FreeTokens })
-		mostFree = max(mostFree, free)
+		maxTokens = max(maxTokens, sumLargest(centre, maxGroup, func(c Candidate) int { return c.MemoryTokens }))
+		free := sumLargest(centre, maxGroup, func(c Candidate) int { return c.FreeTokens })
+		maxFreeTokens = max(maxFreeTokens, free)
 		if free < tokens {
 			continue
 		}
-		group := fewest(centre, tokens)
+		group := fewestEngines(centre, tokens)
 		if best == nil || len(group) < len(best) {
 			best = group
 		}
 	}
-	if most < tokens {
-		return nil, TooLongError{Tokens: tokens, MaxTokens: most, MaxGroup: maxGroup}
+	if maxTokens < tokens {
+		return nil, TooLongError{Tokens: tokens, MaxTokens: maxTokens, MaxGroup: maxGroup}
 	}
 	if best == nil {
-		return nil, BusyError{Tokens: tokens, FreeTokens: mostFree}
+		return nil, BusyError{Tokens: tokens, FreeTokens: maxFreeTokens}
 	}
-	return shares(best, tokens, newID), nil
+	return splitTokens(best, tokens, newID), nil
 }
 
 func sortedKeys(m map[string][]Candidate) []string {
@@ -85,8 +85,8 @@
 	return keys
 }
 
-// largest adds up the greatest count values.
-func largest(candidates []Candidate, count int, value func(Candidate) int) int {
+// sumLargest adds up the greatest count values.
+func sumLargest(candidates []Candidate, n int, value func(Candidate) int) int {
 	values := make([]int, len(candidates))
 	for i, c := range candidates {
 		values[i] = value(c)
@@ -94,13 +94,13 @@
 	slices.Sort(values)
 	slices.Reverse(values)
 	sum := 0
-	for _, v := range values[:min(count, len(values))] {
+	for _, v := range values[:min(n, len(values))] {
 		sum += v
 	}
 	return sum
 }
 
-func fewest(candidates []Candidate, tokens int) []Candidate {
+func fewestEngines(candidates []Candidate, tokens int) []Candidate {
 	byFree := slices.Clone(candidates)
 	slices.SortFunc(byFree, func(a, b Candidate) int {
 		if a.FreeTokens != b.FreeTokens {
@@ -118,21 +118,21 @@
 	return nil
 }
 
-// shares splits the tokens in proportion to free memory.
-func shares(group []Candidate, tokens int, newID func() string) []Shard {
+// splitTokens splits the tokens in proportion to free memory.
+func splitTokens(group []Candidate, tokens int, newID func() string) []Shard {
 	slices.SortFunc(group, func(a, b Candidate) int { return strings.Compare(a.Name, b.Name) })
 	total := 0
 	for _, c := range group {
 		total += c.FreeTokens
 	}
-	out := make([]Shard, len(group))
-	left := tokens
+	shards := make([]Shard, len(group))
+	remaining := tokens
 	for i, c := range group {
-		part := min(left, c.FreeTokens, (tokens*c.FreeTokens+total-1)/total)
-		out[i] = Shard{Engine: c.Name, HoldID: newID(), Tokens: part}
-		left -= part
+		shardTokens := min(remaining, c.FreeTokens, (tokens*c.FreeTokens+total-1)/total)
+		shards[i] = Shard{Engine: c.Name, HoldID: newID(), Tokens: shardTokens}
+		remaining -= shardTokens
 	}
-	return out
+	return shards
 }
 
 // Action is what the owner has to do next.
@@ -148,49 +148,49 @@
 
 // Reserver drives one reservation. It is not safe for concurrent use.
 type Reserver struct {
-	shares []Shard
-	// held is how many of shares, from the first, are or may be held.
-	held    int
-	failing bool
+	shards []Shard
+	// heldCount is how many of shares, from the first, are or may be held.
+	heldCount int
+	releasing bool
 }
 
 // New returns a reservation of the shares, of which none is held.
-func New(shares []Shard) *Reserver {
-	return &Reserver{shares: shares}
+func New(shards []Shard) *Reserver {
+	return &Reserver{shards: shards}
 }
 
 // Next returns what to do. Every Reserve is followed by Reserved or Refused;
 // every Release by Released.
 func (r *Reserver) Next() Action {
 	switch {
-	case r.failing && r.held > 0:
-		return Action{Release: &r.shares[r.held-1]}
-	case r.failing:
+	case r.releasing && r.heldCount > 0:
+		return Action{Release: &r.shards[r.heldCount-1]}
+	case r.releasing:
 		return Action{Failed: true}
-	case r.held < len(r.shares):
-		return Action{Reserve: &r.shares[r.held]}
+	case r.heldCount < len(r.shards):
+		return Action{Reserve: &r.shards[r.heldCount]}
 	}
 	return Action{AllHeld: true}
 }
 
 // RecordReserved notes that the share asked for last is held.
-func (r *Reserver) RecordReserved() { r.held++ }
+func (r *Reserver) RecordReserved() { r.heldCount++ }
 
 // RecordRefused notes that the share asked for last is not held, or, where maybe is
 // true, that it is not known: it is released too, to be sure.
-func (r *Reserver) RecordRefused(maybe bool) {
-	if maybe {
-		r.held++
+func (r *Reserver) RecordRefused(maybeHeld bool) {
+	if maybeHeld {
+		r.heldCount++
 	}
-	r.failing = true
+	r.releasing = true
 }
 
 // RecordReleased notes that the share named last is given up. One that could not be
 // reached is left to its lease.
-func (r *Reserver) RecordReleased() { r.held-- }
+func (r *Reserver) RecordReleased() { r.heldCount-- }
 
 // ReleaseAll starts to give back a group that is held or partly held.
-func (r *Reserver) ReleaseAll() { r.failing = true }
+func (r *Reserver) ReleaseAll() { r.releasing = true }
 
 // Shards are the shares of the group, in the order of reservation.
-func (r *Reserver) Shards() []Shard { return r.shares }
+func (r *Reserver) Shards() []Shard { return r.shards }
