--- a/placer/placer.go
+++ b/placer/placer.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// patiencePart is the part of a prompt's remaining time that it may wait
+	// roomWaitDivisor is the part of a prompt's remaining time that it may wait
 	// for room.
-	patiencePart = 4
-	// leastPause and mostPause are between rounds.
-	leastPause = 20 * time.Millisecond
-	mostPause  = 80 * time.Millisecond
+	roomWaitDivisor = 4
+	// minPause and mostPause are between rounds.
+	minPause = 20 * time.Millisecond
+	maxPause = 80 * time.Millisecond
 )
 
 // StepKind of a step.
@@ -56,24 +56,24 @@
 // Placer drives one placement. It is not safe for concurrent use.
 type Placer struct {
 	random *rand.Rand
-	// patience is when waiting for room ends.
-	patience time.Time
-	choices  []router.Choice
+	// roomDeadline is when waiting for room ends.
+	roomDeadline time.Time
+	choices      []router.Choice
 	// asked is how many of choices were asked, of which late were too late.
-	asked, late int
-	chosen      bool
-	granted     bool
+	asked, tooLate int
+	hasChoices     bool
+	granted        bool
 }
 
 // New returns a placement for a prompt that has some time left.
-func New(now time.Time, left time.Duration, random *rand.Rand) *Placer {
-	return &Placer{random: random, patience: now.Add(left / patiencePart)}
+func New(now time.Time, remaining time.Duration, random *rand.Rand) *Placer {
+	return &Placer{random: random, roomDeadline: now.Add(remaining / roomWaitDivisor)}
 }
 
 // SetChoices takes the engines chosen for a round, best first.
 func (p *Placer) SetChoices(choices []router.Choice) {
-	p.choices, p.asked, p.late = choices, 0, 0
-	p.chosen = true
+	p.choices, p.asked, p.tooLate = choices, 0, 0
+	p.hasChoices = true
 }
 
 // RecordReply takes the answer to the last Ask.
@@ -83,7 +83,7 @@
 		return
 	}
 	if a.Reason == keeper.TooLate {
-		p.late++
+		p.tooLate++
 	}
 	p.asked++
 }
@@ -93,17 +93,17 @@
 	switch {
 	case p.granted:
 		return Step{Kind: Placed, Choice: p.choices[p.asked]}
-	case !p.chosen:
+	case !p.hasChoices:
 		return Step{Kind: Choose}
 	case len(p.choices) == 0:
 		return Step{Kind: NoEngine}
 	case p.asked < len(p.choices):
 		return Step{Kind: Ask, Choice: p.choices[p.asked]}
-	case p.late == len(p.choices):
+	case p.tooLate == len(p.choices):
 		return Step{Kind: TooLate}
-	case !now.Before(p.patience):
+	case !now.Before(p.roomDeadline):
 		return Step{Kind: NoRoom}
 	}
-	p.chosen = false
-	return Step{Kind: Pause, Pause: leastPause + time.Duration(p.random.Int64N(int64(mostPause-leastPause)))}
+	p.hasChoices = false
+	return Step{Kind: Pause, Pause: minPause + time.Duration(p.random.Int64N(int64(maxPause-minPause)))}
 }
