--- a/planner/planner.go
+++ b/planner/planner.go
@@ -20,8 +20,8 @@
 
 // NextFence is the fencing number of the next order by a keeper to an engine
 // that last saw the number seen.
-func NextFence(seen uint64, keeper string) uint64 {
-	next := seen>>keeperBits + 1
+func NextFence(lastSeen uint64, keeper string) uint64 {
+	next := lastSeen>>keeperBits + 1
 	id := assigner.Weight("fence", keeper) & (1<<keeperBits - 1)
 	return next<<keeperBits | id
 }
@@ -73,26 +73,26 @@
 	WeightLoadInterval time.Duration
 }
 
-type engine struct {
+type engineState struct {
 	wanted api.EngineOrder
-	// since is when wanted last changed, or this entry became keeper.
-	since time.Time
-	// sent is when the last order was sent; zero when none is awaited.
-	sent time.Time
+	// wantedSince is when wanted last changed, or this entry became keeper.
+	wantedSince time.Time
+	// sentAt is when the last order was sent; zero when none is awaited.
+	sentAt time.Time
 }
 
 // Planner holds the orders of the engines one entry keeps. It is not safe for
 // concurrent use.
 type Planner struct {
 	config  Config
-	engines map[string]*engine
-	// lastLoad is when this entry last had an engine load weights.
-	lastLoad time.Time
+	engines map[string]*engineState
+	// lastWeightLoad is when this entry last had an engine load weights.
+	lastWeightLoad time.Time
 }
 
 // New returns a planner that has ordered nothing.
 func New(config Config) *Planner {
-	return &Planner{config: config, engines: map[string]*engine{}}
+	return &Planner{config: config, engines: map[string]*engineState{}}
 }
 
 // Forget drops an engine that this entry no longer keeps, and with it any
@@ -102,47 +102,47 @@
 // Plan decides what is due for an engine whose report is load. Streams is how
 // many streams and holds it has; entries is how many entries share the weight
 // store's budget.
-func (p *Planner) Plan(now time.Time, wanted api.EngineOrder, load api.EngineLoad, streams, entries int) Decision {
+func (p *Planner) Plan(now time.Time, wanted api.EngineOrder, load api.EngineLoad, holds, entries int) Decision {
 	e, ok := p.engines[load.Name]
-	if !ok || !sameUse(e.wanted, wanted) {
-		e = &engine{wanted: wanted, since: now}
+	if !ok || !sameTarget(e.wanted, wanted) {
+		e = &engineState{wanted: wanted, wantedSince: now}
 		p.engines[load.Name] = e
 	}
-	if serves(load, wanted) {
-		e.sent = time.Time{}
+	if matchesOrder(load, wanted) {
+		e.sentAt = time.Time{}
 		return Decision{Step: Nothing}
 	}
-	if !e.sent.IsZero() && now.Sub(e.sent) < p.config.RetryInterval {
+	if !e.sentAt.IsZero() && now.Sub(e.sentAt) < p.config.RetryInterval {
 		return Decision{Step: Await, Reason: "ordered"}
 	}
-	if now.Sub(e.since) < p.config.SettleTime {
+	if now.Sub(e.wantedSince) < p.config.SettleTime {
 		return Decision{Step: Drain, Reason: "settling"}
 	}
-	if streams > 0 {
-		return Decision{Step: Drain, Reason: fmt.Sprintf("%d holds", streams)}
+	if holds > 0 {
+		return Decision{Step: Drain, Reason: fmt.Sprintf("%d holds", holds)}
 	}
-	loads := load.Model != wanted.Model || load.Version != wanted.Version || !sameSet(load.Adapters, wanted.Adapters)
-	pace := p.config.WeightLoadInterval * time.Duration(max(1, entries))
-	if loads && !p.lastLoad.IsZero() && now.Sub(p.lastLoad) < pace {
+	loadsWeights := load.Model != wanted.Model || load.Version != wanted.Version || !sameSet(load.Adapters, wanted.Adapters)
+	loadInterval := p.config.WeightLoadInterval * time.Duration(max(1, entries))
+	if loadsWeights && !p.lastWeightLoad.IsZero() && now.Sub(p.lastWeightLoad) < loadInterval {
 		return Decision{Step: Pace, Reason: "weight store"}
 	}
-	if loads {
-		p.lastLoad = now
+	if loadsWeights {
+		p.lastWeightLoad = now
 	}
-	e.sent = now
+	e.sentAt = now
 	order := wanted
 	order.Fence = NextFence(load.Fence, p.config.Keeper)
 	order.Issuer = p.config.Keeper
 	return Decision{Step: Send, Order: order, Reason: "differs"}
 }
 
-func sameUse(a, b api.EngineOrder) bool {
+func sameTarget(a, b api.EngineOrder) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Role == b.Role && sameSet(a.Adapters, b.Adapters)
 }
 
-func serves(load api.EngineLoad, wanted api.EngineOrder) bool {
+func matchesOrder(load api.EngineLoad, wanted api.EngineOrder) bool {
 	reported := api.EngineOrder{Model: load.Model, Version: load.Version, Role: load.Role, Adapters: load.Adapters}
-	return sameUse(reported, wanted)
+	return sameTarget(reported, wanted)
 }
 
 func sameSet(a, b []string) bool {
