--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func benchBoard(engines int) *EngineIndex {
+func newBenchIndex(engines int) *EngineIndex {
 	var list []*Engine
 	for i := range engines {
 		list = append(list, &Engine{
@@ -23,14 +23,14 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{14, 150, 600, 1200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			board := benchBoard(engines)
+			index := newBenchIndex(engines)
 			now := time.Now()
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				random := rand.New(rand.NewPCG(1, 2))
-				w := Requirements{Model: "model-1", PrefillTokens: 1000, MemoryTokens: 1100}
+				needs := Requirements{Model: "model-1", PrefillTokens: 1000, MemoryTokens: 1100}
 				for pb.Next() {
-					board.Choose(now, Predicted, w, 3, random)
+					index.Choose(now, Predicted, needs, 3, random)
 				}
 			})
 		})
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -16,9 +16,9 @@
 	busy := &router.Engine{Name: "busy", Model: "m", MemoryTokens: 1000, PrefillRate: 100, Load: &router.Load{}}
 	idle := &router.Engine{Name: "idle", Model: "m", MemoryTokens: 1000, PrefillRate: 100, Load: &router.Load{}}
 	busy.Load.RecordReport(now, router.TokensByClass{500}, 500)
-	board := router.NewEngineIndex([]*router.Engine{busy, idle})
+	index := router.NewEngineIndex([]*router.Engine{busy, idle})
 	random := rand.New(rand.NewPCG(1, 1))
-	for _, c := range board.Choose(now, router.Predicted, router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100}, 2, random) {
+	for _, c := range index.Choose(now, router.Predicted, router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100}, 2, random) {
 		fmt.Println(c.Engine.Name, c.PredictedTime)
 	}
 	// Output:
@@ -30,11 +30,11 @@
 	is := is.New(t)
 	small := &router.Engine{Name: "small", Model: "m", Version: "1", MemoryTokens: 10, Load: &router.Load{}}
 	large := &router.Engine{Name: "large", Model: "m", Version: "2", Adapters: []string{"x"}, MemoryTokens: 100, Load: &router.Load{}}
-	board := router.NewEngineIndex([]*router.Engine{small, large})
+	index := router.NewEngineIndex([]*router.Engine{small, large})
 	for _, policy := range []router.Policy{router.Predicted, router.PowerOfTwo, router.FewestOwn, router.RoundRobin, router.RandomOrder} {
-		choose := func(w router.Requirements) int {
-			w.Model = "m"
-			return len(board.Choose(time.Now(), policy, w, 3, rand.New(rand.NewPCG(1, 1))))
+		choose := func(needs router.Requirements) int {
+			needs.Model = "m"
+			return len(index.Choose(time.Now(), policy, needs, 3, rand.New(rand.NewPCG(1, 1))))
 		}
 		is.Equal(choose(router.Requirements{}), 2)
 		is.Equal(choose(router.Requirements{MemoryTokens: 50}), 1)
@@ -50,10 +50,10 @@
 	now := time.Now()
 	slow := &router.Engine{Name: "slow", Model: "m", MemoryTokens: 1000, PrefillRate: 1000, Load: &router.Load{}}
 	fast := &router.Engine{Name: "fast", Model: "m", MemoryTokens: 1000, PrefillRate: 100, Load: &router.Load{}}
-	board := router.NewEngineIndex([]*router.Engine{slow, fast})
+	index := router.NewEngineIndex([]*router.Engine{slow, fast})
 	first := func(now time.Time) string {
-		w := router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100, MaxAnswerTokens: 100}
-		return board.Choose(now, router.Predicted, w, 2, rand.New(rand.NewPCG(1, 1)))[0].Engine.Name
+		needs := router.Requirements{Model: "m", PrefillTokens: 100, MemoryTokens: 100, MaxAnswerTokens: 100}
+		return index.Choose(now, router.Predicted, needs, 2, rand.New(rand.NewPCG(1, 1)))[0].Engine.Name
 	}
 	is.Equal(first(now), "slow")
 	slow.Load.RecordTimePerToken(now, 120*time.Millisecond)
--- a/router/router.go
+++ b/router/router.go
@@ -75,9 +75,9 @@
 	return shortWeight * int(Longest-class) / int(Longest)
 }
 
-// sampled is how many engines Predicted weighs where there are more: looking
+// sampleSize is how many engines Predicted weighs where there are more: looking
 // at all of many on old figures sends every entry to the same one.
-const sampled = 8
+const sampleSize = 8
 
 // Load is what an entry knows of an engine's load. Fields are written by any
 // goroutine; a reader may see them one update apart.
@@ -90,10 +90,10 @@
 	// QueuedTokens, by class, and Free are as the keeper last said.
 	QueuedTokens [ClassCount]atomic.Int64
 	FreeTokens   atomic.Int64
-	// pace is the time between answer tokens that this entry saw last, and
+	// timePerToken is the time between answer tokens that this entry saw last, and
 	// pacedAt when, in nanoseconds; both 0 before the first.
-	pace    atomic.Int64
-	pacedAt atomic.Int64
+	timePerToken   atomic.Int64
+	timePerTokenAt atomic.Int64
 	// ReportedAt is when the keeper said so, in nanoseconds since the epoch of
 	// the entry's clock; 0 when it never did.
 	ReportedAt atomic.Int64
@@ -119,30 +119,30 @@
 
 // EngineIndex is all engines that may be chosen. It is never changed.
 type EngineIndex struct {
-	engines map[string][]*Engine
-	byName  map[string]*Engine
-	turn    *atomic.Uint64
+	byModel  map[string][]*Engine
+	byName   map[string]*Engine
+	rotation *atomic.Uint64
 }
 
 // NewEngineIndex returns a board of the engines.
 func NewEngineIndex(engines []*Engine) *EngineIndex {
-	b := &EngineIndex{engines: map[string][]*Engine{}, byName: make(map[string]*Engine, len(engines)), turn: &atomic.Uint64{}}
+	x := &EngineIndex{byModel: map[string][]*Engine{}, byName: make(map[string]*Engine, len(engines)), rotation: &atomic.Uint64{}}
 	for _, e := range engines {
-		b.engines[e.Model] = append(b.engines[e.Model], e)
-		b.byName[e.Name] = e
+		x.byModel[e.Model] = append(x.byModel[e.Model], e)
+		x.byName[e.Name] = e
 	}
-	return b
+	return x
 }
 
 // Engine finds an engine by name.
-func (b *EngineIndex) Engine(name string) (*Engine, bool) {
-	e, ok := b.byName[name]
+func (x *EngineIndex) Engine(name string) (*Engine, bool) {
+	e, ok := x.byName[name]
 	return e, ok
 }
 
 // EnginesFor returns the engines that serve a model. The slice is not to be
 // changed.
-func (b *EngineIndex) EnginesFor(model string) []*Engine { return b.engines[model] }
+func (x *EngineIndex) EnginesFor(model string) []*Engine { return x.byModel[model] }
 
 // Requirements is what a prompt needs.
 type Requirements struct {
@@ -172,59 +172,59 @@
 
 // Choose returns at most most engines to ask, best first. It returns none
 // when no engine fits.
-func (b *EngineIndex) Choose(now time.Time, policy Policy, w Requirements, most int, random *rand.Rand) []Choice {
-	serving := b.engines[w.Model]
-	choices := make([]Choice, 0, min(len(serving), sampled))
+func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxChoices int, random *rand.Rand) []Choice {
+	serving := x.byModel[needs.Model]
+	choices := make([]Choice, 0, min(len(serving), sampleSize))
 	start := 0
 	if len(serving) > 0 {
 		start = random.IntN(len(serving))
 	}
-	limit := len(serving)
+	candidateLimit := len(serving)
 	if policy == Predicted {
-		limit = sampled
+		candidateLimit = sampleSize
 	}
 	for i := range serving {
 		e := serving[(start+i)%len(serving)]
-		if !e.fits(w) {
+		if !e.satisfies(needs) {
 			continue
 		}
-		choices = append(choices, Choice{Engine: e, PredictedTime: e.PredictFirstToken(now, w.Class, w.PrefillTokens)})
-		if len(choices) == limit {
+		choices = append(choices, Choice{Engine: e, PredictedTime: e.PredictFirstToken(now, needs.Class, needs.PrefillTokens)})
+		if len(choices) == candidateLimit {
 			break
 		}
 	}
 	if policy == Predicted {
-		addSlowness(now, choices, w.MaxAnswerTokens)
+		addTokenDelay(now, choices, needs.MaxAnswerTokens)
 	}
-	b.order(policy, choices, random)
-	return choices[:min(most, len(choices))]
+	x.sortChoices(policy, choices, random)
+	return choices[:min(maxChoices, len(choices))]
 }
 
-func (e *Engine) fits(w Requirements) bool {
-	if w.MemoryTokens > e.MemoryTokens || slices.Contains(w.Exclude, e.Name) {
+func (e *Engine) satisfies(needs Requirements) bool {
+	if needs.MemoryTokens > e.MemoryTokens || slices.Contains(needs.Exclude, e.Name) {
 		return false
 	}
-	if w.Version != "" && w.Version != e.Version {
+	if needs.Version != "" && needs.Version != e.Version {
 		return false
 	}
-	return w.Adapter == "" || slices.Contains(e.Adapters, w.Adapter)
+	return needs.Adapter == "" || slices.Contains(e.Adapters, needs.Adapter)
 }
 
 // PredictFirstToken estimates the time to first token of a prompt on the engine: what the
 // keeper said was queued before it, less what was prefilled since, or what
 // this entry sent, whichever is more.
-func (e *Engine) PredictFirstToken(now time.Time, class LengthClass, prefill int) time.Duration {
+func (e *Engine) PredictFirstToken(now time.Time, class LengthClass, prefillTokens int) time.Duration {
 	rate := float64(max(1, e.PrefillRate))
-	queued := float64(before(&e.Load.QueuedTokens, class))
-	if said := e.Load.ReportedAt.Load(); said != 0 {
-		queued = max(0, queued-rate*now.Sub(time.Unix(0, said)).Seconds())
+	queued := float64(sumUpTo(&e.Load.QueuedTokens, class))
+	if reportedAt := e.Load.ReportedAt.Load(); reportedAt != 0 {
+		queued = max(0, queued-rate*now.Sub(time.Unix(0, reportedAt)).Seconds())
 	}
-	queued = max(queued, float64(before(&e.Load.OwnPrefillTokens, class)))
-	seconds := (queued + float64(prefill)) / rate
+	queued = max(queued, float64(sumUpTo(&e.Load.OwnPrefillTokens, class)))
+	seconds := (queued + float64(prefillTokens)) / rate
 	return 2*e.OneWayDelay + time.Duration(seconds*float64(time.Second))
 }
 
-func before(tokens *[ClassCount]atomic.Int64, class LengthClass) int64 {
+func sumUpTo(tokens *[ClassCount]atomic.Int64, class LengthClass) int64 {
 	sum := int64(0)
 	for c := range class + 1 {
 		sum += tokens[c].Load()
@@ -232,23 +232,23 @@
 	return sum
 }
 
-func (b *EngineIndex) order(policy Policy, choices []Choice, random *rand.Rand) {
+func (x *EngineIndex) sortChoices(policy Policy, choices []Choice, random *rand.Rand) {
 	switch policy {
 	case Predicted:
-		slices.SortStableFunc(choices, byPredicted)
+		slices.SortStableFunc(choices, comparePredictedTime)
 	case FewestOwn:
-		slices.SortStableFunc(choices, byFlight)
+		slices.SortStableFunc(choices, compareInFlight)
 	case PowerOfTwo:
 		shuffle(choices, random)
-		slices.SortStableFunc(choices[:min(2, len(choices))], byFlight)
+		slices.SortStableFunc(choices[:min(2, len(choices))], compareInFlight)
 	case RoundRobin:
-		rotate(choices, b.turn.Add(1))
+		rotate(choices, x.rotation.Add(1))
 	default:
 		shuffle(choices, random)
 	}
 }
 
-func byPredicted(x, y Choice) int {
+func comparePredictedTime(x, y Choice) int {
 	switch {
 	case x.PredictedTime < y.PredictedTime:
 		return -1
@@ -258,7 +258,7 @@
 	return 0
 }
 
-func byFlight(x, y Choice) int {
+func compareInFlight(x, y Choice) int {
 	return int(x.Engine.Load.OwnInFlight.Load() - y.Engine.Load.OwnInFlight.Load())
 }
 
@@ -266,7 +266,7 @@
 	random.Shuffle(len(choices), func(i, j int) { choices[i], choices[j] = choices[j], choices[i] })
 }
 
-func rotate(choices []Choice, turn uint64) {
+func rotate(choices []Choice, rotation uint64) {
 	if len(choices) < 2 {
 		return
 	}
@@ -279,62 +279,62 @@
 		}
 		return 0
 	})
-	n := int(turn % uint64(len(choices)))
+	n := int(rotation % uint64(len(choices)))
 	rotated := append(slices.Clone(choices[n:]), choices[:n]...)
 	copy(choices, rotated)
 }
 
 const (
-	// paceWeight is the part of the pace that a new sight of it makes up.
-	paceWeight = 0.5
-	// paceLife is how long a pace is believed; then the engine is tried again.
-	paceLife = 2 * time.Minute
+	// newSampleWeight is the part of the pace that a new sight of it makes up.
+	newSampleWeight = 0.5
+	// timePerTokenTTL is how long a pace is believed; then the engine is tried again.
+	timePerTokenTTL = 2 * time.Minute
 	// slowFactor is how much slower than the fastest an engine may be before
 	// that counts.
 	slowFactor = 2
 )
 
 // RecordTimePerToken takes in the time between answer tokens of an attempt.
-func (l *Load) RecordTimePerToken(now time.Time, pace time.Duration) {
-	if before := l.freshPace(now); before > 0 {
-		pace = before + time.Duration(paceWeight*float64(pace-before))
+func (l *Load) RecordTimePerToken(now time.Time, timePerToken time.Duration) {
+	if previous := l.recentTimePerToken(now); previous > 0 {
+		timePerToken = previous + time.Duration(newSampleWeight*float64(timePerToken-previous))
 	}
-	l.pace.Store(int64(pace))
-	l.pacedAt.Store(now.UnixNano())
+	l.timePerToken.Store(int64(timePerToken))
+	l.timePerTokenAt.Store(now.UnixNano())
 }
 
-// freshPace is the pace, or 0 where none was seen lately.
-func (l *Load) freshPace(now time.Time) time.Duration {
-	at := l.pacedAt.Load()
-	if at == 0 || now.Sub(time.Unix(0, at)) > paceLife {
+// recentTimePerToken is the pace, or 0 where none was seen lately.
+func (l *Load) recentTimePerToken(now time.Time) time.Duration {
+	at := l.timePerTokenAt.Load()
+	if at == 0 || now.Sub(time.Unix(0, at)) > timePerTokenTTL {
 		return 0
 	}
-	return time.Duration(l.pace.Load())
+	return time.Duration(l.timePerToken.Load())
 }
 
-// addSlowness adds what the answer would lose on engines that answer all
+// addTokenDelay adds what the answer would lose on engines that answer all
 // questions in time and work slowly, as a gray failure does.
-func addSlowness(now time.Time, choices []Choice, answer int) {
+func addTokenDelay(now time.Time, choices []Choice, maxAnswerTokens int) {
 	fastest := time.Duration(0)
 	for _, c := range choices {
-		pace := c.Engine.Load.freshPace(now)
+		pace := c.Engine.Load.recentTimePerToken(now)
 		if pace > 0 && (fastest == 0 || pace < fastest) {
 			fastest = pace
 		}
 	}
 	for i, c := range choices {
-		pace := c.Engine.Load.freshPace(now)
+		pace := c.Engine.Load.recentTimePerToken(now)
 		if pace > slowFactor*fastest {
-			choices[i].PredictedTime += time.Duration(answer) * (pace - fastest)
+			choices[i].PredictedTime += time.Duration(maxAnswerTokens) * (pace - fastest)
 		}
 	}
 }
 
 // RecordReport takes over what a keeper said of the engine.
-func (l *Load) RecordReport(now time.Time, queued TokensByClass, free int) {
+func (l *Load) RecordReport(now time.Time, queued TokensByClass, freeTokens int) {
 	for c, tokens := range queued {
 		l.QueuedTokens[c].Store(int64(tokens))
 	}
-	l.FreeTokens.Store(int64(free))
+	l.FreeTokens.Store(int64(freeTokens))
 	l.ReportedAt.Store(now.UnixNano())
 }
