--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -43,33 +43,33 @@
 
 // Bounds of the random time after which a refused caller is asked to return.
 const (
-	leastRetry = 500 * time.Millisecond
-	mostRetry  = 3 * time.Second
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
 // Admitter holds the table. It is not safe for concurrent use.
 type Admitter struct {
 	random *rand.Rand
-	// flights maps request ids to what is in flight.
-	flights map[string]flight
+	// inFlight maps request ids to what is in flight.
+	inFlight map[string]inFlightRequest
 	// perOrganisation counts flights; no entry is zero.
 	perOrganisation map[string]int
 }
 
-type flight struct {
+type inFlightRequest struct {
 	organisation string
 	deadline     time.Time
 }
 
 // New returns an admitter with nothing in flight.
 func New(random *rand.Rand) *Admitter {
-	return &Admitter{random: random, flights: map[string]flight{}, perOrganisation: map[string]int{}}
+	return &Admitter{random: random, inFlight: map[string]inFlightRequest{}, perOrganisation: map[string]int{}}
 }
 
 // RetryAfter draws a time to come back, spread so that callers do not return
 // together.
 func (a *Admitter) RetryAfter() time.Duration {
-	return leastRetry + time.Duration(a.random.Int64N(int64(mostRetry-leastRetry)))
+	return minRetryAfter + time.Duration(a.random.Int64N(int64(maxRetryAfter-minRetryAfter)))
 }
 
 // Admit takes a request into the table and returns its deadline, or says why
@@ -85,26 +85,26 @@
 	if timeout > l.MaxTimeout {
 		return time.Time{}, &Refusal{Code: api.CodeBadRequest, Message: fmt.Sprintf("%s: %s: must be at most %s", api.HeaderTimeout, timeout, l.MaxTimeout)}
 	}
-	if len(a.flights) >= l.MaxInFlight {
-		return time.Time{}, &Refusal{Code: api.CodeOverloaded, Message: fmt.Sprintf("%d requests are in flight here: at most %d are admitted", len(a.flights), l.MaxInFlight), RetryAfter: a.RetryAfter()}
+	if len(a.inFlight) >= l.MaxInFlight {
+		return time.Time{}, &Refusal{Code: api.CodeOverloaded, Message: fmt.Sprintf("%d requests are in flight here: at most %d are admitted", len(a.inFlight), l.MaxInFlight), RetryAfter: a.RetryAfter()}
 	}
 	if a.perOrganisation[r.Organisation] >= r.OrganisationLimit {
 		return time.Time{}, &Refusal{Code: api.CodeOrganisationLimit, Message: fmt.Sprintf("organisation %s has %d requests in flight here: at most %d are admitted", r.Organisation, a.perOrganisation[r.Organisation], r.OrganisationLimit), RetryAfter: a.RetryAfter()}
 	}
 	deadline := now.Add(timeout)
-	a.flights[r.ID] = flight{organisation: r.Organisation, deadline: deadline}
+	a.inFlight[r.ID] = inFlightRequest{organisation: r.Organisation, deadline: deadline}
 	a.perOrganisation[r.Organisation]++
 	return deadline, nil
 }
 
 // Release takes a request out of the table. It reports whether it was there,
 // and how long past its deadline it is, 0 when in time.
-func (a *Admitter) Release(now time.Time, id string) (present bool, late time.Duration) {
-	f, ok := a.flights[id]
+func (a *Admitter) Release(now time.Time, id string) (present bool, overdue time.Duration) {
+	f, ok := a.inFlight[id]
 	if !ok {
 		return false, 0
 	}
-	delete(a.flights, id)
+	delete(a.inFlight, id)
 	a.perOrganisation[f.organisation]--
 	if a.perOrganisation[f.organisation] == 0 {
 		delete(a.perOrganisation, f.organisation)
@@ -113,4 +113,4 @@
 }
 
 // InFlight is how many requests are in the table.
-func (a *Admitter) InFlight() int { return len(a.flights) }
+func (a *Admitter) InFlight() int { return len(a.inFlight) }
