--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// buckets is into how many parts the window is cut.
-	buckets = 20
-	// margin is the part of the budget that is used: entries may know too few
+	// bucketCount is into how many parts the window is cut.
+	bucketCount = 20
+	// usableFraction is the part of the budget that is used: entries may know too few
 	// of the others, and windows don't begin together.
-	margin = 0.8
+	usableFraction = 0.8
 )
 
 // Config of the budget, for all entries together.
@@ -29,12 +29,12 @@
 type Budgeter struct {
 	lock     sync.Mutex
 	config   Config
-	services map[string]*window
+	services map[string]*slidingWindow
 }
 
 // New returns a budget of which nothing is used.
 func New(c Config) *Budgeter {
-	return &Budgeter{config: c, services: map[string]*window{}}
+	return &Budgeter{config: c, services: map[string]*slidingWindow{}}
 }
 
 // Configure takes over new bounds.
@@ -44,31 +44,31 @@
 	b.config = c
 }
 
-// window counts in buckets of a part of the window.
-type window struct {
-	requests, repeats [buckets]int
+// slidingWindow counts in buckets of a part of the window.
+type slidingWindow struct {
+	requests, retries [bucketCount]int
 	// newest is the number of the newest bucket since the epoch.
 	newest int64
 }
 
-func (w *window) advance(bucket int64) {
-	if bucket-w.newest >= buckets {
-		*w = window{newest: bucket}
+func (w *slidingWindow) advance(bucket int64) {
+	if bucket-w.newest >= bucketCount {
+		*w = slidingWindow{newest: bucket}
 		return
 	}
 	for w.newest < bucket {
 		w.newest++
-		w.requests[w.newest%buckets], w.repeats[w.newest%buckets] = 0, 0
+		w.requests[w.newest%bucketCount], w.retries[w.newest%bucketCount] = 0, 0
 	}
 }
 
-func (b *Budgeter) window(now time.Time, service string) *window {
+func (b *Budgeter) windowOf(now time.Time, service string) *slidingWindow {
 	w, ok := b.services[service]
 	if !ok {
-		w = &window{}
+		w = &slidingWindow{}
 		b.services[service] = w
 	}
-	w.advance(now.UnixNano() / max(1, int64(b.config.Window/(buckets-1))))
+	w.advance(now.UnixNano() / max(1, int64(b.config.Window/(bucketCount-1))))
 	return w
 }
 
@@ -76,8 +76,8 @@
 func (b *Budgeter) RecordRequest(now time.Time, service string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	w := b.window(now, service)
-	w.requests[w.newest%buckets]++
+	w := b.windowOf(now, service)
+	w.requests[w.newest%bucketCount]++
 }
 
 // SpendRetry takes one repeat out of the budget and reports whether there was one.
@@ -85,11 +85,11 @@
 func (b *Budgeter) SpendRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	w := b.window(now, service)
-	if !b.left(w, entries) {
+	w := b.windowOf(now, service)
+	if !b.canRetry(w, entries) {
 		return false
 	}
-	w.repeats[w.newest%buckets]++
+	w.retries[w.newest%bucketCount]++
 	return true
 }
 
@@ -97,15 +97,15 @@
 func (b *Budgeter) HasRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return b.left(b.window(now, service), entries)
+	return b.canRetry(b.windowOf(now, service), entries)
 }
 
-func (b *Budgeter) left(w *window, entries int) bool {
+func (b *Budgeter) canRetry(w *slidingWindow, entries int) bool {
 	budget := b.config.Ratio*float64(sum(w.requests)) + float64(b.config.Slack)/float64(max(1, entries))
-	return float64(sum(w.repeats)+1) <= margin*budget
+	return float64(sum(w.retries)+1) <= usableFraction*budget
 }
 
-func sum(counts [buckets]int) int {
+func sum(counts [bucketCount]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
--- a/budgeter/budgeter_test.go
+++ b/budgeter/budgeter_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	const entries = 7
 	start := time.Unix(1000, 0)
-	var requested, repeated []time.Time
+	var requested, retried []time.Time
 	for entry := range entries {
 		b := budgeter.New(config)
 		for tick := range 600 {
@@ -27,7 +27,7 @@
 				requested = append(requested, now)
 			}
 			if b.SpendRetry(now, "lm", entries) {
-				repeated = append(repeated, now)
+				retried = append(retried, now)
 			}
 		}
 	}
@@ -43,9 +43,9 @@
 	for tick := range 400 {
 		from := start.Add(time.Duration(tick) * 50 * time.Millisecond)
 		allowed := config.Ratio*float64(within(requested, from)) + float64(config.Slack)
-		is.True(float64(within(repeated, from)) <= allowed) // repeats in every window
+		is.True(float64(within(retried, from)) <= allowed) // repeats in every window
 	}
-	is.True(len(repeated) > 100)
+	is.True(len(retried) > 100)
 }
 
 func TestBudgetRefills(t *testing.T) {
