--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -11,8 +11,8 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxRemembered bounds the digests remembered as refused or superseded.
-const maxRemembered = 64
+// maxDigests bounds the digests remembered as refused or superseded.
+const maxDigests = 64
 
 // OfferStatus says what became of an offered document.
 type OfferStatus int
@@ -31,9 +31,9 @@
 	Refused
 )
 
-var verdictNames = [...]string{"Adopted", "Same", "Older", "Superseded", "Refused"}
+var statusNames = [...]string{"Adopted", "Same", "Older", "Superseded", "Refused"}
 
-func (v OfferStatus) String() string { return verdictNames[v] }
+func (v OfferStatus) String() string { return statusNames[v] }
 
 // Result is the outcome of an offer.
 type Result struct {
@@ -57,29 +57,29 @@
 	refused map[string]error
 	// superseded lists losers of ties, oldest first.
 	superseded []string
-	// awaited are the sources that have yet to answer or fail before this
+	// untriedSources are the sources that have yet to answer or fail before this
 	// instance may take traffic.
-	awaited map[string]bool
+	untriedSources map[string]bool
 }
 
 // New returns an adopter with no document in force that waits for the named
 // sources to be asked once.
 func New(sources ...string) *Adopter {
-	a := &Adopter{refused: map[string]error{}, awaited: map[string]bool{}}
+	a := &Adopter{refused: map[string]error{}, untriedSources: map[string]bool{}}
 	for _, s := range sources {
-		a.awaited[s] = true
+		a.untriedSources[s] = true
 	}
 	return a
 }
 
 // MarkSourceTried notes that a source has answered, or could not be reached in time.
 func (a *Adopter) MarkSourceTried(source string) {
-	delete(a.awaited, source)
+	delete(a.untriedSources, source)
 }
 
 // IsReady reports whether a document is in force and every source was asked.
 func (a *Adopter) IsReady() bool {
-	return a.current != nil && len(a.awaited) == 0
+	return a.current != nil && len(a.untriedSources) == 0
 }
 
 // Current returns the document in force, or nil.
@@ -127,7 +127,7 @@
 	if a.current != nil && digest == a.current.Version.Digest {
 		return Result{Status: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
 	}
-	if err, bad := a.refused[digest]; bad {
+	if err, refused := a.refused[digest]; refused {
 		return Result{Status: Refused, Version: validator.Version{Digest: digest}, Err: err}, true
 	}
 	return Result{}, false
@@ -137,7 +137,7 @@
 // that owns the adopter; err is why it is not valid, or nil.
 func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.Accepted, err error) Result {
 	if err != nil {
-		a.refuse(digest, err)
+		a.recordRefused(digest, err)
 		return Result{Status: Refused, Version: validator.Version{Digest: digest}, Err: err}
 	}
 	old := a.Version()
@@ -157,18 +157,18 @@
 	default:
 		result.Status = Older
 	}
-	a.remember(result.LoserDigest)
+	a.recordSuperseded(result.LoserDigest)
 	return result
 }
 
-func (a *Adopter) refuse(digest string, err error) {
-	if len(a.refused) >= maxRemembered {
+func (a *Adopter) recordRefused(digest string, err error) {
+	if len(a.refused) >= maxDigests {
 		clear(a.refused)
 	}
 	a.refused[digest] = err
 }
 
-func (a *Adopter) remember(loser string) {
+func (a *Adopter) recordSuperseded(loser string) {
 	if loser == "" {
 		return
 	}
@@ -178,7 +178,7 @@
 		}
 	}
 	a.superseded = append(a.superseded, loser)
-	if len(a.superseded) > maxRemembered {
+	if len(a.superseded) > maxDigests {
 		a.superseded = a.superseded[1:]
 	}
 }
