--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -13,11 +13,11 @@
 	"strings"
 )
 
-// prefix begins the seal's line. It is a field of the document.
-const prefix = "Seal: "
+// sealPrefix begins the seal's line. It is a field of the document.
+const sealPrefix = "Seal: "
 
-// domain keeps a signature from being taken for one of something else.
-const domain = "sapphireramp document\n"
+// signatureDomain keeps a signature from being taken for one of something else.
+const signatureDomain = "sapphireramp document\n"
 
 // MissingSealError says that a document has no seal as its last line.
 type MissingSealError struct{}
@@ -33,12 +33,12 @@
 // is replaced.
 func Seal(document []byte, key ed25519.PrivateKey) []byte {
 	text := Strip(document)
-	signature := ed25519.Sign(key, message(text))
-	return fmt.Appendf(text, "%s%s\n", prefix, base64.RawStdEncoding.EncodeToString(signature))
+	signature := ed25519.Sign(key, signedMessage(text))
+	return fmt.Appendf(text, "%s%s\n", sealPrefix, base64.RawStdEncoding.EncodeToString(signature))
 }
 
-func message(text []byte) []byte {
-	return append([]byte(domain), text...)
+func signedMessage(text []byte) []byte {
+	return append([]byte(signatureDomain), text...)
 }
 
 // Strip returns a copy of the document without its seal, ending with a line
@@ -53,10 +53,10 @@
 	text = append(bytes.TrimRight(bytes.Clone(document), "\n"), '\n')
 	start := bytes.LastIndexByte(text[:len(text)-1], '\n') + 1
 	last := string(text[start : len(text)-1])
-	if !strings.HasPrefix(last, prefix) {
+	if !strings.HasPrefix(last, sealPrefix) {
 		return text, ""
 	}
-	return text[:start], strings.TrimPrefix(last, prefix)
+	return text[:start], strings.TrimPrefix(last, sealPrefix)
 }
 
 // Verify reports why a document is not sealed by any of the keys, nil if it
@@ -71,7 +71,7 @@
 		return InvalidSealError{Reason: "not base64"}
 	}
 	for _, k := range keys {
-		if ed25519.Verify(k, message(text), signature) {
+		if ed25519.Verify(k, signedMessage(text), signature) {
 			return nil
 		}
 	}
