--- a/spender/example_test.go
+++ b/spender/example_test.go
@@ -55,27 +55,27 @@
 		result, _, _ := s.Spend(start.Add(after), ticket, request)
 		return result
 	}
-	// Another incarnation can't spend it, nor can one with another secret.
+	// A ticket is rejected by another incarnation of the same entry.
 	is.Equal(resultOf(newSpender(2), 0, issue(t, s)), spender.Forged)
-	// Past its life it is refused, and truly was not run.
+	// A ticket that was not spent within its TTL is refused as expired, not as run.
 	is.Equal(resultOf(s, 2*time.Minute, issue(t, s)), spender.Expired)
-	// What ran is known to have run for as long as the incarnation lives.
+	// A spent ticket remains spent for the whole incarnation, even after its answer has expired.
 	ran := issue(t, s)
 	is.Equal(resultOf(s, 0, ran), spender.Spent)
 	s.Finish(start, ran, &spender.Answer{Body: []byte("x")})
 	is.Equal(resultOf(s, time.Hour, ran), spender.Ran)
-	// What did not run may be spent again.
+	// A ticket whose request did not run can be spent again.
 	again := issue(t, s)
 	is.Equal(resultOf(s, 0, again), spender.Spent)
 	s.Unspend(again)
 	is.Equal(resultOf(s, 0, again), spender.Spent)
-	// For another request it is no good.
+	// A spent ticket is rejected for another request.
 	s.Finish(start, again, nil)
 	_, _, err := s.Spend(start, again, [32]byte{2})
 	is.True(err != nil)
 }
 
-// Answers are kept in bounded memory; that they ran is not forgotten.
+// The total size of the kept answers is bounded, and tickets whose answers were evicted stay spent.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	s := newSpender(1)
@@ -110,7 +110,7 @@
 		}
 		result, _, _ := newSpender(9).Spend(start, ticket, request)
 		if result != spender.Forged {
-			t.Fatalf("%q was taken for a ticket: %s", text, result)
+			t.Fatalf("%q was accepted as a ticket: %s", text, result)
 		}
 	})
 }
--- a/spender/spender.go
+++ b/spender/spender.go
@@ -1,10 +1,11 @@
-// Package spender makes a request run at most once although nothing is
-// stored. A ticket is bound to one incarnation of one entry; it can be spent
-// in that incarnation's memory only, and is void for good when that is gone.
+// Package spender runs a request at most once without stored state. A caller obtains a ticket and
+// sends it with the request. A ticket belongs to one incarnation of one entry: only that
+// incarnation can accept it, from its own memory, and the ticket becomes void when the incarnation
+// ends.
 //
-// Tickets are numbered and one bit is kept for each, so a ticket's fate is
-// known for as long as its incarnation lives; answers are kept in bounded
-// memory for a ticket's life, to be given again to a caller that asks again.
+// Tickets are numbered and one bit per ticket records whether it was spent, for as long as the
+// incarnation lives. The answer to a finished request is kept for Config.TicketTTL, in bounded
+// memory, and is sent again to a caller that repeats the request.
 package spender
 
 import (
@@ -18,41 +19,44 @@
 )
 
 const (
-	// maxTickets bounds the tickets of one incarnation: one bit each, 1 MiB.
-	maxTickets  = 8 << 20
-	macSize     = 16
+	// maxTickets bounds the tickets of one incarnation. One bit is kept for each, 1 MiB in all.
+	maxTickets = 8 << 20
+	// macSize is the length in bytes of a ticket's truncated HMAC-SHA256.
+	macSize = 16
+	// payloadSize is the length in bytes of the signed fields: incarnation, number and time of
+	// issue.
 	payloadSize = 8 + 8 + 8
 )
 
-// Ticket is a parsed ticket. Only its own incarnation can tell whether it is
-// genuine.
+// Ticket is a ticket that a caller presented, decoded but not yet verified. Only the incarnation
+// that issued it can verify it.
 type Ticket struct {
-	// Owner and Incarnation name the entry that can spend the ticket.
+	// Owner is the name and Incarnation the number of the entry that issued the ticket.
 	Owner       string
 	Incarnation uint64
 	number      uint64
-	// issuedAt is the time of issue, counted from the incarnation's start.
+	// issuedAt is the time of issue, since the start of the incarnation.
 	issuedAt time.Duration
 	mac      [macSize]byte
 }
 
-// MalformedError says that a text is no ticket.
+// MalformedError reports that a text can't be decoded as a ticket.
 type MalformedError struct{ Reason string }
 
 func (e MalformedError) Error() string { return "malformed ticket: " + e.Reason }
 
-// ParseTicket reads a ticket's text.
+// ParseTicket decodes the text of a ticket without verifying it. The error is a MalformedError.
 func ParseTicket(text string) (Ticket, error) {
 	owner, encoded, found := strings.Cut(text, ".")
 	if !found || owner == "" {
-		return Ticket{}, MalformedError{"no owner"}
+		return Ticket{}, MalformedError{"missing owner"}
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(encoded)
 	if err != nil {
-		return Ticket{}, MalformedError{"not base64"}
+		return Ticket{}, MalformedError{"invalid base64"}
 	}
 	if len(raw) != payloadSize+macSize {
-		return Ticket{}, MalformedError{fmt.Sprintf("%d bytes", len(raw))}
+		return Ticket{}, MalformedError{fmt.Sprintf("decodes to %d bytes", len(raw))}
 	}
 	t := Ticket{
 		Owner:       owner,
@@ -64,34 +68,38 @@
 	return t, nil
 }
 
-// Config of a spender.
+// Config is the configuration of a Spender.
 type Config struct {
+	// Name is the name of the entry and Incarnation the number of its current incarnation.
 	Name        string
 	Incarnation uint64
-	// TicketTTL is how long a ticket may be spent and its answer is kept.
+	// TicketTTL is the time after issue within which a ticket can be spent, and the time for which
+	// the answer is kept after the request has ended.
 	TicketTTL time.Duration
-	// MaxAnswerBytes bounds all kept answers together.
+	// MaxAnswerBytes bounds the total size of all kept answers.
 	MaxAnswerBytes int
-	// Secret signs tickets; it is random and leaves no incarnation.
+	// Secret is the key that signs tickets. Each incarnation chooses it at random and never stores
+	// or sends it.
 	Secret []byte
 }
 
-// SpendResult of a ticket that was presented.
+// SpendResult is the state of a ticket when it is presented with a request.
 type SpendResult int
 
-// The fates.
+// The results of Spend.
 const (
-	// Spent: this call alone may run the request, now.
+	// Spent means that this call spent the ticket, so the caller must now run the request. Of
+	// several calls with one ticket, only one gets this result, unless Unspend follows.
 	Spent SpendResult = iota
-	// InProgress: an earlier call is running it.
+	// InProgress means that an earlier call spent the ticket and its request is still running.
 	InProgress
-	// Repeat: it ran; Answer is what the caller was or would be told.
+	// Repeat means that the request has ended. Its answer is returned, to be sent again.
 	Repeat
-	// Ran: it ran, or may have, but its answer is no longer kept.
+	// Ran means that the request ran or may have run, but its answer is not kept.
 	Ran
-	// Expired: it was never spent and can no longer be.
+	// Expired means that the ticket was not spent within its TTL, so no request ran with it.
 	Expired
-	// Forged: it was not issued by this incarnation.
+	// Forged means that the ticket was not issued by this incarnation.
 	Forged
 )
 
@@ -99,49 +107,60 @@
 
 func (f SpendResult) String() string { return resultNames[f] }
 
-// Answer is what is kept of a finished call.
+// Answer is the response to a finished request, kept to be sent again.
 type Answer struct {
+	// Status is the HTTP status code.
 	Status      int
 	ContentType string
-	Outcome     string
-	Body        []byte
+	// Outcome is the value of the outcome header.
+	Outcome string
+	Body    []byte
 }
 
+// record is the state of a spent ticket until its answer expires.
 type record struct {
-	// answer is nil while the call is in progress, or once dropped.
-	answer  *Answer
-	done    bool
+	// answer is nil while the request is running, and afterwards if no answer is kept.
+	answer *Answer
+	// done is set when the request has ended.
+	done bool
+	// expires is the time at which the record is removed, since the start of the incarnation. It is
+	// set when the request ends.
 	expires time.Duration
-	// digest binds the ticket to the request it was spent for.
+	// digest identifies the request that the ticket was spent for.
 	digest [sha256.Size]byte
 }
 
-// Spender holds the tickets of one incarnation. It is not safe for
+// Spender issues the tickets of one incarnation and records which were spent. It is not safe for
 // concurrent use.
 type Spender struct {
-	config      Config
-	start       time.Time
+	config Config
+	start  time.Time
+	// issuedCount is the number of tickets issued, and the number of the next ticket.
 	issuedCount uint64
-	spentBits   []uint64
-	records     map[uint64]*record
-	// finished is the numbers of finished records, oldest first.
-	finished    []uint64
+	// spentBits has one bit per ticket number, set when the ticket is spent.
+	spentBits []uint64
+	// records maps the numbers of spent tickets to their records until they expire.
+	records map[uint64]*record
+	// finished lists the ticket numbers of finished records, oldest first.
+	finished []uint64
+	// answerBytes is the total size of the bodies of all kept answers.
 	answerBytes int
 }
 
-// New returns a spender with no tickets.
+// New returns a spender that has issued no ticket. Now is the start of the incarnation.
 func New(now time.Time, config Config) *Spender {
 	return &Spender{config: config, start: now, records: map[uint64]*record{}}
 }
 
-// ExhaustedError says that an incarnation issued all the tickets it can.
+// ExhaustedError reports that an incarnation has issued the maximum number of tickets.
 type ExhaustedError struct{ Limit uint64 }
 
 func (e ExhaustedError) Error() string {
-	return fmt.Sprintf("tickets: all %d of this incarnation were issued", e.Limit)
+	return fmt.Sprintf("all %d tickets of this incarnation have been issued", e.Limit)
 }
 
-// Issue makes a ticket. Nothing is kept for it but a bit.
+// Issue creates a ticket and returns its text. It stores nothing per ticket but a bit. It fails
+// with ExhaustedError when no more tickets can be issued.
 func (s *Spender) Issue(now time.Time) (string, error) {
 	if s.issuedCount >= maxTickets {
 		return "", ExhaustedError{Limit: maxTickets}
@@ -157,6 +176,7 @@
 	return s.config.Name + "." + base64.RawURLEncoding.EncodeToString(raw), nil
 }
 
+// sign returns the truncated HMAC of the entry's name and a ticket's payload.
 func (s *Spender) sign(raw []byte) [macSize]byte {
 	h := hmac.New(sha256.New, s.config.Secret)
 	h.Write([]byte(s.config.Name))
@@ -166,6 +186,7 @@
 	return mac
 }
 
+// isGenuine reports whether this incarnation issued the ticket.
 func (s *Spender) isGenuine(t Ticket) bool {
 	if t.Owner != s.config.Name || t.Incarnation != s.config.Incarnation {
 		return false
@@ -178,13 +199,15 @@
 	return hmac.Equal(mac[:], t.mac[:])
 }
 
-// MismatchError says that a ticket was spent for another request.
+// MismatchError reports that a ticket was already spent for a request with another digest.
 type MismatchError struct{}
 
 func (MismatchError) Error() string { return "ticket: spent for another request" }
 
-// Spend presents a ticket for a request, named by a digest of all that makes
-// it what it is. After Spent the caller runs the request and calls Finish.
+// Spend presents a ticket for the request with the given digest, which must cover everything that
+// distinguishes requests. If the result is Spent, the caller must run the request and then call
+// Finish, or Unspend if it did not run. The answer is set only for Repeat. The error is a
+// MismatchError if the ticket was spent for another request whose record is still kept.
 func (s *Spender) Spend(now time.Time, t Ticket, request [sha256.Size]byte) (SpendResult, *Answer, error) {
 	s.removeExpired(now)
 	if !s.isGenuine(t) {
@@ -210,8 +233,8 @@
 	return Ran, nil, nil
 }
 
-// Finish keeps the answer of a call that was Spent. A nil answer keeps only
-// that it ran.
+// Finish records that the request of a spent ticket has ended, and keeps its answer. If the answer
+// is nil or larger than Config.MaxAnswerBytes, only the fact that the request ran is kept.
 func (s *Spender) Finish(now time.Time, t Ticket, answer *Answer) {
 	r, ok := s.records[t.number]
 	if !ok || r.done {
@@ -228,8 +251,8 @@
 	s.evictAnswers()
 }
 
-// Unspend gives a ticket back after a call that truly did not run, so that
-// the caller may present it again.
+// Unspend makes a spent ticket usable again after a request that is known not to have run, so that
+// the caller can present the ticket again.
 func (s *Spender) Unspend(t Ticket) {
 	r, ok := s.records[t.number]
 	if !ok || r.done {
@@ -251,7 +274,7 @@
 	s.spentBits[number/64] |= 1 << (number % 64)
 }
 
-// evictAnswers drops the oldest answers while they are over the bound.
+// evictAnswers drops the oldest answers until the total size is within Config.MaxAnswerBytes.
 func (s *Spender) evictAnswers() {
 	for _, number := range s.finished {
 		if s.answerBytes <= s.config.MaxAnswerBytes {
@@ -261,6 +284,7 @@
 	}
 }
 
+// dropAnswer drops the answer of a record but keeps the record.
 func (s *Spender) dropAnswer(number uint64) {
 	r := s.records[number]
 	if r.answer == nil {
@@ -270,7 +294,8 @@
 	r.answer = nil
 }
 
-// removeExpired forgets records past their life; the bit stays.
+// removeExpired removes records past their TTL. Their bits in spentBits remain set, so the tickets
+// stay spent.
 func (s *Spender) removeExpired(now time.Time) {
 	age := now.Sub(s.start)
 	for len(s.finished) > 0 && s.records[s.finished[0]].expires < age {
@@ -280,5 +305,5 @@
 	}
 }
 
-// Size is how many records are held, and the bytes of their answers.
+// Size returns the number of records and the total size in bytes of the kept answers.
 func (s *Spender) Size() (records, bytes int) { return len(s.records), s.answerBytes }
