--- a/relayer/example_test.go
+++ b/relayer/example_test.go
@@ -27,7 +27,7 @@
 	r.Begin("first")
 	fmt.Println(r.Accept(chunk("request", "first", 0, "a")))
 	fmt.Println(r.Accept(chunk("other", "first", 1, "x")))
-	// The engine dies; another goes on from the offset reached.
+	// The engine fails and another one resumes the answer after the tokens delivered.
 	fmt.Println(r.Begin("second"))
 	fmt.Println(r.Accept(chunk("request", "first", 1, "late")))
 	fmt.Println(r.Accept(chunk("request", "second", 1, "b")))
@@ -43,8 +43,8 @@
 	// true
 }
 
-// Whatever chunks come, in whatever order, what is delivered is the start of
-// the right answer, and it is whole only when all of it is.
+// Whatever chunks arrive, in whatever order, the delivered text is a prefix of the right answer,
+// and the answer is complete only when all of it was delivered.
 func TestDeliveredTextIsPrefixOfAnswer(t *testing.T) {
 	const length = 6
 	rapid.Check(t, func(t *rapid.T) {
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -1,23 +1,25 @@
-// Package relayer puts the answer of one request together from the chunks of
-// one or more attempts. Only chunks of the attempt in progress, at the offset
-// reached, are passed on; everything else is dropped and counted, or ends the
-// attempt so that it is resumed at the offset reached.
+// Package relayer assembles the answer to one request from the chunks of one or more attempts. It
+// delivers only chunks of the current attempt that start at the number of tokens already delivered.
+// Other chunks are dropped and counted, or end the attempt, so that the next one resumes after the
+// last delivered token.
 package relayer
 
 import "github.com/sapphireramp/sapphireramp/api"
 
-// ChunkResult on a chunk.
+// ChunkResult says what the caller of Relayer.Accept must do with a chunk.
 type ChunkResult int
 
-// The verdicts.
+// The results of Relayer.Accept.
 const (
-	// Deliver: pass the text on to the caller.
+	// Deliver means that the text must be sent to the caller.
 	Deliver ChunkResult = iota
-	// Drop: a late, crossed or repeated chunk; go on reading.
+	// Drop means that the chunk is of another request, of an earlier attempt or a repetition. It
+	// must be ignored; the attempt continues.
 	Drop
-	// Whole: the answer is complete; the text, if any, is to be passed on.
+	// Whole means that the answer is complete. The text, if any, must be sent to the caller.
 	Whole
-	// Broken: the attempt can't be trusted further; resume elsewhere.
+	// Broken means that the attempt sent an invalid chunk or an end that does not match the tokens
+	// delivered. It must be abandoned and the answer resumed by another attempt.
 	Broken
 )
 
@@ -25,49 +27,56 @@
 
 func (v ChunkResult) String() string { return resultNames[v] }
 
-// UndeliveredCounts of chunks that were not delivered, by reason.
+// UndeliveredCounts counts the chunks that were not delivered, by reason.
 type UndeliveredCounts struct {
-	Foreign     int
-	Stale       int
-	Repeated    int
+	// Foreign counts chunks of other requests.
+	Foreign int
+	// Stale counts chunks of earlier attempts, and chunks after the end of the answer.
+	Stale int
+	// Repeated counts chunks whose tokens were all delivered before.
+	Repeated int
+	// WrongOffset counts chunks that do not start at the next token, or without exactly one choice.
 	WrongOffset int
-	WrongTotal  int
+	// WrongTotal counts end markers whose token count differs from the tokens delivered.
+	WrongTotal int
 }
 
-// Relayer assembles one answer. It is not safe for concurrent use.
+// Relayer assembles the answer to one request. It is not safe for concurrent use.
 type Relayer struct {
 	requestID string
-	// attemptID is the attempt in progress, empty before the first.
+	// attemptID is the ID of the current attempt, empty before the first.
 	attemptID string
-	// delivered is the answer tokens passed on. It never falls.
+	// delivered is the number of answer tokens delivered. It never decreases.
 	delivered int
-	whole     bool
-	counts    UndeliveredCounts
+	// whole is set when the complete answer was accepted.
+	whole  bool
+	counts UndeliveredCounts
 }
 
-// New returns a relayer for a request.
+// New returns a relayer for a request that has no attempt yet.
 func New(requestID string) *Relayer {
 	return &Relayer{requestID: requestID}
 }
 
-// Begin starts an attempt. It returns the offset to resume from. Chunks of
-// earlier attempts are stale from here on.
+// Begin starts an attempt and returns the number of answer tokens to resume after. Chunks of
+// earlier attempts are dropped from then on.
 func (r *Relayer) Begin(attemptID string) int {
 	r.attemptID = attemptID
 	return r.delivered
 }
 
-// Delivered is the answer tokens passed on.
+// Delivered returns the number of answer tokens delivered.
 func (r *Relayer) Delivered() int { return r.delivered }
 
-// IsWhole reports whether the end marker with the right count was seen.
+// IsWhole reports whether the answer is complete, that is, an end marker with the right token count
+// was accepted.
 func (r *Relayer) IsWhole() bool { return r.whole }
 
-// Undelivered returns what was not delivered.
+// Undelivered returns the counts of chunks that were not delivered.
 func (r *Relayer) Undelivered() UndeliveredCounts { return r.counts }
 
-// Accept judges a chunk. On Deliver and Whole the text returned is to be
-// passed on, and only that.
+// Accept checks a chunk and returns the text to send to the caller. The text is empty unless the
+// result is Deliver or Whole.
 func (r *Relayer) Accept(c api.CompletionChunk) (string, ChunkResult) {
 	if c.ID != r.requestID {
 		r.counts.Foreign++
@@ -87,7 +96,7 @@
 		r.counts.WrongOffset++
 		return "", Broken
 	case c.Offset < r.delivered && c.Offset+choice.Tokens > r.delivered:
-		// The chunk spans the offset reached: its text can't be cut.
+		// The chunk holds both delivered and new tokens, and its text can't be split between them.
 		r.counts.WrongOffset++
 		return "", Broken
 	case c.Offset < r.delivered && choice.FinishReason == "":
@@ -100,6 +109,7 @@
 	return r.acceptNext(c, choice)
 }
 
+// acceptNext accepts a chunk that starts at the next token.
 func (r *Relayer) acceptNext(c api.CompletionChunk, choice api.CompletionChoice) (string, ChunkResult) {
 	nextOffset := c.Offset + choice.Tokens
 	if choice.FinishReason == "" {
