--- a/keeper/example_test.go
+++ b/keeper/example_test.go
@@ -49,8 +49,8 @@
 	is.Equal(k.FreeTokens(), 1000)
 }
 
-// A hold that the engine lists replaces the grant it was made under, so that
-// memory is not counted twice.
+// A hold that the engine lists replaces the grant that it was created under, so that its memory is
+// not counted twice.
 func TestListedHoldReplacesGrant(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -64,7 +64,8 @@
 	is.Equal(k.FreeTokens(), 1000)
 }
 
-// An engine that started anew is not granted on until it has been listed.
+// After an engine restarts, the keeper grants nothing until the new incarnation has listed its
+// holds.
 func TestNewIncarnationNeedsListingBeforeGrants(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -78,7 +79,7 @@
 	is.True(k.RequestGrant(now, ask("a", 1)).Granted)
 }
 
-// What can't be prefilled in time is refused at once.
+// A prompt whose prefill can't end before its deadline is refused at once and takes no memory.
 func TestRefusesPromptThatCannotBePrefilledInTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,11 +1,11 @@
-// Package keeper decides for one engine: which attempts may start on it, how
-// long a prompt would queue there, and which of its holds are orphans.
+// Package keeper grants the memory of one engine. It decides which attempts may start on the
+// engine, estimates how long a prompt would queue there, and finds orphans: holds on its memory whose owner no longer
+// renews them.
 //
-// The engine is the truth. The ledger is the memory that the engine says is
-// held plus the grants that it can't have counted yet, so a new keeper is right
-// after one listing.
-// Two keepers in a partition may grant the same memory twice; the engine
-// then refuses one attempt before it starts, and nothing else happens.
+// The engine's own reports are authoritative. A keeper counts the memory that the engine reports as
+// used, and the grants that the report can't include yet, so a new keeper is right after one
+// listing of holds. Two keepers on the two sides of a network partition may grant the same memory
+// twice; the engine then refuses one of the attempts before it starts, and nothing else goes wrong.
 package keeper
 
 import (
@@ -15,54 +15,68 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// Config of a keeper.
+// Config is the configuration of a Keeper.
 type Config struct {
+	// Engine is the name of the engine.
 	Engine string
-	// Lease is the age at which an unrenewed hold is an orphan.
+	// Lease is the age beyond which a hold that was not renewed is an orphan, and the age beyond
+	// which the last report is too old to grant on.
 	Lease time.Duration
-	// GrantTTL is how long a grant counts while the engine does not list
-	// it; longer than the load report lags, which counts it afterwards.
+	// GrantTTL is how long a grant counts while the engine does not list a hold for it. It must
+	// exceed the lag of load reports, which include the attempt's memory afterwards.
 	GrantTTL time.Duration
-	// MemoryTokens and PrefillRate are as the document states them.
+	// MemoryTokens is the engine's memory in tokens and PrefillRate its prefill rate in tokens a
+	// second, both as the configuration document states them.
 	MemoryTokens int
 	PrefillRate  int
 }
 
-// GrantRequest is a request to start an attempt.
+// GrantRequest asks whether an attempt may start on the engine.
 type GrantRequest struct {
 	AttemptID string
-	// Model is the one that the attempt needs loaded.
+	// Model is the model that the engine must have loaded.
 	Model string
-	// Class is what the engine schedules the prompt by.
-	Class         router.LengthClass
+	// Class is the length class of the prompt. Engines prefill shorter classes first.
+	Class router.LengthClass
+	// PrefillTokens is the number of tokens to prefill.
 	PrefillTokens int
-	MemoryTokens  int
-	// Remaining is the time left to the request.
+	// MemoryTokens is the memory, in tokens, that the attempt needs.
+	MemoryTokens int
+	// Remaining is the time until the deadline of the request.
 	Remaining time.Duration
 }
 
-// GrantReply to an Ask.
+// GrantReply is the answer to a GrantRequest.
 type GrantReply struct {
 	Granted bool
-	// QueueWait is how long the prompt would queue before its prefill starts.
+	// QueueWait is the estimated time for which the prompt would queue before its prefill starts.
 	QueueWait time.Duration
-	Reason    Reason
+	// Reason says why the grant was given or refused.
+	Reason Reason
 }
 
-// Reason for an answer.
+// Reason says why a grant was given or refused.
 type Reason string
 
-// The reasons.
+// The reasons of a GrantReply.
 const (
+	// MemoryFree means that the grant was given.
 	MemoryFree Reason = "free"
+	// MemoryFull means that the engine has too little free memory.
 	MemoryFull Reason = "memory"
-	TooLate    Reason = "too_late"
-	NoReport   Reason = "not_heard"
-	Leaving    Reason = "leaving"
+	// TooLate means that the prefill would end after the deadline of the request.
+	TooLate Reason = "too_late"
+	// NoReport means that the keeper has no current report and listing of holds from the engine.
+	NoReport Reason = "not_heard"
+	// Leaving means that the engine is shutting down.
+	Leaving Reason = "leaving"
+	// WrongModel means that the engine has another model loaded.
 	WrongModel Reason = "wrong_model"
-	Changing   Reason = "changing"
+	// Changing means that an order to change what the engine serves is pending.
+	Changing Reason = "changing"
 )
 
+// grant is memory granted to an attempt whose hold the engine does not list yet.
 type grant struct {
 	memoryTokens  int
 	prefillTokens int
@@ -70,50 +84,52 @@
 	expiresAt     time.Time
 }
 
-// Keeper is the ledger of one engine. It is not safe for concurrent use.
+// Keeper tracks the memory and the prefill backlog of one engine. It is not safe for concurrent
+// use.
 type Keeper struct {
 	config   Config
 	lastLoad api.EngineLoad
-	// lastReportAt is when the engine last answered; zero when it never did.
+	// lastReportAt is the time of the engine's last report, zero if there is none.
 	lastReportAt time.Time
-	// holds is the engine's last listing.
+	// holds maps the IDs of the holds that the engine listed last.
 	holds map[string]api.EngineHold
-	// usedTokens is the engine's memory held, as the last listing or report says.
+	// usedTokens is the engine's used memory, from its last listing or report.
 	usedTokens int
-	// grants are given and not yet listed. No id is in both grants and holds.
+	// grants maps attempt IDs to grants. No ID is in both grants and holds.
 	grants map[string]grant
-	// backlog is the estimated prompt tokens not yet prefilled, by class, at
-	// backlogAt. None is negative.
+	// backlog is the estimated number of prompt tokens not yet prefilled, by length class, at the
+	// time backlogAt. No element is negative.
 	backlog   [router.ClassCount]float64
 	backlogAt time.Time
-	// lastGrant is when a grant was last given.
+	// lastGrant is the time of the last grant.
 	lastGrant time.Time
-	// listed says that the engine's holds are known for this incarnation.
+	// listed is set once the engine's current incarnation has listed its holds.
 	listed bool
-	// changing stops grants while an order waits for streams to end.
+	// changing stops grants while an order waits for the engine's streams to end.
 	changing bool
 }
 
-// New returns a keeper that has yet to hear from its engine.
+// New returns a keeper without a report from its engine. It grants nothing until the first listing
+// of holds.
 func New(config Config) *Keeper {
 	return &Keeper{config: config, holds: map[string]api.EngineHold{}, grants: map[string]grant{}}
 }
 
-// Configure takes over what a new document states about the engine.
+// Configure replaces the configuration, after a new document changed it.
 func (k *Keeper) Configure(config Config) { k.config = config }
 
-// SetChanging stops or resumes grants around an order to the engine.
+// SetChanging stops grants while an order to the engine is pending, or resumes them.
 func (k *Keeper) SetChanging(changing bool) { k.changing = changing }
 
-// Orphan is a hold to free if it is still at least OlderThan old; the engine
-// checks the age, so a renewal in between wins.
+// Orphan is a hold to free because its owner has not renewed it. The engine frees it only if its
+// age is still at least MinAge, so a hold that was renewed in the meantime is kept.
 type Orphan struct {
 	Hold   api.EngineHold
 	MinAge time.Duration
 }
 
-// RecordReport takes in the engine's load and its listing of holds, and returns
-// the orphans to free.
+// RecordReport records the engine's load and the listing of its holds. It returns the orphans to
+// free.
 func (k *Keeper) RecordReport(now time.Time, load api.EngineLoad, holds []api.EngineHold) []Orphan {
 	if load.Incarnation != k.lastLoad.Incarnation {
 		k.reset()
@@ -132,13 +148,12 @@
 	}
 	k.listed = true
 	k.RecordLoad(now, load)
-	k.usedTokens = used // a listing does not lag
+	k.usedTokens = used // unlike load.UsedTokens, a listing does not lag
 	return orphans
 }
 
-// RecordLoad takes in the engine's load without a listing of holds. Until the
-// first listing the keeper knows nothing of the engine's memory, and it
-// grants nothing.
+// RecordLoad records the engine's load without a listing of its holds. Before the first listing the
+// memory in use is unknown and the keeper grants nothing.
 func (k *Keeper) RecordLoad(now time.Time, load api.EngineLoad) {
 	if load.Incarnation != k.lastLoad.Incarnation {
 		k.reset()
@@ -156,7 +171,7 @@
 	}
 }
 
-// reset drops what was known of an engine that has started anew.
+// reset discards the state of the engine's previous incarnation.
 func (k *Keeper) reset() {
 	clear(k.grants)
 	clear(k.holds)
@@ -164,8 +179,9 @@
 	k.backlog = [router.ClassCount]float64{}
 }
 
-// scaleBacklog takes the engine's word for how much is queued; of which classes
-// it does not say, so they keep their parts.
+// scaleBacklog scales the backlog to the total that the engine reports. The report does not
+// distinguish length classes, so they keep their proportions; if the backlog was empty, the tokens
+// count as Longest.
 func (k *Keeper) scaleBacklog(queued int) {
 	sum := 0.0
 	for _, tokens := range k.backlog {
@@ -180,8 +196,8 @@
 	}
 }
 
-// advanceBacklog estimates how far the engine has come with its backlog, the shorter
-// classes first.
+// advanceBacklog subtracts from the backlog what the engine has prefilled since backlogAt,
+// estimated from its prefill rate. Shorter classes are prefilled first.
 func (k *Keeper) advanceBacklog(now time.Time) {
 	prefilled := max(0, now.Sub(k.backlogAt).Seconds()*float64(k.config.PrefillRate))
 	for c := range k.backlog {
@@ -192,6 +208,7 @@
 	k.backlogAt = now
 }
 
+// removeExpiredGrants removes grants older than Config.GrantTTL.
 func (k *Keeper) removeExpiredGrants(now time.Time) {
 	for id, g := range k.grants {
 		if now.After(g.expiresAt) {
@@ -200,7 +217,7 @@
 	}
 }
 
-// RequestGrant decides on an attempt.
+// RequestGrant decides whether an attempt may start, and records the grant if so.
 func (k *Keeper) RequestGrant(now time.Time, r GrantRequest) GrantReply {
 	k.advanceBacklog(now)
 	k.removeExpiredGrants(now)
@@ -221,10 +238,13 @@
 	return GrantReply{Granted: true, QueueWait: wait, Reason: MemoryFree}
 }
 
+// prefillTime returns how long an engine takes to prefill the tokens, at a rate in tokens a second.
 func prefillTime(tokens float64, rate int) time.Duration {
 	return time.Duration(tokens / float64(max(1, rate)) * float64(time.Second))
 }
 
+// refusalReason returns why the engine can't start any attempt at the request's model, or an empty
+// reason if it can.
 func (k *Keeper) refusalReason(now time.Time, r GrantRequest) Reason {
 	switch {
 	case k.lastReportAt.IsZero() || now.Sub(k.lastReportAt) > k.config.Lease:
@@ -239,12 +259,13 @@
 	return ""
 }
 
-// QueueWait estimates how long a prompt of the class would queue.
+// QueueWait estimates how long a prompt of the length class would queue before its prefill starts.
 func (k *Keeper) QueueWait(now time.Time, class router.LengthClass) time.Duration {
 	k.advanceBacklog(now)
 	return prefillTime(float64(k.queuedTokens().AheadOf(class)), k.config.PrefillRate)
 }
 
+// queuedTokens returns the backlog in whole tokens.
 func (k *Keeper) queuedTokens() router.TokensByClass {
 	var queued router.TokensByClass
 	for c, tokens := range k.backlog {
@@ -253,7 +274,7 @@
 	return queued
 }
 
-// EndAttempt takes in word that an attempt has ended, or never began.
+// EndAttempt releases the grant or hold of an attempt that has ended or never started.
 func (k *Keeper) EndAttempt(attemptID string) {
 	if g, ok := k.grants[attemptID]; ok {
 		k.backlog[g.class] = max(0, k.backlog[g.class]-float64(g.prefillTokens))
@@ -265,7 +286,7 @@
 	delete(k.holds, attemptID)
 }
 
-// FreeTokens is the engine's memory that is neither held nor granted.
+// FreeTokens returns the engine's memory, in tokens, that is neither in use nor granted.
 func (k *Keeper) FreeTokens() int {
 	free := k.config.MemoryTokens
 	if k.lastLoad.MemoryTokens > 0 {
@@ -278,28 +299,32 @@
 	return max(0, free)
 }
 
-// LastLoad returns the engine's last report.
+// LastLoad returns the engine's last load report.
 func (k *Keeper) LastLoad() api.EngineLoad { return k.lastLoad }
 
-// LastReportAt returns when the engine last answered.
+// LastReportAt returns the time of the engine's last report, zero if there is none.
 func (k *Keeper) LastReportAt() time.Time { return k.lastReportAt }
 
-// HoldCount is how many holds the engine listed last.
+// HoldCount returns the number of holds that the engine listed last.
 func (k *Keeper) HoldCount() int { return len(k.holds) }
 
-// GrantCount is how many grants the engine does not list yet.
+// GrantCount returns the number of grants for which the engine does not list a hold yet.
 func (k *Keeper) GrantCount() int { return len(k.grants) }
 
-// LoadEstimate is an engine's load as its keeper estimates it.
+// LoadEstimate is the load of an engine as its keeper estimates it.
 type LoadEstimate struct {
-	Engine       string
-	Incarnation  uint64
-	Leaving      bool
+	// Engine is the name and Incarnation the current incarnation of the engine.
+	Engine      string
+	Incarnation uint64
+	// Leaving is set while the engine is shutting down.
+	Leaving bool
+	// QueuedTokens is the estimated prompt tokens not yet prefilled, by length class.
 	QueuedTokens router.TokensByClass
-	FreeTokens   int
+	// FreeTokens is the engine's memory, in tokens, that is neither in use nor granted.
+	FreeTokens int
 }
 
-// EstimateLoad is the engine's load as estimated now.
+// EstimateLoad returns the engine's load as estimated at the time now.
 func (k *Keeper) EstimateLoad(now time.Time) LoadEstimate {
 	k.advanceBacklog(now)
 	return LoadEstimate{
