--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -1,6 +1,6 @@
-// Package reserver reserves a group of engines for a prompt that no single
-// engine holds: all of them or none, asked in one fixed order, each share
-// under a hold id of its own and a lease.
+// Package reserver reserves memory on a group of engines for a prompt that does not fit on a single
+// engine. Either every engine of the group holds its shard or none does. Each shard is reserved
+// under a hold ID of its own and a lease, and all entries reserve in the same order.
 package reserver
 
 import (
@@ -13,40 +13,47 @@
 type Candidate struct {
 	Name       string
 	DataCentre string
-	// FreeTokens is the memory estimated to be free.
+	// FreeTokens is the estimated free memory in tokens.
 	FreeTokens int
-	// MemoryTokens is all the engine's memory.
+	// MemoryTokens is the engine's total memory in tokens.
 	MemoryTokens int
 }
 
-// Shard is one engine's part of a group.
+// Shard is the part of a prompt's memory that one engine of a group holds.
 type Shard struct {
+	// Engine is the name of the engine.
 	Engine string
+	// HoldID identifies the hold at the engine.
 	HoldID string
+	// Tokens is the memory of the shard in tokens.
 	Tokens int
 }
 
-// TooLongError says that no group of the fleet could ever hold a prompt.
+// TooLongError reports that no group of engines could hold a prompt, even if all their memory were
+// free.
 type TooLongError struct {
+	// Tokens is the memory needed; MaxTokens is the memory of the largest possible group, of at
+	// most MaxGroup engines.
 	Tokens, MaxTokens, MaxGroup int
 }
 
 func (e TooLongError) Error() string {
-	return fmt.Sprintf("prompt and answer take %d tokens of memory: a group of at most %d engines holds %d", e.Tokens, e.MaxGroup, e.MaxTokens)
+	return fmt.Sprintf("prompt and answer need %d tokens of memory: a group of at most %d engines holds %d", e.Tokens, e.MaxGroup, e.MaxTokens)
 }
 
-// BusyError says that a group could hold the prompt, but not now.
+// BusyError reports that a group could hold the prompt, but not with the memory that is free now.
 type BusyError struct {
+	// Tokens is the memory needed; FreeTokens is the most that a group in one data centre has free.
 	Tokens, FreeTokens int
 }
 
 func (e BusyError) Error() string {
-	return fmt.Sprintf("prompt and answer take %d tokens of memory: %d are free in one data centre now", e.Tokens, e.FreeTokens)
+	return fmt.Sprintf("prompt and answer need %d tokens of memory: %d are free in one data centre now", e.Tokens, e.FreeTokens)
 }
 
-// Plan picks the fewest engines of one data centre whose free memory holds
-// the tokens. The shares are in order of name, which is the order in which
-// every entry reserves.
+// Plan chooses the smallest group of engines in one data centre whose free memory holds the tokens,
+// and returns a shard for each. Shards are ordered by engine name, which is the order in which
+// every entry reserves. NewID returns a new hold ID. The error is a TooLongError or a BusyError.
 func Plan(candidates []Candidate, tokens, maxGroup int, newID func() string) ([]Shard, error) {
 	centres := map[string][]Candidate{}
 	for _, c := range candidates {
@@ -85,7 +92,7 @@
 	return keys
 }
 
-// sumLargest adds up the greatest count values.
+// sumLargest returns the sum of the n largest values.
 func sumLargest(candidates []Candidate, n int, value func(Candidate) int) int {
 	values := make([]int, len(candidates))
 	for i, c := range candidates {
@@ -100,6 +107,7 @@
 	return sum
 }
 
+// fewestEngines returns the smallest set of candidates whose free memory holds the tokens, or nil.
 func fewestEngines(candidates []Candidate, tokens int) []Candidate {
 	byFree := slices.Clone(candidates)
 	slices.SortFunc(byFree, func(a, b Candidate) int {
@@ -118,7 +126,7 @@
 	return nil
 }
 
-// splitTokens splits the tokens in proportion to free memory.
+// splitTokens splits the tokens among the engines in proportion to their free memory.
 func splitTokens(group []Candidate, tokens int, newID func() string) []Shard {
 	slices.SortFunc(group, func(a, b Candidate) int { return strings.Compare(a.Name, b.Name) })
 	total := 0
@@ -135,32 +143,34 @@
 	return shards
 }
 
-// Action is what the owner has to do next.
+// Action is the next action of a reservation. Exactly one field is set.
 type Action struct {
-	// Reserve or Release is set, never both.
+	// Reserve is the shard to reserve next.
 	Reserve *Shard
+	// Release is the shard to release next.
 	Release *Shard
-	// AllHeld says that every share is held.
+	// AllHeld is set when every shard is held.
 	AllHeld bool
-	// Failed says that nothing is held and the group can't be had now.
+	// Failed is set when the reservation has ended and no shard is held.
 	Failed bool
 }
 
-// Reserver drives one reservation. It is not safe for concurrent use.
+// Reserver is the state of one reservation of a group. It is not safe for concurrent use.
 type Reserver struct {
 	shards []Shard
-	// heldCount is how many of shares, from the first, are or may be held.
+	// heldCount is the number of shards, from the first on, that are held or may be held.
 	heldCount int
+	// releasing is set when all shards are to be released.
 	releasing bool
 }
 
-// New returns a reservation of the shares, of which none is held.
+// New returns a reservation of the shards, none of which is held yet.
 func New(shards []Shard) *Reserver {
 	return &Reserver{shards: shards}
 }
 
-// Next returns what to do. Every Reserve is followed by Reserved or Refused;
-// every Release by Released.
+// Next returns the next action. The caller must report the result of a Reserve action with
+// RecordReserved or RecordRefused, and that of a Release action with RecordReleased.
 func (r *Reserver) Next() Action {
 	switch {
 	case r.releasing && r.heldCount > 0:
@@ -173,11 +183,12 @@
 	return Action{AllHeld: true}
 }
 
-// RecordReserved notes that the share asked for last is held.
+// RecordReserved records that the engine reserved the last requested shard.
 func (r *Reserver) RecordReserved() { r.heldCount++ }
 
-// RecordRefused notes that the share asked for last is not held, or, where maybe is
-// true, that it is not known: it is released too, to be sure.
+// RecordRefused records that the engine did not reserve the last requested shard, and starts to
+// release the others. If maybeHeld is set, it is not known whether the engine reserved it, so it is
+// released too.
 func (r *Reserver) RecordRefused(maybeHeld bool) {
 	if maybeHeld {
 		r.heldCount++
@@ -185,12 +196,12 @@
 	r.releasing = true
 }
 
-// RecordReleased notes that the share named last is given up. One that could not be
-// reached is left to its lease.
+// RecordReleased records that the last shard to be released was released, or that its engine could
+// not be reached, in which case the hold ends with its lease.
 func (r *Reserver) RecordReleased() { r.heldCount-- }
 
-// ReleaseAll starts to give back a group that is held or partly held.
+// ReleaseAll starts to release a group of which all or some shards are held.
 func (r *Reserver) ReleaseAll() { r.releasing = true }
 
-// Shards are the shares of the group, in the order of reservation.
+// Shards returns the shards of the group, in the order of reservation.
 func (r *Reserver) Shards() []Shard { return r.shards }
