--- a/placer/example_test.go
+++ b/placer/example_test.go
@@ -30,8 +30,8 @@
 	// Placed b
 }
 
-// What can't be done in time is given up at once; what finds no room after a
-// part of its time, long before its deadline.
+// If every engine is too late the search ends at once. If engines lack free memory it ends after a
+// fraction of the remaining time, long before the deadline.
 func TestGivesUpSearch(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,7 +1,7 @@
-// Package placer drives the placement of one prompt: which keeper is asked
-// next, when the search pauses, and when the prompt is given up. It gives up
-// at once when every engine that could take the prompt would be too late, and
-// after a part of the remaining time when they have no room.
+// Package placer finds an engine for one prompt. It decides which engine's keeper to ask next, when
+// to wait before asking again, and when to give up. It gives up at once if every candidate engine
+// would finish the prefill too late, and after a fraction of the prompt's remaining time if engines
+// lack free memory.
 package placer
 
 import (
@@ -13,32 +13,32 @@
 )
 
 const (
-	// roomWaitDivisor is the part of a prompt's remaining time that it may wait
-	// for room.
+	// roomWaitDivisor divides a prompt's remaining time to give the time that it may wait for free
+	// memory.
 	roomWaitDivisor = 4
-	// minPause and mostPause are between rounds.
+	// minPause and maxPause bound the random pause between two rounds of asking.
 	minPause = 20 * time.Millisecond
 	maxPause = 80 * time.Millisecond
 )
 
-// StepKind of a step.
+// StepKind says what a Step requires the caller to do.
 type StepKind int
 
-// The kinds.
+// The kinds of a Step.
 const (
-	// Ask: ask the keeper of Choice's engine, then call Answered.
+	// Ask means that the caller must ask the keeper of Step.Choice's engine, then call RecordReply.
 	Ask StepKind = iota
-	// Choose: choose engines anew, then call Round.
+	// Choose means that the caller must choose candidate engines, then call SetChoices.
 	Choose
-	// Pause: wait for Pause, then go on with Next.
+	// Pause means that the caller must wait for Step.Pause, then call Next.
 	Pause
-	// Placed: the keeper granted Choice's engine.
+	// Placed means that the keeper of Step.Choice's engine granted the prompt.
 	Placed
-	// NoEngine: nothing serves the prompt now.
+	// NoEngine means that there is no candidate engine.
 	NoEngine
-	// TooLate: no engine can answer in time.
+	// TooLate means that every candidate engine would finish the prefill after the deadline.
 	TooLate
-	// NoRoom: patience is at its end.
+	// NoRoom means that no engine had free memory during the time that the prompt may wait for it.
 	NoRoom
 )
 
@@ -46,37 +46,43 @@
 
 func (k StepKind) String() string { return kindNames[k] }
 
-// Step is what is to be done next.
+// Step is the next step of a placement.
 type Step struct {
-	Kind   StepKind
+	Kind StepKind
+	// Choice is the engine of an Ask or Placed step.
 	Choice router.Choice
-	Pause  time.Duration
+	// Pause is the length of a Pause step.
+	Pause time.Duration
 }
 
-// Placer drives one placement. It is not safe for concurrent use.
+// Placer is the state of the search for one prompt's engine. It is not safe for concurrent use.
 type Placer struct {
 	random *rand.Rand
-	// roomDeadline is when waiting for room ends.
+	// roomDeadline is the time at which the search for free memory ends.
 	roomDeadline time.Time
-	choices      []router.Choice
-	// asked is how many of choices were asked, of which late were too late.
+	// choices are the engines of the current round, best first.
+	choices []router.Choice
+	// asked is the number of choices that refused, and tooLate the number of those that refused
+	// with keeper.TooLate.
 	asked, tooLate int
-	hasChoices     bool
-	granted        bool
+	// hasChoices is set while choices belongs to the current round.
+	hasChoices bool
+	// granted is set when a keeper granted the prompt.
+	granted bool
 }
 
-// New returns a placement for a prompt that has some time left.
+// New returns a placer for a prompt whose deadline is the time remaining after now.
 func New(now time.Time, remaining time.Duration, random *rand.Rand) *Placer {
 	return &Placer{random: random, roomDeadline: now.Add(remaining / roomWaitDivisor)}
 }
 
-// SetChoices takes the engines chosen for a round, best first.
+// SetChoices starts a round with the given engines, best first.
 func (p *Placer) SetChoices(choices []router.Choice) {
 	p.choices, p.asked, p.tooLate = choices, 0, 0
 	p.hasChoices = true
 }
 
-// RecordReply takes the answer to the last Ask.
+// RecordReply records the keeper's reply to the last Ask step.
 func (p *Placer) RecordReply(a keeper.GrantReply) {
 	p.granted = a.Granted
 	if a.Granted {
@@ -88,7 +94,7 @@
 	p.asked++
 }
 
-// Next returns what to do.
+// Next returns the next step.
 func (p *Placer) Next(now time.Time) Step {
 	switch {
 	case p.granted:
