--- a/planner/example_test.go
+++ b/planner/example_test.go
@@ -33,8 +33,8 @@
 	// Nothing
 }
 
-// Every order has a greater fence than the engine has seen, and two keepers
-// never use one fence.
+// Every order has a greater fencing number than the engine has seen, and two keepers never use the
+// same number.
 func TestNextFenceIsGreaterAndUnique(t *testing.T) {
 	is := is.New(t)
 	a, b := planner.NextFence(5, "entry-1"), planner.NextFence(5, "entry-2")
@@ -44,7 +44,8 @@
 	is.True(planner.NextFence(max(a, b), "entry-1") > max(a, b))
 }
 
-// Loads from the weight store are spread over time by each entry's share.
+// An entry spaces its loads from the weight store by the interval multiplied by the number of
+// entries.
 func TestWeightLoadsAreSpaced(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,7 +1,8 @@
-// Package planner decides which order, if any, an engine is due. What an
-// engine should serve is a pure function of the document, so two keepers that
-// believe the same order the same; the fencing number is the engine's last
-// seen one raised, so an engine that checks it refuses a late order.
+// Package planner decides whether an entry must send an order to an engine, to change the model,
+// version, adapters or role that the engine serves. What an engine should serve depends on the
+// configuration document alone, so two entries that both act as its keeper send equal orders. Each
+// order has a fencing number greater than the last that the engine has seen, so an engine that
+// checks fencing numbers refuses a late order.
 package planner
 
 import (
@@ -14,37 +15,39 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// keeperBits is how many low bits of a fencing number name the keeper, so
-// that two keepers never use one number for different orders.
+// keeperBits is the number of low bits of a fencing number that identify the keeper, so that two
+// keepers do not use one number for different orders.
 const keeperBits = 16
 
-// NextFence is the fencing number of the next order by a keeper to an engine
-// that last saw the number seen.
+// NextFence returns the fencing number for the keeper's next order to an engine that has seen no
+// number greater than lastSeen.
 func NextFence(lastSeen uint64, keeper string) uint64 {
 	next := lastSeen>>keeperBits + 1
 	id := assigner.Weight("fence", keeper) & (1<<keeperBits - 1)
 	return next<<keeperBits | id
 }
 
-// WantedOrder is what an engine should serve, as the document says.
+// WantedOrder returns the order that describes what an engine should serve, without fence and
+// issuer.
 func WantedOrder(e validator.Engine) api.EngineOrder {
 	return api.EngineOrder{Model: e.Model, Version: e.Version, Adapters: e.Adapters, Role: e.Role}
 }
 
-// Step is what is to be done about an engine.
+// Step is the next step towards an engine serving what it should.
 type Step int
 
-// The steps.
+// The steps of a Decision.
 const (
-	// Nothing: the engine serves what it should.
+	// Nothing means that the engine serves what it should.
 	Nothing Step = iota
-	// Drain: give no grants and wait for the engine's streams to end.
+	// Drain means that the engine must get no grants until its streams have ended.
 	Drain
-	// Send: send the order.
+	// Send means that the order must be sent.
 	Send
-	// Await: an order was sent; wait for the engine to report it.
+	// Await means that an order was sent and the engine has not reported the change yet.
 	Await
-	// Pace: wait, as the weight store's budget is spent.
+	// Pace means that the order must wait, because too little time has passed since the last load
+	// from the weight store.
 	Pace
 )
 
@@ -52,56 +55,62 @@
 
 func (s Step) String() string { return stepNames[s] }
 
-// Decision about one engine.
+// Decision is the next step for an engine.
 type Decision struct {
-	Step   Step
-	Order  api.EngineOrder
+	Step Step
+	// Order is the order to send. It is set only if Step is Send.
+	Order api.EngineOrder
+	// Reason says why the step was chosen, for the log.
 	Reason string
 }
 
-// Config of a planner.
+// Config is the configuration of a Planner.
 type Config struct {
-	// Keeper is the name of the entry that orders.
+	// Keeper is the name of the entry that sends the orders.
 	Keeper string
-	// SettleTime is how long what is wanted must stay the same before an order,
-	// and at least a keeper's lease, so that an earlier keeper has stopped.
+	// SettleTime is how long the wanted order must stay the same before it is sent. It must be at
+	// least a keeper's lease, so that a previous keeper of the engine has stopped.
 	SettleTime time.Duration
-	// RetryInterval is how long an order is awaited before it is sent again.
+	// RetryInterval is the time after which an order that the engine has not followed is sent
+	// again.
 	RetryInterval time.Duration
-	// WeightLoadInterval is the least time between loads from the weight store by
-	// the whole fleet; each entry takes its part of it.
+	// WeightLoadInterval is the minimum time between two loads from the weight store, over all
+	// entries. Each entry waits for this time multiplied by the number of entries.
 	WeightLoadInterval time.Duration
 }
 
+// engineState is the state of the orders to one engine.
 type engineState struct {
+	// wanted is the order that describes what the engine should serve.
 	wanted api.EngineOrder
-	// wantedSince is when wanted last changed, or this entry became keeper.
+	// wantedSince is the time at which wanted last changed or this entry became the engine's
+	// keeper.
 	wantedSince time.Time
-	// sentAt is when the last order was sent; zero when none is awaited.
+	// sentAt is the time at which the last order was sent, zero if none is awaited.
 	sentAt time.Time
 }
 
-// Planner holds the orders of the engines one entry keeps. It is not safe for
+// Planner tracks the orders to the engines that one entry is the keeper of. It is not safe for
 // concurrent use.
 type Planner struct {
 	config  Config
 	engines map[string]*engineState
-	// lastWeightLoad is when this entry last had an engine load weights.
+	// lastWeightLoad is the time of the last order that made an engine load weights.
 	lastWeightLoad time.Time
 }
 
-// New returns a planner that has ordered nothing.
+// New returns a planner that has sent no order.
 func New(config Config) *Planner {
 	return &Planner{config: config, engines: map[string]*engineState{}}
 }
 
-// Forget drops an engine that this entry no longer keeps, and with it any
-// order that was awaited.
+// Forget removes an engine that this entry is no longer the keeper of, with any order that was
+// awaited.
 func (p *Planner) Forget(name string) { delete(p.engines, name) }
 
-// Plan decides what is due for an engine whose report is load. Streams is how
-// many streams and holds it has; entries is how many entries share the weight
-// store's budget.
+// Plan decides the next step for an engine, given the order that it should follow and its last load
+// report. Holds is the number of the engine's holds and grants; entries is the number of entries
+// that share the weight store.
 func (p *Planner) Plan(now time.Time, wanted api.EngineOrder, load api.EngineLoad, holds, entries int) Decision {
 	e, ok := p.engines[load.Name]
 	if !ok || !sameTarget(e.wanted, wanted) {
@@ -136,15 +145,18 @@
 	return Decision{Step: Send, Order: order, Reason: "differs"}
 }
 
+// sameTarget reports whether two orders ask for the same model, version, role and adapters.
 func sameTarget(a, b api.EngineOrder) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Role == b.Role && sameSet(a.Adapters, b.Adapters)
 }
 
+// matchesOrder reports whether the engine already serves what it should.
 func matchesOrder(load api.EngineLoad, wanted api.EngineOrder) bool {
 	reported := api.EngineOrder{Model: load.Model, Version: load.Version, Role: load.Role, Adapters: load.Adapters}
 	return sameTarget(reported, wanted)
 }
 
+// sameSet reports whether two slices have the same elements, in any order.
 func sameSet(a, b []string) bool {
 	x, y := slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b))
 	return slices.Equal(x, y)
