--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -18,8 +18,8 @@
 	return NewEngineIndex(list)
 }
 
-// BenchmarkChoose is the cost of routing one request; goroutines choose at
-// once, as traffic does.
+// BenchmarkChoose measures the cost of choosing engines for one request, with concurrent goroutines
+// as in operation.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{14, 150, 600, 1200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// An engine that works slowly is asked last, until what was seen of it is old.
+// An engine that generates slowly is chosen last until the measurement has expired.
 func TestSlowEngineIsChosenLast(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,5 @@
-// Package router chooses the engines that a prompt is offered to. The choice
-// works on an immutable Board and on counters of the entry's own requests,
-// so any number of traffic goroutines choose at once without a lock.
+// Package router chooses the engines to ask for a prompt. A choice reads an immutable EngineIndex
+// and atomic load counters, so any number of goroutines can choose at the same time without a lock.
 package router
 
 import (
@@ -10,24 +9,30 @@
 	"time"
 )
 
-// Policy names a way of choosing.
+// Policy is the name of a way to order the candidate engines.
 type Policy string
 
 // The policies. Predicted is the product's own; the others are baselines to
 // measure it against.
 const (
-	Predicted   Policy = "Predicted"
-	PowerOfTwo  Policy = "PowerOfTwo"
-	FewestOwn   Policy = "FewestOwn"
-	RoundRobin  Policy = "RoundRobin"
+	// Predicted orders engines by predicted time. Entries use this policy; the others are baselines
+	// for measurements.
+	Predicted Policy = "Predicted"
+	// PowerOfTwo puts the less busy of two random engines first, by this entry's attempts in
+	// flight.
+	PowerOfTwo Policy = "PowerOfTwo"
+	// FewestOwn orders engines by this entry's attempts in flight.
+	FewestOwn Policy = "FewestOwn"
+	// RoundRobin starts at the next engine by name for each request.
+	RoundRobin Policy = "RoundRobin"
+	// RandomOrder shuffles the engines.
 	RandomOrder Policy = "RandomOrder"
 )
 
-// LengthClass of a prompt's length.
+// LengthClass is the class of a prompt by its length. Engines prefill shorter classes first.
 type LengthClass int
 
-// The classes, and the longest prompt of each in multiples of the longest of
-// the short class.
+// The length classes, shortest first. ClassOf says how long the prompts of each are.
 const (
 	Short LengthClass = iota
 	Medium
@@ -36,17 +41,20 @@
 )
 
 const (
+	// mediumFactor and longFactor are the longest prompts of classes Medium and Long, in multiples
+	// of the longest Short prompt.
 	mediumFactor = 8
 	longFactor   = 32
 )
 
-// ClassCount is how many classes there are.
+// ClassCount is the number of length classes.
 const ClassCount = int(Longest) + 1
 
-// TokensByClass is prompt tokens waiting, by class.
+// TokensByClass is a number of queued prompt tokens for each length class.
 type TokensByClass [ClassCount]int
 
-// AheadOf is how many tokens engines prefill before a prompt of the class.
+// AheadOf returns the number of queued tokens that an engine prefills before a new prompt of the
+// class: those of the class itself and of shorter ones.
 func (q TokensByClass) AheadOf(c LengthClass) int {
 	sum := 0
 	for _, tokens := range q[:c+1] {
@@ -55,7 +63,8 @@
 	return sum
 }
 
-// ClassOf is the class of a prompt, given the longest prompt of the short one.
+// ClassOf returns the length class of a prompt of the given number of tokens. ShortTokens is the
+// longest prompt of class Short.
 func ClassOf(tokens, shortTokens int) LengthClass {
 	switch {
 	case tokens <= shortTokens:
@@ -68,63 +77,71 @@
 	return Longest
 }
 
-// Priority is what engines schedule a prompt by: the shorter, the higher, up
-// to the weight that the document gives the short class. The weight is 0, or
-// at least 3, so that no two classes have one priority.
+// Priority returns the scheduling priority of a length class at engines, from shortWeight for Short
+// down to 0 for Longest. ShortWeight comes from the configuration document. It is either 0, which
+// gives all classes priority 0, or at least 3, so that each class has a different priority.
 func Priority(class LengthClass, shortWeight int) int {
 	return shortWeight * int(Longest-class) / int(Longest)
 }
 
-// sampleSize is how many engines Predicted weighs where there are more: looking
-// at all of many on old figures sends every entry to the same one.
+// sampleSize is the number of candidate engines that the Predicted policy compares. With more
+// engines it compares a sample of this size: if all entries compared all engines by outdated loads,
+// they would all choose the same one.
 const sampleSize = 8
 
-// Load is what an entry knows of an engine's load. Fields are written by any
-// goroutine; a reader may see them one update apart.
+// Load is an entry's view of an engine's load. Any goroutine may update its fields, so a reader may
+// see a mix of two successive updates.
 type Load struct {
-	// OwnPrefillTokens is prompt tokens this entry sent and saw no first token of,
-	// by class.
+	// OwnPrefillTokens is the prompt tokens, by length class, of this entry's attempts that have
+	// not received a first token.
 	OwnPrefillTokens [ClassCount]atomic.Int64
-	// OwnInFlight is this entry's attempts in progress.
+	// OwnInFlight is the number of this entry's attempts in flight at the engine.
 	OwnInFlight atomic.Int64
-	// QueuedTokens, by class, and Free are as the keeper last said.
+	// QueuedTokens is the prompt tokens queued at the engine, by length class, as its keeper last
+	// reported them.
 	QueuedTokens [ClassCount]atomic.Int64
-	FreeTokens   atomic.Int64
-	// timePerToken is the time between answer tokens that this entry saw last, and
-	// pacedAt when, in nanoseconds; both 0 before the first.
-	timePerToken   atomic.Int64
+	// FreeTokens is the engine's free memory in tokens, as its keeper last reported it.
+	FreeTokens atomic.Int64
+	// timePerToken is a moving average of the time between answer tokens, in nanoseconds, as this
+	// entry measured it; 0 before the first measurement.
+	timePerToken atomic.Int64
+	// timePerTokenAt is the Unix time of the last measurement in nanoseconds, 0 before the first.
 	timePerTokenAt atomic.Int64
-	// ReportedAt is when the keeper said so, in nanoseconds since the epoch of
-	// the entry's clock; 0 when it never did.
+	// ReportedAt is the Unix time of the keeper's last report in nanoseconds, by this entry's
+	// clock; 0 if there is none.
 	ReportedAt atomic.Int64
 }
 
-// Engine is one engine that may be chosen.
+// Engine is an engine that can be chosen.
 type Engine struct {
-	Name         string
-	Address      string
-	DataCentre   string
-	Model        string
-	Version      string
-	Adapters     []string
-	Role         string
-	Keeper       string
+	Name       string
+	Address    string
+	DataCentre string
+	Model      string
+	Version    string
+	Adapters   []string
+	Role       string
+	// Keeper is the name of the entry that grants the engine's memory.
+	Keeper string
+	// MemoryTokens is the engine's total memory in tokens.
 	MemoryTokens int
-	PrefillRate  int
-	// OneWayDelay is the time of one way between the entry and the engine.
+	// PrefillRate is the engine's prefill rate in tokens a second.
+	PrefillRate int
+	// OneWayDelay is the network delay between the entry and the engine in one direction.
 	OneWayDelay time.Duration
-	// Load is shared by successive boards.
+	// Load is shared with the Engine of the same name in earlier and later indexes.
 	Load *Load
 }
 
-// EngineIndex is all engines that may be chosen. It is never changed.
+// EngineIndex holds all engines that can be chosen, by model and by name. It is immutable.
 type EngineIndex struct {
-	byModel  map[string][]*Engine
-	byName   map[string]*Engine
+	byModel map[string][]*Engine
+	byName  map[string]*Engine
+	// rotation counts the choices made with RoundRobin.
 	rotation *atomic.Uint64
 }
 
-// NewEngineIndex returns a board of the engines.
+// NewEngineIndex returns an index of the engines.
 func NewEngineIndex(engines []*Engine) *EngineIndex {
 	x := &EngineIndex{byModel: map[string][]*Engine{}, byName: make(map[string]*Engine, len(engines)), rotation: &atomic.Uint64{}}
 	for _, e := range engines {
@@ -134,44 +151,46 @@
 	return x
 }
 
-// Engine finds an engine by name.
+// Engine returns the engine of a name and reports whether there is one.
 func (x *EngineIndex) Engine(name string) (*Engine, bool) {
 	e, ok := x.byName[name]
 	return e, ok
 }
 
-// EnginesFor returns the engines that serve a model. The slice is not to be
-// changed.
+// EnginesFor returns the engines that serve a model. The caller must not modify the slice.
 func (x *EngineIndex) EnginesFor(model string) []*Engine { return x.byModel[model] }
 
-// Requirements is what a prompt needs.
+// Requirements is what a prompt needs of an engine.
 type Requirements struct {
-	Model   string
+	Model string
+	// Adapter is the name of the adapter to apply, empty for none.
 	Adapter string
-	// Version, where not empty, is the only one that will do: an answer is
-	// not continued by another version.
+	// Version, if not empty, is the model version that the engine must serve, as an answer can't be
+	// resumed by another version.
 	Version string
-	// Class is what the engines schedule the prompt by.
+	// Class is the length class of the prompt.
 	Class LengthClass
-	// PrefillTokens are to be prefilled; MemoryTokens is the memory needed.
+	// PrefillTokens is the number of tokens to prefill.
 	PrefillTokens int
-	MemoryTokens  int
-	// MaxAnswerTokens is the longest that the answer may be.
+	// MemoryTokens is the memory needed in tokens.
+	MemoryTokens int
+	// MaxAnswerTokens is the maximum length of the answer in tokens.
 	MaxAnswerTokens int
-	// Exclude names engines that failed the request already.
+	// Exclude is the names of engines that failed the request before.
 	Exclude []string
 }
 
-// Choice is one engine to ask, in order of preference.
+// Choice is a candidate engine.
 type Choice struct {
 	Engine *Engine
-	// PredictedTime is the estimated time to first token and, for an engine much
-	// slower than others at the tokens that follow, the time lost by that.
+	// PredictedTime is the predicted time to first token. Under the Predicted policy, an engine
+	// that is much slower than the others at the tokens that follow also has the delay of these
+	// added.
 	PredictedTime time.Duration
 }
 
-// Choose returns at most most engines to ask, best first. It returns none
-// when no engine fits.
+// Choose returns up to maxChoices engines that satisfy the needs, in the order of the policy, best
+// first.
 func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxChoices int, random *rand.Rand) []Choice {
 	serving := x.byModel[needs.Model]
 	choices := make([]Choice, 0, min(len(serving), sampleSize))
@@ -200,6 +219,8 @@
 	return choices[:min(maxChoices, len(choices))]
 }
 
+// satisfies reports whether the engine can run a prompt with the given needs. The engines of an
+// index are listed by model, so it does not compare models.
 func (e *Engine) satisfies(needs Requirements) bool {
 	if needs.MemoryTokens > e.MemoryTokens || slices.Contains(needs.Exclude, e.Name) {
 		return false
@@ -210,9 +231,10 @@
 	return needs.Adapter == "" || slices.Contains(e.Adapters, needs.Adapter)
 }
 
-// PredictFirstToken estimates the time to first token of a prompt on the engine: what the
-// keeper said was queued before it, less what was prefilled since, or what
-// this entry sent, whichever is more.
+// PredictFirstToken estimates the time to first token of a prompt of the given class on the engine:
+// the prefill of the tokens queued ahead, the prefill of the prompt itself and a network round
+// trip. The tokens queued ahead are those of the keeper's last report, less what the engine has
+// prefilled since, or the tokens that this entry sent, whichever is more.
 func (e *Engine) PredictFirstToken(now time.Time, class LengthClass, prefillTokens int) time.Duration {
 	rate := float64(max(1, e.PrefillRate))
 	queued := float64(sumUpTo(&e.Load.QueuedTokens, class))
@@ -224,6 +246,7 @@
 	return 2*e.OneWayDelay + time.Duration(seconds*float64(time.Second))
 }
 
+// sumUpTo returns the sum of the tokens of a class and all shorter ones.
 func sumUpTo(tokens *[ClassCount]atomic.Int64, class LengthClass) int64 {
 	sum := int64(0)
 	for c := range class + 1 {
@@ -232,6 +255,7 @@
 	return sum
 }
 
+// sortChoices puts the choices in the order of the policy.
 func (x *EngineIndex) sortChoices(policy Policy, choices []Choice, random *rand.Rand) {
 	switch policy {
 	case Predicted:
@@ -266,6 +290,7 @@
 	random.Shuffle(len(choices), func(i, j int) { choices[i], choices[j] = choices[j], choices[i] })
 }
 
+// rotate sorts the choices by engine name and rotates them by the given number of places.
 func rotate(choices []Choice, rotation uint64) {
 	if len(choices) < 2 {
 		return
@@ -285,16 +310,18 @@
 }
 
 const (
-	// newSampleWeight is the part of the pace that a new sight of it makes up.
+	// newSampleWeight is the weight of a new measurement in the moving average of the time per
+	// token.
 	newSampleWeight = 0.5
-	// timePerTokenTTL is how long a pace is believed; then the engine is tried again.
+	// timePerTokenTTL is how long a measured time per token counts. After that the engine is tried
+	// again.
 	timePerTokenTTL = 2 * time.Minute
-	// slowFactor is how much slower than the fastest an engine may be before
-	// that counts.
+	// slowFactor is how many times slower than the fastest candidate an engine must be for its time
+	// per token to count.
 	slowFactor = 2
 )
 
-// RecordTimePerToken takes in the time between answer tokens of an attempt.
+// RecordTimePerToken records the time between answer tokens that an attempt measured.
 func (l *Load) RecordTimePerToken(now time.Time, timePerToken time.Duration) {
 	if previous := l.recentTimePerToken(now); previous > 0 {
 		timePerToken = previous + time.Duration(newSampleWeight*float64(timePerToken-previous))
@@ -303,7 +330,8 @@
 	l.timePerTokenAt.Store(now.UnixNano())
 }
 
-// recentTimePerToken is the pace, or 0 where none was seen lately.
+// recentTimePerToken returns the average time per token, or 0 if nothing was measured within
+// timePerTokenTTL.
 func (l *Load) recentTimePerToken(now time.Time) time.Duration {
 	at := l.timePerTokenAt.Load()
 	if at == 0 || now.Sub(time.Unix(0, at)) > timePerTokenTTL {
@@ -312,8 +340,9 @@
 	return time.Duration(l.timePerToken.Load())
 }
 
-// addTokenDelay adds what the answer would lose on engines that answer all
-// questions in time and work slowly, as a gray failure does.
+// addTokenDelay adds to each much slower engine's predicted time the delay of the whole answer
+// compared to the fastest candidate. This detects gray failures: engines that answer every report
+// in time but generate slowly.
 func addTokenDelay(now time.Time, choices []Choice, maxAnswerTokens int) {
 	fastest := time.Duration(0)
 	for _, c := range choices {
@@ -330,7 +359,7 @@
 	}
 }
 
-// RecordReport takes over what a keeper said of the engine.
+// RecordReport records a keeper's report of the engine's load.
 func (l *Load) RecordReport(now time.Time, queued TokensByClass, freeTokens int) {
 	for c, tokens := range queued {
 		l.QueuedTokens[c].Store(int64(tokens))
