--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -1,6 +1,6 @@
-// Package admitter decides whether a request is admitted, and holds the table
-// of requests in flight. Every admitted request has one owner and a limit on
-// the monotonic clock; at rest the table is empty.
+// Package admitter decides whether a request is admitted, and tracks the requests in flight. Each
+// admitted request has one owner, which must release it, and a deadline on the monotonic clock. An
+// idle entry has no request in flight.
 package admitter
 
 import (
@@ -11,69 +11,71 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Limits in force.
+// Limits are the limits of admission, from the configuration document.
 type Limits struct {
-	// MaxInFlight bounds all requests in flight at this entry.
+	// MaxInFlight bounds the number of requests in flight at this entry.
 	MaxInFlight int
-	// MaxTimeout bounds, and DefaultTimeout stands in for, a caller's limit.
+	// MaxTimeout bounds the timeout that a caller can set. DefaultTimeout applies if the caller
+	// sets none.
 	MaxTimeout     time.Duration
 	DefaultTimeout time.Duration
 }
 
-// Request as far as admission is concerned.
+// Request describes a request to admit.
 type Request struct {
 	ID           string
 	Organisation string
-	// OrganisationLimit bounds the organisation's requests in flight.
+	// OrganisationLimit bounds the number of the organisation's requests in flight at this entry.
 	OrganisationLimit int
-	// Timeout is the caller's limit; Given is false where it named none.
+	// Timeout is the timeout that the caller set. HasTimeout is false if it set none.
 	Timeout    time.Duration
 	HasTimeout bool
 }
 
-// Refusal says why a request was not admitted. A refused request was not run.
+// Refusal is the error for a request that was not admitted and so did not run.
 type Refusal struct {
+	// Code is an error code of package api.
 	Code    string
 	Message string
-	// RetryAfter is 0 when asking again would not help.
+	// RetryAfter is the time after which the caller should retry, 0 if a retry would not help.
 	RetryAfter time.Duration
 }
 
 func (r *Refusal) Error() string { return r.Code + ": " + r.Message }
 
-// Bounds of the random time after which a refused caller is asked to return.
+// minRetryAfter and maxRetryAfter bound the random time after which a refused caller should retry.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
 
-// Admitter holds the table. It is not safe for concurrent use.
+// Admitter tracks the requests in flight. It is not safe for concurrent use.
 type Admitter struct {
 	random *rand.Rand
-	// inFlight maps request ids to what is in flight.
+	// inFlight maps request IDs to the requests in flight.
 	inFlight map[string]inFlightRequest
-	// perOrganisation counts flights; no entry is zero.
+	// perOrganisation counts the requests in flight by organisation. No count is zero.
 	perOrganisation map[string]int
 }
 
+// inFlightRequest is a request that was admitted and not yet released.
 type inFlightRequest struct {
 	organisation string
 	deadline     time.Time
 }
 
-// New returns an admitter with nothing in flight.
+// New returns an admitter with no request in flight.
 func New(random *rand.Rand) *Admitter {
 	return &Admitter{random: random, inFlight: map[string]inFlightRequest{}, perOrganisation: map[string]int{}}
 }
 
-// RetryAfter draws a time to come back, spread so that callers do not return
-// together.
+// RetryAfter returns a random time for a refused caller to wait, so that callers do not all retry
+// at the same time.
 func (a *Admitter) RetryAfter() time.Duration {
 	return minRetryAfter + time.Duration(a.random.Int64N(int64(maxRetryAfter-minRetryAfter)))
 }
 
-// Admit takes a request into the table and returns its deadline, or says why
-// not.
+// Admit admits a request and returns its deadline, or returns why it is refused.
 func (a *Admitter) Admit(now time.Time, l Limits, r Request) (time.Time, *Refusal) {
 	timeout := r.Timeout
 	if !r.HasTimeout {
@@ -97,8 +99,8 @@
 	return deadline, nil
 }
 
-// Release takes a request out of the table. It reports whether it was there,
-// and how long past its deadline it is, 0 when in time.
+// Release removes a request from those in flight. It reports whether the request was present, and
+// how long after its deadline it was released, 0 if in time.
 func (a *Admitter) Release(now time.Time, id string) (present bool, overdue time.Duration) {
 	f, ok := a.inFlight[id]
 	if !ok {
@@ -112,5 +114,5 @@
 	return true, max(0, now.Sub(f.deadline))
 }
 
-// InFlight is how many requests are in the table.
+// InFlight returns the number of requests in flight.
 func (a *Admitter) InFlight() int { return len(a.inFlight) }
