--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -1,6 +1,6 @@
-// Package budgeter bounds how often requests are sent once more. All entries
-// share one budget for each service without shared state: each takes the part
-// of it that its own requests and the number of entries give it.
+// Package budgeter limits retries. All entries share one retry budget for each service without
+// shared state: each entry uses a fraction of it, which depends on its own requests and on the
+// number of entries.
 package budgeter
 
 import (
@@ -9,48 +9,51 @@
 )
 
 const (
-	// bucketCount is into how many parts the window is cut.
+	// bucketCount is the number of buckets that a service's counts are kept in. All but one of them
+	// cover Config.Window.
 	bucketCount = 20
-	// usableFraction is the part of the budget that is used: entries may know too few
-	// of the others, and windows don't begin together.
+	// usableFraction is the fraction of the budget that entries use. The rest is a margin, as an
+	// entry may not know of all others and the windows of entries do not start at the same time.
 	usableFraction = 0.8
 )
 
-// Config of the budget, for all entries together.
+// Config is the retry budget of each service, over all entries.
 type Config struct {
-	// Ratio of the requests in a window, and Slack besides, may be sent more.
-	Ratio  float64
+	// Ratio is the number of retries allowed for each request within a window.
+	Ratio float64
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
-	Slack  int
+	// Slack is the number of retries allowed in a window, over all entries, in addition to Ratio.
+	Slack int
 }
 
-// Budgeter counts requests and repeats by service. It is safe for concurrent
-// use.
+// Budgeter counts requests and retries by service. It is safe for concurrent use.
 type Budgeter struct {
 	lock     sync.Mutex
 	config   Config
 	services map[string]*slidingWindow
 }
 
-// New returns a budget of which nothing is used.
+// New returns a budget with no requests or retries counted.
 func New(c Config) *Budgeter {
 	return &Budgeter{config: c, services: map[string]*slidingWindow{}}
 }
 
-// Configure takes over new bounds.
+// Configure replaces the configuration.
 func (b *Budgeter) Configure(c Config) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.config = c
 }
 
-// slidingWindow counts in buckets of a part of the window.
+// slidingWindow counts the requests and retries of a service in the latest bucketCount buckets.
 type slidingWindow struct {
 	requests, retries [bucketCount]int
-	// newest is the number of the newest bucket since the epoch.
+	// newest is the number of the latest bucket, counted from the Unix epoch.
 	newest int64
 }
 
+// advance moves the window forward so that the given bucket is the latest.
 func (w *slidingWindow) advance(bucket int64) {
 	if bucket-w.newest >= bucketCount {
 		*w = slidingWindow{newest: bucket}
@@ -62,6 +65,7 @@
 	}
 }
 
+// windowOf returns the window of a service, advanced to the time now.
 func (b *Budgeter) windowOf(now time.Time, service string) *slidingWindow {
 	w, ok := b.services[service]
 	if !ok {
@@ -72,7 +76,7 @@
 	return w
 }
 
-// RecordRequest counts a request for a service.
+// RecordRequest counts a request to a service.
 func (b *Budgeter) RecordRequest(now time.Time, service string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -80,8 +84,8 @@
 	w.requests[w.newest%bucketCount]++
 }
 
-// SpendRetry takes one repeat out of the budget and reports whether there was one.
-// Entries is how many entries share the budget.
+// SpendRetry reports whether the budget of a service allows a retry, and counts the retry if so.
+// Entries is the number of entries that share the budget.
 func (b *Budgeter) SpendRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -93,13 +97,14 @@
 	return true
 }
 
-// HasRetry reports whether there is a repeat to spend.
+// HasRetry reports whether the budget of a service allows a retry now, without counting one.
 func (b *Budgeter) HasRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.canRetry(b.windowOf(now, service), entries)
 }
 
+// canRetry reports whether one more retry is within this entry's fraction of the budget.
 func (b *Budgeter) canRetry(w *slidingWindow, entries int) bool {
 	budget := b.config.Ratio*float64(sum(w.requests)) + float64(b.config.Slack)/float64(max(1, entries))
 	return float64(sum(w.retries)+1) <= usableFraction*budget
--- a/budgeter/budgeter_test.go
+++ b/budgeter/budgeter_test.go
@@ -11,8 +11,8 @@
 
 var config = budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 70}
 
-// Seven entries that all retry as often as they may stay within the shared
-// budget in every window, however their load is spread.
+// Seven entries that retry as often as they are allowed to stay within the shared budget in every
+// window, however requests are distributed among them.
 func TestEntriesStayWithinSharedBudget(t *testing.T) {
 	is := is.New(t)
 	const entries = 7
@@ -43,7 +43,7 @@
 	for tick := range 400 {
 		from := start.Add(time.Duration(tick) * 50 * time.Millisecond)
 		allowed := config.Ratio*float64(within(requested, from)) + float64(config.Slack)
-		is.True(float64(within(retried, from)) <= allowed) // repeats in every window
+		is.True(float64(within(retried, from)) <= allowed) // retries in every window
 	}
 	is.True(len(retried) > 100)
 }
@@ -55,6 +55,6 @@
 	for b.SpendRetry(now, "lm", 7) {
 	}
 	is.True(!b.SpendRetry(now, "lm", 7))
-	is.True(b.SpendRetry(now, "app", 7)) // each service has its own
+	is.True(b.SpendRetry(now, "app", 7)) // each service has a budget of its own
 	is.True(b.SpendRetry(now.Add(11*time.Second), "lm", 7))
 }
