--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -1,7 +1,6 @@
-// Package adopter decides which configuration document is in force at one
-// instance. Documents arrive from the configuration service and from peers in
-// any order, late, twice or damaged; the adopter keeps the greatest valid one
-// in the total order of validator.Version and never goes back.
+// Package adopter decides which configuration document is in force at an instance. Documents arrive
+// from the configuration service and from peers in any order, late, repeated or damaged. The
+// adopter keeps the greatest valid document in the order of validator.Version and never goes back.
 package adopter
 
 import (
@@ -11,23 +10,24 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxDigests bounds the digests remembered as refused or superseded.
+// maxDigests bounds the number of digests kept of refused documents, and of superseded ones.
 const maxDigests = 64
 
-// OfferStatus says what became of an offered document.
+// OfferStatus is the result of offering a document.
 type OfferStatus int
 
-// The verdicts.
+// The statuses of an offered document.
 const (
-	// Adopted: the document is now in force.
+	// Adopted means that the document is now in force.
 	Adopted OfferStatus = iota
-	// Same: the document was in force already.
+	// Same means that the document was already in force.
 	Same
-	// Older: a greater document is in force.
+	// Older means that a document with a greater version is in force.
 	Older
-	// Superseded: the document has the revision in force but lost the tie.
+	// Superseded means that the document has the same revision as the one in force, but a lower
+	// digest.
 	Superseded
-	// Refused: the document is not valid.
+	// Refused means that the document is invalid.
 	Refused
 )
 
@@ -35,35 +35,38 @@
 
 func (v OfferStatus) String() string { return statusNames[v] }
 
-// Result is the outcome of an offer.
+// Result is the result of offering a document.
 type Result struct {
-	Status  OfferStatus
+	Status OfferStatus
+	// Version is the version of the offered document. It has only a digest if the document is
+	// invalid.
 	Version validator.Version
-	// LoserDigest is the digest of a document of the same revision that lost to
-	// another, empty otherwise. Its publisher has to be told.
+	// LoserDigest is the digest of a document that lost a tie, that is, a document with the same
+	// revision and a greater digest is in force. It is empty if there was no tie. The publisher of
+	// the losing document must be notified.
 	LoserDigest string
-	// Err says why the document was refused.
+	// Err says why the document is invalid, nil if it is valid.
 	Err error
-	// AdoptedAt is when the document in force came into force.
+	// AdoptedAt is the time at which the document now in force was adopted.
 	AdoptedAt time.Time
 }
 
-// Adopter holds the document in force. It is not safe for concurrent use.
+// Adopter holds the configuration document in force. It is not safe for concurrent use.
 type Adopter struct {
-	// current never goes back in the order of its Version.
+	// current is the document in force, or nil. Its Version never decreases.
 	current   *validator.Accepted
 	adoptedAt time.Time
-	// refused maps digests of invalid documents to the reason.
+	// refused maps the digests of invalid documents to the errors.
 	refused map[string]error
-	// superseded lists losers of ties, oldest first.
+	// superseded is the digests of documents that lost a tie, oldest first.
 	superseded []string
-	// untriedSources are the sources that have yet to answer or fail before this
-	// instance may take traffic.
+	// untriedSources are the sources of documents that have neither answered nor failed yet. The
+	// instance accepts no requests before the set is empty.
 	untriedSources map[string]bool
 }
 
-// New returns an adopter with no document in force that waits for the named
-// sources to be asked once.
+// New returns an adopter with no document in force. It is not ready before every named source has
+// been tried once.
 func New(sources ...string) *Adopter {
 	a := &Adopter{refused: map[string]error{}, untriedSources: map[string]bool{}}
 	for _, s := range sources {
@@ -72,20 +75,20 @@
 	return a
 }
 
-// MarkSourceTried notes that a source has answered, or could not be reached in time.
+// MarkSourceTried records that a source has answered, or could not be reached in time.
 func (a *Adopter) MarkSourceTried(source string) {
 	delete(a.untriedSources, source)
 }
 
-// IsReady reports whether a document is in force and every source was asked.
+// IsReady reports whether a document is in force and every source has been tried.
 func (a *Adopter) IsReady() bool {
 	return a.current != nil && len(a.untriedSources) == 0
 }
 
-// Current returns the document in force, or nil.
+// Current returns the document in force, or nil if there is none.
 func (a *Adopter) Current() *validator.Accepted { return a.current }
 
-// Version returns the version in force, zero when there is none.
+// Version returns the version of the document in force, or the zero version if there is none.
 func (a *Adopter) Version() validator.Version {
 	if a.current == nil {
 		return validator.Version{}
@@ -93,13 +96,13 @@
 	return a.current.Version
 }
 
-// SupersededDigests lists the digests of documents that lost a tie, oldest first.
+// SupersededDigests returns the digests of documents that lost a tie, oldest first.
 func (a *Adopter) SupersededDigests() []string {
 	return append([]string(nil), a.superseded...)
 }
 
-// ShouldFetch reports whether a peer's version, whose digest may be shortened, is
-// worth fetching.
+// ShouldFetch reports whether a document of a peer should be fetched: its version is greater than
+// the one in force and it was not refused before. The digest may be shortened.
 func (a *Adopter) ShouldFetch(v validator.Version) bool {
 	for digest := range a.refused {
 		if v.Digest != "" && strings.HasPrefix(digest, v.Digest) {
@@ -111,7 +114,7 @@
 	return own.Less(v)
 }
 
-// Offer considers a document's bytes.
+// Offer parses a document and adopts it if it is valid and greater than the one in force.
 func (a *Adopter) Offer(now time.Time, data []byte) Result {
 	digest := validator.Digest(data)
 	if result, seen := a.KnownResult(digest); seen {
@@ -121,8 +124,8 @@
 	return a.OfferParsed(now, digest, offered, err)
 }
 
-// KnownResult answers for a document that is in force or was refused before, so that
-// it need not be parsed again.
+// KnownResult returns the result for a document that is already in force or was refused before,
+// which need not be parsed again. It reports whether the document is one of these.
 func (a *Adopter) KnownResult(digest string) (Result, bool) {
 	if a.current != nil && digest == a.current.Version.Digest {
 		return Result{Status: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
@@ -133,8 +136,8 @@
 	return Result{}, false
 }
 
-// OfferParsed considers a document that was parsed already, away from the goroutine
-// that owns the adopter; err is why it is not valid, or nil.
+// OfferParsed offers a document that was already parsed, on a goroutine other than the one that
+// owns the adopter. Err is the reason why the document is invalid, or nil.
 func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.Accepted, err error) Result {
 	if err != nil {
 		a.recordRefused(digest, err)
@@ -161,6 +164,7 @@
 	return result
 }
 
+// recordRefused records an invalid document. At maxDigests it first discards all earlier ones.
 func (a *Adopter) recordRefused(digest string, err error) {
 	if len(a.refused) >= maxDigests {
 		clear(a.refused)
@@ -168,6 +172,7 @@
 	a.refused[digest] = err
 }
 
+// recordSuperseded records a document that lost a tie, and discards the oldest beyond maxDigests.
 func (a *Adopter) recordSuperseded(loser string) {
 	if loser == "" {
 		return
--- a/adopter/adopter_test.go
+++ b/adopter/adopter_test.go
@@ -12,8 +12,8 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// Adopters that see the same documents in any order, some twice, end on the
-// same one, and none ever goes back.
+// Adopters that are offered the same documents in any order, some of them twice, all end with the
+// same document, and none goes back to a lower version.
 func TestOrderOfArrivalDoesNotMatter(t *testing.T) {
 	var documents [][]byte
 	for revision := 1; revision <= 3; revision++ {
@@ -31,7 +31,7 @@
 				before := a.Version()
 				a.Offer(time.Time{}, d)
 				if a.Version().Less(before) {
-					t.Fatalf("went back from %v to %v", before, a.Version())
+					t.Fatalf("version went back from %v to %v", before, a.Version())
 				}
 			}
 			ends[a.Version()] = true
