--- a/sealer/example_test.go
+++ b/sealer/example_test.go
@@ -43,7 +43,7 @@
 	f.Add([]byte("\n\n"))
 	f.Fuzz(func(t *testing.T, document []byte) {
 		if sealer.Verify(document, public) == nil && !bytes.Equal(document, sealer.Seal(document, key)) {
-			t.Fatal("a seal was taken for valid")
+			t.Fatal("an invalid seal was accepted")
 		}
 	})
 }
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -1,7 +1,6 @@
-// Package sealer puts a seal on a configuration document that passed the
-// check, and verifies it. The seal is the document's last line and signs all
-// that stands before it, revision and base among it, so a document that was
-// changed after the check carries no valid seal.
+// Package sealer seals configuration documents that passed the console's check, and verifies seals.
+// A seal is the last line of a document and a signature over everything before it, including the
+// revision and the base revision, so a document that was changed after the check has no valid seal.
 package sealer
 
 import (
@@ -13,42 +12,43 @@
 	"strings"
 )
 
-// sealPrefix begins the seal's line. It is a field of the document.
+// sealPrefix starts the line of the seal, which is the document's field Seal.
 const sealPrefix = "Seal: "
 
-// signatureDomain keeps a signature from being taken for one of something else.
+// signatureDomain starts every signed message, so that a signature of something else is not valid
+// as a seal.
 const signatureDomain = "sapphireramp document\n"
 
-// MissingSealError says that a document has no seal as its last line.
+// MissingSealError reports that the last line of a document is not a seal.
 type MissingSealError struct{}
 
 func (MissingSealError) Error() string { return "Seal: missing: must be the document's last line" }
 
-// InvalidSealError says that no accepted key made a document's seal.
+// InvalidSealError reports that a seal can't be decoded or was made by none of the accepted keys.
 type InvalidSealError struct{ Reason string }
 
 func (e InvalidSealError) Error() string { return "Seal: not valid: " + e.Reason }
 
-// Seal returns the document with a seal by the key; one that it has already
-// is replaced.
+// Seal returns the document with a seal made with the key, in place of any earlier seal.
 func Seal(document []byte, key ed25519.PrivateKey) []byte {
 	text := Strip(document)
 	signature := ed25519.Sign(key, signedMessage(text))
 	return fmt.Appendf(text, "%s%s\n", sealPrefix, base64.RawStdEncoding.EncodeToString(signature))
 }
 
+// signedMessage returns the message that a seal of the text signs.
 func signedMessage(text []byte) []byte {
 	return append([]byte(signatureDomain), text...)
 }
 
-// Strip returns a copy of the document without its seal, ending with a line
-// break.
+// Strip returns a copy of the document without its seal, ending with a line break.
 func Strip(document []byte) []byte {
 	text, _ := split(document)
 	return text
 }
 
-// split parts a document from its seal, which is empty where there is none.
+// split separates a document from its seal, which is empty if there is none. The text ends with a
+// line break.
 func split(document []byte) (text []byte, seal string) {
 	text = append(bytes.TrimRight(bytes.Clone(document), "\n"), '\n')
 	start := bytes.LastIndexByte(text[:len(text)-1], '\n') + 1
@@ -59,8 +59,8 @@
 	return text[:start], strings.TrimPrefix(last, sealPrefix)
 }
 
-// Verify reports why a document is not sealed by any of the keys, nil if it
-// is by one.
+// Verify returns nil if any of the keys made the document's seal. Otherwise the error is a
+// MissingSealError or an InvalidSealError.
 func Verify(document []byte, keys []ed25519.PublicKey) error {
 	text, seal := split(document)
 	if seal == "" {
@@ -68,7 +68,7 @@
 	}
 	signature, err := base64.RawStdEncoding.DecodeString(seal)
 	if err != nil {
-		return InvalidSealError{Reason: "not base64"}
+		return InvalidSealError{Reason: "signature is not base64"}
 	}
 	for _, k := range keys {
 		if ed25519.Verify(k, signedMessage(text), signature) {
@@ -78,12 +78,12 @@
 	return InvalidSealError{Reason: "no accepted key made it, or the document was changed since"}
 }
 
-// KeyError says that a text is no key.
+// KeyError reports that a text is not a key of WantBytes bytes in hex.
 type KeyError struct{ WantBytes int }
 
 func (e KeyError) Error() string { return fmt.Sprintf("must be %d bytes in hex", e.WantBytes) }
 
-// ParsePublicKey reads a public key in hex.
+// ParsePublicKey decodes a public key from hex. The error is a KeyError.
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
@@ -92,7 +92,8 @@
 	return raw, nil
 }
 
-// ParseSeed reads the seed of a private key in hex.
+// ParseSeed decodes the seed of a private key from hex and returns the key. The error is a
+// KeyError.
 func ParseSeed(text string) (ed25519.PrivateKey, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != ed25519.SeedSize {
@@ -101,7 +102,7 @@
 	return ed25519.NewKeyFromSeed(raw), nil
 }
 
-// FormatPublicKey is a key's public part in hex.
+// FormatPublicKey returns the public key of a private key in hex.
 func FormatPublicKey(key ed25519.PrivateKey) string {
 	return hex.EncodeToString(key.Public().(ed25519.PublicKey))
 }
