--- a/keeper/example_test.go
+++ b/keeper/example_test.go
@@ -15,18 +15,18 @@
 
 var load = api.EngineLoad{Name: "engine-1", Incarnation: 1, Model: "m", MemoryTokens: 1000}
 
-func ask(id string, tokens int) keeper.GrantRequest {
+func newRequest(id string, tokens int) keeper.GrantRequest {
 	return keeper.GrantRequest{AttemptID: id, Model: "m", PrefillTokens: tokens, MemoryTokens: tokens, Remaining: time.Minute}
 }
 
 func Example() {
 	now := time.Now()
 	k := keeper.New(config)
-	fmt.Println(k.RequestGrant(now, ask("a", 400)).Reason)
+	fmt.Println(k.RequestGrant(now, newRequest("a", 400)).Reason)
 	k.RecordReport(now, load, nil)
-	fmt.Println(k.RequestGrant(now, ask("a", 400)))
-	fmt.Println(k.RequestGrant(now, ask("b", 400)))
-	fmt.Println(k.RequestGrant(now, ask("c", 400)).Reason)
+	fmt.Println(k.RequestGrant(now, newRequest("a", 400)))
+	fmt.Println(k.RequestGrant(now, newRequest("b", 400)))
+	fmt.Println(k.RequestGrant(now, newRequest("c", 400)).Reason)
 	orphans := k.RecordReport(now, load, []api.EngineHold{{ID: "z", Owner: "gone", Tokens: 10, AgeSeconds: 7}})
 	fmt.Println(len(orphans), orphans[0].Hold.ID)
 	// Output:
@@ -42,7 +42,7 @@
 	now := time.Now()
 	k := keeper.New(config)
 	k.RecordReport(now, load, nil)
-	is.True(k.RequestGrant(now, ask("a", 800)).Granted)
+	is.True(k.RequestGrant(now, newRequest("a", 800)).Granted)
 	is.Equal(k.FreeTokens(), 200)
 	now = now.Add(3 * time.Second)
 	k.RecordReport(now, load, nil)
@@ -56,7 +56,7 @@
 	now := time.Now()
 	k := keeper.New(config)
 	k.RecordReport(now, load, nil)
-	is.True(k.RequestGrant(now, ask("a", 400)).Granted)
+	is.True(k.RequestGrant(now, newRequest("a", 400)).Granted)
 	k.RecordReport(now, load, []api.EngineHold{{ID: "a", Tokens: 400}})
 	is.Equal(k.FreeTokens(), 600)
 	is.Equal(k.GrantCount(), 0)
@@ -74,9 +74,9 @@
 	again := load
 	again.Incarnation = 2
 	k.RecordLoad(now, again)
-	is.Equal(k.RequestGrant(now, ask("a", 1)).Reason, keeper.NoReport)
+	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.NoReport)
 	k.RecordReport(now, again, nil)
-	is.True(k.RequestGrant(now, ask("a", 1)).Granted)
+	is.True(k.RequestGrant(now, newRequest("a", 1)).Granted)
 }
 
 // A prompt whose prefill can't end before its deadline is refused at once and takes no memory.
@@ -85,7 +85,7 @@
 	now := time.Now()
 	k := keeper.New(config)
 	k.RecordReport(now, load, nil)
-	a := ask("a", 500)
+	a := newRequest("a", 500)
 	a.Remaining = 4 * time.Second
 	is.Equal(k.RequestGrant(now, a).Reason, keeper.TooLate)
 	is.Equal(k.FreeTokens(), 1000)
@@ -98,13 +98,13 @@
 	leaving := load
 	leaving.Leaving = true
 	k.RecordReport(now, leaving, nil)
-	is.Equal(k.RequestGrant(now, ask("a", 1)).Reason, keeper.Leaving)
+	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.Leaving)
 	k.RecordReport(now, load, nil)
 	k.SetChanging(true)
-	is.Equal(k.RequestGrant(now, ask("a", 1)).Reason, keeper.Changing)
+	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.Changing)
 	k.SetChanging(false)
-	other := ask("a", 1)
+	other := newRequest("a", 1)
 	other.Model = "n"
 	is.Equal(k.RequestGrant(now, other).Reason, keeper.WrongModel)
-	is.Equal(k.RequestGrant(now.Add(time.Minute), ask("a", 1)).Reason, keeper.NoReport)
+	is.Equal(k.RequestGrant(now.Add(time.Minute), newRequest("a", 1)).Reason, keeper.NoReport)
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -101,8 +101,8 @@
 	// time backlogAt. No element is negative.
 	backlog   [router.ClassCount]float64
 	backlogAt time.Time
-	// lastGrant is the time of the last grant.
-	lastGrant time.Time
+	// lastGrantAt is the time of the last grant.
+	lastGrantAt time.Time
 	// listed is set once the engine's current incarnation has listed its holds.
 	listed bool
 	// changing stops grants while an order waits for the engine's streams to end.
@@ -166,7 +166,7 @@
 	k.lastReportAt = now
 	k.usedTokens = load.UsedTokens
 	k.removeExpiredGrants(now)
-	if now.Sub(k.lastGrant) > k.config.GrantTTL {
+	if now.Sub(k.lastGrantAt) > k.config.GrantTTL {
 		k.scaleBacklog(load.QueuedTokens)
 	}
 }
@@ -234,7 +234,7 @@
 	}
 	k.grants[r.AttemptID] = grant{memoryTokens: r.MemoryTokens, prefillTokens: r.PrefillTokens, class: r.Class, expiresAt: now.Add(k.config.GrantTTL)}
 	k.backlog[r.Class] += float64(r.PrefillTokens)
-	k.lastGrant = now
+	k.lastGrantAt = now
 	return GrantReply{Granted: true, QueueWait: wait, Reason: MemoryFree}
 }
 
--- a/relayer/example_test.go
+++ b/relayer/example_test.go
@@ -70,8 +70,8 @@
 			if request != "request" {
 				c.Choices[0].Text = "foreign"
 			}
-			text, verdict := r.Accept(c)
-			if verdict == relayer.Deliver || verdict == relayer.Whole {
+			text, result := r.Accept(c)
+			if result == relayer.Deliver || result == relayer.Whole {
 				got.WriteString(text)
 			}
 		}
--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -151,7 +151,8 @@
 	Release *Shard
 	// AllHeld is set when every shard is held.
 	AllHeld bool
-	// Failed is set when the reservation has ended and no shard is held.
+	// Failed is set when no shard is held any more, after an engine refused one or the group was
+	// released.
 	Failed bool
 }
 
