--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -29,24 +29,24 @@
 	SealSeed string `yaml:"SealSeed"`
 }
 
-// maxConsoleSettings is the largest file of a console's settings in bytes.
-const maxConsoleSettings = 64 << 10
+// maxConsoleSettingsBytes is the largest file of a console's settings in bytes.
+const maxConsoleSettingsBytes = 64 << 10
 
 func loadConsoleSettings(path string) (consoleSettings, error) {
-	var s consoleSettings
+	var settings consoleSettings
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return s, fmt.Errorf("read settings: %w", err)
+		return settings, fmt.Errorf("read settings: %w", err)
 	}
-	if err := decoder.Decode(data, maxConsoleSettings, &s); err != nil {
-		return s, fmt.Errorf("read settings: %w", err)
+	if err := decoder.Decode(data, maxConsoleSettingsBytes, &settings); err != nil {
+		return settings, fmt.Errorf("read settings: %w", err)
 	}
-	var faults decoder.FieldErrors
-	faults.Require(s.Address.IsValid() && s.Address.Port() != 0, "Address", s.Address, "IP:port")
-	faults.Require(s.Platform.IsValid() && s.Platform.Port() != 0, "Platform", s.Platform, "IP:port")
-	_, err = sealer.ParseSeed(s.SealSeed)
-	faults.Require(err == nil, "SealSeed", "(not shown)", "32 bytes in hex")
-	return s, faults.Err()
+	var fieldErrors decoder.FieldErrors
+	fieldErrors.Require(settings.Address.IsValid() && settings.Address.Port() != 0, "Address", settings.Address, "IP:port")
+	fieldErrors.Require(settings.Platform.IsValid() && settings.Platform.Port() != 0, "Platform", settings.Platform, "IP:port")
+	_, err = sealer.ParseSeed(settings.SealSeed)
+	fieldErrors.Require(err == nil, "SealSeed", "(not shown)", "32 bytes in hex")
+	return settings, fieldErrors.Err()
 }
 
 func consoleCommand() command {
@@ -58,46 +58,46 @@
 		if settingsFile == "" {
 			return fmt.Errorf("--settings: a file is needed")
 		}
-		s, err := loadConsoleSettings(settingsFile)
+		settings, err := loadConsoleSettings(settingsFile)
 		if err != nil {
 			return err
 		}
 		if printKey {
-			key, _ := sealer.ParseSeed(s.SealSeed)
+			key, _ := sealer.ParseSeed(settings.SealSeed)
 			_, err := fmt.Println(sealer.FormatPublicKey(key))
 			return err
 		}
-		return runConsole(ctx, s)
+		return runConsole(ctx, settings)
 	}}
 }
 
 // consoleTimeout bounds the reading of a form and the writing of a page.
 const consoleTimeout = 30 * time.Second
 
-func runConsole(ctx context.Context, s consoleSettings) error {
+func runConsole(ctx context.Context, settings consoleSettings) error {
 	logs, err := logger.New(logger.Config{Level: "info", Output: os.Stderr})
 	if err != nil {
 		return fmt.Errorf("make loggers: %w", err)
 	}
 	log := logs.Layer(logger.Document)
-	key, err := sealer.ParseSeed(s.SealSeed)
+	key, err := sealer.ParseSeed(settings.SealSeed)
 	if err != nil {
 		return fmt.Errorf("seal seed: %w", err)
 	}
-	c, err := console.New(console.Config{Platform: s.Platform, Entries: s.Entries, SealingKey: key, HTTPClient: &http.Client{}, Log: log})
+	c, err := console.New(console.Config{Platform: settings.Platform, Entries: settings.Entries, SealingKey: key, HTTPClient: &http.Client{}, Log: log})
 	if err != nil {
 		return fmt.Errorf("make console: %w", err)
 	}
-	web := &http.Server{Addr: s.Address.String(), Handler: c.Handler(), ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout}
-	failed := make(chan error, 1)
-	go func() { failed <- web.ListenAndServe() }()
-	log.Info("console", zap.Stringer("address", s.Address), zap.String("seal_key", sealer.FormatPublicKey(key)))
+	httpServer := &http.Server{Addr: settings.Address.String(), Handler: c.Handler(), ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout}
+	serveErrors := make(chan error, 1)
+	go func() { serveErrors <- httpServer.ListenAndServe() }()
+	log.Info("console", zap.Stringer("address", settings.Address), zap.String("seal_key", sealer.FormatPublicKey(key)))
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		return fmt.Errorf("serve console: %w", err)
 	case <-ctx.Done():
 	}
-	err = web.Shutdown(context.WithoutCancel(ctx))
+	err = httpServer.Shutdown(context.WithoutCancel(ctx))
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("stop console: %w", err)
 	}
--- a/cmd/sapphireramp/entry.go
+++ b/cmd/sapphireramp/entry.go
@@ -39,28 +39,28 @@
 	}
 	metrics := meter.New()
 	defer func() { _ = metrics.Close() }()
-	violated := func(name, detail string) {
+	onViolation := func(name, detail string) {
 		if strict {
 			_, _ = fmt.Fprintf(os.Stderr, "invariant %s: %s\n", name, detail)
-			os.Exit(exitViolated)
+			os.Exit(exitInvariantViolated)
 		}
 	}
-	s, err := server.New(server.Config{
+	entry, err := server.New(server.Config{
 		Settings: settings, Incarnation: uint64(time.Now().UnixNano()), Logs: logs,
-		MetricScope: metrics.Scope, MetricsHandler: metrics.Page, OnViolation: violated,
+		MetricScope: metrics.Scope, MetricsHandler: metrics.Page, OnViolation: onViolation,
 	})
 	if err != nil {
 		return fmt.Errorf("start entry: %w", err)
 	}
-	return s.Run(ctx)
+	return entry.Run(ctx)
 }
 
-// exitViolated is the exit code of an entry under --strict whose invariant
+// exitInvariantViolated is the exit code of an entry under --strict whose invariant
 // was broken.
-const exitViolated = 70
+const exitInvariantViolated = 70
 
-// checkPlatform checks files of the users' platform; an empty name is no file.
-func checkPlatform(settingsFile, configFile string) error {
+// checkPlatformFiles checks files of the users' platform; an empty name is no file.
+func checkPlatformFiles(settingsFile, configFile string) error {
 	if settingsFile != "" {
 		data, err := os.ReadFile(settingsFile)
 		if err != nil {
@@ -78,26 +78,26 @@
 	if err != nil {
 		return fmt.Errorf("read configuration: %w", err)
 	}
-	table, err := platform.DecodeConfig(data)
+	routeTable, err := platform.DecodeConfig(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", configFile, err)
 	}
-	_, err = fmt.Printf("%s: configuration is valid: version %d, %d routes\n", configFile, table.Config.Version, len(table.Config.Routes))
+	_, err = fmt.Printf("%s: configuration is valid: version %d, %d routes\n", configFile, routeTable.Config.Version, len(routeTable.Config.Routes))
 	return err
 }
 
 func checkCommand() command {
 	flags := newCommand("check", "check a configuration document or settings")
-	document, settingsFile, platformSettings, platformConfig := "", "", "", ""
-	flags.AddPositionalValue(&document, "FILE", 1, false, "configuration document (YAML)")
+	documentFile, settingsFile, platformSettings, platformConfig := "", "", "", ""
+	flags.AddPositionalValue(&documentFile, "FILE", 1, false, "configuration document (YAML)")
 	flags.String(&settingsFile, "s", "settings", "settings file to check (YAML)")
 	flags.String(&platformSettings, "p", "platform-settings", "settings file of the users' platform to check")
 	flags.String(&platformConfig, "c", "platform-config", "configuration of the users' platform to check (JSON)")
 	return command{flags: flags, run: func(context.Context) error {
-		if document == "" && settingsFile == "" && platformSettings == "" && platformConfig == "" {
+		if documentFile == "" && settingsFile == "" && platformSettings == "" && platformConfig == "" {
 			return fmt.Errorf("check: a document, or --settings, --platform-settings or --platform-config with a file, is needed")
 		}
-		if err := checkPlatform(platformSettings, platformConfig); err != nil {
+		if err := checkPlatformFiles(platformSettings, platformConfig); err != nil {
 			return err
 		}
 		if settingsFile != "" {
@@ -106,18 +106,18 @@
 			}
 			_, _ = fmt.Printf("%s: settings are valid\n", settingsFile)
 		}
-		if document == "" {
+		if documentFile == "" {
 			return nil
 		}
-		data, err := os.ReadFile(document)
+		data, err := os.ReadFile(documentFile)
 		if err != nil {
 			return fmt.Errorf("read document: %w", err)
 		}
 		accepted, err := validator.Parse(data)
 		if err != nil {
-			return fmt.Errorf("%s: %w", document, err)
+			return fmt.Errorf("%s: %w", documentFile, err)
 		}
-		_, err = fmt.Printf("%s: document is valid: revision %d digest %s\n", document, accepted.Version.Revision, accepted.Version.Digest)
+		_, err = fmt.Printf("%s: document is valid: revision %d digest %s\n", documentFile, accepted.Version.Revision, accepted.Version.Digest)
 		return err
 	}}
 }
--- a/cmd/sapphireramp/explain.go
+++ b/cmd/sapphireramp/explain.go
@@ -19,24 +19,24 @@
 	return command{flags: flags, run: func(context.Context) error {
 		logs := io.Reader(os.Stdin)
 		if file != "" {
-			opened, err := os.Open(file)
+			logFile, err := os.Open(file)
 			if err != nil {
 				return fmt.Errorf("open log: %w", err)
 			}
-			defer func() { _ = opened.Close() }()
-			logs = opened
+			defer func() { _ = logFile.Close() }()
+			logs = logFile
 		}
-		story, err := explainer.Explain(logs, request)
+		explanation, err := explainer.Explain(logs, request)
 		if err != nil {
 			return fmt.Errorf("explain %s: %w", request, err)
 		}
-		for _, l := range story.Lines {
-			_, _ = fmt.Println(l)
+		for _, line := range explanation.Lines {
+			_, _ = fmt.Println(line)
 		}
-		for _, m := range story.MissingLines {
-			_, _ = fmt.Println("missing:", m)
+		for _, missing := range explanation.MissingLines {
+			_, _ = fmt.Println("missing:", missing)
 		}
-		_, err = fmt.Println("cause:", story.Cause)
+		_, err = fmt.Println("cause:", explanation.Cause)
 		return err
 	}}
 }
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -21,14 +21,14 @@
 	"github.com/sapphireramp/sapphireramp/platform"
 )
 
-// addressLife is how long callers may keep an answer of the directory: short,
+// addressTTL is how long callers may keep an answer of the directory: short,
 // so that a stopping entry is soon forgotten, and long beside the milliseconds
 // that an answer takes.
-const addressLife = time.Second
+const addressTTL = time.Second
 
-// holdPart is the lease of reserved memory, in percent of the time for which
+// leasePercent is the lease of reserved memory, in percent of the time for which
 // it may stay set aside unused: a process that dies can't give it back.
-const holdPart = 80
+const leasePercent = 80
 
 func gatewayCommand() command {
 	flags := newCommand("gateway", "run an entry on the users' platform; "+platform.SettingsVariable+" names its settings file")
@@ -46,9 +46,9 @@
 }
 
 func runGateway(ctx context.Context, settings platform.Settings, metricsPort uint16, level string) error {
-	output := logger.NewQueue(os.Stdout)
-	defer func() { _ = output.Close() }()
-	logs, err := logger.New(logger.Config{Level: level, Output: output, Urgent: output.Urgent()})
+	logQueue := logger.NewQueue(os.Stdout)
+	defer func() { _ = logQueue.Close() }()
+	logs, err := logger.New(logger.Config{Level: level, Output: logQueue, Urgent: logQueue.Urgent()})
 	if err != nil {
 		return fmt.Errorf("make loggers: %w", err)
 	}
@@ -60,22 +60,22 @@
 	})
 	// Engines may drop idle connections without notice, and an order that meets
 	// that can't be told from one that was refused.
-	orders := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	reservationHTTPClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	store := platform.NewStore(&http.Client{}, settings.StoreAddress)
 	config := launcher.Config{
 		Name: settings.Name, DataCentre: settings.DataCentre, Callers: settings.CallerAddress, Ready: settings.ReadinessAddress,
 		Peers: settings.PeerAddress, Directory: settings.DirectoryAddress, Shares: settings.LoadAddress,
-		AddressLife: min(addressLife, settings.MaxAddressTTL), Settings: changeable(settings),
+		AddressLife: min(addressTTL, settings.MaxAddressTTL), Settings: reloadableSettings(settings),
 		Reload: func() (launcher.Settings, error) {
 			s, err := platform.LoadSettings()
-			return changeable(s), err
+			return reloadableSettings(s), err
 		},
 		Store:    controller.Store{Read: store.Read, Watch: store.Watch, DecodeConfig: platform.DecodeConfig},
-		Protocol: platform.Protocol(), Orders: platform.NewReservationClient(orders),
+		Protocol: platform.Protocol(), Orders: platform.NewReservationClient(reservationHTTPClient),
 		InForce:          settings.MaxPropagation,
 		Speed:            settings.Speed,
 		MaxIdle:          settings.MaxIdle,
-		HoldTime:         min(settings.MaxReservationTTL, settings.MaxReservedAfterUse*holdPart/100),
+		HoldTime:         min(settings.MaxReservationTTL, settings.MaxReservedAfterUse*leasePercent/100),
 		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
 		Log: log, Scope: metrics.Scope, MetricsPage: metrics.Page, Asserter: invariants,
 	}
@@ -83,20 +83,20 @@
 		config.Metrics = netip.AddrPortFrom(settings.CallerAddress.Addr(), metricsPort)
 	}
 	reload := make(chan struct{}, 1)
-	go forwardHangups(reload)
+	go forwardReloadSignals(reload)
 	return launcher.New(config).Run(ctx, reload)
 }
 
-// changeable are the settings that may change while the entry runs.
-func changeable(s platform.Settings) launcher.Settings {
+// reloadableSettings are the settings that may change while the entry runs.
+func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
-		Seeds: s.Seeds, Grace: s.ShutdownGrace,
-		Budget: budgeter.Config{Ratio: s.RetryRatio, Window: s.RetryWindow, Slack: s.RetrySlack},
+		Seeds: settings.Seeds, Grace: settings.ShutdownGrace,
+		Budget: budgeter.Config{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack},
 	}
 }
 
-// forwardHangups turns SIGHUP into a request to read the settings again.
-func forwardHangups(reload chan<- struct{}) {
+// forwardReloadSignals turns SIGHUP into a request to read the settings again.
+func forwardReloadSignals(reload chan<- struct{}) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for range hangups {
--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -16,7 +16,7 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-func asOutcome(err error) (*client.EntryError, bool) {
+func asEntryError(err error) (*client.EntryError, bool) {
 	var refused *client.EntryError
 	ok := errors.As(err, &refused)
 	return refused, ok
@@ -24,10 +24,10 @@
 
 // lengthClass is a class of prompt lengths in tokens, as the table shows it.
 type lengthClass struct {
-	name      string
-	low, high int
-	// share is how many of a hundred requests are of the class.
-	share int
+	name                 string
+	minTokens, maxTokens int
+	// percent is how many of a hundred requests are of the class.
+	percent int
 }
 
 var lengthClasses = []lengthClass{
@@ -37,42 +37,42 @@
 	{"128k-1M", 128_000, 1_000_000, 2},
 }
 
-// bounds of the prompts sent, in tokens.
-type bounds struct{ shortest, longest int }
+// lengthRange of the prompts sent, in tokens.
+type lengthRange struct{ min, max int }
 
-// classTally is what was measured of one class.
-type classTally struct {
-	firstToken *hdrhistogram.Histogram
-	outcomes   map[api.Outcome]int
+// classResult is what was measured of one class.
+type classResult struct {
+	timeToFirstToken *hdrhistogram.Histogram
+	outcomes         map[api.Outcome]int
 }
 
-// load drives a running system.
-type load struct {
+// loadTest drives a running system.
+type loadTest struct {
 	client  *client.Client
 	request api.CompletionRequest
 	timeout time.Duration
 
 	lock    sync.Mutex
-	classes []classTally
+	results []classResult
 }
 
 func loadCommand() command {
 	flags := newCommand("load", "drive a running system and print a table")
-	t := newTarget()
-	t.attach(flags)
-	rate, duration, seed, lengths := 10.0, 10*time.Second, uint64(1), bounds{shortest: 1000, longest: 1_000_000}
+	options := newClientOptions()
+	options.addFlags(flags)
+	rate, duration, seed, lengths := 10.0, 10*time.Second, uint64(1), lengthRange{min: 1000, max: 1_000_000}
 	plotFile := ""
-	r := api.CompletionRequest{Stream: true, MaxTokens: 16}
+	request := api.CompletionRequest{Stream: true, MaxTokens: 16}
 	flags.String(&plotFile, "", "plot", "file to write a plot to (SVG)")
 	flags.Float64(&rate, "r", "rate", "requests a second")
 	flags.Duration(&duration, "d", "duration", "how long to send")
 	flags.UInt64(&seed, "", "seed", "seed of lengths and times")
-	flags.Int(&lengths.shortest, "", "shortest", "shortest prompt in tokens")
-	flags.Int(&lengths.longest, "", "longest", "longest prompt in tokens")
-	flags.String(&r.Model, "m", "model", "model to ask")
-	flags.Int(&r.MaxTokens, "n", "max-tokens", "tokens of each answer")
+	flags.Int(&lengths.min, "", "shortest", "shortest prompt in tokens")
+	flags.Int(&lengths.max, "", "longest", "longest prompt in tokens")
+	flags.String(&request.Model, "m", "model", "model to ask")
+	flags.Int(&request.MaxTokens, "n", "max-tokens", "tokens of each answer")
 	return command{flags: flags, run: func(ctx context.Context) error {
-		c, err := t.client()
+		c, err := options.newClient()
 		if err != nil {
 			return err
 		}
@@ -82,27 +82,27 @@
 		if duration <= 0 || duration > time.Hour {
 			return fmt.Errorf("--duration: %s: must be over 0 and at most 1h", duration)
 		}
-		if lengths.shortest < 1 || lengths.longest < lengths.shortest || lengths.longest > 100_000_000 {
-			return fmt.Errorf("--shortest, --longest: %d, %d: must be from 1 to 100000000, the shortest first", lengths.shortest, lengths.longest)
+		if lengths.min < 1 || lengths.max < lengths.min || lengths.max > 100_000_000 {
+			return fmt.Errorf("--shortest, --longest: %d, %d: must be from 1 to 100000000, the shortest first", lengths.min, lengths.max)
 		}
-		l := newLoad(c, r, t.timeout)
-		l.run(ctx, rand.New(rand.NewPCG(seed, seed)), rate, duration, lengths)
-		l.print()
-		return l.savePlot(plotFile)
+		test := newLoadTest(c, request, options.timeout)
+		test.run(ctx, rand.New(rand.NewPCG(seed, seed)), rate, duration, lengths)
+		test.printTable()
+		return test.savePlot(plotFile)
 	}}
 }
 
 // savePlot writes the plot to a file, if one was named.
-func (l *load) savePlot(path string) error {
+func (l *loadTest) savePlot(path string) error {
 	if path == "" {
 		return nil
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("--plot: %w", err)
 	}
-	err = l.plot(f)
-	if closed := f.Close(); err == nil {
+	err = l.writePlot(file)
+	if closed := file.Close(); err == nil {
 		err = closed
 	}
 	if err != nil {
@@ -113,17 +113,17 @@
 
 // histogram bounds, in microseconds.
 const (
-	leastMicros = 1
-	mostMicros  = 3_600_000_000
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = 3_600_000_000
+	significantDigits = 3
 )
 
-func newLoad(c *client.Client, r api.CompletionRequest, timeout time.Duration) *load {
-	l := &load{client: c, request: r, timeout: timeout}
+func newLoadTest(c *client.Client, r api.CompletionRequest, timeout time.Duration) *loadTest {
+	l := &loadTest{client: c, request: r, timeout: timeout}
 	for range lengthClasses {
-		l.classes = append(l.classes, classTally{
-			firstToken: hdrhistogram.New(leastMicros, mostMicros, digits),
-			outcomes:   map[api.Outcome]int{},
+		l.results = append(l.results, classResult{
+			timeToFirstToken: hdrhistogram.New(minMicros, maxMicros, significantDigits),
+			outcomes:         map[api.Outcome]int{},
 		})
 	}
 	return l
@@ -131,16 +131,16 @@
 
 // run sends requests at random times of the given mean rate, and waits for
 // all answers.
-func (l *load) run(ctx context.Context, random *rand.Rand, rate float64, duration time.Duration, lengths bounds) {
+func (l *loadTest) run(ctx context.Context, random *rand.Rand, rate float64, duration time.Duration, lengths lengthRange) {
 	var sent sync.WaitGroup
 	start := time.Now()
 	shown := start
 	for n := 1; time.Since(start) < duration && ctx.Err() == nil; n++ {
-		class, tokens := drawLength(random, lengths)
+		class, tokens := randomLength(random, lengths)
 		sent.Add(1)
 		go func() {
 			defer sent.Done()
-			l.one(ctx, class, tokens)
+			l.sendRequest(ctx, class, tokens)
 		}()
 		if time.Since(shown) > time.Second {
 			shown = time.Now()
@@ -151,45 +151,45 @@
 	sent.Wait()
 }
 
-func drawLength(random *rand.Rand, lengths bounds) (class, tokens int) {
-	draw := random.IntN(100)
+func randomLength(random *rand.Rand, lengths lengthRange) (class, tokens int) {
+	percent := random.IntN(100)
 	for i, c := range lengthClasses {
-		if draw < c.share || i == len(lengthClasses)-1 {
-			return i, min(lengths.longest, max(lengths.shortest, c.low+random.IntN(c.high-c.low)))
+		if percent < c.percent || i == len(lengthClasses)-1 {
+			return i, min(lengths.max, max(lengths.min, c.minTokens+random.IntN(c.maxTokens-c.minTokens)))
 		}
-		draw -= c.share
+		percent -= c.percent
 	}
-	return 0, lengthClasses[0].low
+	return 0, lengthClasses[0].minTokens
 }
 
-func (l *load) one(ctx context.Context, class, tokens int) {
+func (l *loadTest) sendRequest(ctx context.Context, class, tokens int) {
 	r := l.request
-	r.Prompt = strings.Repeat(filler, tokens)
+	r.Prompt = strings.Repeat(fillerToken, tokens)
 	result, err := l.client.Complete(ctx, r, client.Options{Timeout: l.timeout}, nil)
 	outcome := api.OutcomeAnswered
 	if err != nil {
 		outcome = api.OutcomeUnknown
 	}
-	if refused, ok := asOutcome(err); ok {
+	if refused, ok := asEntryError(err); ok {
 		outcome = refused.Detail.Outcome
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.classes[class].outcomes[outcome]++
+	l.results[class].outcomes[outcome]++
 	if err == nil {
-		_ = l.classes[class].firstToken.RecordValue(result.TimeToFirstToken.Microseconds())
+		_ = l.results[class].timeToFirstToken.RecordValue(result.TimeToFirstToken.Microseconds())
 	}
 }
 
-func (l *load) print() {
+func (l *loadTest) printTable() {
 	_, _ = fmt.Printf("%-10s %8s %8s %8s %10s %10s %10s\n", "tokens", "answered", "not_run", "unknown", "p50_ms", "p95_ms", "p99_ms")
 	for i, c := range lengthClasses {
-		t := l.classes[i]
+		t := l.results[i]
 		_, _ = fmt.Printf("%-10s %8d %8d %8d %10.1f %10.1f %10.1f\n", c.name, t.outcomes[api.OutcomeAnswered], t.outcomes[api.OutcomeNotRun], t.outcomes[api.OutcomeUnknown],
-			millis(t.firstToken, 50), millis(t.firstToken, 95), millis(t.firstToken, 99))
+			quantileMillis(t.timeToFirstToken, 50), quantileMillis(t.timeToFirstToken, 95), quantileMillis(t.timeToFirstToken, 99))
 	}
 }
 
-func millis(h *hdrhistogram.Histogram, percentile float64) float64 {
+func quantileMillis(h *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
--- a/cmd/sapphireramp/main.go
+++ b/cmd/sapphireramp/main.go
@@ -30,15 +30,15 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := start(ctx, os.Args[1:]); err != nil {
+	if err := runCommand(ctx, os.Args[1:]); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "sapphireramp:", err)
 		stop()
 		os.Exit(1)
 	}
 }
 
-// start reads the command line and runs the subcommand that it names.
-func start(ctx context.Context, args []string) error {
+// runCommand reads the command line and runs the subcommand that it names.
+func runCommand(ctx context.Context, args []string) error {
 	parser := flaggy.NewParser("sapphireramp")
 	parser.Description = "a serving layer for prompts of a thousand to a million tokens"
 	parser.Version = version
