--- a/cmd/sapphireramp/ask.go
+++ b/cmd/sapphireramp/ask.go
@@ -17,29 +17,32 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// clientOptions is the flags that every command towards the entries has.
+// clientOptions holds the flags that are common to all commands that send requests to entries.
 type clientOptions struct {
+	// seeds lists the addresses of entries, IP:port, separated by commas.
 	seeds      string
 	apiKey     string
 	dataCentre string
 	timeout    time.Duration
-	maxTries   int
-	seedsOnly  bool
+	// maxTries is at least 1; see client.Config.
+	maxTries  int
+	seedsOnly bool
 }
 
 func (o *clientOptions) addFlags(flags *flaggy.Subcommand) {
-	flags.String(&o.seeds, "e", "entry", "entries to ask for addresses, IP:port, separated by commas")
-	flags.String(&o.apiKey, "k", "key", "bearer key of the organisation")
+	flags.String(&o.seeds, "e", "entry", "addresses of entries, IP:port, separated by commas; the client asks them for the addresses to use")
+	flags.String(&o.apiKey, "k", "key", "API key of the organisation, sent as bearer token")
 	flags.String(&o.dataCentre, "", "data-centre", "data centre whose entries are preferred")
-	flags.Bool(&o.seedsOnly, "", "direct", "use the entries named themselves, without asking for addresses")
-	flags.Duration(&o.timeout, "t", "timeout", "time limit of the request")
-	flags.Int(&o.maxTries, "", "tries", "how often the request is sent at most")
+	flags.Bool(&o.seedsOnly, "", "direct", "send requests only to the entries given by --entry, without asking them for addresses")
+	flags.Duration(&o.timeout, "t", "timeout", "time limit of a request")
+	flags.Int(&o.maxTries, "", "tries", "maximum number of times that a request is sent")
 }
 
 func newClientOptions() *clientOptions {
 	return &clientOptions{timeout: time.Minute, maxTries: 3}
 }
 
+// parseSeeds parses --entry. It returns an error when the flag is empty or an address isn't IP:port.
 func (o *clientOptions) parseSeeds() ([]netip.AddrPort, error) {
 	if o.seeds == "" {
 		return nil, fmt.Errorf("--entry: at least one IP:port is needed")
@@ -55,13 +58,14 @@
 	return out, nil
 }
 
+// newClient checks the flags and returns a client that is configured by them.
 func (o *clientOptions) newClient() (*client.Client, error) {
 	seeds, err := o.parseSeeds()
 	if err != nil {
 		return nil, err
 	}
 	if o.timeout <= 0 {
-		return nil, fmt.Errorf("--timeout: %s: must be more than 0", o.timeout)
+		return nil, fmt.Errorf("--timeout: %s: must be greater than 0", o.timeout)
 	}
 	if o.maxTries < 1 {
 		return nil, fmt.Errorf("--tries: %d: must be at least 1", o.maxTries)
@@ -69,23 +73,24 @@
 	return client.New(client.Config{Seeds: seeds, SeedsOnly: o.seedsOnly, APIKey: o.apiKey, DataCentre: o.dataCentre, MaxTries: o.maxTries, HTTPClient: &http.Client{}}), nil
 }
 
-// fillerToken is the text of which made-up prompts consist: 4 bytes, one token.
+// fillerToken is repeated to generate prompts of a given length. Its 4 bytes count as one token; see
+// api.BytesPerToken.
 const fillerToken = "abc "
 
 func askCommand() command {
-	flags := newCommand("ask", "send a prompt and print the answer")
+	flags := newCommand("ask", "send a prompt and print the response")
 	options := newClientOptions()
 	options.addFlags(flags)
 	request := api.CompletionRequest{Stream: true, MaxTokens: 16}
 	promptFile, atMostOnce, isQuiet, fillerTokens := "", false, false, 0
-	flags.AddPositionalValue(&request.Prompt, "PROMPT", 1, false, "the prompt's text")
-	flags.String(&request.Model, "m", "model", "model to ask")
-	flags.String(&request.Adapter, "", "adapter", "adapter to use")
-	flags.Int(&request.MaxTokens, "n", "max-tokens", "tokens of the answer")
-	flags.String(&promptFile, "f", "file", "file with the prompt")
-	flags.Int(&fillerTokens, "", "tokens", "make up a prompt of this many tokens")
-	flags.Bool(&atMostOnce, "", "once", "the request may run at most once")
-	flags.Bool(&isQuiet, "q", "quiet", "print a line of key=value pairs instead of the answer")
+	flags.AddPositionalValue(&request.Prompt, "PROMPT", 1, false, "text of the prompt")
+	flags.String(&request.Model, "m", "model", "model that runs the prompt")
+	flags.String(&request.Adapter, "", "adapter", "adapter of the model to use")
+	flags.Int(&request.MaxTokens, "n", "max-tokens", "maximum number of tokens of the response")
+	flags.String(&promptFile, "f", "file", "file that contains the prompt")
+	flags.Int(&fillerTokens, "", "tokens", "number of filler tokens to append to the prompt")
+	flags.Bool(&atMostOnce, "", "once", "obtain a ticket so that the request runs at most once")
+	flags.Bool(&isQuiet, "q", "quiet", "print one line of key=value pairs instead of the response")
 	return command{flags: flags, run: func(ctx context.Context) error {
 		c, err := options.newClient()
 		if err != nil {
@@ -113,7 +118,8 @@
 	}}
 }
 
-// reportResult prints what became of a request as one line.
+// reportResult prints a request's outcome, durations and entry as one line of key=value pairs, if
+// printSummary is set. It returns err. The outcome is unknown for an error that no entry reported.
 func reportResult(r client.Result, err error, printSummary bool) error {
 	outcome := api.OutcomeAnswered
 	if err != nil {
@@ -130,15 +136,15 @@
 }
 
 func callCommand() command {
-	flags := newCommand("call", "send a call to a service and print the answer")
+	flags := newCommand("call", "send a call to a service and print the response")
 	options := newClientOptions()
 	options.addFlags(flags)
 	service, call, body, atMostOnce, ticket := "", "", "{}", false, ""
 	flags.AddPositionalValue(&service, "SERVICE", 1, true, "service to call")
-	flags.AddPositionalValue(&call, "CALL", 2, true, "call of the service")
-	flags.String(&body, "b", "body", "body of the call")
-	flags.Bool(&atMostOnce, "", "once", "the call may run at most once")
-	flags.String(&ticket, "", "ticket", "ticket had before, to present again")
+	flags.AddPositionalValue(&call, "CALL", 2, true, "name of the call")
+	flags.String(&body, "b", "body", "request body of the call, JSON")
+	flags.Bool(&atMostOnce, "", "once", "obtain a ticket so that the call runs at most once")
+	flags.String(&ticket, "", "ticket", "ticket from an earlier try of the same call, to send it again")
 	return command{flags: flags, run: func(ctx context.Context) error {
 		c, err := options.newClient()
 		if err != nil {
@@ -153,7 +159,7 @@
 }
 
 func addressesCommand() command {
-	flags := newCommand("addresses", "ask which addresses to use")
+	flags := newCommand("addresses", "print the entry addresses that a caller should use")
 	options := newClientOptions()
 	options.addFlags(flags)
 	return command{flags: flags, run: func(ctx context.Context) error {
@@ -175,7 +181,7 @@
 }
 
 func statusCommand() command {
-	flags := newCommand("status", "print what an entry believes")
+	flags := newCommand("status", "print the status of entries as JSON")
 	options := newClientOptions()
 	options.addFlags(flags)
 	return command{flags: flags, run: func(context.Context) error {
@@ -188,10 +194,10 @@
 			httpClient := &http.Client{Timeout: options.timeout}
 			response, err := sling.New().Client(httpClient).Base("http://" + address.String()).Get(api.PathStatus).ReceiveSuccess(&status)
 			if err != nil {
-				return fmt.Errorf("ask entry: %w", err)
+				return fmt.Errorf("get status of entry: %w", err)
 			}
 			if response.StatusCode != http.StatusOK {
-				return fmt.Errorf("ask entry: status %d", response.StatusCode)
+				return fmt.Errorf("get status of entry: HTTP status %d", response.StatusCode)
 			}
 			encoder := json.NewEncoder(os.Stdout)
 			encoder.SetIndent("", "  ")
--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -17,21 +17,24 @@
 	"github.com/sapphireramp/sapphireramp/sealer"
 )
 
-// consoleSettings are the settings of a console.
+// consoleSettings is the content of the console's settings file.
 type consoleSettings struct {
-	// Address is where operators connect.
+	// Address is the listen address for operators' browsers.
 	Address netip.AddrPort `yaml:"Address"`
-	// Platform is where the document in force is read.
+	// Platform is the address of the platform, which serves the published configuration document.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Entries are asked what is in force; any few will do.
+	// Entries are addresses of entries whose status shows which document they have in force. A few
+	// of a fleet are enough. Empty disables the comparison with the platform's document.
 	Entries []netip.AddrPort `yaml:"Entries"`
-	// SealSeed is 32 random bytes in hex, the seed of the key that seals.
+	// SealSeed is the seed of the Ed25519 key that seals documents: 32 random bytes in hex.
 	SealSeed string `yaml:"SealSeed"`
 }
 
-// maxConsoleSettingsBytes is the largest file of a console's settings in bytes.
+// maxConsoleSettingsBytes bounds the size of the console's settings file.
 const maxConsoleSettingsBytes = 64 << 10
 
+// loadConsoleSettings reads and checks the settings file. Its error lists every invalid field, but never
+// shows the seed.
 func loadConsoleSettings(path string) (consoleSettings, error) {
 	var settings consoleSettings
 	data, err := os.ReadFile(path)
@@ -50,13 +53,13 @@
 }
 
 func consoleCommand() command {
-	flags := newCommand("console", "serve the operators' forms")
+	flags := newCommand("console", "serve web forms to edit and seal the configuration document")
 	settingsFile, printKey := "", false
 	flags.String(&settingsFile, "s", "settings", "settings file (YAML)")
-	flags.Bool(&printKey, "", "print-key", "print the public key for the entries' SealKeys, and end")
+	flags.Bool(&printKey, "", "print-key", "print the public key for SealKeys in the settings of entries, and exit")
 	return command{flags: flags, run: func(ctx context.Context) error {
 		if settingsFile == "" {
-			return fmt.Errorf("--settings: a file is needed")
+			return fmt.Errorf("--settings: no file given")
 		}
 		settings, err := loadConsoleSettings(settingsFile)
 		if err != nil {
@@ -71,22 +74,23 @@
 	}}
 }
 
-// consoleTimeout bounds the reading of a form and the writing of a page.
+// consoleTimeout bounds reading a request and, separately, writing its response.
 const consoleTimeout = 30 * time.Second
 
+// runConsole serves the console until ctx is done, and then waits for requests in progress.
 func runConsole(ctx context.Context, settings consoleSettings) error {
 	logs, err := logger.New(logger.Config{Level: "info", Output: os.Stderr})
 	if err != nil {
-		return fmt.Errorf("make loggers: %w", err)
+		return fmt.Errorf("create loggers: %w", err)
 	}
 	log := logs.Layer(logger.Document)
 	key, err := sealer.ParseSeed(settings.SealSeed)
 	if err != nil {
-		return fmt.Errorf("seal seed: %w", err)
+		return fmt.Errorf("parse SealSeed: %w", err)
 	}
 	c, err := console.New(console.Config{Platform: settings.Platform, Entries: settings.Entries, SealingKey: key, HTTPClient: &http.Client{}, Log: log})
 	if err != nil {
-		return fmt.Errorf("make console: %w", err)
+		return fmt.Errorf("create console: %w", err)
 	}
 	httpServer := &http.Server{Addr: settings.Address.String(), Handler: c.Handler(), ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout}
 	serveErrors := make(chan error, 1)
@@ -99,7 +103,7 @@
 	}
 	err = httpServer.Shutdown(context.WithoutCancel(ctx))
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("stop console: %w", err)
+		return fmt.Errorf("shut down console: %w", err)
 	}
 	return nil
 }
--- a/cmd/sapphireramp/entry.go
+++ b/cmd/sapphireramp/entry.go
@@ -15,14 +15,14 @@
 )
 
 func entryCommand() command {
-	flags := newCommand("entry", "run an entry daemon")
+	flags := newCommand("entry", "run an entry that is configured by a settings file and the configuration document")
 	settingsFile := ""
 	strict := false
 	flags.String(&settingsFile, "s", "settings", "settings file (YAML)")
-	flags.Bool(&strict, "", "strict", "end the process when an invariant is broken; for tests")
+	flags.Bool(&strict, "", "strict", "exit when an invariant is violated; for tests")
 	return command{flags: flags, run: func(ctx context.Context) error {
 		if settingsFile == "" {
-			return fmt.Errorf("--settings: a file is needed")
+			return fmt.Errorf("--settings: no file given")
 		}
 		settings, err := loader.Load(settingsFile)
 		if err != nil {
@@ -32,16 +32,18 @@
 	}}
 }
 
+// runEntry runs an entry until ctx is done or the entry fails. With strict set, the process exits with
+// exitInvariantViolated at the first violated invariant.
 func runEntry(ctx context.Context, settings loader.Settings, strict bool) error {
 	logs, err := logger.New(logger.Config{Level: settings.Log.Level, Layers: settings.Log.Layers, Output: os.Stderr})
 	if err != nil {
-		return fmt.Errorf("make loggers: %w", err)
+		return fmt.Errorf("create loggers: %w", err)
 	}
 	metrics := meter.New()
 	defer func() { _ = metrics.Close() }()
 	onViolation := func(name, detail string) {
 		if strict {
-			_, _ = fmt.Fprintf(os.Stderr, "invariant %s: %s\n", name, detail)
+			_, _ = fmt.Fprintf(os.Stderr, "invariant %s violated: %s\n", name, detail)
 			os.Exit(exitInvariantViolated)
 		}
 	}
@@ -55,11 +57,11 @@
 	return entry.Run(ctx)
 }
 
-// exitInvariantViolated is the exit code of an entry under --strict whose invariant
-// was broken.
+// exitInvariantViolated is the exit code of an entry that runs with --strict and violated an invariant.
 const exitInvariantViolated = 70
 
-// checkPlatformFiles checks files of the users' platform; an empty name is no file.
+// checkPlatformFiles checks a settings file and a configuration file in the formats of the users' platform,
+// and prints a line for each valid one. An empty file name is skipped.
 func checkPlatformFiles(settingsFile, configFile string) error {
 	if settingsFile != "" {
 		data, err := os.ReadFile(settingsFile)
@@ -76,7 +78,7 @@
 	}
 	data, err := os.ReadFile(configFile)
 	if err != nil {
-		return fmt.Errorf("read configuration: %w", err)
+		return fmt.Errorf("read platform configuration: %w", err)
 	}
 	routeTable, err := platform.DecodeConfig(data)
 	if err != nil {
@@ -87,15 +89,15 @@
 }
 
 func checkCommand() command {
-	flags := newCommand("check", "check a configuration document or settings")
+	flags := newCommand("check", "check a configuration document or settings files")
 	documentFile, settingsFile, platformSettings, platformConfig := "", "", "", ""
 	flags.AddPositionalValue(&documentFile, "FILE", 1, false, "configuration document (YAML)")
-	flags.String(&settingsFile, "s", "settings", "settings file to check (YAML)")
+	flags.String(&settingsFile, "s", "settings", "settings file of an entry to check (YAML)")
 	flags.String(&platformSettings, "p", "platform-settings", "settings file of the users' platform to check")
 	flags.String(&platformConfig, "c", "platform-config", "configuration of the users' platform to check (JSON)")
 	return command{flags: flags, run: func(context.Context) error {
 		if documentFile == "" && settingsFile == "" && platformSettings == "" && platformConfig == "" {
-			return fmt.Errorf("check: a document, or --settings, --platform-settings or --platform-config with a file, is needed")
+			return fmt.Errorf("check: no file given: name a document, or use --settings, --platform-settings or --platform-config")
 		}
 		if err := checkPlatformFiles(platformSettings, platformConfig); err != nil {
 			return err
@@ -111,7 +113,7 @@
 		}
 		data, err := os.ReadFile(documentFile)
 		if err != nil {
-			return fmt.Errorf("read document: %w", err)
+			return fmt.Errorf("read configuration document: %w", err)
 		}
 		accepted, err := validator.Parse(data)
 		if err != nil {
--- a/cmd/sapphireramp/explain.go
+++ b/cmd/sapphireramp/explain.go
@@ -12,10 +12,10 @@
 )
 
 func explainCommand() command {
-	flags := newCommand("explain", "tell a request's story from logs: sapphireramp explain 9c41d07be2a35f68 --log all.log")
+	flags := newCommand("explain", "print the log lines of a request and the cause of its outcome: sapphireramp explain 9c41d07be2a35f68 --log all.log")
 	request, file := "", ""
-	flags.AddPositionalValue(&request, "REQUEST", 1, true, "the request's id")
-	flags.String(&file, "f", "log", "file with the lines of all entries; standard input where none is named")
+	flags.AddPositionalValue(&request, "REQUEST", 1, true, "id of the request")
+	flags.String(&file, "f", "log", "file with the log lines of all entries; default standard input")
 	return command{flags: flags, run: func(context.Context) error {
 		logs := io.Reader(os.Stdin)
 		if file != "" {
@@ -28,7 +28,7 @@
 		}
 		explanation, err := explainer.Explain(logs, request)
 		if err != nil {
-			return fmt.Errorf("explain %s: %w", request, err)
+			return fmt.Errorf("explain request %s: %w", request, err)
 		}
 		for _, line := range explanation.Lines {
 			_, _ = fmt.Println(line)
@@ -42,7 +42,7 @@
 }
 
 func eventsCommand() command {
-	flags := newCommand("events", "list the events that an entry on the platform logs")
+	flags := newCommand("events", "list the log events of an entry on the users' platform")
 	return command{flags: flags, run: func(context.Context) error {
 		for _, e := range logger.Events {
 			if _, err := fmt.Printf("%s\n    %s\n    fields: %s\n", e.Name, e.Meaning, strings.Join(e.Fields, " ")); err != nil {
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -21,21 +21,22 @@
 	"github.com/sapphireramp/sapphireramp/platform"
 )
 
-// addressTTL is how long callers may keep an answer of the directory: short,
-// so that a stopping entry is soon forgotten, and long beside the milliseconds
-// that an answer takes.
+// addressTTL is how long callers may cache a list of entry addresses from the directory. It is short, so
+// that callers soon stop using an entry that shuts down, and long compared with the milliseconds that a
+// directory request takes.
 const addressTTL = time.Second
 
-// leasePercent is the lease of reserved memory, in percent of the time for which
-// it may stay set aside unused: a process that dies can't give it back.
+// leasePercent is the lease of reserved engine memory, in percent of platform.Settings.MaxUnused, the
+// longest time for which memory may stay reserved after the last request that used it. It is below 100 since
+// an entry that crashes can't release its memory, so the lease has to end within that limit.
 const leasePercent = 80
 
 func gatewayCommand() command {
-	flags := newCommand("gateway", "run an entry on the users' platform; "+platform.SettingsVariable+" names its settings file")
+	flags := newCommand("gateway", "run an entry on the users' platform; the environment variable "+platform.SettingsVariable+" gives its settings file")
 	metricsPort := uint16(0)
 	level := "info"
-	flags.UInt16(&metricsPort, "m", "metrics-port", "port of the metrics page; 0 for none")
-	flags.String(&level, "l", "log-level", "debug, info, warn or error")
+	flags.UInt16(&metricsPort, "m", "metrics-port", "port that serves the metrics; 0 serves none")
+	flags.String(&level, "l", "log-level", "minimum level of logged lines: debug, info, warn or error")
 	return command{flags: flags, run: func(ctx context.Context) error {
 		settings, err := platform.LoadSettings()
 		if err != nil {
@@ -45,12 +46,14 @@
 	}}
 }
 
+// runGateway runs an entry on the users' platform until ctx is done. It serves metrics at the entry's caller
+// address and metricsPort, or none if the port is 0. SIGHUP reloads the settings file.
 func runGateway(ctx context.Context, settings platform.Settings, metricsPort uint16, level string) error {
 	logQueue := logger.NewQueue(os.Stdout)
 	defer func() { _ = logQueue.Close() }()
 	logs, err := logger.New(logger.Config{Level: level, Output: logQueue, Urgent: logQueue.Urgent()})
 	if err != nil {
-		return fmt.Errorf("make loggers: %w", err)
+		return fmt.Errorf("create loggers: %w", err)
 	}
 	log := logs.Layer(logger.Entry)
 	metrics := meter.New()
@@ -58,8 +61,8 @@
 	invariants := asserter.New(func(name, detail string) {
 		log.Error("invariant_violated", zap.String("invariant", name), zap.String("detail", detail))
 	})
-	// Engines may drop idle connections without notice, and an order that meets
-	// that can't be told from one that was refused.
+	// Each reservation uses a new connection: engines may close idle connections without notice, and an
+	// order sent on a closed connection can't be distinguished from one that the engine refused.
 	reservationHTTPClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	store := platform.NewStore(&http.Client{}, settings.StoreAddress)
 	config := launcher.Config{
@@ -87,7 +90,7 @@
 	return launcher.New(config).Run(ctx, reload)
 }
 
-// reloadableSettings are the settings that may change while the entry runs.
+// reloadableSettings returns the settings that may change while the entry runs.
 func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
 		Seeds: settings.Seeds, Grace: settings.ShutdownGrace,
@@ -95,7 +98,8 @@
 	}
 }
 
-// forwardReloadSignals turns SIGHUP into a request to read the settings again.
+// forwardReloadSignals sends to reload on each SIGHUP. Signals that arrive while a reload is pending are
+// merged with it.
 func forwardReloadSignals(reload chan<- struct{}) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -16,20 +16,23 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
+// asEntryError returns the client.EntryError in err's chain, if there is one.
 func asEntryError(err error) (*client.EntryError, bool) {
 	var refused *client.EntryError
 	ok := errors.As(err, &refused)
 	return refused, ok
 }
 
-// lengthClass is a class of prompt lengths in tokens, as the table shows it.
+// lengthClass is a range of prompt lengths. Results are reported for each class.
 type lengthClass struct {
-	name                 string
+	name string
+	// The range includes minTokens and excludes maxTokens.
 	minTokens, maxTokens int
-	// percent is how many of a hundred requests are of the class.
+	// percent is the percentage of requests whose prompts are of this class.
 	percent int
 }
 
+// lengthClasses lists the classes by increasing length. Their percentages add up to 100.
 var lengthClasses = []lengthClass{
 	{"1k-4k", 1_000, 4_000, 70},
 	{"4k-32k", 4_000, 32_000, 20},
@@ -37,53 +40,59 @@
 	{"128k-1M", 128_000, 1_000_000, 2},
 }
 
-// lengthRange of the prompts sent, in tokens.
+// lengthRange holds the inclusive bounds on the length of generated prompts, in tokens.
 type lengthRange struct{ min, max int }
 
-// classResult is what was measured of one class.
+// classResult holds the measurements of one class of prompt lengths.
 type classResult struct {
+	// timeToFirstToken counts complete responses only, in microseconds.
 	timeToFirstToken *hdrhistogram.Histogram
-	outcomes         map[api.Outcome]int
+	// outcomes counts requests.
+	outcomes map[api.Outcome]int
 }
 
-// loadTest drives a running system.
+// loadTest sends generated prompts to a running system and collects the results.
 type loadTest struct {
-	client  *client.Client
+	client *client.Client
+	// request is the template of all requests; each gets its own prompt.
 	request api.CompletionRequest
+	// timeout is the time limit of each request.
 	timeout time.Duration
 
-	lock    sync.Mutex
+	// lock guards results.
+	lock sync.Mutex
+	// results has one element for each of lengthClasses, in the same order.
 	results []classResult
 }
 
 func loadCommand() command {
-	flags := newCommand("load", "drive a running system and print a table")
+	flags := newCommand("load", "send generated prompts to a running system and print the results as a table")
 	options := newClientOptions()
 	options.addFlags(flags)
 	rate, duration, seed, lengths := 10.0, 10*time.Second, uint64(1), lengthRange{min: 1000, max: 1_000_000}
 	plotFile := ""
 	request := api.CompletionRequest{Stream: true, MaxTokens: 16}
-	flags.String(&plotFile, "", "plot", "file to write a plot to (SVG)")
-	flags.Float64(&rate, "r", "rate", "requests a second")
-	flags.Duration(&duration, "d", "duration", "how long to send")
-	flags.UInt64(&seed, "", "seed", "seed of lengths and times")
-	flags.Int(&lengths.min, "", "shortest", "shortest prompt in tokens")
-	flags.Int(&lengths.max, "", "longest", "longest prompt in tokens")
-	flags.String(&request.Model, "m", "model", "model to ask")
-	flags.Int(&request.MaxTokens, "n", "max-tokens", "tokens of each answer")
+	flags.String(&plotFile, "", "plot", "file to write a plot of the time to first token to (SVG)")
+	flags.Float64(&rate, "r", "rate", "mean number of requests per second")
+	flags.Duration(&duration, "d", "duration", "duration for which requests are sent")
+	flags.UInt64(&seed, "", "seed", "seed of the random prompt lengths and send times")
+	flags.Int(&lengths.min, "", "shortest", "minimum prompt length in tokens")
+	flags.Int(&lengths.max, "", "longest", "maximum prompt length in tokens")
+	flags.String(&request.Model, "m", "model", "model that runs the prompts")
+	flags.Int(&request.MaxTokens, "n", "max-tokens", "maximum number of tokens of each response")
 	return command{flags: flags, run: func(ctx context.Context) error {
 		c, err := options.newClient()
 		if err != nil {
 			return err
 		}
 		if rate <= 0 || rate > 10_000 {
-			return fmt.Errorf("--rate: %g: must be over 0 and at most 10000", rate)
+			return fmt.Errorf("--rate: %g: must be greater than 0 and at most 10000", rate)
 		}
 		if duration <= 0 || duration > time.Hour {
-			return fmt.Errorf("--duration: %s: must be over 0 and at most 1h", duration)
+			return fmt.Errorf("--duration: %s: must be greater than 0 and at most 1h", duration)
 		}
 		if lengths.min < 1 || lengths.max < lengths.min || lengths.max > 100_000_000 {
-			return fmt.Errorf("--shortest, --longest: %d, %d: must be from 1 to 100000000, the shortest first", lengths.min, lengths.max)
+			return fmt.Errorf("--shortest, --longest: %d, %d: must be from 1 to 100000000, and the shortest not above the longest", lengths.min, lengths.max)
 		}
 		test := newLoadTest(c, request, options.timeout)
 		test.run(ctx, rand.New(rand.NewPCG(seed, seed)), rate, duration, lengths)
@@ -92,26 +101,26 @@
 	}}
 }
 
-// savePlot writes the plot to a file, if one was named.
+// savePlot writes the plot to the file at path. An empty path writes none.
 func (l *loadTest) savePlot(path string) error {
 	if path == "" {
 		return nil
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("--plot: %w", err)
+		return fmt.Errorf("create plot file: %w", err)
 	}
 	err = l.writePlot(file)
 	if closed := file.Close(); err == nil {
 		err = closed
 	}
 	if err != nil {
-		return fmt.Errorf("write plot: %w", err)
+		return fmt.Errorf("write plot file: %w", err)
 	}
 	return nil
 }
 
-// histogram bounds, in microseconds.
+// Range in microseconds and precision in decimal digits of the histograms. The range ends at one hour.
 const (
 	minMicros         = 1
 	maxMicros         = 3_600_000_000
@@ -129,8 +138,9 @@
 	return l
 }
 
-// run sends requests at random times of the given mean rate, and waits for
-// all answers.
+// run sends requests for the given duration or until ctx is done, and waits for all responses. The times
+// between requests are exponentially distributed with a mean of 1/rate seconds. Requests don't wait for
+// earlier responses. About once a second, run prints the number of requests sent to standard error.
 func (l *loadTest) run(ctx context.Context, random *rand.Rand, rate float64, duration time.Duration, lengths lengthRange) {
 	var sent sync.WaitGroup
 	start := time.Now()
@@ -151,6 +161,8 @@
 	sent.Wait()
 }
 
+// randomLength returns a random class, weighted by percent, and a random number of tokens within that class,
+// limited to the given range.
 func randomLength(random *rand.Rand, lengths lengthRange) (class, tokens int) {
 	percent := random.IntN(100)
 	for i, c := range lengthClasses {
@@ -162,6 +174,8 @@
 	return 0, lengthClasses[0].minTokens
 }
 
+// sendRequest sends one prompt of the given number of tokens and records its outcome under class. The outcome
+// is unknown for an error that no entry reported.
 func (l *loadTest) sendRequest(ctx context.Context, class, tokens int) {
 	r := l.request
 	r.Prompt = strings.Repeat(fillerToken, tokens)
@@ -181,6 +195,8 @@
 	}
 }
 
+// printTable prints a row for each class: the number of requests by outcome, and quantiles of the time to
+// first token in milliseconds.
 func (l *loadTest) printTable() {
 	_, _ = fmt.Printf("%-10s %8s %8s %8s %10s %10s %10s\n", "tokens", "answered", "not_run", "unknown", "p50_ms", "p95_ms", "p99_ms")
 	for i, c := range lengthClasses {
@@ -190,6 +206,8 @@
 	}
 }
 
+// quantileMillis returns the value at the given percentile, from 0 to 100, of a histogram in microseconds,
+// converted to milliseconds.
 func quantileMillis(h *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
--- a/cmd/sapphireramp/main.go
+++ b/cmd/sapphireramp/main.go
@@ -1,5 +1,5 @@
-// Command sapphireramp runs an entry daemon, checks documents and settings,
-// and asks a running system.
+// Command sapphireramp runs entries and the operators' console, checks configuration documents and settings,
+// sends requests to a running system and explains requests from logs.
 package main
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// version is set by the linker for a release.
+// version is the version of the program. Release builds set it by a linker flag.
 var version = "dev"
 
-// command is one subcommand of the program.
+// command is a subcommand: its flags, and the function that executes it once the flags are parsed.
 type command struct {
 	flags *flaggy.Subcommand
 	run   func(context.Context) error
 }
 
-// errNoCommand is returned when no subcommand was named.
-var errNoCommand = eris.New("command: one of entry, gateway, check, ask, call, addresses, status, load, console, explain, events, version is needed; see --help")
+// errNoCommand is returned when the command line has no subcommand.
+var errNoCommand = eris.New("command line: no command given: use one of entry, gateway, check, ask, call, addresses, status, load, console, explain, events, version; see --help")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -37,7 +37,7 @@
 	}
 }
 
-// runCommand reads the command line and runs the subcommand that it names.
+// runCommand parses the command line and runs its subcommand.
 func runCommand(ctx context.Context, args []string) error {
 	parser := flaggy.NewParser("sapphireramp")
 	parser.Description = "a serving layer for prompts of a thousand to a million tokens"
@@ -55,7 +55,7 @@
 		return fmt.Errorf("command line: %w", err)
 	}
 	if len(parser.TrailingArguments) > 0 {
-		return fmt.Errorf("command line: %q: nothing may follow", strings.Join(parser.TrailingArguments, " "))
+		return fmt.Errorf("command line: unexpected arguments after --: %q", strings.Join(parser.TrailingArguments, " "))
 	}
 	for _, c := range commands {
 		if c.flags.Used {
@@ -72,7 +72,7 @@
 }
 
 func versionCommand() command {
-	flags := newCommand("version", "print the version")
+	flags := newCommand("version", "print the version of the program and of Go")
 	return command{flags: flags, run: func(context.Context) error {
 		text := version
 		if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/sapphireramp/plot.go
+++ b/cmd/sapphireramp/plot.go
@@ -13,23 +13,25 @@
 	plotMargin = 60
 )
 
-// Range of the plot's vertical axis, in milliseconds.
+// Range of the vertical axis, the time to first token, in milliseconds.
 const (
 	minPlotMillis = 1.0
 	maxPlotMillis = 1_000_000.0
 )
 
 var (
-	plotColours   = []string{"#1f4e9c", "#1e7b34", "#b26a00", "#b3261e"}
+	// plotColours has a colour for each of lengthClasses.
+	plotColours = []string{"#1f4e9c", "#1e7b34", "#b26a00", "#b3261e"}
+	// plotQuantiles lists the percentiles on the horizontal axis, equally spaced.
 	plotQuantiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9}
 )
 
-// writePlot writes the time to first token against its quantile as an SVG, a line
-// for each class of lengths.
+// writePlot writes an SVG image of the quantiles of the time to first token, with one line for each class of
+// prompt lengths.
 func (l *loadTest) writePlot(w io.Writer) error {
 	p := &plotter{w: w}
 	p.printf(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`, plotWidth, plotHeight)
-	p.printf(`<rect width="100%%" height="100%%" fill="white"/><text x="%d" y="24">time to first token (ms) by quantile and tokens of the prompt</text>`, plotMargin)
+	p.printf(`<rect width="100%%" height="100%%" fill="white"/><text x="%d" y="24">time to first token (ms) by percentile and prompt length in tokens</text>`, plotMargin)
 	p.drawAxes()
 	for i, c := range lengthClasses {
 		p.drawSeries(l.results[i], c.name, plotColours[i], i)
@@ -38,29 +40,33 @@
 	return p.err
 }
 
-// plotter writes shapes and keeps the first error.
+// plotter writes SVG elements. It keeps the first write error and ignores further writes.
 type plotter struct {
-	w   io.Writer
+	w io.Writer
+	// err is the first write error, nil if none occurred.
 	err error
 }
 
+// printf writes one formatted line.
 func (p *plotter) printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.w, format+"\n", args...)
 	}
 }
 
-// xPosition places the n-th quantile; vertical a time in milliseconds, on a
-// logarithmic scale.
+// xPosition returns the horizontal position, in pixels, of the element at index n of plotQuantiles.
 func xPosition(n int) float64 {
 	return plotMargin + float64(n)*(plotWidth-2*plotMargin)/float64(len(plotQuantiles)-1)
 }
 
+// yPosition returns the vertical position, in pixels, of a time in milliseconds on a logarithmic scale. Times
+// outside the axis's range are drawn at its nearer end.
 func yPosition(millis float64) float64 {
 	fraction := math.Log(min(maxPlotMillis, max(minPlotMillis, millis))/minPlotMillis) / math.Log(maxPlotMillis/minPlotMillis)
 	return plotHeight - plotMargin - fraction*(plotHeight-2*plotMargin)
 }
 
+// drawAxes draws a grid line for each power of ten milliseconds, and the labels of both axes.
 func (p *plotter) drawAxes() {
 	for millis := minPlotMillis; millis <= maxPlotMillis; millis *= 10 {
 		y := yPosition(millis)
@@ -72,6 +78,7 @@
 	}
 }
 
+// drawSeries draws the line of one class and its legend. A class without measurements is omitted.
 func (p *plotter) drawSeries(result classResult, name, colour string, legendRow int) {
 	if result.timeToFirstToken.TotalCount() == 0 {
 		return
