--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// maxLine is the longest log line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest log line that is read, in bytes.
+const maxLineBytes = 1 << 20
 
 // ErrNoLines says that no line names the request.
 var ErrNoLines = errors.New("no line names this request: it never reached an entry whose log is here, or lines were dropped (look for event=log_lines_dropped)")
 
-// line is one log line as key=value pairs.
-type line struct {
-	at     time.Time
-	fields map[string]string
-	text   string
+// logLine is one log line as key=value pairs.
+type logLine struct {
+	timestamp time.Time
+	fields    map[string]string
+	text      string
 }
 
 // Explanation is what the logs say of a request.
@@ -40,102 +40,102 @@
 // Explain reads logs and tells a request's story. Lines may have a prefix
 // before time=, as collectors add one.
 func Explain(logs io.Reader, request string) (Explanation, error) {
-	var found []line
-	ends := map[string][]line{}
+	var requestLines []logLine
+	quarantineLines := map[string][]logLine{}
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
-		if l, ok := parseEnd(text); ok {
-			content := l.fields["content"]
-			ends[content] = append(ends[content], l)
+		if line, ok := parseQuarantineLine(text); ok {
+			fingerprint := line.fields["content"]
+			quarantineLines[fingerprint] = append(quarantineLines[fingerprint], line)
 		}
 		if !strings.Contains(text, "request="+request) {
 			continue
 		}
-		if l, ok := parse(text); ok && l.fields["request"] == request {
-			found = append(found, l)
+		if line, ok := parseLine(text); ok && line.fields["request"] == request {
+			requestLines = append(requestLines, line)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return Explanation{}, fmt.Errorf("read logs: %w", err)
 	}
-	if len(found) == 0 {
+	if len(requestLines) == 0 {
 		return Explanation{}, ErrNoLines
 	}
-	byTime := func(a, b line) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) }
-	slices.SortStableFunc(found, byTime)
-	story := Explanation{Cause: cause(found), MissingLines: missing(found)}
-	if last := found[len(found)-1].fields; last["outcome"] == outcomeQuarantined {
-		found = append(found, ends[last["content"]]...)
-		slices.SortStableFunc(found, byTime)
+	byTime := func(a, b logLine) int { return cmp.Compare(a.timestamp.UnixNano(), b.timestamp.UnixNano()) }
+	slices.SortStableFunc(requestLines, byTime)
+	explanation := Explanation{Cause: describeCause(requestLines), MissingLines: missingLines(requestLines)}
+	if last := requestLines[len(requestLines)-1].fields; last["outcome"] == outcomeQuarantined {
+		requestLines = append(requestLines, quarantineLines[last["content"]]...)
+		slices.SortStableFunc(requestLines, byTime)
 	}
-	for _, l := range found {
-		story.Lines = append(story.Lines, l.text)
+	for _, line := range requestLines {
+		explanation.Lines = append(explanation.Lines, line.text)
 	}
-	return story, nil
+	return explanation, nil
 }
 
 // outcomeQuarantined is that of requests whose content ends upstreams.
 const outcomeQuarantined = "quarantined"
 
-// parseEnd reads a line that says of a content that it has ended an upstream, or is refused.
-func parseEnd(text string) (line, bool) {
+// parseQuarantineLine reads a line that says of a content that it has ended an upstream, or is refused.
+func parseQuarantineLine(text string) (logLine, bool) {
 	if !strings.Contains(text, "event=upstream_ended") && !strings.Contains(text, "event=quarantined") {
-		return line{}, false
+		return logLine{}, false
 	}
-	return parse(text)
+	return parseLine(text)
 }
 
-// parse reads one logfmt line.
-func parse(text string) (line, bool) {
-	start := strings.Index(text, "time=")
-	if start < 0 {
-		return line{}, false
-	}
-	l := line{fields: map[string]string{}, text: text[start:]}
-	rest := l.text
+// parseLine reads one logfmt line.
+func parseLine(text string) (logLine, bool) {
+	begin := strings.Index(text, "time=")
+	if begin < 0 {
+		return logLine{}, false
+	}
+	line := logLine{fields: map[string]string{}, text: text[begin:]}
+	rest := line.text
 	for rest != "" {
-		name, value, after, ok := pair(rest)
+		name, value, after, ok := cutPair(rest)
 		if !ok {
-			return line{}, false
+			return logLine{}, false
 		}
-		l.fields[name] = value
+		line.fields[name] = value
 		rest = after
 	}
-	at, err := time.Parse(time.RFC3339Nano, l.fields["time"])
+	timestamp, err := time.Parse(time.RFC3339Nano, line.fields["time"])
 	if err != nil {
-		return line{}, false
+		return logLine{}, false
 	}
-	l.at = at
-	return l, true
+	line.timestamp = timestamp
+	return line, true
 }
 
-// pair cuts the first key=value pair off a line.
-func pair(text string) (name, value, rest string, ok bool) {
-	name, after, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
+// cutPair cuts the first key=value pair off a line.
+func cutPair(text string) (name, value, rest string, ok bool) {
+	name, remaining, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
 	if !ok {
 		return "", "", "", false
 	}
-	if !strings.HasPrefix(after, `"`) {
-		value, rest, _ = strings.Cut(after, " ")
+	if !strings.HasPrefix(remaining, `"`) {
+		value, rest, _ = strings.Cut(remaining, " ")
 		return name, value, rest, true
 	}
 	end := 1
-	for end < len(after) && after[end] != '"' {
-		if after[end] == '\\' {
+	for end < len(remaining) && remaining[end] != '"' {
+		if remaining[end] == '\\' {
 			end++
 		}
 		end++
 	}
-	if end >= len(after) {
+	if end >= len(remaining) {
 		return "", "", "", false
 	}
-	return name, strings.ReplaceAll(after[1:end], `\"`, `"`), strings.TrimLeft(after[end+1:], " "), true
+	return name, strings.ReplaceAll(remaining[1:end], `\"`, `"`), strings.TrimLeft(remaining[end+1:], " "), true
 }
 
-// causes says what each outcome of a request means.
-var causes = map[string]string{
+// causesByOutcome says what each outcome of a request means.
+var causesByOutcome = map[string]string{
 	"answered":                  "answered by an upstream",
 	"no_configuration":          "refused, not run: the entry had not learned a configuration yet; look for store_lost after its start",
 	"no_route":                  "refused: no route of this configuration has the host and path",
@@ -161,46 +161,46 @@
 	"internal_error":            "failed: a fault of the entry; look for event=panic",
 }
 
-// cause puts the end of a request and what led to it into one line.
-func cause(found []line) string {
-	text := "still in progress, or its end was not logged"
-	for _, l := range found {
-		if l.fields["event"] != "request" {
+// describeCause puts the end of a request and what led to it into one line.
+func describeCause(requestLines []logLine) string {
+	cause := "still in progress, or its end was not logged"
+	for _, line := range requestLines {
+		if line.fields["event"] != "request" {
 			continue
 		}
-		text = causes[l.fields["outcome"]]
-		if text == "" {
-			text = "ended as " + l.fields["outcome"]
+		cause = causesByOutcome[line.fields["outcome"]]
+		if cause == "" {
+			cause = "ended as " + line.fields["outcome"]
 		}
-		if reason := l.fields["error"]; reason != "" {
-			text += " (" + reason + ")"
+		if reason := line.fields["error"]; reason != "" {
+			cause += " (" + reason + ")"
 		}
-		text += fmt.Sprintf("; status %s after %s ms, configuration revision %s", l.fields["status"], l.fields["took_ms"], l.fields["config_revision"])
+		cause += fmt.Sprintf("; status %s after %s ms, configuration revision %s", line.fields["status"], line.fields["took_ms"], line.fields["config_revision"])
 	}
-	for _, l := range found {
-		if l.fields["event"] == "attempt" {
-			text += fmt.Sprintf("; at %s: %s (%s)", l.fields["upstream"], l.fields["verdict"], l.fields["error"])
+	for _, line := range requestLines {
+		if line.fields["event"] == "attempt" {
+			cause += fmt.Sprintf("; at %s: %s (%s)", line.fields["upstream"], line.fields["verdict"], line.fields["error"])
 		}
 	}
-	return text
+	return cause
 }
 
-// missing compares what the end of a request says with the lines before it.
-func missing(found []line) []string {
+// missingLines compares what the end of a request says with the lines before it.
+func missingLines(requestLines []logLine) []string {
 	count := map[string]int{}
 	attempts := ""
-	for _, l := range found {
-		count[l.fields["event"]]++
-		if l.fields["event"] == "request" {
-			attempts = l.fields["attempts"]
+	for _, line := range requestLines {
+		count[line.fields["event"]]++
+		if line.fields["event"] == "request" {
+			attempts = line.fields["attempts"]
 		}
 	}
-	var out []string
+	var missing []string
 	if count["request"] == 0 {
-		out = append(out, "event=request: the entry ended before the request did, or the line was dropped")
+		missing = append(missing, "event=request: the entry ended before the request did, or the line was dropped")
 	}
 	if attempts != "" && attempts != "0" && count["place"] == 0 {
-		out = append(out, "event=place: "+attempts+" attempts were made and none is here")
+		missing = append(missing, "event=place: "+attempts+" attempts were made and none is here")
 	}
-	return out
+	return missing
 }
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -21,42 +21,42 @@
 
 func TestExplain(t *testing.T) {
 	is := is.New(t)
-	s, err := explainer.Explain(strings.NewReader(logs), "r1")
+	explanation, err := explainer.Explain(strings.NewReader(logs), "r1")
 	is.NoErr(err)
-	is.Equal(len(s.Lines), 3)
-	is.True(strings.Contains(s.Lines[1], "event=attempt")) // in order of time
-	is.True(strings.HasPrefix(s.Cause, "failed: the stream broke"))
-	is.True(strings.Contains(s.Cause, `(read "x": reset)`))
-	is.True(strings.Contains(s.Cause, "at i-1: broken"))
-	is.Equal(len(s.MissingLines), 0)
+	is.Equal(len(explanation.Lines), 3)
+	is.True(strings.Contains(explanation.Lines[1], "event=attempt")) // in order of time
+	is.True(strings.HasPrefix(explanation.Cause, "failed: the stream broke"))
+	is.True(strings.Contains(explanation.Cause, `(read "x": reset)`))
+	is.True(strings.Contains(explanation.Cause, "at i-1: broken"))
+	is.Equal(len(explanation.MissingLines), 0)
 }
 
 func TestExplainRefusal(t *testing.T) {
 	is := is.New(t)
-	s, err := explainer.Explain(strings.NewReader(logs), "r3")
+	explanation, err := explainer.Explain(strings.NewReader(logs), "r3")
 	is.NoErr(err)
-	is.True(strings.HasPrefix(s.Cause, "refused, not run: it would have cost"))
+	is.True(strings.HasPrefix(explanation.Cause, "refused, not run: it would have cost"))
 }
 
 // What ended upstreams is in lines of other requests with the same content.
 func TestExplainQuarantine(t *testing.T) {
 	is := is.New(t)
-	s, err := explainer.Explain(strings.NewReader(`time=2026-03-06T08:11:29Z level=warn event=quarantined content=c1 strikes=3 source=own
+	explanation, err := explainer.Explain(strings.NewReader(`time=2026-03-06T08:11:29Z level=warn event=quarantined content=c1 strikes=3 source=own
 time=2026-03-06T08:11:30Z level=warn event=request request=r5 outcome=quarantined status=503 took_ms=0 attempts=0 content=c1 config_revision=7
 time=2026-03-06T08:11:28Z level=warn event=upstream_ended request=r2 content=c1 upstream=i-1
 time=2026-03-06T08:11:28Z level=warn event=upstream_ended request=r3 content=c2 upstream=i-2
 `), "r5")
 	is.NoErr(err)
-	is.Equal(len(s.Lines), 3)
-	is.True(strings.Contains(s.Lines[0], "upstream_ended request=r2"))
-	is.True(strings.HasPrefix(s.Cause, "refused, not run: upstreams ended one after the other"))
+	is.Equal(len(explanation.Lines), 3)
+	is.True(strings.Contains(explanation.Lines[0], "upstream_ended request=r2"))
+	is.True(strings.HasPrefix(explanation.Cause, "refused, not run: upstreams ended one after the other"))
 }
 
 func TestMissingLinesAreNamed(t *testing.T) {
 	is := is.New(t)
-	s, err := explainer.Explain(strings.NewReader(logs), "r4")
+	explanation, err := explainer.Explain(strings.NewReader(logs), "r4")
 	is.NoErr(err)
-	is.Equal(len(s.MissingLines), 1)
+	is.Equal(len(explanation.MissingLines), 1)
 	_, err = explainer.Explain(strings.NewReader(logs), "r9")
 	is.True(errors.Is(err, explainer.ErrNoLines))
 }
