--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer tells the story of one request from the log lines of all
-// entries, and its cause in one line. It says where lines are missing.
+// Package explainer finds the log lines of one request in the logs of all entries, and derives from them why the
+// request ended as it did. It reports log lines that are missing.
 package explainer
 
 import (
@@ -13,32 +13,36 @@
 	"time"
 )
 
-// maxLineBytes is the longest log line that is read, in bytes.
+// maxLineBytes bounds the length of a log line. Explain fails on longer lines.
 const maxLineBytes = 1 << 20
 
-// ErrNoLines says that no line names the request.
-var ErrNoLines = errors.New("no line names this request: it never reached an entry whose log is here, or lines were dropped (look for event=log_lines_dropped)")
+// ErrNoLines is returned by Explain if no log line has the id of the request.
+var ErrNoLines = errors.New("no log line has this request id: the request reached none of the entries whose logs were read, or lines were dropped (look for event=log_lines_dropped)")
 
-// logLine is one log line as key=value pairs.
+// logLine is a parsed log line in logfmt.
 type logLine struct {
 	timestamp time.Time
-	fields    map[string]string
-	text      string
+	// fields maps keys to unquoted values.
+	fields map[string]string
+	// text is the line from time= on, without the prefix of a log collector.
+	text string
 }
 
-// Explanation is what the logs say of a request.
+// Explanation describes one request by its log lines.
 type Explanation struct {
-	// Lines are those that name the request, oldest first; of one that is quarantined also
-	// those that say why.
+	// Lines are the log lines of the request, oldest first. For a request that was refused as quarantined they
+	// include the lines of other requests with the same fingerprint that led to the quarantine.
 	Lines []string
-	// Cause is why the request ended as it did, in one line.
+	// Cause is one line of text: what the request's outcome means, its HTTP status and duration, and each
+	// attempt that failed.
 	Cause string
-	// MissingLines says which lines would be expected and are not there.
+	// MissingLines describes each log line that the request should have and that was not found.
 	MissingLines []string
 }
 
-// Explain reads logs and tells a request's story. Lines may have a prefix
-// before time=, as collectors add one.
+// Explain reads the log lines of all entries, in any order, and explains the request with the given id. Lines that
+// can't be parsed are skipped. Lines may have a prefix before time=, as log collectors add one. Explain returns
+// ErrNoLines if no line has the id.
 func Explain(logs io.Reader, request string) (Explanation, error) {
 	var requestLines []logLine
 	quarantineLines := map[string][]logLine{}
@@ -76,10 +80,12 @@
 	return explanation, nil
 }
 
-// outcomeQuarantined is that of requests whose content ends upstreams.
+// outcomeQuarantined is the outcome of requests that are refused because requests with the same fingerprint
+// crashed upstreams.
 const outcomeQuarantined = "quarantined"
 
-// parseQuarantineLine reads a line that says of a content that it has ended an upstream, or is refused.
+// parseQuarantineLine parses a line about a fingerprint that was quarantined, or whose request ran on an upstream
+// when it crashed. It returns false for all other lines.
 func parseQuarantineLine(text string) (logLine, bool) {
 	if !strings.Contains(text, "event=upstream_ended") && !strings.Contains(text, "event=quarantined") {
 		return logLine{}, false
@@ -87,7 +93,7 @@
 	return parseLine(text)
 }
 
-// parseLine reads one logfmt line.
+// parseLine parses a logfmt line, from time= on. It returns false if the line is malformed or has no valid time.
 func parseLine(text string) (logLine, bool) {
 	begin := strings.Index(text, "time=")
 	if begin < 0 {
@@ -111,7 +117,8 @@
 	return line, true
 }
 
-// cutPair cuts the first key=value pair off a line.
+// cutPair splits the first key=value pair from a logfmt line and unquotes the value. It returns false if the text
+// has no "=" or an unterminated quote.
 func cutPair(text string) (name, value, rest string, ok bool) {
 	name, remaining, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
 	if !ok {
@@ -134,34 +141,35 @@
 	return name, strings.ReplaceAll(remaining[1:end], `\"`, `"`), strings.TrimLeft(remaining[end+1:], " "), true
 }
 
-// causesByOutcome says what each outcome of a request means.
+// causesByOutcome maps the outcome of a request, as logged, to its explanation.
 var causesByOutcome = map[string]string{
 	"answered":                  "answered by an upstream",
-	"no_configuration":          "refused, not run: the entry had not learned a configuration yet; look for store_lost after its start",
-	"no_route":                  "refused: no route of this configuration has the host and path",
-	"configuration_unconfirmed": "refused: the entry does not know the route or key, and could not confirm its configuration lately; another may",
-	"unknown_key":               "refused: the key is no organisation's in this configuration",
-	"header_too_large":          "refused: the header is over the configuration's limit",
-	"body_too_large":            "refused: the body is over the configuration's limit",
-	"body_not_read":             "refused, not run: the caller did not send its whole body in time",
-	"stopping":                  "refused, not run: the entry was told to stop, and the answer might have lasted longer than it; retry_after_ms says when another serves it",
-	"no_upstream":               "refused, not run: the list had no upstream of the service that could be used",
-	"no_memory":                 "refused, not run: no engines together had the memory for this prompt",
-	outcomeQuarantined:          "refused, not run: upstreams ended one after the other under what it asks for; see event=upstream_ended of its content",
-	"upstreams_pause":           "refused, not run: every upstream that is left wants no requests from this entry for a time; see event=upstream_pauses",
-	"overloaded":                "refused, not run: the first event would have come after the caller had left",
-	"too_costly":                "refused, not run: it would have cost requests in progress more than it was worth",
-	"refused_by_upstream":       "refused, not run: every upstream that was asked stated that it did not run it",
-	"upstream_unreachable":      "refused, not run: no connection to an upstream was had",
-	"upstream_failed":           "failed: an upstream broke off or answered with a failure, and no other could be asked",
-	"deadline":                  "failed: the route's or the caller's time was over before an upstream answered",
+	"no_configuration":          "refused, not run: the entry had not received a configuration yet; look for event=store_lost after its start",
+	"no_route":                  "refused: no route of this configuration matches the host and path",
+	"configuration_unconfirmed": "refused: the entry has no such route or API key, and has not confirmed lately that its configuration is current; another entry may have them",
+	"unknown_key":               "refused: the API key belongs to no organisation in this configuration",
+	"header_too_large":          "refused: the header exceeds the configuration's limit",
+	"body_too_large":            "refused: the body exceeds the configuration's limit",
+	"body_not_read":             "refused, not run: the caller did not send the complete body in time",
+	"stopping":                  "refused, not run: the entry was shutting down, and the response might not have ended before the entry did; retry_after_ms is the time after which another entry can serve it",
+	"no_upstream":               "refused, not run: the list had no usable upstream of the service",
+	"no_memory":                 "refused, not run: no engine or group of engines had enough memory for this prompt",
+	outcomeQuarantined:          "refused, not run: upstreams crashed one after the other while they ran requests with the same fingerprint; see event=upstream_ended with the same content",
+	"upstreams_pause":           "refused, not run: every remaining upstream asked this entry to send no requests for some time; see event=upstream_pauses",
+	"overloaded":                "refused, not run: the first event was predicted for after the time that the caller waits for it",
+	"too_costly":                "refused, not run: its displacement cost to requests in progress would have exceeded its value",
+	"refused_by_upstream":       "refused, not run: every upstream that was sent the request stated that it did not run it",
+	"upstream_unreachable":      "refused, not run: no connection to an upstream could be established",
+	"upstream_failed":           "failed: an upstream broke off its response or responded with an error, and no other upstream could be tried",
+	"deadline":                  "failed: the time limit of the route or the caller passed before an upstream had responded",
 	"caller_left":               "ended: the caller closed its connection",
-	"cut_off":                   "failed: the entry was told to stop, and ended before the answer did",
-	"stream_broken":             "failed: the stream broke after it had begun and could not go on elsewhere",
-	"internal_error":            "failed: a fault of the entry; look for event=panic",
+	"cut_off":                   "failed: the entry was shutting down, and exited before the response ended",
+	"stream_broken":             "failed: the stream broke after its start and could not be resumed at another upstream",
+	"internal_error":            "failed: internal error of the entry; look for event=panic",
 }
 
-// describeCause puts the end of a request and what led to it into one line.
+// describeCause returns one line of text from a request's end, its HTTP status and duration, and each attempt that
+// failed.
 func describeCause(requestLines []logLine) string {
 	cause := "still in progress, or its end was not logged"
 	for _, line := range requestLines {
@@ -185,7 +193,8 @@
 	return cause
 }
 
-// missingLines compares what the end of a request says with the lines before it.
+// missingLines returns a description of each expected line that is absent: the line that ends the request, and a
+// line for an upstream's selection if the request had attempts.
 func missingLines(requestLines []logLine) []string {
 	count := map[string]int{}
 	attempts := ""
@@ -197,10 +206,10 @@
 	}
 	var missing []string
 	if count["request"] == 0 {
-		missing = append(missing, "event=request: the entry ended before the request did, or the line was dropped")
+		missing = append(missing, "event=request: the entry exited before the request ended, or the line was dropped")
 	}
 	if attempts != "" && attempts != "0" && count["place"] == 0 {
-		missing = append(missing, "event=place: "+attempts+" attempts were made and none is here")
+		missing = append(missing, "event=place: "+attempts+" attempts were made, but none of these lines was found")
 	}
 	return missing
 }
