--- a/console/console.go
+++ b/console/console.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// maxForm bounds a posted form in bytes.
-	maxForm = 16 << 20
+	// maxFormBytes bounds a posted form in bytes.
+	maxFormBytes = 16 << 20
 	// platformTimeout bounds the read of the document in force.
 	platformTimeout = 3 * time.Second
 )
@@ -67,20 +67,20 @@
 // refused.
 func (c *Console) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /{$}", c.begin)
-	mux.HandleFunc("POST /edit", c.edit)
-	mux.HandleFunc("POST /seal", c.seal)
-	return http.NewCrossOriginProtection().Handler(secure(mux))
+	mux.HandleFunc("GET /{$}", c.handleForm)
+	mux.HandleFunc("POST /edit", c.handleEdit)
+	mux.HandleFunc("POST /seal", c.handleSeal)
+	return http.NewCrossOriginProtection().Handler(withSecurityHeaders(mux))
 }
 
-// secure sets what keeps pages from being framed or running scripts.
-func secure(next http.Handler) http.Handler {
+// withSecurityHeaders sets what keeps pages from being framed or running scripts.
+func withSecurityHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
 		h.Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; frame-ancestors 'none'")
 		h.Set("X-Content-Type-Options", "nosniff")
 		h.Set("Cache-Control", "no-store")
-		r.Body = http.MaxBytesReader(w, r.Body, maxForm)
+		r.Body = http.MaxBytesReader(w, r.Body, maxFormBytes)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -101,8 +101,8 @@
 	SealedDocument string
 }
 
-// inForce reads the document in force from the platform.
-func (c *Console) inForce(ctx context.Context) (*validator.Accepted, error) {
+// fetchInForce reads the document in force from the platform.
+func (c *Console) fetchInForce(ctx context.Context) (*validator.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	url := "http://" + c.config.Platform.String() + api.PathConfig
@@ -118,41 +118,41 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("read document in force: status %d", response.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocument+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocument+1))
 	if err != nil {
 		return nil, fmt.Errorf("read document in force: %w", err)
 	}
-	accepted, err := validator.Parse(data)
+	accepted, err := validator.Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("document in force: %w", err)
 	}
 	return accepted, nil
 }
 
-func (c *Console) show(w http.ResponseWriter, status int, p page) {
+func (c *Console) render(w http.ResponseWriter, status int, content page) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.WriteHeader(status)
-	if err := c.pages.Execute(w, p); err != nil {
+	if err := c.pages.Execute(w, content); err != nil {
 		c.config.Log.Warn("console_page", zap.Error(err))
 	}
 }
 
-// begin shows the document in force as a form.
-func (c *Console) begin(w http.ResponseWriter, r *http.Request) {
-	accepted, err := c.inForce(r.Context())
+// handleForm shows the document in force as a form.
+func (c *Console) handleForm(w http.ResponseWriter, r *http.Request) {
+	inForce, err := c.fetchInForce(r.Context())
 	if err != nil {
-		c.show(w, http.StatusBadGateway, page{Errors: lines(err)})
+		c.render(w, http.StatusBadGateway, page{Errors: errorLines(err)})
 		return
 	}
-	c.show(w, http.StatusOK, page{
-		Revision: accepted.Version.Revision, Base: accepted.Version.Digest, Fields: fieldsOf(accepted.Document),
-		Warning: c.notInForce(r.Context(), accepted.Version),
+	c.render(w, http.StatusOK, page{
+		Revision: inForce.Version.Revision, Base: inForce.Version.Digest, Fields: formFields(inForce.Document),
+		Warning: c.mismatchWarning(r.Context(), inForce.Version),
 	})
 }
 
-// notInForce warns when an entry has another document in force than the one
+// mismatchWarning warns when an entry has another document in force than the one
 // that the platform shows.
-func (c *Console) notInForce(ctx context.Context, shown validator.Version) string {
+func (c *Console) mismatchWarning(ctx context.Context, shown validator.Version) string {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	for _, entry := range c.config.Entries {
@@ -171,119 +171,119 @@
 	return ""
 }
 
-func lines(err error) []string { return strings.Split(err.Error(), "\n") }
+func errorLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
 // draft is a document as it was posted.
 type draft struct {
-	document validator.Document
-	text     []byte
-	base     string
-	// faults are why it does not pass, nil if it does.
-	faults error
+	document   validator.Document
+	text       []byte
+	baseDigest string
+	// validationErr are why it does not pass, nil if it does.
+	validationErr error
 }
 
-func (c *Console) readDraft(r *http.Request) (draft, error) {
+func (c *Console) parseDraft(r *http.Request) (draft, error) {
 	if err := r.ParseForm(); err != nil {
-		return draft{}, fmt.Errorf("form: must be whole and at most %d bytes: %w", maxForm, err)
+		return draft{}, fmt.Errorf("form: must be whole and at most %d bytes: %w", maxFormBytes, err)
 	}
-	d := draft{base: r.PostForm.Get("Base")}
+	d := draft{baseDigest: r.PostForm.Get("Base")}
 	var revision uint64
 	if _, err := fmt.Sscan(r.PostForm.Get("Revision"), &revision); err != nil {
 		return draft{}, decoder.FieldError{Field: "Revision", Value: r.PostForm.Get("Revision"), Requirement: "a whole number of at least 0"}
 	}
-	document, err := documentOf(r.PostForm)
-	d.document, d.faults = document, err
-	d.document.Revision, d.document.Base = revision+1, d.base
+	document, err := parseDocument(r.PostForm)
+	d.document, d.validationErr = document, err
+	d.document.Revision, d.document.Base = revision+1, d.baseDigest
 	return d, nil
 }
 
-// check writes the draft as a document and has the one validator judge it.
-func (d *draft) check() {
-	if d.faults != nil {
+// validate writes the draft as a document and has the one validator judge it.
+func (d *draft) validate() {
+	if d.validationErr != nil {
 		return
 	}
 	text, err := yaml.Marshal(d.document)
 	if err != nil {
-		d.faults = fmt.Errorf("write document: %w", err)
+		d.validationErr = fmt.Errorf("write document: %w", err)
 		return
 	}
 	d.text = text
-	_, d.faults = validator.Parse(text)
+	_, d.validationErr = validator.Parse(text)
 }
 
-// edit adds, removes or checks, as the button pressed says.
-func (c *Console) edit(w http.ResponseWriter, r *http.Request) {
-	d, err := c.readDraft(r)
+// handleEdit adds, removes or checks, as the button pressed says.
+func (c *Console) handleEdit(w http.ResponseWriter, r *http.Request) {
+	d, err := c.parseDraft(r)
 	if err != nil {
-		c.show(w, http.StatusBadRequest, page{Errors: lines(err)})
+		c.render(w, http.StatusBadRequest, page{Errors: errorLines(err)})
 		return
 	}
-	p := page{Revision: d.document.Revision - 1, Base: d.base}
+	result := page{Revision: d.document.Revision - 1, Base: d.baseDigest}
 	action := r.PostForm.Get("Action")
 	if action == "check" {
-		d.check()
-	} else if d.faults == nil {
-		d.faults = edit(&d.document, action)
+		d.validate()
+	} else if d.validationErr == nil {
+		d.validationErr = applyAction(&d.document, action)
 	}
-	p.Fields = fieldsOf(d.document)
-	if d.faults != nil {
-		p.Fields = restore(p.Fields, r.PostForm)
-		p.Errors = lines(d.faults)
-		c.show(w, http.StatusOK, p)
+	result.Fields = formFields(d.document)
+	if d.validationErr != nil {
+		result.Fields = restoreInput(result.Fields, r.PostForm)
+		result.Errors = errorLines(d.validationErr)
+		c.render(w, http.StatusOK, result)
 		return
 	}
 	if action != "check" {
-		c.show(w, http.StatusOK, p)
+		c.render(w, http.StatusOK, result)
 		return
 	}
-	p.IsValid = true
-	c.compare(r.Context(), d, &p)
-	c.show(w, http.StatusOK, p)
+	result.IsValid = true
+	c.addComparison(r.Context(), d, &result)
+	c.render(w, http.StatusOK, result)
 }
 
-// compare fills in what the draft changes in the document in force, and warns
+// addComparison fills in what the draft changes in the document in force, and warns
 // when that is no longer its base.
-func (c *Console) compare(ctx context.Context, d draft, p *page) {
-	now, err := c.inForce(ctx)
+func (c *Console) addComparison(ctx context.Context, d draft, result *page) {
+	inForce, err := c.fetchInForce(ctx)
 	if err != nil {
-		p.Warning = "The document in force can't be read, so the difference is not known: " + err.Error()
+		result.Warning = "The document in force can't be read, so the difference is not known: " + err.Error()
 		return
 	}
-	p.Warning = c.notInForce(ctx, now.Version)
-	if now.Version.Digest != d.base {
-		p.Warning = fmt.Sprintf("The document in force is no longer the one that you edited: it is revision %d now. Publishing this one may lose to it, or undo it.", now.Version.Revision)
+	result.Warning = c.mismatchWarning(ctx, inForce.Version)
+	if inForce.Version.Digest != d.baseDigest {
+		result.Warning = fmt.Sprintf("The document in force is no longer the one that you edited: it is revision %d now. Publishing this one may lose to it, or undo it.", inForce.Version.Revision)
 	}
-	p.Changes = difference(now.Document, d.document)
-	p.Effects = effects(now.Document, d.document)
+	result.Changes = listChanges(inForce.Document, d.document)
+	result.Effects = describeEffects(inForce.Document, d.document)
 }
 
-// errNotChecked is a document that does not pass the check.
-var errNotChecked = errors.New("a document that does not pass the check is not sealed")
+// errNotValid is a document that does not pass the check.
+var errNotValid = errors.New("a document that does not pass the check is not sealed")
 
-// seal checks the draft again and shows it with its seal.
-func (c *Console) seal(w http.ResponseWriter, r *http.Request) {
-	d, err := c.readDraft(r)
+// handleSeal checks the draft again and shows it with its seal.
+func (c *Console) handleSeal(w http.ResponseWriter, r *http.Request) {
+	d, err := c.parseDraft(r)
 	if err != nil {
-		c.show(w, http.StatusBadRequest, page{Errors: lines(err)})
+		c.render(w, http.StatusBadRequest, page{Errors: errorLines(err)})
 		return
 	}
-	d.check()
-	p := page{Revision: d.document.Revision - 1, Base: d.base, Fields: fieldsOf(d.document)}
-	if d.faults != nil {
-		p.Fields = restore(p.Fields, r.PostForm)
-		p.Errors = append(lines(errNotChecked), lines(d.faults)...)
-		c.show(w, http.StatusUnprocessableEntity, p)
+	d.validate()
+	result := page{Revision: d.document.Revision - 1, Base: d.baseDigest, Fields: formFields(d.document)}
+	if d.validationErr != nil {
+		result.Fields = restoreInput(result.Fields, r.PostForm)
+		result.Errors = append(errorLines(errNotValid), errorLines(d.validationErr)...)
+		c.render(w, http.StatusUnprocessableEntity, result)
 		return
 	}
-	sealed := sealer.Seal(d.text, c.config.SealingKey)
-	p.IsValid, p.SealedDocument = true, string(sealed)
-	c.compare(r.Context(), d, &p)
-	c.config.Log.Info("sealed", zap.Uint64("revision", d.document.Revision), zap.String("digest", validator.Digest(sealed)), zap.String("base", d.base))
+	document := sealer.Seal(d.text, c.config.SealingKey)
+	result.IsValid, result.SealedDocument = true, string(document)
+	c.addComparison(r.Context(), d, &result)
+	c.config.Log.Info("sealed", zap.Uint64("revision", d.document.Revision), zap.String("digest", validator.Digest(document)), zap.String("base", d.baseDigest))
 	if r.PostForm.Get("Download") != "" {
 		w.Header().Set("Content-Type", "application/yaml")
 		w.Header().Set("Content-Disposition", fmt.Sprintf("attachment; filename=document-%d.yaml", d.document.Revision))
-		_, _ = w.Write(sealed)
+		_, _ = w.Write(document)
 		return
 	}
-	c.show(w, http.StatusOK, p)
+	c.render(w, http.StatusOK, result)
 }
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -25,10 +25,10 @@
 // testConsole is a console before a platform that serves one document.
 type testConsole struct {
 	t        *testing.T
-	web      *httptest.Server
+	server   *httptest.Server
 	document string
-	// status is what an entry answers.
-	status string
+	// entryStatus is what an entry answers.
+	entryStatus string
 }
 
 func withTestConsole(t *testing.T, f func(*testConsole)) {
@@ -43,7 +43,7 @@
 	}))
 	defer platform.Close()
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, tc.status)
+		_, _ = io.WriteString(w, tc.entryStatus)
 	}))
 	defer entry.Close()
 	c, err := New(Config{
@@ -54,30 +54,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tc.web = httptest.NewServer(c.Handler())
-	defer tc.web.Close()
+	tc.server = httptest.NewServer(c.Handler())
+	defer tc.server.Close()
 	f(tc)
 }
 
 var (
-	inputs   = regexp.MustCompile(`<input type="(hidden|text|checkbox)"[^>]*name="([^"]+)" value="([^"]*)"( checked)?`)
-	textarea = regexp.MustCompile(`(?s)<textarea[^>]*>(.*)</textarea>`)
+	inputPattern    = regexp.MustCompile(`<input type="(hidden|text|checkbox)"[^>]*name="([^"]+)" value="([^"]*)"( checked)?`)
+	textareaPattern = regexp.MustCompile(`(?s)<textarea[^>]*>(.*)</textarea>`)
 )
 
-// load reads a page's form as a browser would send it back.
-func (tc *testConsole) load() url.Values {
-	response, err := http.Get(tc.web.URL)
+// loadForm reads a page's form as a browser would send it back.
+func (tc *testConsole) loadForm() url.Values {
+	response, err := http.Get(tc.server.URL)
 	if err != nil {
 		tc.t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, _ := io.ReadAll(response.Body)
-	return formOf(string(data))
+	return parseForm(string(data))
 }
 
-func formOf(page string) url.Values {
+func parseForm(page string) url.Values {
 	form := url.Values{}
-	for _, m := range inputs.FindAllStringSubmatch(page, -1) {
+	for _, m := range inputPattern.FindAllStringSubmatch(page, -1) {
 		if m[1] != "checkbox" || m[4] != "" {
 			form.Set(m[2], html.UnescapeString(m[3]))
 		}
@@ -86,7 +86,7 @@
 }
 
 func (tc *testConsole) post(path string, form url.Values, header ...string) (int, string) {
-	r, _ := http.NewRequest(http.MethodPost, tc.web.URL+path, strings.NewReader(form.Encode()))
+	r, _ := http.NewRequest(http.MethodPost, tc.server.URL+path, strings.NewReader(form.Encode()))
 	r.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	for i := 0; i+1 < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -100,15 +100,15 @@
 	return response.StatusCode, string(data)
 }
 
-func (tc *testConsole) action(form url.Values, action string) string {
+func (tc *testConsole) postAction(form url.Values, action string) string {
 	form.Set("Action", action)
 	_, page := tc.post("/edit", form)
 	return page
 }
 
-// sealed takes the sealed document from a page.
-func sealed(page string) string {
-	m := textarea.FindStringSubmatch(page)
+// sealedDocument takes the sealed document from a page.
+func sealedDocument(page string) string {
+	m := textareaPattern.FindStringSubmatch(page)
 	if m == nil {
 		return ""
 	}
@@ -118,18 +118,18 @@
 func TestEditCheckSeal(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		form := tc.load()
+		form := tc.loadForm()
 		form.Set("Engines.0.Role", "Long")
 		form.Set("Organisations.1.Models", "")
 		form.Set("Organisations.1.Services", "dispatch")
-		page := tc.action(form, "check")
+		page := tc.postAction(form, "check")
 		is.True(strings.Contains(page, "The document passes the check."))
 		is.True(strings.Contains(page, "Engines[engine-1].Role"))
 		is.True(strings.Contains(page, "engine engine-1 changes its role once its streams have ended"))
 		is.True(strings.Contains(page, "organisation condor-linemen loses model inspector"))
 		status, page := tc.post("/seal", form)
 		is.Equal(status, http.StatusOK)
-		document := sealed(page)
+		document := sealedDocument(page)
 		is.NoErr(sealer.Verify([]byte(document), []ed25519.PublicKey{testKey.Public().(ed25519.PublicKey)}))
 		accepted, err := validator.Parse([]byte(document))
 		is.NoErr(err)
@@ -142,14 +142,14 @@
 func TestAddAndRemove(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		page := tc.action(tc.load(), "add:Engines")
+		page := tc.postAction(tc.loadForm(), "add:Engines")
 		is.True(strings.Contains(page, `name="Engines.3.Name"`))
-		page = tc.action(formOf(page), "remove:Engines.3")
+		page = tc.postAction(parseForm(page), "remove:Engines.3")
 		is.True(!strings.Contains(page, `name="Engines.3.Name"`))
-		page = tc.action(formOf(page), "add:Services.0.Calls")
+		page = tc.postAction(parseForm(page), "add:Services.0.Calls")
 		is.True(strings.Contains(page, `name="Services.0.Calls.2.Name"`))
 		for _, bad := range []string{"add:Nothing", "remove:Engines.99", "remove:Engines", "add:", "burn:Engines"} {
-			is.True(strings.Contains(tc.action(tc.load(), bad), "This does not pass"))
+			is.True(strings.Contains(tc.postAction(tc.loadForm(), bad), "This does not pass"))
 		}
 	})
 }
@@ -158,23 +158,23 @@
 func TestInvalidDocumentIsNotSealed(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		form := tc.load()
+		form := tc.loadForm()
 		form.Set("Engines.0.MemoryTokens", "many")
 		form.Set("Limits.MaxTimeout", "soon")
-		page := tc.action(form, "check")
+		page := tc.postAction(form, "check")
 		is.True(strings.Contains(page, "Engines.0.MemoryTokens: &#34;many&#34;: must be a whole number"))
 		is.True(strings.Contains(page, "Limits.MaxTimeout: &#34;soon&#34;"))
 		is.True(strings.Contains(page, `name="Engines.0.MemoryTokens" value="many"`))
 		status, page := tc.post("/seal", form)
 		is.Equal(status, http.StatusUnprocessableEntity)
-		is.Equal(sealed(page), "")
-		form = tc.load()
+		is.Equal(sealedDocument(page), "")
+		form = tc.loadForm()
 		form.Set("Organisations.0.Models", "<script>alert(1)</script>")
-		page = tc.action(form, "check")
+		page = tc.postAction(form, "check")
 		is.True(strings.Contains(page, "Organisations[0].Models[0]"))
 		is.True(!strings.Contains(page, "<script>"))
 		form.Set("Engines.#", "100000000")
-		is.True(strings.Contains(tc.action(form, "check"), "a list of 0 to 10000 items"))
+		is.True(strings.Contains(tc.postAction(form, "check"), "a list of 0 to 10000 items"))
 		form.Set("Revision", "-1")
 		status, _ = tc.post("/edit", form)
 		is.Equal(status, http.StatusBadRequest)
@@ -184,9 +184,9 @@
 func TestOtherOriginsAndLargeFormsAreRefused(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		status, _ := tc.post("/seal", tc.load(), "Sec-Fetch-Site", "cross-site")
+		status, _ := tc.post("/seal", tc.loadForm(), "Sec-Fetch-Site", "cross-site")
 		is.Equal(status, http.StatusForbidden)
-		status, page := tc.post("/edit", url.Values{"Revision": {strings.Repeat("1", maxForm)}})
+		status, page := tc.post("/edit", url.Values{"Revision": {strings.Repeat("1", maxFormBytes)}})
 		is.Equal(status, http.StatusBadRequest)
 		is.True(strings.Contains(page, "at most 16777216 bytes"))
 	})
@@ -197,16 +197,16 @@
 func TestWarnsOfDraftWithOldBase(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		first, second := tc.load(), tc.load()
+		first, second := tc.loadForm(), tc.loadForm()
 		first.Set("Policy.ShortWeight", "7")
 		second.Set("Policy.ShortWeight", "9")
 		_, page := tc.post("/seal", first)
 		is.True(!strings.Contains(page, "no longer the one that you edited"))
-		tc.document = sealed(page)
-		is.True(strings.Contains(tc.action(second, "check"), "no longer the one that you edited"))
+		tc.document = sealedDocument(page)
+		is.True(strings.Contains(tc.postAction(second, "check"), "no longer the one that you edited"))
 		_, page = tc.post("/seal", second)
 		is.True(strings.Contains(page, "revision 2 now"))
-		is.True(sealed(page) != "")
+		is.True(sealedDocument(page) != "")
 	})
 }
 
@@ -215,24 +215,24 @@
 func TestWarnsOfEntryWithAnotherDocument(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		is.True(!strings.Contains(tc.action(tc.load(), "check"), "not what the platform shows"))
-		tc.status = `{"Name":"entry-1","Revision":1,"Digest":"ffff"}`
-		is.True(strings.Contains(tc.action(tc.load(), "check"), "Entry entry-1 has revision 1, digest ffff, in force, not what the platform shows"))
+		is.True(!strings.Contains(tc.postAction(tc.loadForm(), "check"), "not what the platform shows"))
+		tc.entryStatus = `{"Name":"entry-1","Revision":1,"Digest":"ffff"}`
+		is.True(strings.Contains(tc.postAction(tc.loadForm(), "check"), "Entry entry-1 has revision 1, digest ffff, in force, not what the platform shows"))
 	})
 }
 
 func TestDraftIsSealedWithoutPlatform(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
-		form := tc.load()
+		form := tc.loadForm()
 		tc.document = "not a document"
-		response, err := http.Get(tc.web.URL)
+		response, err := http.Get(tc.server.URL)
 		is.NoErr(err)
 		_ = response.Body.Close()
 		is.Equal(response.StatusCode, http.StatusBadGateway)
 		// What was being edited can still be checked and sealed.
 		_, page := tc.post("/seal", form)
 		is.True(strings.Contains(page, "the difference is not known"))
-		is.True(sealed(page) != "")
+		is.True(sealedDocument(page) != "")
 	})
 }
--- a/console/difference.go
+++ b/console/difference.go
@@ -16,77 +16,77 @@
 	Old, New string
 }
 
-// difference lists what differs, items of lists being told apart by name.
-func difference(old, updated validator.Document) []change {
-	before, after := values(old), values(updated)
-	paths := maps.Clone(before)
-	maps.Copy(paths, after)
-	var out []change
+// listChanges lists what differs, items of lists being told apart by name.
+func listChanges(old, updated validator.Document) []change {
+	oldValues, newValues := valuesByPath(old), valuesByPath(updated)
+	paths := maps.Clone(oldValues)
+	maps.Copy(paths, newValues)
+	var changes []change
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		if before[path] != after[path] {
-			out = append(out, change{Path: path, Old: before[path], New: after[path]})
+		if oldValues[path] != newValues[path] {
+			changes = append(changes, change{Path: path, Old: oldValues[path], New: newValues[path]})
 		}
 	}
-	return out
+	return changes
 }
 
-func values(d validator.Document) map[string]string {
-	out := map[string]string{}
-	collect(reflect.ValueOf(d), "", out)
-	return out
+func valuesByPath(document validator.Document) map[string]string {
+	values := map[string]string{}
+	addValues(reflect.ValueOf(document), "", values)
+	return values
 }
 
-func collect(v reflect.Value, path string, out map[string]string) {
+func addValues(v reflect.Value, path string, values map[string]string) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
-		if path == "" && isKeptBack(name) {
+		if path == "" && isHidden(name) {
 			continue
 		}
-		f, at := v.Field(i), join(path, name)
+		value, valuePath := v.Field(i), joinPath(path, name)
 		switch {
-		case f.Kind() == reflect.Struct:
-			collect(f, at, out)
-		case f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct:
-			for j := range f.Len() {
-				collect(f.Index(j), fmt.Sprintf("%s[%s]", at, f.Index(j).FieldByName("Name")), out)
+		case value.Kind() == reflect.Struct:
+			addValues(value, valuePath, values)
+		case value.Kind() == reflect.Slice && value.Type().Elem().Kind() == reflect.Struct:
+			for j := range value.Len() {
+				addValues(value.Index(j), fmt.Sprintf("%s[%s]", valuePath, value.Index(j).FieldByName("Name")), values)
 			}
 		default:
-			out[at] = textOf(f)
+			values[valuePath] = formatValue(value)
 		}
 	}
 }
 
-// effects says what a change will do to what is running.
-func effects(old, updated validator.Document) []string {
-	var out []string
-	out = append(out, engineEffects(old, updated)...)
-	return append(out, organisationEffects(old, updated)...)
+// describeEffects says what a change will do to what is running.
+func describeEffects(old, updated validator.Document) []string {
+	var effects []string
+	effects = append(effects, describeEngineEffects(old, updated)...)
+	return append(effects, describeOrganisationEffects(old, updated)...)
 }
 
-func engineEffects(old, updated validator.Document) []string {
-	var out []string
-	before := byName(old.Engines, func(e validator.Engine) string { return e.Name })
-	after := byName(updated.Engines, func(e validator.Engine) string { return e.Name })
-	for _, name := range slices.Sorted(maps.Keys(before)) {
-		was, is := before[name], after[name]
+func describeEngineEffects(old, updated validator.Document) []string {
+	var effects []string
+	oldEngines := indexByName(old.Engines, func(e validator.Engine) string { return e.Name })
+	newEngines := indexByName(updated.Engines, func(e validator.Engine) string { return e.Name })
+	for _, name := range slices.Sorted(maps.Keys(oldEngines)) {
+		oldEngine, newEngine := oldEngines[name], newEngines[name]
 		switch {
-		case is.Name == "":
-			out = append(out, fmt.Sprintf("engine %s gets no new work", name))
-		case was.Model != is.Model || was.Version != is.Version:
-			out = append(out, fmt.Sprintf("engine %s unloads %s %s, which %s, once its streams have ended, and loads %s %s from the weight store",
-				name, was.Model, was.Version, usedBy(old, was.Model), is.Model, is.Version))
-		case !slices.Equal(was.Adapters, is.Adapters):
-			out = append(out, fmt.Sprintf("engine %s changes its adapters once its streams have ended", name))
-		case was.Role != is.Role:
-			out = append(out, fmt.Sprintf("engine %s changes its role once its streams have ended", name))
+		case newEngine.Name == "":
+			effects = append(effects, fmt.Sprintf("engine %s gets no new work", name))
+		case oldEngine.Model != newEngine.Model || oldEngine.Version != newEngine.Version:
+			effects = append(effects, fmt.Sprintf("engine %s unloads %s %s, which %s, once its streams have ended, and loads %s %s from the weight store",
+				name, oldEngine.Model, oldEngine.Version, describeModelUsers(old, oldEngine.Model), newEngine.Model, newEngine.Version))
+		case !slices.Equal(oldEngine.Adapters, newEngine.Adapters):
+			effects = append(effects, fmt.Sprintf("engine %s changes its adapters once its streams have ended", name))
+		case oldEngine.Role != newEngine.Role:
+			effects = append(effects, fmt.Sprintf("engine %s changes its role once its streams have ended", name))
 		}
 	}
-	return out
+	return effects
 }
 
-func usedBy(d validator.Document, model string) string {
+func describeModelUsers(document validator.Document, model string) string {
 	var users []string
-	for _, o := range d.Organisations {
+	for _, o := range document.Organisations {
 		if slices.Contains(o.Models, model) {
 			users = append(users, o.Name)
 		}
@@ -101,32 +101,32 @@
 	return strings.Join(users, ", ") + " may use"
 }
 
-func organisationEffects(old, updated validator.Document) []string {
-	var out []string
-	before := byName(old.Organisations, func(o validator.Organisation) string { return o.Name })
-	after := byName(updated.Organisations, func(o validator.Organisation) string { return o.Name })
-	for _, name := range slices.Sorted(maps.Keys(before)) {
-		is, stays := after[name]
-		if !stays {
-			out = append(out, fmt.Sprintf("organisation %s is refused", name))
+func describeOrganisationEffects(old, updated validator.Document) []string {
+	var effects []string
+	oldOrganisations := indexByName(old.Organisations, func(o validator.Organisation) string { return o.Name })
+	newOrganisations := indexByName(updated.Organisations, func(o validator.Organisation) string { return o.Name })
+	for _, name := range slices.Sorted(maps.Keys(oldOrganisations)) {
+		newOrganisation, isKept := newOrganisations[name]
+		if !isKept {
+			effects = append(effects, fmt.Sprintf("organisation %s is refused", name))
 			continue
 		}
-		for _, model := range before[name].Models {
-			if !slices.Contains(is.Models, model) {
-				out = append(out, fmt.Sprintf("organisation %s loses model %s", name, model))
+		for _, model := range oldOrganisations[name].Models {
+			if !slices.Contains(newOrganisation.Models, model) {
+				effects = append(effects, fmt.Sprintf("organisation %s loses model %s", name, model))
 			}
 		}
-		if before[name].KeyDigest != is.KeyDigest {
-			out = append(out, fmt.Sprintf("organisation %s is refused with its old key", name))
+		if oldOrganisations[name].KeyDigest != newOrganisation.KeyDigest {
+			effects = append(effects, fmt.Sprintf("organisation %s is refused with its old key", name))
 		}
 	}
-	return out
+	return effects
 }
 
-func byName[T any](items []T, name func(T) string) map[string]T {
-	out := make(map[string]T, len(items))
+func indexByName[T any](items []T, nameOf func(T) string) map[string]T {
+	byName := make(map[string]T, len(items))
 	for _, item := range items {
-		out[name(item)] = item
+		byName[nameOf(item)] = item
 	}
-	return out
+	return byName
 }
--- a/console/form.go
+++ b/console/form.go
@@ -13,8 +13,8 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxItems bounds one list of a form.
-const maxItems = 10_000
+// maxListItems bounds one list of a form.
+const maxListItems = 10_000
 
 // countSuffix names the hidden field with the length of a list.
 const countSuffix = ".#"
@@ -33,52 +33,52 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// fieldsOf lists the fields of a document, in the order of the document.
-func fieldsOf(d validator.Document) []field {
-	var out []field
-	flatten(reflect.ValueOf(d), "", &out)
-	return out
+// formFields lists the fields of a document, in the order of the document.
+func formFields(document validator.Document) []field {
+	var fields []field
+	appendStructFields(reflect.ValueOf(document), "", &fields)
+	return fields
 }
 
-func flatten(v reflect.Value, path string, out *[]field) {
+func appendStructFields(v reflect.Value, path string, fields *[]field) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
-		if path == "" && isKeptBack(name) {
+		if path == "" && isHidden(name) {
 			continue
 		}
-		flattenField(v.Field(i), join(path, name), name, out)
+		appendField(v.Field(i), joinPath(path, name), name, fields)
 	}
 }
 
-// isKeptBack reports whether a field is not the operator's to edit.
-func isKeptBack(name string) bool {
+// isHidden reports whether a field is not the operator's to edit.
+func isHidden(name string) bool {
 	return slices.Contains([]string{"Revision", "Base", "Seal"}, name)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	return strings.TrimPrefix(path+"."+name, ".")
 }
 
-func flattenField(v reflect.Value, path, label string, out *[]field) {
+func appendField(v reflect.Value, path, label string, fields *[]field) {
 	switch {
 	case v.Kind() == reflect.Struct:
-		*out = append(*out, field{Path: path, Label: label, Kind: "group"})
-		flatten(v, path, out)
+		*fields = append(*fields, field{Path: path, Label: label, Kind: "group"})
+		appendStructFields(v, path, fields)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
-		*out = append(*out, field{Path: path, Label: label, Kind: "list", Count: v.Len()})
+		*fields = append(*fields, field{Path: path, Label: label, Kind: "list", Count: v.Len()})
 		for i := range v.Len() {
 			item := fmt.Sprintf("%s.%d", path, i)
-			*out = append(*out, field{Path: item, Label: fmt.Sprintf("%s %d", label, i+1), Kind: "item"})
-			flatten(v.Index(i), item, out)
+			*fields = append(*fields, field{Path: item, Label: fmt.Sprintf("%s %d", label, i+1), Kind: "item"})
+			appendStructFields(v.Index(i), item, fields)
 		}
 	case v.Kind() == reflect.Bool:
-		*out = append(*out, field{Path: path, Label: label, Kind: "bool", Value: strconv.FormatBool(v.Bool())})
+		*fields = append(*fields, field{Path: path, Label: label, Kind: "bool", Value: strconv.FormatBool(v.Bool())})
 	default:
-		*out = append(*out, field{Path: path, Label: label, Kind: "text", Value: textOf(v)})
+		*fields = append(*fields, field{Path: path, Label: label, Kind: "text", Value: formatValue(v)})
 	}
 }
 
-func textOf(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	switch {
 	case v.Type() == durationType:
 		return v.Interface().(time.Duration).String()
@@ -88,52 +88,52 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// documentOf reads a document back from a form. Faults name the field.
-func documentOf(form url.Values) (validator.Document, error) {
-	var d validator.Document
-	var faults decoder.FieldErrors
-	fill(reflect.ValueOf(&d).Elem(), "", form, &faults)
-	return d, faults.Err()
+// parseDocument reads a document back from a form. Faults name the field.
+func parseDocument(form url.Values) (validator.Document, error) {
+	var document validator.Document
+	var fieldErrors decoder.FieldErrors
+	setStructFields(reflect.ValueOf(&document).Elem(), "", form, &fieldErrors)
+	return document, fieldErrors.Err()
 }
 
-func fill(v reflect.Value, path string, form url.Values, faults *decoder.FieldErrors) {
+func setStructFields(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
-		if path == "" && isKeptBack(name) {
+		if path == "" && isHidden(name) {
 			continue
 		}
-		fillField(v.Field(i), join(path, name), form, faults)
+		setField(v.Field(i), joinPath(path, name), form, fieldErrors)
 	}
 }
 
-func fillField(v reflect.Value, path string, form url.Values, faults *decoder.FieldErrors) {
+func setField(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	text := strings.TrimSpace(form.Get(path))
 	switch {
 	case v.Kind() == reflect.Struct:
-		fill(v, path, form, faults)
+		setStructFields(v, path, form, fieldErrors)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
 		count := form.Get(path + countSuffix)
 		n, err := strconv.Atoi(count)
-		valid := err == nil && n >= 0 && n <= maxItems
-		faults.Require(valid, path, count, fmt.Sprintf("a list of 0 to %d items", maxItems))
+		valid := err == nil && n >= 0 && n <= maxListItems
+		fieldErrors.Require(valid, path, count, fmt.Sprintf("a list of 0 to %d items", maxListItems))
 		if !valid {
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), n, n))
 		for i := range n {
-			fill(v.Index(i), fmt.Sprintf("%s.%d", path, i), form, faults)
+			setStructFields(v.Index(i), fmt.Sprintf("%s.%d", path, i), form, fieldErrors)
 		}
 	case v.Kind() == reflect.Slice:
 		v.Set(reflect.ValueOf(splitList(text)))
 	case v.Type() == durationType:
-		d, err := time.ParseDuration(text)
-		faults.Require(err == nil, path, text, "a time such as 1.5s")
-		v.SetInt(int64(d))
+		duration, err := time.ParseDuration(text)
+		fieldErrors.Require(err == nil, path, text, "a time such as 1.5s")
+		v.SetInt(int64(duration))
 	case v.Kind() == reflect.Bool:
 		v.SetBool(text == "true")
 	case v.Kind() == reflect.Int:
 		n, err := strconv.Atoi(text)
-		faults.Require(err == nil, path, text, "a whole number")
+		fieldErrors.Require(err == nil, path, text, "a whole number")
 		v.SetInt(int64(n))
 	default:
 		v.SetString(text)
@@ -141,38 +141,38 @@
 }
 
 func splitList(text string) []string {
-	var out []string
+	var items []string
 	for item := range strings.SplitSeq(text, ",") {
 		if item = strings.TrimSpace(item); item != "" {
-			out = append(out, item)
+			items = append(items, item)
 		}
 	}
-	return out
+	return items
 }
 
-// restore shows what the operator typed where it could not be read, so that
+// restoreInput shows what the operator typed where it could not be read, so that
 // nothing typed is lost.
-func restore(fields []field, form url.Values) []field {
-	for i, f := range fields {
-		if f.Kind == "text" && form.Has(f.Path) {
-			fields[i].Value = form.Get(f.Path)
+func restoreInput(fields []field, form url.Values) []field {
+	for i, formField := range fields {
+		if formField.Kind == "text" && form.Has(formField.Path) {
+			fields[i].Value = form.Get(formField.Path)
 		}
 	}
 	return fields
 }
 
-// edit adds an item to a list, or removes one, as a button of the form says:
+// applyAction adds an item to a list, or removes one, as a button of the form says:
 // add:Engines or remove:Engines.2.
-func edit(d *validator.Document, action string) error {
+func applyAction(document *validator.Document, action string) error {
 	verb, path, _ := strings.Cut(action, ":")
-	list, index, err := locate(reflect.ValueOf(d).Elem(), path)
+	list, index, err := findList(reflect.ValueOf(document).Elem(), path)
 	if err != nil {
 		return err
 	}
 	switch verb {
 	case "add":
-		if list.Len() >= maxItems {
-			return decoder.FieldError{Field: path, Value: "add", Requirement: fmt.Sprintf("a list of at most %d items", maxItems)}
+		if list.Len() >= maxListItems {
+			return decoder.FieldError{Field: path, Value: "add", Requirement: fmt.Sprintf("a list of at most %d items", maxListItems)}
 		}
 		list.Set(reflect.Append(list, reflect.Zero(list.Type().Elem())))
 	case "remove":
@@ -186,10 +186,10 @@
 	return nil
 }
 
-// locate finds the list that a path names, and the index of the item if the
+// findList finds the list that a path names, and the index of the item if the
 // path ends in one, else -1.
-func locate(v reflect.Value, path string) (reflect.Value, int, error) {
-	unknown := decoder.FieldError{Field: path, Value: "", Requirement: "a list of the document"}
+func findList(v reflect.Value, path string) (reflect.Value, int, error) {
+	notFound := decoder.FieldError{Field: path, Value: "", Requirement: "a list of the document"}
 	index := -1
 	for part := range strings.SplitSeq(path, ".") {
 		n, err := strconv.Atoi(part)
@@ -201,14 +201,14 @@
 		case v.Kind() == reflect.Struct:
 			v = v.FieldByName(part)
 		default:
-			return v, -1, unknown
+			return v, -1, notFound
 		}
 		if !v.IsValid() {
-			return v, -1, unknown
+			return v, -1, notFound
 		}
 	}
 	if v.Kind() != reflect.Slice || v.Type().Elem().Kind() != reflect.Struct {
-		return v, -1, unknown
+		return v, -1, notFound
 	}
 	return v, index, nil
 }
