--- a/console/console.go
+++ b/console/console.go
@@ -1,7 +1,7 @@
-// Package console serves the operators' forms: load the document in force,
-// edit it, see the difference and its effects, check it, and take away the
-// sealed document to publish through the platform's own way. It keeps nothing
-// and writes nothing anywhere; it works without scripts.
+// Package console serves web forms in which operators edit the configuration document. The forms start with the
+// document in force, show the differences from it and their effects, and return the checked and sealed document.
+// Operators publish it themselves, by the platform's own means. The console has no state: the page in the browser
+// carries the edited document. The pages need no scripts.
 package console
 
 import (
@@ -28,24 +28,29 @@
 )
 
 const (
-	// maxFormBytes bounds a posted form in bytes.
+	// maxFormBytes bounds the body of a request, in practice a posted form.
 	maxFormBytes = 16 << 20
-	// platformTimeout bounds the read of the document in force.
+	// platformTimeout bounds the fetch of the document from the platform and, separately, the requests for the
+	// status of all entries together.
 	platformTimeout = 3 * time.Second
 )
 
-// Config of a console.
+// Config configures a Console.
 type Config struct {
+	// Platform is the address of the platform, which serves the published document.
 	Platform netip.AddrPort
-	// Entries are asked what is in force: the platform may show a document
-	// that lost to another of the same revision.
-	Entries    []netip.AddrPort
+	// Entries are addresses of entries whose status is compared with the platform's document: the platform may
+	// show a document that lost to another of the same revision. The list may be empty.
+	Entries []netip.AddrPort
+	// SealingKey seals the documents.
 	SealingKey ed25519.PrivateKey
+	// HTTPClient sends the requests to the platform and the entries.
 	HTTPClient *http.Client
-	Log        *zap.Logger
+	// Log receives an event for each sealed document and for each page that could not be written.
+	Log *zap.Logger
 }
 
-// Console serves the forms.
+// Console serves the operators' forms. It is safe for concurrent use.
 type Console struct {
 	config Config
 	pages  *template.Template
@@ -54,17 +59,17 @@
 //go:embed pages.html
 var pages string
 
-// New returns a console.
+// New returns a console. All fields of the configuration but Entries are required.
 func New(c Config) (*Console, error) {
 	t, err := template.New("pages").Parse(pages)
 	if err != nil {
-		return nil, fmt.Errorf("read pages: %w", err)
+		return nil, fmt.Errorf("parse page template: %w", err)
 	}
 	return &Console{config: c, pages: t}, nil
 }
 
-// Handler returns the console's HTTP interface. Posts from other origins are
-// refused.
+// Handler returns the handler of the console's pages. It refuses posts from other origins, so that other web sites
+// can't submit a form through an operator's browser.
 func (c *Console) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", c.handleForm)
@@ -73,7 +78,8 @@
 	return http.NewCrossOriginProtection().Handler(withSecurityHeaders(mux))
 }
 
-// withSecurityHeaders sets what keeps pages from being framed or running scripts.
+// withSecurityHeaders bounds request bodies, and sets headers that forbid pages to run scripts, to be shown in
+// frames of other pages and to be cached.
 func withSecurityHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
@@ -85,38 +91,43 @@
 	})
 }
 
-// page is what the template shows.
+// page holds the data of the page template.
 type page struct {
-	// Revision and Base are those of the document in force when editing began.
+	// Revision and Base are the revision and the digest of the document that was in force when editing began.
 	Revision uint64
 	Base     string
-	Fields   []field
-	// Errors are why the document does not pass; Checked says that it does.
-	Errors  []string
+	// Fields are the form fields of the edited document. The page has no form if there are none.
+	Fields []field
+	// Errors lists why the request failed or the document is invalid.
+	Errors []string
+	// IsValid is true if the document passed the check. Changes and Effects are only shown then.
 	IsValid bool
+	// Changes are the differences between the document in force and the edited one.
 	Changes []change
+	// Effects describes in words what the changes do to running engines and to organisations.
 	Effects []string
+	// Warning is empty if there is none.
 	Warning string
-	// SealedDocument is the document to publish.
+	// SealedDocument is the document to publish, empty if it was not sealed.
 	SealedDocument string
 }
 
-// fetchInForce reads the document in force from the platform.
+// fetchInForce fetches the document in force from the platform and checks it.
 func (c *Console) fetchInForce(ctx context.Context) (*validator.Accepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	url := "http://" + c.config.Platform.String() + api.PathConfig
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, fmt.Errorf("make read: %w", err)
+		return nil, fmt.Errorf("create request for document in force: %w", err)
 	}
 	response, err := c.config.HTTPClient.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("read document in force: %w", err)
+		return nil, fmt.Errorf("fetch document in force: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("read document in force: status %d", response.StatusCode)
+		return nil, fmt.Errorf("fetch document in force: HTTP status %d", response.StatusCode)
 	}
 	text, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocument+1))
 	if err != nil {
@@ -124,11 +135,12 @@
 	}
 	accepted, err := validator.Parse(text)
 	if err != nil {
-		return nil, fmt.Errorf("document in force: %w", err)
+		return nil, fmt.Errorf("parse document in force: %w", err)
 	}
 	return accepted, nil
 }
 
+// render writes the page. It logs an error, as the response has already begun.
 func (c *Console) render(w http.ResponseWriter, status int, content page) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.WriteHeader(status)
@@ -137,7 +149,7 @@
 	}
 }
 
-// handleForm shows the document in force as a form.
+// handleForm shows a form with the document in force.
 func (c *Console) handleForm(w http.ResponseWriter, r *http.Request) {
 	inForce, err := c.fetchInForce(r.Context())
 	if err != nil {
@@ -150,8 +162,8 @@
 	})
 }
 
-// mismatchWarning warns when an entry has another document in force than the one
-// that the platform shows.
+// mismatchWarning returns a warning if an entry has another document in force than the platform shows, else an empty
+// string. It skips entries that don't respond.
 func (c *Console) mismatchWarning(ctx context.Context, shown validator.Version) string {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -165,26 +177,31 @@
 		if err != nil || status.Digest == "" || status.Digest == shown.Digest {
 			continue
 		}
-		return fmt.Sprintf("Entry %s has revision %d, digest %s, in force, not what the platform shows (revision %d, digest %s). If it has the greater revision, or the greater digest of one revision, publish over it with a revision greater than both.",
+		return fmt.Sprintf("Entry %s has revision %d, digest %s, in force, not what the platform shows (revision %d, digest %s). If the entry's revision is greater, or the revisions are equal and the entry's digest is greater, publish a document whose revision is greater than both.",
 			status.Name, status.Revision, validator.Shorten(status.Digest), shown.Revision, validator.Shorten(shown.Digest))
 	}
 	return ""
 }
 
+// errorLines splits the message of an error that combines several, one a line.
 func errorLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
-// draft is a document as it was posted.
+// draft is an edited document, as posted by the form.
 type draft struct {
-	document   validator.Document
-	text       []byte
+	document validator.Document
+	// text is the document in YAML; empty before validate.
+	text []byte
+	// baseDigest is the digest of the document in force when editing began.
 	baseDigest string
-	// validationErr are why it does not pass, nil if it does.
+	// validationErr says why the form or the document is invalid, nil if no error was found.
 	validationErr error
 }
 
+// parseDraft parses a posted form. It returns an error if the form or its revision is malformed; invalid fields of the
+// document are in the draft's validationErr. The draft's revision is one greater than that of its base.
 func (c *Console) parseDraft(r *http.Request) (draft, error) {
 	if err := r.ParseForm(); err != nil {
-		return draft{}, fmt.Errorf("form: must be whole and at most %d bytes: %w", maxFormBytes, err)
+		return draft{}, fmt.Errorf("form: must be complete and at most %d bytes: %w", maxFormBytes, err)
 	}
 	d := draft{baseDigest: r.PostForm.Get("Base")}
 	var revision uint64
@@ -197,21 +214,21 @@
 	return d, nil
 }
 
-// validate writes the draft as a document and has the one validator judge it.
+// validate encodes the draft as YAML and checks it by validator.Parse, the same check that entries use.
 func (d *draft) validate() {
 	if d.validationErr != nil {
 		return
 	}
 	text, err := yaml.Marshal(d.document)
 	if err != nil {
-		d.validationErr = fmt.Errorf("write document: %w", err)
+		d.validationErr = fmt.Errorf("encode document: %w", err)
 		return
 	}
 	d.text = text
 	_, d.validationErr = validator.Parse(text)
 }
 
-// handleEdit adds, removes or checks, as the button pressed says.
+// handleEdit executes the action of the pressed button: it adds or removes a list item, or checks the document.
 func (c *Console) handleEdit(w http.ResponseWriter, r *http.Request) {
 	d, err := c.parseDraft(r)
 	if err != nil {
@@ -241,8 +258,8 @@
 	c.render(w, http.StatusOK, result)
 }
 
-// addComparison fills in what the draft changes in the document in force, and warns
-// when that is no longer its base.
+// addComparison sets the page's changes and effects from the draft and the document in force. It sets a warning if
+// that document can't be read, differs from an entry's, or is no longer the draft's base.
 func (c *Console) addComparison(ctx context.Context, d draft, result *page) {
 	inForce, err := c.fetchInForce(ctx)
 	if err != nil {
@@ -251,16 +268,16 @@
 	}
 	result.Warning = c.mismatchWarning(ctx, inForce.Version)
 	if inForce.Version.Digest != d.baseDigest {
-		result.Warning = fmt.Sprintf("The document in force is no longer the one that you edited: it is revision %d now. Publishing this one may lose to it, or undo it.", inForce.Version.Revision)
+		result.Warning = fmt.Sprintf("The document in force is no longer the one that you edited: it is revision %d now. If you publish this document, it may be superseded by that one, or revert its changes.", inForce.Version.Revision)
 	}
 	result.Changes = listChanges(inForce.Document, d.document)
 	result.Effects = describeEffects(inForce.Document, d.document)
 }
 
-// errNotValid is a document that does not pass the check.
-var errNotValid = errors.New("a document that does not pass the check is not sealed")
+// errNotValid is shown when an operator tries to seal an invalid document.
+var errNotValid = errors.New("a document that does not pass the check can't be sealed")
 
-// handleSeal checks the draft again and shows it with its seal.
+// handleSeal checks the draft and seals it. It shows the sealed document in a page, or sends it as a download.
 func (c *Console) handleSeal(w http.ResponseWriter, r *http.Request) {
 	d, err := c.parseDraft(r)
 	if err != nil {
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -22,12 +22,13 @@
 
 var testKey = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// testConsole is a console before a platform that serves one document.
+// testConsole is a console with a test platform and one test entry.
 type testConsole struct {
-	t        *testing.T
-	server   *httptest.Server
+	t      *testing.T
+	server *httptest.Server
+	// document is the response of the platform.
 	document string
-	// entryStatus is what an entry answers.
+	// entryStatus is the response of the entry to a request for its status.
 	entryStatus string
 }
 
@@ -64,7 +65,7 @@
 	textareaPattern = regexp.MustCompile(`(?s)<textarea[^>]*>(.*)</textarea>`)
 )
 
-// loadForm reads a page's form as a browser would send it back.
+// loadForm fetches the first page and returns its form as a browser would post it.
 func (tc *testConsole) loadForm() url.Values {
 	response, err := http.Get(tc.server.URL)
 	if err != nil {
@@ -75,6 +76,7 @@
 	return parseForm(string(data))
 }
 
+// parseForm returns the form of a page as a browser would post it: unchecked boxes are left out.
 func parseForm(page string) url.Values {
 	form := url.Values{}
 	for _, m := range inputPattern.FindAllStringSubmatch(page, -1) {
@@ -106,7 +108,7 @@
 	return page
 }
 
-// sealedDocument takes the sealed document from a page.
+// sealedDocument extracts the sealed document from a page; it is empty if the page has none.
 func sealedDocument(page string) string {
 	m := textareaPattern.FindStringSubmatch(page)
 	if m == nil {
@@ -149,12 +151,12 @@
 		page = tc.postAction(parseForm(page), "add:Services.0.Calls")
 		is.True(strings.Contains(page, `name="Services.0.Calls.2.Name"`))
 		for _, bad := range []string{"add:Nothing", "remove:Engines.99", "remove:Engines", "add:", "burn:Engines"} {
-			is.True(strings.Contains(tc.postAction(tc.loadForm(), bad), "This does not pass"))
+			is.True(strings.Contains(tc.postAction(tc.loadForm(), bad), "This does not pass the check"))
 		}
 	})
 }
 
-// What does not pass is not sealed, is named, and nothing typed is lost.
+// An invalid document is not sealed; the page names the invalid fields and keeps the operator's input.
 func TestInvalidDocumentIsNotSealed(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
@@ -192,8 +194,8 @@
 	})
 }
 
-// Two operators edit from one base. Once the first has published, the second
-// is warned before and after sealing.
+// Two operators edit the same document. Once the first has published, the second is warned when checking and when
+// sealing.
 func TestWarnsOfDraftWithOldBase(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
@@ -210,8 +212,8 @@
 	})
 }
 
-// The platform shows the last document published, which may have lost to
-// another; the entries know.
+// The platform shows the document published last, which may have lost to another of the same revision. The status of
+// an entry shows the document in force.
 func TestWarnsOfEntryWithAnotherDocument(t *testing.T) {
 	withTestConsole(t, func(tc *testConsole) {
 		is := is.New(t)
@@ -230,7 +232,7 @@
 		is.NoErr(err)
 		_ = response.Body.Close()
 		is.Equal(response.StatusCode, http.StatusBadGateway)
-		// What was being edited can still be checked and sealed.
+		// The edited document can still be checked and sealed.
 		_, page := tc.post("/seal", form)
 		is.True(strings.Contains(page, "the difference is not known"))
 		is.True(sealedDocument(page) != "")
--- a/console/difference.go
+++ b/console/difference.go
@@ -10,13 +10,16 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// change is one value that differs between two documents.
+// change is a value that differs between two documents.
 type change struct {
-	Path     string
+	// Path names the value, such as Engines[engine-1].Role.
+	Path string
+	// Old and New are empty if the value exists only in the other document.
 	Old, New string
 }
 
-// listChanges lists what differs, items of lists being told apart by name.
+// listChanges returns the values that differ between two documents, sorted by path. List items are matched by their
+// names.
 func listChanges(old, updated validator.Document) []change {
 	oldValues, newValues := valuesByPath(old), valuesByPath(updated)
 	paths := maps.Clone(oldValues)
@@ -30,12 +33,14 @@
 	return changes
 }
 
+// valuesByPath maps the paths of all values of a document to the formatted values.
 func valuesByPath(document validator.Document) map[string]string {
 	values := map[string]string{}
 	addValues(reflect.ValueOf(document), "", values)
 	return values
 }
 
+// addValues adds the values of the struct v at the given path to the map.
 func addValues(v reflect.Value, path string, values map[string]string) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -56,13 +61,16 @@
 	}
 }
 
-// describeEffects says what a change will do to what is running.
+// describeEffects returns a sentence for each effect that publishing the updated document has on running engines and on
+// organisations.
 func describeEffects(old, updated validator.Document) []string {
 	var effects []string
 	effects = append(effects, describeEngineEffects(old, updated)...)
 	return append(effects, describeOrganisationEffects(old, updated)...)
 }
 
+// describeEngineEffects returns the effects on engines of the old document, one for each engine that changes. New engines
+// have none.
 func describeEngineEffects(old, updated validator.Document) []string {
 	var effects []string
 	oldEngines := indexByName(old.Engines, func(e validator.Engine) string { return e.Name })
@@ -71,7 +79,7 @@
 		oldEngine, newEngine := oldEngines[name], newEngines[name]
 		switch {
 		case newEngine.Name == "":
-			effects = append(effects, fmt.Sprintf("engine %s gets no new work", name))
+			effects = append(effects, fmt.Sprintf("engine %s gets no new requests", name))
 		case oldEngine.Model != newEngine.Model || oldEngine.Version != newEngine.Version:
 			effects = append(effects, fmt.Sprintf("engine %s unloads %s %s, which %s, once its streams have ended, and loads %s %s from the weight store",
 				name, oldEngine.Model, oldEngine.Version, describeModelUsers(old, oldEngine.Model), newEngine.Model, newEngine.Version))
@@ -84,6 +92,8 @@
 	return effects
 }
 
+// describeModelUsers returns a phrase that names the organisations that may use a model, or their number if they are
+// more than three.
 func describeModelUsers(document validator.Document, model string) string {
 	var users []string
 	for _, o := range document.Organisations {
@@ -94,13 +104,14 @@
 	const shown = 3
 	switch {
 	case len(users) == 0:
-		return "nobody uses"
+		return "no organisation may use"
 	case len(users) > shown:
-		return fmt.Sprintf("%d organisations use", len(users))
+		return fmt.Sprintf("%d organisations may use", len(users))
 	}
 	return strings.Join(users, ", ") + " may use"
 }
 
+// describeOrganisationEffects returns what organisations of the old document lose: all access, a model, or their old key.
 func describeOrganisationEffects(old, updated validator.Document) []string {
 	var effects []string
 	oldOrganisations := indexByName(old.Organisations, func(o validator.Organisation) string { return o.Name })
@@ -108,7 +119,7 @@
 	for _, name := range slices.Sorted(maps.Keys(oldOrganisations)) {
 		newOrganisation, isKept := newOrganisations[name]
 		if !isKept {
-			effects = append(effects, fmt.Sprintf("organisation %s is refused", name))
+			effects = append(effects, fmt.Sprintf("requests of organisation %s are refused", name))
 			continue
 		}
 		for _, model := range oldOrganisations[name].Models {
@@ -117,12 +128,13 @@
 			}
 		}
 		if oldOrganisations[name].KeyDigest != newOrganisation.KeyDigest {
-			effects = append(effects, fmt.Sprintf("organisation %s is refused with its old key", name))
+			effects = append(effects, fmt.Sprintf("requests of organisation %s with its old key are refused", name))
 		}
 	}
 	return effects
 }
 
+// indexByName returns the items by their names.
 func indexByName[T any](items []T, nameOf func(T) string) map[string]T {
 	byName := make(map[string]T, len(items))
 	for _, item := range items {
--- a/console/form.go
+++ b/console/form.go
@@ -13,33 +13,36 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxListItems bounds one list of a form.
+// maxListItems bounds the number of items of a list, so that a posted form can't cause a huge allocation.
 const maxListItems = 10_000
 
-// countSuffix names the hidden field with the length of a list.
+// countSuffix is added to a list's path to name the hidden field that holds the list's length.
 const countSuffix = ".#"
 
-// field is one line of the form, or the beginning of a list or an item.
+// field is an input of the form, or the heading of a group, a list or a list item.
 type field struct {
-	// Path names the field in the form, such as Engines.2.Role.
-	Path  string
+	// Path is the name of the field in the form, such as Engines.2.Role. List items are numbered from 0.
+	Path string
+	// Label is the last element of the path; for a list item, the name of the list and the number from 1.
 	Label string
+	// Value is empty for headings.
 	Value string
 	// Kind is text, bool, group, list or item.
 	Kind string
-	// Count is how many items a list has.
+	// Count is the number of items of a list, and 0 for other kinds.
 	Count int
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// formFields lists the fields of a document, in the order of the document.
+// formFields returns the form fields of a document, in the order of its struct fields.
 func formFields(document validator.Document) []field {
 	var fields []field
 	appendStructFields(reflect.ValueOf(document), "", &fields)
 	return fields
 }
 
+// appendStructFields appends the form fields of a struct at the given path.
 func appendStructFields(v reflect.Value, path string, fields *[]field) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -50,15 +53,18 @@
 	}
 }
 
-// isHidden reports whether a field is not the operator's to edit.
+// isHidden reports whether a top-level field of the document is left out of the form: operators can't edit it.
 func isHidden(name string) bool {
 	return slices.Contains([]string{"Revision", "Base", "Seal"}, name)
 }
 
+// joinPath returns the path of a field of the struct at path; the document's own path is empty.
 func joinPath(path, name string) string {
 	return strings.TrimPrefix(path+"."+name, ".")
 }
 
+// appendField appends the form fields of a value: one for a simple value, a heading and the nested fields for a
+// struct or a list of structs.
 func appendField(v reflect.Value, path, label string, fields *[]field) {
 	switch {
 	case v.Kind() == reflect.Struct:
@@ -78,6 +84,7 @@
 	}
 }
 
+// formatValue formats a simple value as in the form. Lists of strings are separated by commas.
 func formatValue(v reflect.Value) string {
 	switch {
 	case v.Type() == durationType:
@@ -88,7 +95,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// parseDocument reads a document back from a form. Faults name the field.
+// parseDocument builds a document from a posted form. Its error names each field that can't be parsed.
 func parseDocument(form url.Values) (validator.Document, error) {
 	var document validator.Document
 	var fieldErrors decoder.FieldErrors
@@ -96,6 +103,7 @@
 	return document, fieldErrors.Err()
 }
 
+// setStructFields sets the fields of the struct v from the form, and collects the errors.
 func setStructFields(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -106,6 +114,8 @@
 	}
 }
 
+// setField sets v from the form field at the given path. A value that can't be parsed adds an error that names the
+// path.
 func setField(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	text := strings.TrimSpace(form.Get(path))
 	switch {
@@ -127,7 +137,7 @@
 		v.Set(reflect.ValueOf(splitList(text)))
 	case v.Type() == durationType:
 		duration, err := time.ParseDuration(text)
-		fieldErrors.Require(err == nil, path, text, "a time such as 1.5s")
+		fieldErrors.Require(err == nil, path, text, "a duration such as 1.5s")
 		v.SetInt(int64(duration))
 	case v.Kind() == reflect.Bool:
 		v.SetBool(text == "true")
@@ -140,6 +150,7 @@
 	}
 }
 
+// splitList splits a list of strings at commas. Spaces around items and empty items are dropped.
 func splitList(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
@@ -150,8 +161,8 @@
 	return items
 }
 
-// restoreInput shows what the operator typed where it could not be read, so that
-// nothing typed is lost.
+// restoreInput sets text fields to the operator's input, so that input that can't be parsed is shown again for
+// correction.
 func restoreInput(fields []field, form url.Values) []field {
 	for i, formField := range fields {
 		if formField.Kind == "text" && form.Has(formField.Path) {
@@ -161,8 +172,8 @@
 	return fields
 }
 
-// applyAction adds an item to a list, or removes one, as a button of the form says:
-// add:Engines or remove:Engines.2.
+// applyAction adds an empty item to a list of the document or removes an item. The action is the value of the pressed
+// button, such as add:Engines or remove:Engines.2.
 func applyAction(document *validator.Document, action string) error {
 	verb, path, _ := strings.Cut(action, ":")
 	list, index, err := findList(reflect.ValueOf(document).Elem(), path)
@@ -186,8 +197,8 @@
 	return nil
 }
 
-// findList finds the list that a path names, and the index of the item if the
-// path ends in one, else -1.
+// findList returns the list of structs that the path leads to. If the path ends in an item's index, findList returns
+// it too, without checking its upper bound; otherwise the index is -1.
 func findList(v reflect.Value, path string) (reflect.Value, int, error) {
 	notFound := decoder.FieldError{Field: path, Value: "", Requirement: "a list of the document"}
 	index := -1
