--- a/client/client.go
+++ b/client/client.go
@@ -192,7 +192,7 @@
 // Result is the response to a request. If the request failed, Text and Elapsed are empty, and Tokens counts what was
 // received of a streamed response.
 type Result struct {
-	// Text is the complete response.
+	// Text is the text of a completion, or the response body of a call.
 	Text string
 	// Tokens is the number of tokens of a completion; 0 for calls.
 	Tokens int
@@ -203,7 +203,7 @@
 	Elapsed time.Duration
 	// Entry is the address of the entry that the last try was sent to.
 	Entry netip.AddrPort
-	// Tries is the number of times that the request was sent or that no entry was found to send it to.
+	// Tries is the number of tries. A last one that found no entry to send the request to is counted too.
 	Tries int
 	// Ticket is the ticket of the request, empty if it has none. The request can be sent again with it.
 	Ticket string
@@ -291,7 +291,7 @@
 		defer func() { _ = response.Body.Close() }()
 		text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 		if err != nil {
-			return Result{}, fmt.Errorf("read answer: %w", err)
+			return Result{}, fmt.Errorf("read response: %w", err)
 		}
 		return Result{Text: string(text), Elapsed: time.Since(start)}, nil
 	})
@@ -375,7 +375,7 @@
 	if !stream {
 		var completion api.CompletionChunk
 		if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&completion); err != nil {
-			return result, fmt.Errorf("read answer: %w", err)
+			return result, fmt.Errorf("read response: %w", err)
 		}
 		if len(completion.Choices) != 1 || completion.Usage == nil {
 			return result, TruncatedError{}
@@ -424,7 +424,7 @@
 		isComplete = chunk.Usage != nil && chunk.Usage.CompletionTokens == result.Tokens
 	}
 	if err := scanner.Err(); err != nil {
-		return result, fmt.Errorf("read answer: %w", err)
+		return result, fmt.Errorf("read response: %w", err)
 	}
 	return result, TruncatedError{Tokens: result.Tokens}
 }
--- a/cmd/sapphireramp/ask.go
+++ b/cmd/sapphireramp/ask.go
@@ -125,8 +125,8 @@
 	if err != nil {
 		outcome = api.OutcomeUnknown
 	}
-	if refused, ok := asEntryError(err); ok {
-		outcome = refused.Detail.Outcome
+	if entryErr, ok := asEntryError(err); ok {
+		outcome = entryErr.Detail.Outcome
 	}
 	if printSummary {
 		_, _ = fmt.Printf("outcome=%s tokens=%d first_token_ms=%d took_ms=%d entry=%s tries=%d\n",
--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -18,9 +18,9 @@
 
 // asEntryError returns the client.EntryError in err's chain, if there is one.
 func asEntryError(err error) (*client.EntryError, bool) {
-	var refused *client.EntryError
-	ok := errors.As(err, &refused)
-	return refused, ok
+	var entryErr *client.EntryError
+	ok := errors.As(err, &entryErr)
+	return entryErr, ok
 }
 
 // lengthClass is a range of prompt lengths. Results are reported for each class.
@@ -184,8 +184,8 @@
 	if err != nil {
 		outcome = api.OutcomeUnknown
 	}
-	if refused, ok := asEntryError(err); ok {
-		outcome = refused.Detail.Outcome
+	if entryErr, ok := asEntryError(err); ok {
+		outcome = entryErr.Detail.Outcome
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
