--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -40,7 +40,7 @@
 	Status OfferStatus
 	// Version is the version of the offered document. It has only a digest if the document is
 	// invalid.
-	Version validator.Version
+	Version validator.DocumentVersion
 	// LoserDigest is the digest of a document that lost a tie, that is, a document with the same
 	// revision and a greater digest is in force. It is empty if there was no tie. The publisher of
 	// the losing document must be notified.
@@ -54,7 +54,7 @@
 // Adopter holds the configuration document in force. It is not safe for concurrent use.
 type Adopter struct {
 	// current is the document in force, or nil. Its Version never decreases.
-	current   *validator.Accepted
+	current   *validator.ValidDocument
 	adoptedAt time.Time
 	// refused maps the digests of invalid documents to the errors.
 	refused map[string]error
@@ -86,12 +86,12 @@
 }
 
 // Current returns the document in force, or nil if there is none.
-func (a *Adopter) Current() *validator.Accepted { return a.current }
+func (a *Adopter) Current() *validator.ValidDocument { return a.current }
 
 // Version returns the version of the document in force, or the zero version if there is none.
-func (a *Adopter) Version() validator.Version {
+func (a *Adopter) Version() validator.DocumentVersion {
 	if a.current == nil {
-		return validator.Version{}
+		return validator.DocumentVersion{}
 	}
 	return a.current.Version
 }
@@ -103,7 +103,7 @@
 
 // ShouldFetch reports whether a document of a peer should be fetched: its version is greater than
 // the one in force and it was not refused before. The digest may be shortened.
-func (a *Adopter) ShouldFetch(v validator.Version) bool {
+func (a *Adopter) ShouldFetch(v validator.DocumentVersion) bool {
 	for digest := range a.refused {
 		if v.Digest != "" && strings.HasPrefix(digest, v.Digest) {
 			return false
@@ -131,17 +131,17 @@
 		return Result{Status: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
 	}
 	if err, refused := a.refused[digest]; refused {
-		return Result{Status: Refused, Version: validator.Version{Digest: digest}, Err: err}, true
+		return Result{Status: Refused, Version: validator.DocumentVersion{Digest: digest}, Err: err}, true
 	}
 	return Result{}, false
 }
 
 // OfferParsed offers a document that was already parsed, on a goroutine other than the one that
 // owns the adopter. Err is the reason why the document is invalid, or nil.
-func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.Accepted, err error) Result {
+func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.ValidDocument, err error) Result {
 	if err != nil {
 		a.recordRefused(digest, err)
-		return Result{Status: Refused, Version: validator.Version{Digest: digest}, Err: err}
+		return Result{Status: Refused, Version: validator.DocumentVersion{Digest: digest}, Err: err}
 	}
 	old := a.Version()
 	tied := a.current != nil && old.Revision == offered.Version.Revision && old.Digest != offered.Version.Digest
--- a/adopter/adopter_test.go
+++ b/adopter/adopter_test.go
@@ -23,7 +23,7 @@
 	}
 	documents = append(documents, []byte("not a document"))
 	rapid.Check(t, func(t *rapid.T) {
-		ends := map[validator.Version]bool{}
+		ends := map[validator.DocumentVersion]bool{}
 		for n := range 2 {
 			order := rapid.Permutation(documents).Draw(t, fmt.Sprint("order", n))
 			a := adopter.New()
@@ -58,10 +58,10 @@
 	a := adopter.New()
 	a.Offer(time.Time{}, document(2, "one"))
 	own := a.Version()
-	own.Digest = validator.Shorten(own.Digest)
+	own.Digest = validator.ShortenDigest(own.Digest)
 	is.True(!a.ShouldFetch(own))
-	is.True(a.ShouldFetch(validator.Version{Revision: 3, Digest: "00"}))
+	is.True(a.ShouldFetch(validator.DocumentVersion{Revision: 3, Digest: "00"}))
 	bad := []byte("Revision: 9")
 	a.Offer(time.Time{}, bad)
-	is.True(!a.ShouldFetch(validator.Version{Revision: 9, Digest: validator.Shorten(validator.Digest(bad))}))
+	is.True(!a.ShouldFetch(validator.DocumentVersion{Revision: 9, Digest: validator.ShortenDigest(validator.Digest(bad))}))
 }
--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("create loggers: %w", err)
 	}
-	log := logs.Layer(logger.Document)
+	log := logs.Layer(logger.LayerDocument)
 	key, err := sealer.ParseSeed(settings.SealSeed)
 	if err != nil {
 		return fmt.Errorf("parse SealSeed: %w", err)
--- a/cmd/sapphireramp/entry.go
+++ b/cmd/sapphireramp/entry.go
@@ -49,7 +49,7 @@
 	}
 	entry, err := server.New(server.Config{
 		Settings: settings, Incarnation: uint64(time.Now().UnixNano()), Logs: logs,
-		MetricScope: metrics.Scope, MetricsHandler: metrics.Page, OnViolation: onViolation,
+		MetricScope: metrics.Scope, MetricsHandler: metrics.Handler, OnViolation: onViolation,
 	})
 	if err != nil {
 		return fmt.Errorf("start entry: %w", err)
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -51,11 +51,11 @@
 func runGateway(ctx context.Context, settings platform.Settings, metricsPort uint16, level string) error {
 	logQueue := logger.NewQueue(os.Stdout)
 	defer func() { _ = logQueue.Close() }()
-	logs, err := logger.New(logger.Config{Level: level, Output: logQueue, Urgent: logQueue.Urgent()})
+	logs, err := logger.New(logger.Config{Level: level, Output: logQueue, WarnOutput: logQueue.PriorityWriter()})
 	if err != nil {
 		return fmt.Errorf("create loggers: %w", err)
 	}
-	log := logs.Layer(logger.Entry)
+	log := logs.Layer(logger.LayerEntry)
 	metrics := meter.New()
 	defer func() { _ = metrics.Close() }()
 	invariants := asserter.New(func(name, detail string) {
@@ -66,24 +66,24 @@
 	reservationHTTPClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	store := platform.NewStore(&http.Client{}, settings.StoreAddress)
 	config := launcher.Config{
-		Name: settings.Name, DataCentre: settings.DataCentre, Callers: settings.CallerAddress, Ready: settings.ReadinessAddress,
-		Peers: settings.PeerAddress, Directory: settings.DirectoryAddress, Shares: settings.LoadAddress,
-		AddressLife: min(addressTTL, settings.MaxAddressTTL), Settings: reloadableSettings(settings),
-		Reload: func() (launcher.Settings, error) {
+		Name: settings.Name, DataCentre: settings.DataCentre, CallerAddress: settings.CallerAddress, ReadyAddress: settings.ReadinessAddress,
+		PeerAddress: settings.PeerAddress, DirectoryAddress: settings.DirectoryAddress, LoadAddress: settings.LoadAddress,
+		AddressTTL: min(addressTTL, settings.MaxAddressTTL), Settings: reloadableSettings(settings),
+		ReadSettings: func() (launcher.Settings, error) {
 			s, err := platform.LoadSettings()
 			return reloadableSettings(s), err
 		},
 		Store:    controller.Store{Read: store.Read, Watch: store.Watch, DecodeConfig: platform.DecodeConfig},
-		Protocol: platform.Protocol(), Orders: platform.NewReservationClient(reservationHTTPClient),
-		InForce:          settings.MaxPropagation,
+		Protocol: platform.Protocol(), Reservations: platform.NewReservationClient(reservationHTTPClient),
+		MaxPropagation:   settings.MaxPropagation,
 		Speed:            settings.Speed,
 		MaxIdle:          settings.MaxIdle,
-		HoldTime:         min(settings.MaxReservationTTL, settings.MaxReservedAfterUse*leasePercent/100),
+		ReservationTTL:   min(settings.MaxReservationTTL, settings.MaxReservedAfterUse*leasePercent/100),
 		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
-		Log: log, Scope: metrics.Scope, MetricsPage: metrics.Page, Asserter: invariants,
+		Log: log, Scope: metrics.Scope, MetricsHandler: metrics.Handler, Asserter: invariants,
 	}
 	if metricsPort > 0 {
-		config.Metrics = netip.AddrPortFrom(settings.CallerAddress.Addr(), metricsPort)
+		config.MetricsAddress = netip.AddrPortFrom(settings.CallerAddress.Addr(), metricsPort)
 	}
 	reload := make(chan struct{}, 1)
 	go forwardReloadSignals(reload)
@@ -93,8 +93,8 @@
 // reloadableSettings returns the settings that may change while the entry runs.
 func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
-		Seeds: settings.Seeds, Grace: settings.ShutdownGrace,
-		Budget: budgeter.Config{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack},
+		Seeds: settings.Seeds, GracePeriod: settings.ShutdownGrace,
+		RetryBudget: budgeter.Config{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack},
 	}
 }
 
--- a/console/console.go
+++ b/console/console.go
@@ -113,7 +113,7 @@
 }
 
 // fetchInForce fetches the document in force from the platform and checks it.
-func (c *Console) fetchInForce(ctx context.Context) (*validator.Accepted, error) {
+func (c *Console) fetchInForce(ctx context.Context) (*validator.ValidDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	url := "http://" + c.config.Platform.String() + api.PathConfig
@@ -129,7 +129,7 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("fetch document in force: HTTP status %d", response.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocument+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocumentSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("read document in force: %w", err)
 	}
@@ -164,7 +164,7 @@
 
 // mismatchWarning returns a warning if an entry has another document in force than the platform shows, else an empty
 // string. It skips entries that don't respond.
-func (c *Console) mismatchWarning(ctx context.Context, shown validator.Version) string {
+func (c *Console) mismatchWarning(ctx context.Context, shown validator.DocumentVersion) string {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	for _, entry := range c.config.Entries {
@@ -178,7 +178,7 @@
 			continue
 		}
 		return fmt.Sprintf("Entry %s has revision %d, digest %s, in force, not what the platform shows (revision %d, digest %s). If the entry's revision is greater, or the revisions are equal and the entry's digest is greater, publish a document whose revision is greater than both.",
-			status.Name, status.Revision, validator.Shorten(status.Digest), shown.Revision, validator.Shorten(shown.Digest))
+			status.Name, status.Revision, validator.ShortenDigest(status.Digest), shown.Revision, validator.ShortenDigest(shown.Digest))
 	}
 	return ""
 }
--- a/forwarder/metrics_test.go
+++ b/forwarder/metrics_test.go
@@ -18,6 +18,6 @@
 	defer func() { _ = m.Close() }()
 	newMetrics(m.Scope)
 	page := httptest.NewRecorder()
-	m.Page.ServeHTTP(page, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	m.Handler.ServeHTTP(page, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	is.True(strings.Contains(page.Body.String(), `sapphireramp_requests{outcome="answered"} 0`))
 }
--- a/launcher/crash_test.go
+++ b/launcher/crash_test.go
@@ -44,7 +44,7 @@
 	})}
 }
 
-func TestRequestThatCrashesUpstreamsIsStopped(t *testing.T) {
+func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := crashFleet(t)
 		defer f.end()
@@ -65,7 +65,7 @@
 }
 
 // An entry that starts anew remembers nothing, and learns from the others what they refuse.
-func TestStartedEntryLearnsWhatCrashesUpstreams(t *testing.T) {
+func TestRestartedEntryReceivesQuarantines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := crashFleet(t)
 		defer f.end()
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -223,19 +223,19 @@
 	client := &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(host), DisableKeepAlives: true}}
 	reader := platform.NewStore(client, netip.AddrPortFrom(storeHost, 80))
 	settings := launcher.Settings{
-		Seeds:  []netip.AddrPort{netip.AddrPortFrom(hostOf(0), peerPort), netip.AddrPortFrom(hostOf(1), peerPort)},
-		Budget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, Grace: grace,
+		Seeds:       []netip.AddrPort{netip.AddrPortFrom(hostOf(0), peerPort), netip.AddrPortFrom(hostOf(1), peerPort)},
+		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, GracePeriod: grace,
 	}
 	e := &entry{host: host, reload: make(chan struct{}, 1), ended: make(chan struct{})}
 	l := launcher.New(launcher.Config{
 		SinceBoot: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, // the paused clock
-		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), Callers: at(entryPort), Ready: at(readyPort),
-		Peers: at(peerPort), Directory: at(directoryPort), Shares: at(sharePort), AddressLife: time.Second, Settings: settings,
-		Reload: func() (launcher.Settings, error) { return settings, nil },
-		Store:  controller.Store{Read: reader.Read, Watch: reader.Watch, DecodeConfig: platform.DecodeConfig}, InForce: 2 * time.Second,
-		Protocol: platform.Protocol(), Orders: platform.NewReservationClient(client), HoldTime: 3 * time.Second, MaxIdle: 9 * time.Second,
+		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), CallerAddress: at(entryPort), ReadyAddress: at(readyPort),
+		PeerAddress: at(peerPort), DirectoryAddress: at(directoryPort), LoadAddress: at(sharePort), AddressTTL: time.Second, Settings: settings,
+		ReadSettings: func() (launcher.Settings, error) { return settings, nil },
+		Store:        controller.Store{Read: reader.Read, Watch: reader.Watch, DecodeConfig: platform.DecodeConfig}, MaxPropagation: 2 * time.Second,
+		Protocol: platform.Protocol(), Reservations: platform.NewReservationClient(client), ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second,
 		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
-		Log: zap.NewNop(), Scope: tally.NoopScope, MetricsPage: http.NotFoundHandler(),
+		Log: zap.NewNop(), Scope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
 		Asserter: asserter.New(func(name, detail string) { f.t.Errorf("%s: %s", name, detail) }),
 		Dial:     f.net.Dialer(host), Listen: f.net.Listen, ListenPacket: f.net.ListenPacket,
 	})
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -30,10 +30,10 @@
 
 // Settings that may change while the entry runs.
 type Settings struct {
-	Seeds  []netip.AddrPort
-	Budget budgeter.Config
-	// Grace is the time between the order to stop and the end by force.
-	Grace time.Duration
+	Seeds       []netip.AddrPort
+	RetryBudget budgeter.Config
+	// GracePeriod is the time between the order to stop and the end by force.
+	GracePeriod time.Duration
 }
 
 // Config of a launcher. Every field is needed but Metrics and the
@@ -41,23 +41,23 @@
 type Config struct {
 	Name       string
 	DataCentre string
-	// Callers, Ready, Peers, Directory and Shares are where the entry listens;
-	// Metrics too, where it is valid.
-	Callers, Ready, Peers, Directory, Shares, Metrics netip.AddrPort
-	// AddressLife is how long callers may keep an answer of the directory.
-	AddressLife time.Duration
-	Settings    Settings
-	// Reload reads the settings again.
-	Reload func() (Settings, error)
-	Store  controller.Store
-	// InForce is how soon a change in the store has to be in force.
-	InForce time.Duration
+	// CallerAddress, ReadyAddress, PeerAddress, DirectoryAddress and LoadAddress are where the entry listens;
+	// MetricsAddress too, where it is valid.
+	CallerAddress, ReadyAddress, PeerAddress, DirectoryAddress, LoadAddress, MetricsAddress netip.AddrPort
+	// AddressTTL is how long callers may keep an answer of the directory.
+	AddressTTL time.Duration
+	Settings   Settings
+	// ReadSettings reads the settings again.
+	ReadSettings func() (Settings, error)
+	Store        controller.Store
+	// MaxPropagation is how soon a change in the store has to be in force.
+	MaxPropagation time.Duration
 	// Speed is that of the instance in processor cores; 0 where it is not known.
-	Speed    float64
-	Protocol forwarder.Protocol
-	Orders   forwarder.ReservationClient
-	// HoldTime is the lease of memory reserved at engines.
-	HoldTime time.Duration
+	Speed        float64
+	Protocol     forwarder.Protocol
+	Reservations forwarder.ReservationClient
+	// ReservationTTL is the lease of memory reserved at engines.
+	ReservationTTL time.Duration
 	// MaxIdle is how long that memory may be unused by a request.
 	MaxIdle time.Duration
 	// DirectoryHandler and ReadyHandler answer in the platform's words.
@@ -65,7 +65,7 @@
 	ReadyHandler     func(ready func() bool) http.Handler
 	Log              *zap.Logger
 	Scope            tally.Scope
-	MetricsPage      http.Handler
+	MetricsHandler   http.Handler
 	Asserter         *asserter.Asserter
 	// SinceBoot stands in for the clock since the instance booted, Dial, Listen and
 	// ListenPacket for the network; nil means that of the instance.
@@ -118,15 +118,15 @@
 	c = c.withSystem()
 	quarantine := quarantiner.New()
 	board := dispatcher.New(c.DataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	l := &Launcher{config: c, budget: budgeter.New(c.Settings.Budget), busy: connector.NewActiveConns(), served: make(chan struct{})}
+	l := &Launcher{config: c, budget: budgeter.New(c.Settings.RetryBudget), busy: connector.NewActiveConns(), served: make(chan struct{})}
 	l.settings.Store(&c.Settings)
 	l.controller = controller.New(controller.Config{
 		Name: c.Name, DataCentre: c.DataCentre, Incarnation: uint64(time.Now().UnixNano()),
-		CallerAddress: c.Callers, PeerAddress: c.Peers, LoadAddress: c.Shares, Store: c.Store, MaxPropagation: c.InForce, Speed: c.Speed, SinceBoot: c.SinceBoot, Dispatcher: board, Quarantine: quarantine, Dial: c.Dial,
+		CallerAddress: c.CallerAddress, PeerAddress: c.PeerAddress, LoadAddress: c.LoadAddress, Store: c.Store, MaxPropagation: c.MaxPropagation, Speed: c.Speed, SinceBoot: c.SinceBoot, Dispatcher: board, Quarantine: quarantine, Dial: c.Dial,
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	l.forwarder = forwarder.New(forwarder.Config{
-		Protocol: c.Protocol, Reservations: c.Orders, ReservationTTL: c.HoldTime, MaxIdle: c.MaxIdle, View: l.controller.View, Dispatcher: board, RetryBudget: l.budget, Quarantine: quarantine, Dial: c.Dial,
+		Protocol: c.Protocol, Reservations: c.Reservations, ReservationTTL: c.ReservationTTL, MaxIdle: c.MaxIdle, View: l.controller.View, Dispatcher: board, RetryBudget: l.budget, Quarantine: quarantine, Dial: c.Dial,
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	return l
@@ -156,11 +156,11 @@
 func (l *Launcher) Run(stop context.Context, reload <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	beats, err := l.config.Listen(l.config.Peers)
+	beats, err := l.config.Listen(l.config.PeerAddress)
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	shares, err := l.config.ListenPacket(l.config.Shares)
+	shares, err := l.config.ListenPacket(l.config.LoadAddress)
 	if err != nil {
 		return fmt.Errorf("listen for shares: %w", err)
 	}
@@ -169,7 +169,7 @@
 		return err
 	}
 	l.config.Log.Info("started", zap.String("name", l.config.Name), zap.String("data_centre", l.config.DataCentre),
-		zap.Stringer("callers", l.config.Callers), zap.Stringer("peers", l.config.Peers))
+		zap.Stringer("callers", l.config.CallerAddress), zap.Stringer("peers", l.config.PeerAddress))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -196,10 +196,10 @@
 		address netip.AddrPort
 		server  *http.Server
 	}{
-		{c.Callers, l.callers},
-		{c.Ready, &http.Server{Handler: c.ReadyHandler(l.controller.IsReady), ReadHeaderTimeout: headerTimeout}},
-		{c.Directory, &http.Server{Handler: c.DirectoryHandler(c.AddressLife, l.controller.CallerAddresses), ReadHeaderTimeout: headerTimeout}},
-		{c.Metrics, &http.Server{Handler: l.operatorPages(), ReadHeaderTimeout: headerTimeout}},
+		{c.CallerAddress, l.callers},
+		{c.ReadyAddress, &http.Server{Handler: c.ReadyHandler(l.controller.IsReady), ReadHeaderTimeout: headerTimeout}},
+		{c.DirectoryAddress, &http.Server{Handler: c.DirectoryHandler(c.AddressTTL, l.controller.CallerAddresses), ReadHeaderTimeout: headerTimeout}},
+		{c.MetricsAddress, &http.Server{Handler: l.operatorPages(), ReadHeaderTimeout: headerTimeout}},
 	}
 	for _, s := range servers {
 		if !s.address.IsValid() {
@@ -234,7 +234,7 @@
 // operatorPages are the metrics, and what the entry believes.
 func (l *Launcher) operatorPages() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+api.PathMetrics, l.config.MetricsPage)
+	mux.Handle("GET "+api.PathMetrics, l.config.MetricsHandler)
 	mux.HandleFunc("GET "+api.PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		status := l.controller.Status()
 		status.InFlight = l.forwarder.InFlight()
@@ -250,12 +250,12 @@
 // its address, and returns when nothing is in progress or time is up.
 func (l *Launcher) stop() {
 	began := time.Now()
-	grace := l.settings.Load().Grace
+	grace := l.settings.Load().GracePeriod
 	by := began.Add(grace - stopMargin)
 	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", grace))
-	knownUntil := began.Add(keepFactor * l.config.AddressLife)
+	knownUntil := began.Add(keepFactor * l.config.AddressTTL)
 	l.controller.AnnounceShutdown(knownUntil, by)
-	forget := knownUntil.Add(l.config.AddressLife / 2)
+	forget := knownUntil.Add(l.config.AddressTTL / 2)
 	for time.Now().Before(earlier(forget, by)) {
 		time.Sleep(stopPoll)
 	}
@@ -292,7 +292,7 @@
 func (l *Launcher) reload(ctx context.Context, signals <-chan struct{}) {
 	signalled := false
 	for ctx.Err() == nil {
-		s, err := l.config.Reload()
+		s, err := l.config.ReadSettings()
 		changed := err == nil && !s.equal(*l.settings.Load())
 		switch {
 		case err != nil:
@@ -300,7 +300,7 @@
 		case signalled || changed:
 			l.config.Log.Info("reload", zap.Bool("signalled", signalled), zap.Bool("changed", changed), zap.Int("seeds", len(s.Seeds)))
 			l.settings.Store(&s)
-			l.budget.Configure(s.Budget)
+			l.budget.Configure(s.RetryBudget)
 			l.controller.SetSeeds(s.Seeds)
 		}
 		select {
@@ -314,7 +314,7 @@
 }
 
 func (s Settings) equal(o Settings) bool {
-	if len(s.Seeds) != len(o.Seeds) || s.Budget != o.Budget || s.Grace != o.Grace {
+	if len(s.Seeds) != len(o.Seeds) || s.RetryBudget != o.RetryBudget || s.GracePeriod != o.GracePeriod {
 		return false
 	}
 	for i := range s.Seeds {
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -50,7 +50,7 @@
 }
 
 // A calm day: everything is served.
-func TestCalmDay(t *testing.T) {
+func TestAllIsServedWithoutDisruptions(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		x := f.traffic(8)
 		time.Sleep(10 * time.Second)
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -57,7 +57,7 @@
 
 // A stream that was begun before the order to stop, and whose engine breaks off after it, goes
 // on at another and ends whole: nothing honest could be said to its caller but the rest.
-func TestStoppingEntryGoesOnWithBrokenStream(t *testing.T) {
+func TestStoppingEntryResumesBrokenStream(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		f.setAll(worker.Torn)
 		time.AfterFunc(1100*time.Millisecond, func() { f.setAll(worker.Sound) })
@@ -75,7 +75,7 @@
 // Upstreams say nothing, and the entry that asked them ends: callers who had no part of an answer
 // saw their connections closed, and did not know whether anybody had read their request. They
 // are told that it may have run, or that it has not.
-func TestEndOfAnEntryIsTold(t *testing.T) {
+func TestExitingEntryAnswersOpenRequests(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x", "/stream/x", "/fixed/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(is *is.I, f *fleet) {
@@ -333,7 +333,7 @@
 // The end of an entry comes while bodies are on their way to it, some of them whole a moment
 // later. Nothing was passed on, but the callers see their connections closed in place of
 // an answer that says so, and the log calls them caller_left.
-func TestEndOfAnEntryIsToldToThoseStillSending(t *testing.T) {
+func TestExitingEntryRefusesIncompleteRequests(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		q := question{path: "/once/slow/x", at: -100 * time.Millisecond}
 		var questions []question
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -37,9 +37,9 @@
 	// entry accepts. Without one it accepts documents without a seal.
 	SealKeys []string `yaml:"SealKeys"`
 
-	Log     Log     `yaml:"Log"`
-	Timing  Timing  `yaml:"Timing"`
-	Callers Callers `yaml:"Callers"`
+	Log     Log          `yaml:"Log"`
+	Timing  Timing       `yaml:"Timing"`
+	Callers CallerLimits `yaml:"Callers"`
 }
 
 // Log selects what is logged.
@@ -71,8 +71,8 @@
 	Silence time.Duration `yaml:"Silence"`
 }
 
-// Callers bounds what callers may do.
-type Callers struct {
+// CallerLimits bounds what callers may do.
+type CallerLimits struct {
 	// MaxBody is the largest request body in bytes.
 	MaxBody int64 `yaml:"MaxBody"`
 	// AddressLife is how long a caller may keep an answer to its question
@@ -98,7 +98,7 @@
 			Watch:      20 * time.Second,
 			Silence:    5 * time.Second,
 		},
-		Callers: Callers{
+		Callers: CallerLimits{
 			MaxBody:     8 << 20,
 			AddressLife: 10 * time.Second,
 			TicketLife:  10 * time.Minute,
@@ -174,7 +174,7 @@
 	faults.Require(t.Neighbours >= 1 && t.Neighbours <= 64, "Timing.Neighbours", t.Neighbours, "1 to 64")
 }
 
-func (c Callers) check(faults *decoder.FieldErrors) {
+func (c CallerLimits) check(faults *decoder.FieldErrors) {
 	faults.Require(c.MaxBody >= 1<<10 && c.MaxBody <= 1<<30, "Callers.MaxBody", c.MaxBody, "1024 to 1073741824 bytes")
 	between(faults, "Callers.AddressLife", c.AddressLife, 100*time.Millisecond, time.Hour)
 	between(faults, "Callers.TicketLife", c.TicketLife, time.Second, 24*time.Hour)
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -30,7 +30,7 @@
 }
 
 // All faults are reported at once, each with field, value and limit.
-func TestFaults(t *testing.T) {
+func TestAllInvalidFieldsAreReported(t *testing.T) {
 	is := is.New(t)
 	text := readSample(t)
 	for _, change := range [][2]string{{"Name: entry-1", "Name: ''"}, {"Heartbeat: 500ms", "Heartbeat: 1ns"}, {"MaxBody: 8388608", "MaxBody: -1"}, {"Level: info", "Level: loud"}} {
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -15,15 +15,15 @@
 
 // Layers of the product that log.
 const (
-	Entry    = "entry"
-	Route    = "route"
-	Keep     = "keep"
-	Members  = "members"
-	Document = "document"
+	LayerEntry    = "entry"
+	LayerRouter   = "route"
+	LayerKeeper   = "keep"
+	LayerMembers  = "members"
+	LayerDocument = "document"
 )
 
 // Layers lists all layers.
-var Layers = []string{Entry, Route, Keep, Members, Document}
+var Layers = []string{LayerEntry, LayerRouter, LayerKeeper, LayerMembers, LayerDocument}
 
 // Config of the loggers.
 type Config struct {
@@ -32,12 +32,12 @@
 	// Layers that log; empty means all.
 	Layers []string
 	Output io.Writer
-	// Urgent takes warnings and errors; nil means Output.
-	Urgent io.Writer
+	// WarnOutput takes warnings and errors; nil means Output.
+	WarnOutput io.Writer
 }
 
-// Logs holds a logger for each layer.
-type Logs struct {
+// Loggers holds a logger for each layer.
+type Loggers struct {
 	root   *zap.Logger
 	layers []string
 }
@@ -50,7 +50,7 @@
 }
 
 // New returns the loggers.
-func New(c Config) (*Logs, error) {
+func New(c Config) (*Loggers, error) {
 	level, err := zapcore.ParseLevel(c.Level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
@@ -70,21 +70,21 @@
 		EncodeDuration: zapcore.MillisDurationEncoder,
 		EncodeName:     zapcore.FullNameEncoder,
 	}
-	if c.Urgent == nil {
-		c.Urgent = c.Output
+	if c.WarnOutput == nil {
+		c.WarnOutput = c.Output
 	}
 	ordinary := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l < zapcore.WarnLevel })
 	urgent := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l >= zapcore.WarnLevel })
 	core := zapcore.NewTee(
 		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.Output)), ordinary),
-		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.Urgent)), urgent),
+		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.WarnOutput)), urgent),
 	)
-	return &Logs{root: zap.New(core), layers: c.Layers}, nil
+	return &Loggers{root: zap.New(core), layers: c.Layers}, nil
 }
 
 // Layer returns the logger of a layer; it drops everything where the layer
 // is left out.
-func (l *Logs) Layer(name string) *zap.Logger {
+func (l *Loggers) Layer(name string) *zap.Logger {
 	if len(l.layers) > 0 && !slices.Contains(l.layers, name) {
 		return zap.NewNop()
 	}
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -41,8 +41,8 @@
 	return q.urgent(line)
 }
 
-// Urgent returns a writer whose lines are dropped last.
-func (q *Queue) Urgent() io.Writer { return urgentWriter{q} }
+// PriorityWriter returns a writer whose lines are dropped last.
+func (q *Queue) PriorityWriter() io.Writer { return urgentWriter{q} }
 
 type urgentWriter struct{ queue *Queue }
 
--- a/logger/queue_test.go
+++ b/logger/queue_test.go
@@ -28,7 +28,7 @@
 
 // A reader of the log that stands still holds up nobody, and what could not
 // be kept is counted.
-func TestStuckReaderDoesNotBlock(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &stuck{release: make(chan struct{})}
@@ -48,18 +48,18 @@
 
 // Beside a slow reader the lines of failed requests are kept, and those of
 // answered ones dropped.
-func TestFailuresAreDroppedLast(t *testing.T) {
+func TestWarningsAreDroppedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &stuck{release: make(chan struct{})}
 		q := logger.NewQueue(output)
-		logs, err := logger.New(logger.Config{Level: "info", Output: q, Urgent: q.Urgent()})
+		logs, err := logger.New(logger.Config{Level: "info", Output: q, WarnOutput: q.PriorityWriter()})
 		is.NoErr(err)
 		const lines, failures = 5000, 200
 		for i := range lines {
-			logs.Layer(logger.Entry).Info("answered")
+			logs.Layer(logger.LayerEntry).Info("answered")
 			if i%(lines/failures) == 0 {
-				logs.Layer(logger.Entry).Warn("failed")
+				logs.Layer(logger.LayerEntry).Warn("failed")
 			}
 		}
 		close(output.release)
@@ -73,7 +73,7 @@
 
 // At the end of an entry a call to another one was still under way, and logged its failure after the queue
 // was closed: "panic: send on closed channel", exit status 2, and the last lines were lost.
-func TestLinesAfterTheEndAreDropped(t *testing.T) {
+func TestLinesAfterCloseAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &stuck{release: make(chan struct{})}
@@ -85,7 +85,7 @@
 		for range 8 {
 			writers.Go(func() {
 				for range 1000 {
-					_, _ = io.WriteString(q.Urgent(), "event=late\n") // queued, or dropped
+					_, _ = io.WriteString(q.PriorityWriter(), "event=late\n") // queued, or dropped
 				}
 			})
 		}
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -16,9 +16,9 @@
 // Meter is the root of the metrics.
 type Meter struct {
 	Scope tally.Scope
-	// Page serves the metrics in the text format that scrapers read.
-	Page   http.Handler
-	closer io.Closer
+	// Handler serves the metrics in the text format that scrapers read.
+	Handler http.Handler
+	closer  io.Closer
 }
 
 // New returns a meter whose metrics start with the product's name.
@@ -31,7 +31,7 @@
 		OmitCardinalityMetrics: true,
 		CachedReporter:         reporter,
 	}, reportPeriod)
-	return &Meter{Scope: scope, Page: reporter.HTTPHandler(), closer: closer}
+	return &Meter{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
 // Close reports what is left and stops.
--- a/server/control.go
+++ b/server/control.go
@@ -151,7 +151,7 @@
 
 // offerDocument passes a parsed document, or the error that made it invalid, to the adopter and logs the
 // result.
-func (c *control) offerDocument(now time.Time, digest string, offered *validator.Accepted, err error, source string) {
+func (c *control) offerDocument(now time.Time, digest string, offered *validator.ValidDocument, err error, source string) {
 	before := c.adopter.Version()
 	result := c.adopter.OfferParsed(now, digest, offered, err)
 	c.server.asserter.Check(!c.adopter.Version().Less(before), asserter.RevisionWentBack, "revision %d after %d", c.adopter.Version().Revision, before.Revision)
@@ -309,8 +309,8 @@
 		From: c.server.settings.Name, Incarnation: c.server.config.Incarnation,
 		PeerAddress: c.server.settings.PeerAddress, Address: c.server.settings.Address,
 		DataCentre: c.server.settings.DataCentre, Stopping: c.stopping, Ready: c.adopter.IsReady(),
-		Revision: version.Revision, Digest: validator.Shorten(version.Digest), Notices: c.prober.NextNotices(),
-		ListDigest: validator.Shorten(c.lister.Digest()), ListAge: c.lister.Age(now),
+		Revision: version.Revision, Digest: validator.ShortenDigest(version.Digest), Notices: c.prober.NextNotices(),
+		ListDigest: validator.ShortenDigest(c.lister.Digest()), ListAge: c.lister.Age(now),
 	}
 	for _, k := range c.keepers {
 		if !k.LastReportAt().IsZero() {
--- a/server/filters.go
+++ b/server/filters.go
@@ -332,7 +332,7 @@
 		if !ok || !slices.Contains(x.organisation.Services, name) {
 			return newFailure(api.CodeUnknownService, "service: %.100q: unknown, or not allowed for the organisation", name)
 		}
-		repeatable, ok := service.Repeatable(call)
+		repeatable, ok := service.IsRepeatable(call)
 		if !ok {
 			return newFailure(api.CodeUnknownService, "call: %.100q: no such call of service %s", call, name)
 		}
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -87,7 +87,7 @@
 		now := time.Now()
 		c.recordHeartbeat(now, heartbeat)
 		s.logQuarantineDecisions(now, s.quarantine.ApplyUpdate(now, heartbeat.Quarantine), heartbeat.From)
-		hasNewer = c.adopter.ShouldFetch(validator.Version{Revision: heartbeat.Revision, Digest: heartbeat.Digest}) ||
+		hasNewer = c.adopter.ShouldFetch(validator.DocumentVersion{Revision: heartbeat.Revision, Digest: heartbeat.Digest}) ||
 			c.lister.ShouldFetch(now, heartbeat.ListDigest, heartbeat.ListAge)
 	})
 	if !hasNewer {
--- a/server/server.go
+++ b/server/server.go
@@ -36,7 +36,7 @@
 	Settings loader.Settings
 	// Incarnation is greater than that of every earlier process of the same name.
 	Incarnation uint64
-	Logs        *logger.Logs
+	Logs        *logger.Loggers
 	// MetricScope receives the metrics of this entry; MetricsHandler serves them to callers at
 	// api.PathMetrics.
 	MetricScope    tally.Scope
@@ -139,8 +139,8 @@
 		trafficClient:   &http.Client{Transport: newTransport(dial, false)},
 		singleUseClient: &http.Client{Transport: newTransport(dial, true)},
 		logs: logs{
-			entry: c.Logs.Layer(logger.Entry), route: c.Logs.Layer(logger.Route), keep: c.Logs.Layer(logger.Keep),
-			members: c.Logs.Layer(logger.Members), document: c.Logs.Layer(logger.Document),
+			entry: c.Logs.Layer(logger.LayerEntry), route: c.Logs.Layer(logger.LayerRouter), keep: c.Logs.Layer(logger.LayerKeeper),
+			members: c.Logs.Layer(logger.LayerMembers), document: c.Logs.Layer(logger.LayerDocument),
 		},
 	}
 	for _, text := range c.Settings.SealKeys {
--- a/server/view.go
+++ b/server/view.go
@@ -28,7 +28,7 @@
 // view is an immutable snapshot of the control state for the goroutines that serve requests.
 type view struct {
 	// accepted is the configuration document in force; nil if there is none yet.
-	accepted *validator.Accepted
+	accepted *validator.ValidDocument
 	board    *router.EngineIndex
 	// engines holds the engines of the document that are in the instance list, by name.
 	engines map[string]upstream
@@ -137,7 +137,7 @@
 }
 
 // usableInstances returns the usable instances of the document's services.
-func (c *control) usableInstances(a *validator.Accepted) []dispatcher.Instance {
+func (c *control) usableInstances(a *validator.ValidDocument) []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, s := range a.Document.Services {
 		for _, name := range s.Instances {
--- a/server/watch.go
+++ b/server/watch.go
@@ -92,7 +92,7 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, "", fmt.Errorf("read platform: status %d", response.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocument+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, validator.MaxDocumentSize+1))
 	if err != nil {
 		return nil, "", fmt.Errorf("read platform: %w", err)
 	}
--- a/validator/check.go
+++ b/validator/check.go
@@ -25,15 +25,15 @@
 
 // Parse reads and checks a document. The error holds every fault at once; a
 // decoder.FieldErrors where the document could be read.
-func Parse(data []byte) (*Accepted, error) {
+func Parse(data []byte) (*ValidDocument, error) {
 	var d Document
-	if err := decoder.Decode(data, MaxDocument, &d); err != nil {
+	if err := decoder.Decode(data, MaxDocumentSize, &d); err != nil {
 		return nil, fmt.Errorf("read document: %w", err)
 	}
 	if err := check(d); err != nil {
 		return nil, fmt.Errorf("check document: %w", err)
 	}
-	version := Version{Revision: d.Revision, Digest: Digest(data)}
+	version := DocumentVersion{Revision: d.Revision, Digest: Digest(data)}
 	return index(d, version, data), nil
 }
 
--- a/validator/document.go
+++ b/validator/document.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// MaxDocument is the largest document in bytes; the configuration service
+// MaxDocumentSize is the largest document in bytes; the configuration service
 // holds values up to this size.
-const MaxDocument = 1 << 20
+const MaxDocumentSize = 1 << 20
 
 // Document states which models, adapters and versions serve which
 // organisations, and how each engine and service is used.
@@ -128,33 +128,33 @@
 // shortDigest is the length of a shortened digest, 64 bits in hex.
 const shortDigest = 16
 
-// Shorten cuts a digest to what is enough to tell documents apart between
+// ShortenDigest cuts a digest to what is enough to tell documents apart between
 // entries, which fetch and check the whole where two differ.
-func Shorten(digest string) string {
+func ShortenDigest(digest string) string {
 	return digest[:min(len(digest), shortDigest)]
 }
 
-// Version places a document in the one total order of documents. The order
+// DocumentVersion places a document in the one total order of documents. The order
 // depends on the documents alone, so all entries agree on it whatever each
 // has seen.
-type Version struct {
+type DocumentVersion struct {
 	Revision uint64
 	// Digest breaks ties: the greater one wins.
 	Digest string
 }
 
 // Less reports whether v comes before o.
-func (v Version) Less(o Version) bool {
+func (v DocumentVersion) Less(o DocumentVersion) bool {
 	if v.Revision != o.Revision {
 		return v.Revision < o.Revision
 	}
 	return v.Digest < o.Digest
 }
 
-// Accepted is a document that passed every check. It is never changed.
-type Accepted struct {
+// ValidDocument is a document that passed every check. It is never changed.
+type ValidDocument struct {
 	Document Document
-	Version  Version
+	Version  DocumentVersion
 	// Raw is the document as its publisher wrote it; the digest is of it.
 	Raw []byte
 
@@ -165,33 +165,33 @@
 }
 
 // OrganisationByKey finds the organisation of a bearer key.
-func (a *Accepted) OrganisationByKey(key string) (*Organisation, bool) {
+func (a *ValidDocument) OrganisationByKey(key string) (*Organisation, bool) {
 	sum := sha256.Sum256([]byte(key))
 	o, ok := a.organisations[hex.EncodeToString(sum[:])]
 	return o, ok
 }
 
 // Engine finds an engine by name.
-func (a *Accepted) Engine(name string) (*Engine, bool) {
+func (a *ValidDocument) Engine(name string) (*Engine, bool) {
 	e, ok := a.engines[name]
 	return e, ok
 }
 
 // Model finds a model by name.
-func (a *Accepted) Model(name string) (*Model, bool) {
+func (a *ValidDocument) Model(name string) (*Model, bool) {
 	m, ok := a.models[name]
 	return m, ok
 }
 
 // Service finds a service by name.
-func (a *Accepted) Service(name string) (*Service, bool) {
+func (a *ValidDocument) Service(name string) (*Service, bool) {
 	s, ok := a.services[name]
 	return s, ok
 }
 
-// Repeatable reports whether the service has the call and whether the call
+// IsRepeatable reports whether the service has the call and whether the call
 // may run more than once.
-func (s *Service) Repeatable(call string) (repeatable, found bool) {
+func (s *Service) IsRepeatable(call string) (repeatable, found bool) {
 	for _, c := range s.Calls {
 		if c.Name == call {
 			return c.Repeatable, true
@@ -200,8 +200,8 @@
 	return false, false
 }
 
-func index(d Document, version Version, raw []byte) *Accepted {
-	a := &Accepted{
+func index(d Document, version DocumentVersion, raw []byte) *ValidDocument {
+	a := &ValidDocument{
 		Document:      d,
 		Version:       version,
 		Raw:           bytes.Clone(raw),
--- a/validator/example_test.go
+++ b/validator/example_test.go
@@ -38,7 +38,7 @@
 }
 
 // Every fault is named with its field.
-func TestFaults(t *testing.T) {
+func TestInvalidFieldIsNamed(t *testing.T) {
 	cases := map[string]struct{ old, new, want string }{
 		"unknown key":          {"Revision: 1", "Revision: 1\nColour: blue", "field Colour not found"},
 		"repeated key":         {"Revision: 1", "Revision: 1\nRevision: 2", "already defined"},
@@ -71,9 +71,9 @@
 	}
 }
 
-func TestTooLarge(t *testing.T) {
+func TestTooLargeDocumentIsRefused(t *testing.T) {
 	is := is.New(t)
-	_, err := validator.Parse(make([]byte, validator.MaxDocument+1))
+	_, err := validator.Parse(make([]byte, validator.MaxDocumentSize+1))
 	is.True(strings.Contains(err.Error(), "must be at most 1048576"))
 }
 
