--- a/launcher/callers.go
+++ b/launcher/callers.go
@@ -12,7 +12,7 @@
 
 // newCallerServer returns the server for callers' requests, which keeps the
 // configuration's limits on idle connections. State hears of all connections.
-func newCallerServer(h http.Handler, view func() *forwarder.View, state func(net.Conn, http.ConnState)) *http.Server {
+func newCallerServer(h http.Handler, view func() *forwarder.View, onStateChange func(net.Conn, http.ConnState)) *http.Server {
 	idle := idleCloser{limits: func() matcher.Limits {
 		if t := view().Table; t != nil {
 			return t.Config.Limits
@@ -20,10 +20,10 @@
 		return matcher.Limits{}
 	}, timers: map[net.Conn]*time.Timer{}}
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader,
+		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, ConnState: func(c net.Conn, s http.ConnState) {
-			idle.state(c, s)
-			state(c, s)
+			idle.onStateChange(c, s)
+			onStateChange(c, s)
 		},
 	}
 }
@@ -40,7 +40,7 @@
 	timers map[net.Conn]*time.Timer
 }
 
-func (i *idleCloser) state(c net.Conn, s http.ConnState) {
+func (i *idleCloser) onStateChange(c net.Conn, s http.ConnState) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	if t, ok := i.timers[c]; ok {
@@ -48,26 +48,26 @@
 		delete(i.timers, c)
 	}
 	if s == http.StateIdle || s == http.StateNew {
-		i.watch(c, time.Now())
+		i.scheduleClose(c, time.Now())
 	}
 }
 
-// watch closes a connection once it has been idle for the limit in force
+// scheduleClose closes a connection once it has been idle for the limit in force
 // then, which may be longer than the one in force now.
-func (i *idleCloser) watch(c net.Conn, since time.Time) {
+func (i *idleCloser) scheduleClose(c net.Conn, idleSince time.Time) {
 	limit := i.limits().IdleTimeout
 	if limit <= 0 {
 		limit = headerTimeout
 	}
-	left := limit + idleSlack - time.Since(since)
-	i.timers[c] = time.AfterFunc(max(left, 0), func() {
+	remaining := limit + idleSlack - time.Since(idleSince)
+	i.timers[c] = time.AfterFunc(max(remaining, 0), func() {
 		i.lock.Lock()
 		defer i.lock.Unlock()
 		if _, ok := i.timers[c]; !ok {
 			return
 		}
-		if time.Since(since) < i.limits().IdleTimeout {
-			i.watch(c, since)
+		if time.Since(idleSince) < i.limits().IdleTimeout {
+			i.scheduleClose(c, idleSince)
 			return
 		}
 		delete(i.timers, c)
--- a/launcher/crash_test.go
+++ b/launcher/crash_test.go
@@ -14,8 +14,8 @@
 // a new request: the budget of repeats counts by service, and health blames the upstream. That it was one request
 // is told by the content in the entries' logs, and by upstream_ended that the engines had ended.
 
-// crashFleet is a fleet with eight engines that a request can crash.
-func crashFleet(t *testing.T) *fleet {
+// newCrashFleet is a fleet with eight engines that a request can crash.
+func newCrashFleet(t *testing.T) *fleet {
 	f := newFleet(t, 6)
 	for range 5 {
 		f.addWorker("lm")
@@ -24,56 +24,56 @@
 	return f
 }
 
-// repeater starts callers that ask for what crashes engines.
-func (f *fleet) repeater(callers int, pause time.Duration) *caller.Traffic {
-	f.rounds++
-	return caller.NewRepeater(fmt.Sprintf("r%d%s", f.rounds, f.salt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
+// startRepeater starts callers that ask for what crashes engines.
+func (f *fleet) startRepeater(callers int, pause time.Duration) *caller.Traffic {
+	f.trafficCount++
+	return caller.NewRepeater(fmt.Sprintf("r%d%s", f.trafficCount, f.idSalt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
 		c := f.newCaller(uint64(100 + n))
 		c.BodyOf = func(string) string { return "the same" }
 		return c
 	})
 }
 
-// distinct starts callers that each ask for something else.
-func (f *fleet) distinct(callers int) *traffic {
-	f.rounds++
-	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("d%d%s", f.rounds, f.salt), callers, func(n int) *caller.Caller {
+// startDistinctTraffic starts callers that each ask for something else.
+func (f *fleet) startDistinctTraffic(callers int) *traffic {
+	f.trafficCount++
+	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("d%d%s", f.trafficCount, f.idSalt), callers, func(n int) *caller.Caller {
 		c := f.newCaller(uint64(n))
 		c.BodyOf = func(id string) string { return id }
 		return c
 	})}
 }
 
-func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
+func TestRequestThatCrashesUpstreamsIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := crashFleet(t)
-		defer f.end()
-		others := f.distinct(8)
-		x := f.repeater(3, 150*time.Millisecond)
+		f := newCrashFleet(t)
+		defer f.shutDown()
+		others := f.startDistinctTraffic(8)
+		x := f.startRepeater(3, 150*time.Millisecond)
 		time.Sleep(12 * time.Second)
 		x.Stop()
 		for _, b := range x.Repeats(f.evidence()) {
 			t.Error(b)
 		}
-		others.end()
-		calm := f.distinct(4)
+		others.stopAndCheck()
+		trafficAfter := f.startDistinctTraffic(4)
 		time.Sleep(2 * time.Second)
-		if served, asked := calm.end(); served < asked {
-			t.Errorf("afterwards %d of %d are served", served, asked)
+		if served, sent := trafficAfter.stopAndCheck(); served < sent {
+			t.Errorf("afterwards %d of %d are served", served, sent)
 		}
 	})
 }
 
 // An entry that starts anew remembers nothing, and learns from the others what they refuse.
-func TestRestartedEntryReceivesQuarantines(t *testing.T) {
+func TestStartedEntryLearnsWhatCrashesUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := crashFleet(t)
-		defer f.end()
-		x := f.repeater(2, 200*time.Millisecond)
+		f := newCrashFleet(t)
+		defer f.shutDown()
+		x := f.startRepeater(2, 200*time.Millisecond)
 		time.Sleep(6 * time.Second)
-		f.kill(f.entries[2])
-		<-f.entries[2].ended
-		f.entries[2] = f.start(2)
+		f.killEntry(f.entries[2])
+		<-f.entries[2].exited
+		f.entries[2] = f.startEntry(2)
 		time.Sleep(8 * time.Second)
 		x.Stop()
 		for _, b := range x.Repeats(f.evidence()) {
--- a/launcher/dial.go
+++ b/launcher/dial.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// keepAliveTime is the silence after which a connection is probed, and the
+	// keepAlivePeriod is the silence after which a connection is probed, and the
 	// period of the probes: the shortest that the system takes.
-	keepAliveTime = time.Second
+	keepAlivePeriod = time.Second
 	// keepAliveProbes may go unanswered; then the peer is gone.
 	keepAliveProbes = 2
-	// unacknowledgedTime is how long sent bytes may go unacknowledged: several
+	// ackTimeout is how long sent bytes may go unacknowledged: several
 	// retransmissions within a region, and less than callers wait.
-	unacknowledgedTime = 1500 * time.Millisecond
+	ackTimeout = 1500 * time.Millisecond
 )
 
 // newDialer returns a dialer whose connections fail soon after the peer's
 // instance is gone or cut off, though it never says so.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveTime, Interval: keepAliveTime, Count: keepAliveProbes},
-		Control:         setUserTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlivePeriod, Interval: keepAlivePeriod, Count: keepAliveProbes},
+		Control:         setTCPUserTimeout,
 	}
 }
 
-func setUserTimeout(_, _ string, connection syscall.RawConn) error {
-	var failed error
+func setTCPUserTimeout(_, _ string, connection syscall.RawConn) error {
+	var sockoptErr error
 	err := connection.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTime.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return fmt.Errorf("reach socket: %w", err)
 	}
-	if failed != nil {
-		return fmt.Errorf("set user timeout: %w", failed)
+	if sockoptErr != nil {
+		return fmt.Errorf("set user timeout: %w", sockoptErr)
 	}
 	return nil
 }
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -31,74 +31,74 @@
 )
 
 const (
-	entryPort, readyPort, directoryPort, peerPort, sharePort = 80, 81, 82, 83, 84
+	entryPort, readyPort, directoryPort, peerPort, loadPort = 80, 81, 82, 83, 84
 	// streamEvents is how many events an answer has, but in random runs.
 	streamEvents = 8
-	// eventPause is between events.
-	eventPause = 60 * time.Millisecond
-	// tokensOfEvent is the stride of the engines.
-	tokensOfEvent = 51
-	// shortCall is the time limit of calls whose upstreams answer within 20 ms.
-	shortCall = 3 * time.Second
-	// grace is the time between the order to stop and the end by force.
-	grace = 8 * time.Second
+	// eventGap is between events.
+	eventGap = 60 * time.Millisecond
+	// tokensPerEvent is the stride of the engines.
+	tokensPerEvent = 51
+	// shortTimeout is the time limit of calls whose upstreams answer within 20 ms.
+	shortTimeout = 3 * time.Second
+	// gracePeriod is the time between the order to stop and the end by force.
+	gracePeriod = 8 * time.Second
 )
 
 // entry is one run of an entry.
 type entry struct {
-	host    netip.Addr
-	stop    context.CancelFunc
-	reload  chan struct{}
-	ended   chan struct{}
-	stopped bool
+	host   netip.Addr
+	stop   context.CancelFunc
+	reload chan struct{}
+	exited chan struct{}
+	killed bool
 }
 
 // fleet is the whole system before stand-ins, in virtual time.
 type fleet struct {
-	t       *testing.T
-	net     *network.Network
-	store   *store.Store
-	servers []*http.Server
-	entries []*entry
-	workers map[string]*worker.Worker
-	hosts   map[string]netip.Addr
+	t           *testing.T
+	net         *network.Network
+	store       *store.Store
+	servers     []*http.Server
+	entries     []*entry
+	workers     map[string]*worker.Worker
+	workerHosts map[string]netip.Addr
 	// lock guards born and servers, which workers that crash change.
 	lock sync.Mutex
-	// born is when workers started, in Unix milliseconds; missing for those that do not say.
-	born map[string]int64
-	// crashed are the workers that are not back yet.
-	crashed worker.Down
+	// startedAt is when workers started, in Unix milliseconds; missing for those that do not say.
+	startedAt map[string]int64
+	// downWorkers are the workers that are not back yet.
+	downWorkers worker.Down
 	// repeaters asked for what crashes upstreams.
-	repeaters []*caller.Traffic
-	next      int
-	rounds    int
-	// plan is how long answers last; nil where all are short.
-	plan *worker.Plan
-	// salt is a part of requests' ids, which lengths are drawn from.
-	salt string
-	// troubles are what happens to entries and upstreams.
-	troubles caller.Troubles
+	repeaters    []*caller.Traffic
+	lastWorker   int
+	trafficCount int
+	// responsePlan is how long answers last; nil where all are short.
+	responsePlan *worker.Plan
+	// idSalt is a part of requests' ids, which lengths are drawn from.
+	idSalt string
+	// disruptionLog are what happens to entries and upstreams.
+	disruptionLog caller.Troubles
 	// bursts are callers that asked for a while; down are the entries that were
 	// killed or stopped and not started again.
-	bursts []*traffic
-	down   map[int]bool
+	bursts      []*traffic
+	downEntries map[int]bool
 }
 
-func hostOf(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(1 + i%3), 0, byte(10 + i)}) }
+func entryHost(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(1 + i%3), 0, byte(10 + i)}) }
 
 func newFleet(t *testing.T, entries int) *fleet { return newFleetWithPlan(t, entries, nil) }
 
 func newFleetWithPlan(t *testing.T, entries int, plan *worker.Plan) *fleet {
 	t.Helper()
-	f := &fleet{t: t, plan: plan, down: map[int]bool{}, net: network.New(), store: store.New(), workers: map[string]*worker.Worker{}, hosts: map[string]netip.Addr{}, born: map[string]int64{}}
+	f := &fleet{t: t, responsePlan: plan, downEntries: map[int]bool{}, net: network.New(), store: store.New(), workers: map[string]*worker.Worker{}, workerHosts: map[string]netip.Addr{}, startedAt: map[string]int64{}}
 	f.serve(netip.AddrPortFrom(storeHost, 80), f.store)
-	f.configure(1, "key-1", "key-2")
+	f.putConfig(1, "key-1", "key-2")
 	for range 3 {
 		f.addWorker("app")
 		f.addWorker("lm")
 	}
 	for i := range entries {
-		f.entries = append(f.entries, f.start(i))
+		f.entries = append(f.entries, f.startEntry(i))
 	}
 	time.Sleep(2 * time.Second)
 	return f
@@ -118,57 +118,57 @@
 
 // addWorker starts an upstream that answers as most do and lists it.
 func (f *fleet) addWorker(service string) string {
-	return f.addWorkerThat(service, 20*time.Millisecond, streamEvents, eventPause)
+	return f.addWorkerWith(service, 20*time.Millisecond, streamEvents, eventGap)
 }
 
-// addWorkerThat starts an upstream that answers after work, or with so many events and pauses
+// addWorkerWith starts an upstream that answers after work, or with so many events and pauses
 // between them, and lists it.
-func (f *fleet) addWorkerThat(service string, work time.Duration, events int, pause time.Duration) string {
-	f.next++
-	id := fmt.Sprintf("i-%s-%d", service, f.next)
-	host := netip.AddrFrom4([4]byte{10, 100, byte(f.next >> 8), byte(f.next)})
-	w := worker.New(id, work, events, pause)
-	w.Follow(f.plan)
-	f.workers[id], f.hosts[id] = w, host
-	w.OnCrash(func() { f.crash(id, service) })
-	f.begin(id, service)
+func (f *fleet) addWorkerWith(service string, workTime time.Duration, events int, eventGap time.Duration) string {
+	f.lastWorker++
+	id := fmt.Sprintf("i-%s-%d", service, f.lastWorker)
+	host := netip.AddrFrom4([4]byte{10, 100, byte(f.lastWorker >> 8), byte(f.lastWorker)})
+	w := worker.New(id, workTime, events, eventGap)
+	w.Follow(f.responsePlan)
+	f.workers[id], f.workerHosts[id] = w, host
+	w.OnCrash(func() { f.crashWorker(id, service) })
+	f.startWorker(id, service)
 	return id
 }
 
-// begin serves a worker that starts, and lists it.
-func (f *fleet) begin(id, service string) {
+// startWorker serves a worker that starts, and lists it.
+func (f *fleet) startWorker(id, service string) {
 	f.lock.Lock()
-	f.born[id] = time.Now().UnixMilli()
+	f.startedAt[id] = time.Now().UnixMilli()
 	f.lock.Unlock()
-	f.serve(netip.AddrPortFrom(f.hosts[id], 80), f.workers[id])
-	f.list(id, service, "ready")
+	f.serve(netip.AddrPortFrom(f.workerHosts[id], 80), f.workers[id])
+	f.putWorker(id, service, "ready")
 }
 
-// crash ends a worker's process: its connections end, nobody listens, and after some seconds it is
+// crashWorker ends a worker's process: its connections end, nobody listens, and after some seconds it is
 // started again under its id.
-func (f *fleet) crash(id, service string) {
-	if !f.crashed.Begin(id) {
+func (f *fleet) crashWorker(id, service string) {
+	if !f.downWorkers.Begin(id) {
 		return
 	}
-	mended := f.troubles.Cut(id)
+	endOutage := f.disruptionLog.Cut(id)
 	f.workers[id].Restart()
-	f.net.Kill(f.hosts[id])
+	f.net.Kill(f.workerHosts[id])
 	go func() {
-		defer f.crashed.End(id)
-		time.Sleep(crashTime)
-		f.troubles.Renewed(id)
-		f.begin(id, service)
-		mended()
+		defer f.downWorkers.End(id)
+		time.Sleep(crashDowntime)
+		f.disruptionLog.Renewed(id)
+		f.startWorker(id, service)
+		endOutage()
 	}()
 }
 
-// crashTime is how long a worker that crashed is down.
-const crashTime = 2500 * time.Millisecond
+// crashDowntime is how long a worker that crashed is down.
+const crashDowntime = 2500 * time.Millisecond
 
-func (f *fleet) list(id, service, state string) {
-	u := store.NewUpstream(service, netip.AddrPortFrom(f.hosts[id], 80))
+func (f *fleet) putWorker(id, service, state string) {
+	u := store.NewUpstream(service, netip.AddrPortFrom(f.workerHosts[id], 80))
 	f.lock.Lock()
-	u.State, u.Born = state, f.born[id]
+	u.State, u.Born = state, f.startedAt[id]
 	f.lock.Unlock()
 	f.store.Put("servers/"+id, u)
 }
@@ -176,25 +176,25 @@
 // restartWorker starts a worker again under its id.
 func (f *fleet) restartWorker(id, service string) {
 	f.workers[id].Restart()
-	f.troubles.Renewed(id)
+	f.disruptionLog.Renewed(id)
 	f.lock.Lock()
-	f.born[id] = time.Now().UnixMilli()
+	f.startedAt[id] = time.Now().UnixMilli()
 	f.lock.Unlock()
-	f.list(id, service, "ready")
+	f.putWorker(id, service, "ready")
 }
 
-// routeTime is the time limit of a route: calls are short where no plan draws how long they last,
+// routeTimeout is the time limit of a route: calls are short where no plan draws how long they last,
 // so that one that is asked just after an order to stop ends before the entry.
-func (f *fleet) routeTime(prefix, kind string) time.Duration {
-	if f.plan == nil && kind != "streaming" {
-		return shortCall
+func (f *fleet) routeTimeout(prefix, kind string) time.Duration {
+	if f.responsePlan == nil && kind != "streaming" {
+		return shortTimeout
 	}
 	return caller.RouteTime(prefix)
 }
 
-func (f *fleet) configure(version int, keys ...string) {
+func (f *fleet) putConfig(version int, keys ...string) {
 	route := func(name, prefix, kind, service string, extra map[string]any) map[string]any {
-		r := map[string]any{"name": name, "host": "h", "prefix": prefix, "kind": kind, "service": service, "timeout-ms": f.routeTime(prefix, kind).Milliseconds(), "target-latency-ms": 300, "max-attempts": 1}
+		r := map[string]any{"name": name, "host": "h", "prefix": prefix, "kind": kind, "service": service, "timeout-ms": f.routeTimeout(prefix, kind).Milliseconds(), "target-latency-ms": 300, "max-attempts": 1}
 		for k, v := range extra {
 			r[k] = v
 		}
@@ -217,22 +217,22 @@
 	})
 }
 
-func (f *fleet) start(i int) *entry {
-	host := hostOf(i)
-	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(host, port) }
+func (f *fleet) startEntry(i int) *entry {
+	host := entryHost(i)
+	onPort := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(host, port) }
 	client := &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(host), DisableKeepAlives: true}}
-	reader := platform.NewStore(client, netip.AddrPortFrom(storeHost, 80))
+	storeClient := platform.NewStore(client, netip.AddrPortFrom(storeHost, 80))
 	settings := launcher.Settings{
-		Seeds:       []netip.AddrPort{netip.AddrPortFrom(hostOf(0), peerPort), netip.AddrPortFrom(hostOf(1), peerPort)},
-		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, GracePeriod: grace,
+		Seeds:       []netip.AddrPort{netip.AddrPortFrom(entryHost(0), peerPort), netip.AddrPortFrom(entryHost(1), peerPort)},
+		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, GracePeriod: gracePeriod,
 	}
-	e := &entry{host: host, reload: make(chan struct{}, 1), ended: make(chan struct{})}
+	e := &entry{host: host, reload: make(chan struct{}, 1), exited: make(chan struct{})}
 	l := launcher.New(launcher.Config{
 		SinceBoot: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, // the paused clock
-		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), CallerAddress: at(entryPort), ReadyAddress: at(readyPort),
-		PeerAddress: at(peerPort), DirectoryAddress: at(directoryPort), LoadAddress: at(sharePort), AddressTTL: time.Second, Settings: settings,
+		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), CallerAddress: onPort(entryPort), ReadyAddress: onPort(readyPort),
+		PeerAddress: onPort(peerPort), DirectoryAddress: onPort(directoryPort), LoadAddress: onPort(loadPort), AddressTTL: time.Second, Settings: settings,
 		ReadSettings: func() (launcher.Settings, error) { return settings, nil },
-		Store:        controller.Store{Read: reader.Read, Watch: reader.Watch, DecodeConfig: platform.DecodeConfig}, MaxPropagation: 2 * time.Second,
+		Store:        controller.Store{Read: storeClient.Read, Watch: storeClient.Watch, DecodeConfig: platform.DecodeConfig}, MaxPropagation: 2 * time.Second,
 		Protocol: platform.Protocol(), Reservations: platform.NewReservationClient(client), ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second,
 		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
 		Log: zap.NewNop(), Scope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
@@ -242,35 +242,35 @@
 	var ctx context.Context
 	ctx, e.stop = context.WithCancel(context.Background())
 	go func() {
-		defer close(e.ended)
-		if err := l.Run(ctx, e.reload); err != nil && !e.stopped {
+		defer close(e.exited)
+		if err := l.Run(ctx, e.reload); err != nil && !e.killed {
 			f.t.Errorf("entry-%d: %v", i, err)
 		}
 	}()
 	return e
 }
 
-// kill ends an entry as a loss of power does: all its connections break. Its
+// killEntry ends an entry as a loss of power does: all its connections break. Its
 // goroutines end when they have waited out their own stop.
-func (f *fleet) kill(e *entry) {
-	e.stopped = true
-	f.troubles.Killed(e.host)
+func (f *fleet) killEntry(e *entry) {
+	e.killed = true
+	f.disruptionLog.Killed(e.host)
 	f.net.Kill(e.host)
 	e.stop()
 }
 
-func (f *fleet) end() {
-	f.crashed.Await()
+func (f *fleet) shutDown() {
+	f.downWorkers.Await()
 	for _, e := range f.entries {
-		f.kill(e)
+		f.killEntry(e)
 	}
 	for _, e := range f.entries {
-		<-e.ended
+		<-e.exited
 	}
 	for _, s := range f.servers {
 		_ = s.Close()
 	}
-	for _, h := range f.hosts {
+	for _, h := range f.workerHosts {
 		f.net.Kill(h)
 	}
 	f.net.Kill(storeHost)
@@ -282,13 +282,13 @@
 func (f *fleet) newCaller(seed uint64) *caller.Caller {
 	var directories []netip.AddrPort
 	for i := range f.entries {
-		directories = append(directories, netip.AddrPortFrom(hostOf(i), directoryPort))
+		directories = append(directories, netip.AddrPortFrom(entryHost(i), directoryPort))
 	}
 	c := caller.New(directories, seed, f.net.Dialer(callerHost))
-	if f.plan != nil {
+	if f.responsePlan != nil {
 		c.SetHabit(int(seed))
 		c.BodyOf = caller.MixedBody
-		c.UsageOf = func(id string) (most, hint int) { return f.plan.Usage(id, tokensOfEvent) }
+		c.UsageOf = func(id string) (most, hint int) { return f.responsePlan.Usage(id, tokensPerEvent) }
 	}
 	return c
 }
@@ -296,23 +296,23 @@
 // evidence is what answers are held against.
 func (f *fleet) evidence() caller.Evidence {
 	events := func(string) int { return streamEvents }
-	if f.plan != nil {
-		events = f.plan.Events
+	if f.responsePlan != nil {
+		events = f.responsePlan.Events
 	}
 	runs := func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.workers), id) }
 	refusals := func(id string) []worker.Run { return worker.RefusalsOf(maps.Values(f.workers), id) }
-	return caller.Evidence{Runs: runs, Refusals: refusals, Events: events, Troubles: &f.troubles}
+	return caller.Evidence{Runs: runs, Refusals: refusals, Events: events, Troubles: &f.disruptionLog}
 }
 
 // stopEntry sends an entry SIGTERM, and notes when it has ended.
 func (f *fleet) stopEntry(e *entry) {
-	s := f.troubles.Stopping(e.host, grace)
+	s := f.disruptionLog.Stopping(e.host, gracePeriod)
 	e.stop()
 	go func() {
-		<-e.ended
+		<-e.exited
 		s.Ended()
 	}()
 }
 
-// runs is how often a request ran, at all workers.
-func (f *fleet) runs(id string) int { return worker.TimesRun(maps.Values(f.workers), id) }
+// runCount is how often a request ran, at all workers.
+func (f *fleet) runCount(id string) int { return worker.TimesRun(maps.Values(f.workers), id) }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -76,64 +76,64 @@
 }
 
 const (
-	// keepFactor is how many times longer than its life some callers keep an
+	// maxAddressTTLs is how many times longer than its life some callers keep an
 	// answer of the directory.
-	keepFactor = 3
-	// stopMargin is how long before the end by force the entry ends itself: the time for the last answers,
+	maxAddressTTLs = 3
+	// exitMargin is how long before the end by force the entry ends itself: the time for the last answers,
 	// and twice that for a slow instance to exit.
-	stopMargin = 300 * time.Millisecond
-	// stopPoll is how often a stopping entry looks for requests in progress.
-	stopPoll = 20 * time.Millisecond
-	// lastAnswers is the time for answers that say that a request could not be finished.
-	lastAnswers = 100 * time.Millisecond
-	// reloadTime is how often the settings are read again without a signal.
-	reloadTime = 2 * time.Second
+	exitMargin = 300 * time.Millisecond
+	// drainPollPeriod is how often a stopping entry looks for requests in progress.
+	drainPollPeriod = 20 * time.Millisecond
+	// finalResponseTime is the time for answers that say that a request could not be finished.
+	finalResponseTime = 100 * time.Millisecond
+	// reloadPeriod is how often the settings are read again without a signal.
+	reloadPeriod = 2 * time.Second
 	// headerTimeout and maxHeader bound a caller that the configuration does
 	// not bound yet.
-	headerTimeout = 10 * time.Second
-	maxHeader     = 128 << 10
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 128 << 10
 )
 
 // Launcher is one entry.
 type Launcher struct {
-	config     Config
-	controller *controller.Controller
-	forwarder  *forwarder.Forwarder
-	budget     *budgeter.Budgeter
+	config      Config
+	controller  *controller.Controller
+	forwarder   *forwarder.Forwarder
+	retryBudget *budgeter.Budgeter
 	// settings are those in force; each reload stores others.
-	settings atomic.Pointer[Settings]
-	servers  []*http.Server
-	callers  *http.Server
-	// busy holds the connections of callers that are in use, listener is where they come
+	settings     atomic.Pointer[Settings]
+	servers      []*http.Server
+	callerServer *http.Server
+	// activeConns holds the connections of callers that are in use, listener is where they come
 	// from, and served is closed when no more do.
-	busy     *connector.ActiveConns
-	listener net.Listener
-	served   chan struct{}
-	// cut ends all requests of callers with a cause.
-	cut context.CancelCauseFunc
+	activeConns    *connector.ActiveConns
+	callerListener net.Listener
+	acceptDone     chan struct{}
+	// cancelRequests ends all requests of callers with a cause.
+	cancelRequests context.CancelCauseFunc
 }
 
 // New returns an entry that does not listen yet.
 func New(c Config) *Launcher {
-	c = c.withSystem()
+	c = c.withSystemDefaults()
 	quarantine := quarantiner.New()
-	board := dispatcher.New(c.DataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	l := &Launcher{config: c, budget: budgeter.New(c.Settings.RetryBudget), busy: connector.NewActiveConns(), served: make(chan struct{})}
+	sharedDispatcher := dispatcher.New(c.DataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	l := &Launcher{config: c, retryBudget: budgeter.New(c.Settings.RetryBudget), activeConns: connector.NewActiveConns(), acceptDone: make(chan struct{})}
 	l.settings.Store(&c.Settings)
 	l.controller = controller.New(controller.Config{
 		Name: c.Name, DataCentre: c.DataCentre, Incarnation: uint64(time.Now().UnixNano()),
-		CallerAddress: c.CallerAddress, PeerAddress: c.PeerAddress, LoadAddress: c.LoadAddress, Store: c.Store, MaxPropagation: c.MaxPropagation, Speed: c.Speed, SinceBoot: c.SinceBoot, Dispatcher: board, Quarantine: quarantine, Dial: c.Dial,
+		CallerAddress: c.CallerAddress, PeerAddress: c.PeerAddress, LoadAddress: c.LoadAddress, Store: c.Store, MaxPropagation: c.MaxPropagation, Speed: c.Speed, SinceBoot: c.SinceBoot, Dispatcher: sharedDispatcher, Quarantine: quarantine, Dial: c.Dial,
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	l.forwarder = forwarder.New(forwarder.Config{
-		Protocol: c.Protocol, Reservations: c.Reservations, ReservationTTL: c.ReservationTTL, MaxIdle: c.MaxIdle, View: l.controller.View, Dispatcher: board, RetryBudget: l.budget, Quarantine: quarantine, Dial: c.Dial,
+		Protocol: c.Protocol, Reservations: c.Reservations, ReservationTTL: c.ReservationTTL, MaxIdle: c.MaxIdle, View: l.controller.View, Dispatcher: sharedDispatcher, RetryBudget: l.retryBudget, Quarantine: quarantine, Dial: c.Dial,
 		Log: c.Log, Scope: c.Scope, Asserter: c.Asserter,
 	})
 	return l
 }
 
-// withSystem fills in the clock and the network of the instance.
-func (c Config) withSystem() Config {
+// withSystemDefaults fills in the clock and the network of the instance.
+func (c Config) withSystemDefaults() Config {
 	if c.SinceBoot == nil {
 		c.SinceBoot = controller.SinceBoot
 	}
@@ -153,53 +153,53 @@
 
 // Run serves until stop ends, then stops gracefully. Each value on reload has
 // the settings read again.
-func (l *Launcher) Run(stop context.Context, reload <-chan struct{}) error {
+func (l *Launcher) Run(shutdown context.Context, reloadSignals <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	beats, err := l.config.Listen(l.config.PeerAddress)
+	peerListener, err := l.config.Listen(l.config.PeerAddress)
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	shares, err := l.config.ListenPacket(l.config.LoadAddress)
+	loadSocket, err := l.config.ListenPacket(l.config.LoadAddress)
 	if err != nil {
 		return fmt.Errorf("listen for shares: %w", err)
 	}
-	failed := make(chan error, 4)
-	if err := l.listen(failed); err != nil {
+	serveErrors := make(chan error, 4)
+	if err := l.startServers(serveErrors); err != nil {
 		return err
 	}
 	l.config.Log.Info("started", zap.String("name", l.config.Name), zap.String("data_centre", l.config.DataCentre),
 		zap.Stringer("callers", l.config.CallerAddress), zap.Stringer("peers", l.config.PeerAddress))
-	ended := make(chan struct{})
+	controllerDone := make(chan struct{})
 	go func() {
-		defer close(ended)
-		l.controller.Run(ctx, l.settings.Load().Seeds, beats, shares)
+		defer close(controllerDone)
+		l.controller.Run(ctx, l.settings.Load().Seeds, peerListener, loadSocket)
 	}()
-	go l.reload(ctx, reload)
+	go l.reloadSettings(ctx, reloadSignals)
 	select {
-	case err = <-failed:
-	case <-stop.Done():
-		l.stop()
+	case err = <-serveErrors:
+	case <-shutdown.Done():
+		l.shutDown()
 	}
 	cancel()
-	<-ended
+	<-controllerDone
 	l.config.Log.Info("stopped", zap.String("name", l.config.Name))
 	return err
 }
 
-// listen opens the listeners for callers, checks and metrics.
-func (l *Launcher) listen(failed chan<- error) error {
+// startServers opens the listeners for callers, checks and metrics.
+func (l *Launcher) startServers(serveErrors chan<- error) error {
 	c := l.config
-	l.callers = newCallerServer(l.forwarder, l.controller.View, l.busy.OnStateChange)
-	l.callers.BaseContext = l.baseContext()
+	l.callerServer = newCallerServer(l.forwarder, l.controller.View, l.activeConns.OnStateChange)
+	l.callerServer.BaseContext = l.baseContext()
 	servers := []struct {
 		address netip.AddrPort
 		server  *http.Server
 	}{
-		{c.CallerAddress, l.callers},
+		{c.CallerAddress, l.callerServer},
 		{c.ReadyAddress, &http.Server{Handler: c.ReadyHandler(l.controller.IsReady), ReadHeaderTimeout: headerTimeout}},
 		{c.DirectoryAddress, &http.Server{Handler: c.DirectoryHandler(c.AddressTTL, l.controller.CallerAddresses), ReadHeaderTimeout: headerTimeout}},
-		{c.MetricsAddress, &http.Server{Handler: l.operatorPages(), ReadHeaderTimeout: headerTimeout}},
+		{c.MetricsAddress, &http.Server{Handler: l.operatorHandler(), ReadHeaderTimeout: headerTimeout}},
 	}
 	for _, s := range servers {
 		if !s.address.IsValid() {
@@ -210,14 +210,14 @@
 			return fmt.Errorf("listen on %s: %w", s.address, err)
 		}
 		l.servers = append(l.servers, s.server)
-		ended := func() {}
-		if s.server == l.callers {
-			l.listener, ended = listener, func() { close(l.served) }
+		onServeEnd := func() {}
+		if s.server == l.callerServer {
+			l.callerListener, onServeEnd = listener, func() { close(l.acceptDone) }
 		}
 		go func() {
-			defer ended()
+			defer onServeEnd()
 			if err := s.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				failed <- fmt.Errorf("serve %s: %w", s.address, err)
+				serveErrors <- fmt.Errorf("serve %s: %w", s.address, err)
 			}
 		}()
 	}
@@ -227,12 +227,12 @@
 // baseContext is that of all requests of callers.
 func (l *Launcher) baseContext() func(net.Listener) context.Context {
 	var ctx context.Context
-	ctx, l.cut = context.WithCancelCause(context.Background())
+	ctx, l.cancelRequests = context.WithCancelCause(context.Background())
 	return func(net.Listener) context.Context { return ctx }
 }
 
-// operatorPages are the metrics, and what the entry believes.
-func (l *Launcher) operatorPages() http.Handler {
+// operatorHandler are the metrics, and what the entry believes.
+func (l *Launcher) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+api.PathMetrics, l.config.MetricsHandler)
 	mux.HandleFunc("GET "+api.PathStatus, func(w http.ResponseWriter, _ *http.Request) {
@@ -246,37 +246,37 @@
 	return mux
 }
 
-// stop takes the entry out of the directory, serves callers that still have
+// shutDown takes the entry out of the directory, serves callers that still have
 // its address, and returns when nothing is in progress or time is up.
-func (l *Launcher) stop() {
-	began := time.Now()
-	grace := l.settings.Load().GracePeriod
-	by := began.Add(grace - stopMargin)
-	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", grace))
-	knownUntil := began.Add(keepFactor * l.config.AddressTTL)
-	l.controller.AnnounceShutdown(knownUntil, by)
-	forget := knownUntil.Add(l.config.AddressTTL / 2)
-	for time.Now().Before(earlier(forget, by)) {
-		time.Sleep(stopPoll)
+func (l *Launcher) shutDown() {
+	start := time.Now()
+	gracePeriod := l.settings.Load().GracePeriod
+	deadline := start.Add(gracePeriod - exitMargin)
+	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", gracePeriod))
+	addressValidUntil := start.Add(maxAddressTTLs * l.config.AddressTTL)
+	l.controller.AnnounceShutdown(addressValidUntil, deadline)
+	listenUntil := addressValidUntil.Add(l.config.AddressTTL / 2)
+	for time.Now().Before(earlier(listenUntil, deadline)) {
+		time.Sleep(drainPollPeriod)
 	}
-	_ = l.listener.Close()
-	<-l.served // every connection that was accepted is counted by now
-	l.busy.WaitIdle(by, stopPoll)
-	l.endCallers()
+	_ = l.callerListener.Close()
+	<-l.acceptDone // every connection that was accepted is counted by now
+	l.activeConns.WaitIdle(deadline, drainPollPeriod)
+	l.cancelCallerRequests()
 	for _, s := range l.servers {
 		_ = s.Close()
 	}
 }
 
-// endCallers ends what is still in progress, and waits a moment for the answers that say so.
-func (l *Launcher) endCallers() {
+// cancelCallerRequests ends what is still in progress, and waits a moment for the answers that say so.
+func (l *Launcher) cancelCallerRequests() {
 	if n := l.forwarder.InFlight(); n > 0 {
 		l.config.Log.Warn("requests_cut_off", zap.Int("in_flight", n))
 	}
-	l.cut(forwarder.ErrShutdown)
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	l.cancelRequests(forwarder.ErrShutdown)
+	ctx, cancel := context.WithTimeout(context.Background(), finalResponseTime)
 	defer cancel()
-	if err := l.callers.Shutdown(ctx); err != nil {
+	if err := l.callerServer.Shutdown(ctx); err != nil {
 		l.config.Log.Warn("callers_left_unanswered", zap.Int("in_flight", l.forwarder.InFlight()), zap.Error(err))
 	}
 }
@@ -288,8 +288,8 @@
 	return b
 }
 
-// reload reads the settings again on each signal, and from time to time.
-func (l *Launcher) reload(ctx context.Context, signals <-chan struct{}) {
+// reloadSettings reads the settings again on each signal, and from time to time.
+func (l *Launcher) reloadSettings(ctx context.Context, signals <-chan struct{}) {
 	signalled := false
 	for ctx.Err() == nil {
 		s, err := l.config.ReadSettings()
@@ -300,13 +300,13 @@
 		case signalled || changed:
 			l.config.Log.Info("reload", zap.Bool("signalled", signalled), zap.Bool("changed", changed), zap.Int("seeds", len(s.Seeds)))
 			l.settings.Store(&s)
-			l.budget.Configure(s.RetryBudget)
+			l.retryBudget.Configure(s.RetryBudget)
 			l.controller.SetSeeds(s.Seeds)
 		}
 		select {
 		case <-signals:
 			signalled = true
-		case <-time.After(reloadTime):
+		case <-time.After(reloadPeriod):
 			signalled = false
 		case <-ctx.Done():
 		}
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -21,61 +21,61 @@
 	fleet *fleet
 }
 
-func (f *fleet) traffic(callers int) *traffic {
-	f.rounds++
-	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("t%d%s", f.rounds, f.salt), callers, func(n int) *caller.Caller { return f.newCaller(uint64(n)) })}
+func (f *fleet) startTraffic(callers int) *traffic {
+	f.trafficCount++
+	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("t%d%s", f.trafficCount, f.idSalt), callers, func(n int) *caller.Caller { return f.newCaller(uint64(n)) })}
 }
 
-// end stops the callers, and fails the test for every broken promise.
-func (x *traffic) end() (served, asked int) {
+// stopAndCheck stops the callers, and fails the test for every broken promise.
+func (x *traffic) stopAndCheck() (served, sent int) {
 	x.Stop()
-	return x.judge()
+	return x.checkResults()
 }
 
-// judge fails the test for every broken promise to callers that were stopped.
-func (x *traffic) judge() (served, asked int) {
-	served, asked, broken := x.Judge(x.fleet.evidence())
-	for _, b := range broken {
+// checkResults fails the test for every broken promise to callers that were stopped.
+func (x *traffic) checkResults() (served, sent int) {
+	served, sent, violations := x.Judge(x.fleet.evidence())
+	for _, b := range violations {
 		x.fleet.t.Error(b)
 	}
-	return served, asked
+	return served, sent
 }
 
 func withFleet(t *testing.T, entries int, test func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, entries)
-		defer f.end()
+		defer f.shutDown()
 		test(is.New(t), f)
 	})
 }
 
 // A calm day: everything is served.
-func TestAllIsServedWithoutDisruptions(t *testing.T) {
+func TestCalmDay(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
-		x := f.traffic(8)
+		x := f.startTraffic(8)
 		time.Sleep(10 * time.Second)
-		served, asked := x.end()
-		is.True(asked > 100)
-		is.Equal(served, asked)
+		served, sent := x.stopAndCheck()
+		is.True(sent > 100)
+		is.Equal(served, sent)
 	})
 }
 
 // Entries that are stopped and started in turn, while busy, cut off nothing.
 func TestRollingStopCutsOffNothing(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
-		x := f.traffic(8)
+		x := f.startTraffic(8)
 		for i := range f.entries {
 			time.Sleep(time.Second)
 			began := time.Now()
 			f.stopEntry(f.entries[i])
-			<-f.entries[i].ended
-			is.True(time.Since(began) < grace)
+			<-f.entries[i].exited
+			is.True(time.Since(began) < gracePeriod)
 			time.Sleep(1500 * time.Millisecond) // nobody knows its address any more
-			f.entries[i] = f.start(i)
+			f.entries[i] = f.startEntry(i)
 			time.Sleep(2 * time.Second)
 		}
-		served, asked := x.end()
-		is.Equal(served, asked)
+		served, sent := x.stopAndCheck()
+		is.Equal(served, sent)
 	})
 }
 
@@ -84,7 +84,7 @@
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		client := &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(callerHost), DisableKeepAlives: true}}
 		ready := func() int {
-			response, err := client.Get("http://" + netip.AddrPortFrom(hostOf(0), readyPort).String() + "/ready")
+			response, err := client.Get("http://" + netip.AddrPortFrom(entryHost(0), readyPort).String() + "/ready")
 			is.NoErr(err)
 			defer func() { _ = response.Body.Close() }()
 			return response.StatusCode
@@ -99,15 +99,15 @@
 // SIGHUP has the settings read again and changes nothing else.
 func TestReload(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, f *fleet) {
-		x := f.traffic(4)
+		x := f.startTraffic(4)
 		for range 5 {
 			for _, e := range f.entries {
 				e.reload <- struct{}{}
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
-		served, asked := x.end()
-		is.Equal(served, asked)
+		served, sent := x.stopAndCheck()
+		is.Equal(served, sent)
 	})
 }
 
@@ -117,9 +117,9 @@
 	withFleet(t, 4, func(is *is.I, f *fleet) {
 		c := f.newCaller(1)
 		is.Equal(c.Ask("/safe/x", "r1", "key-2", time.Second).Status, http.StatusOK)
-		f.net.Cut(hostOf(2), storeHost)
-		f.net.Cut(hostOf(3), storeHost)
-		f.configure(2, "key-1")
+		f.net.Cut(entryHost(2), storeHost)
+		f.net.Cut(entryHost(3), storeHost)
+		f.putConfig(2, "key-1")
 		time.Sleep(2 * time.Second)
 		for i := range 20 {
 			is.Equal(c.Ask("/safe/x", fmt.Sprintf("r2-%d", i), "key-2", time.Second).Status, http.StatusUnauthorized)
@@ -132,15 +132,15 @@
 // belongs to another, which runs nothing that was meant for the first.
 func TestLeavingUpstreamGetsNoWork(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
-		x := f.traffic(8)
-		f.list("i-app-1", "app", "draining")
+		x := f.startTraffic(8)
+		f.putWorker("i-app-1", "app", "draining")
 		f.store.Delete("servers/i-lm-2")
 		time.Sleep(2 * time.Second)
-		before := len(f.workers["i-app-1"].Runs()) + len(f.workers["i-lm-2"].Runs())
+		runsBefore := len(f.workers["i-app-1"].Runs()) + len(f.workers["i-lm-2"].Runs())
 		time.Sleep(5 * time.Second)
-		is.Equal(len(f.workers["i-app-1"].Runs())+len(f.workers["i-lm-2"].Runs()), before)
-		served, asked := x.end()
-		is.Equal(served, asked)
+		is.Equal(len(f.workers["i-app-1"].Runs())+len(f.workers["i-lm-2"].Runs()), runsBefore)
+		served, sent := x.stopAndCheck()
+		is.Equal(served, sent)
 	})
 }
 
@@ -150,21 +150,21 @@
 	withFleet(t, 4, func(is *is.I, f *fleet) {
 		f.store.SetMode(store.Reset)
 		for _, e := range f.entries {
-			f.kill(e)
+			f.killEntry(e)
 		}
 		for _, e := range f.entries {
-			<-e.ended
+			<-e.exited
 		}
 		for i := range f.entries {
-			f.entries[i] = f.start(i)
+			f.entries[i] = f.startEntry(i)
 		}
 		time.Sleep(2 * time.Second)
 		f.store.SetMode(store.Up)
 		time.Sleep(time.Second)
-		x := f.traffic(4)
+		x := f.startTraffic(4)
 		time.Sleep(3 * time.Second)
-		served, asked := x.end()
-		is.Equal(served, asked)
+		served, sent := x.stopAndCheck()
+		is.Equal(served, sent)
 	})
 }
 
@@ -176,10 +176,10 @@
 			withFleet(t, 3, func(is *is.I, f *fleet) {
 				f.workers["i-app-1"].SetFault(fault)
 				f.workers["i-lm-2"].SetFault(fault)
-				x := f.traffic(8)
+				x := f.startTraffic(8)
 				time.Sleep(6 * time.Second)
-				served, asked := x.end()
-				is.True(float64(served) > 0.75*float64(asked))
+				served, sent := x.stopAndCheck()
+				is.True(float64(served) > 0.75*float64(sent))
 			})
 		})
 	}
--- a/launcher/questions_test.go
+++ b/launcher/planned_requests_test.go
@@ -22,30 +22,30 @@
 const (
 	// longEvents is how many events a long answer has, of 50 tokens each.
 	longEvents = 20
-	// lifetime is how long a stopping entry goes on after the order to stop.
-	lifetime = grace - 300*time.Millisecond
-	// longPatience is that of callers who wait for any answer.
-	longPatience = 20 * time.Second
-	// longUsage is a short prompt with a long answer.
-	longUsage = "2000,1000"
-	// heavyUsage is a prompt that takes an engine over a second, groupUsage one that needs the
+	// exitDelay is how long a stopping entry goes on after the order to stop.
+	exitDelay = gracePeriod - 300*time.Millisecond
+	// callerTimeout is that of callers who wait for any answer.
+	callerTimeout = 20 * time.Second
+	// longAnswerUsage is a short prompt with a long answer.
+	longAnswerUsage = "2000,1000"
+	// longPromptUsage is a prompt that takes an engine over a second, groupUsage one that needs the
 	// memory of two; their answers are long.
-	heavyUsage, groupUsage = "200000,1000", "320000,1000"
+	longPromptUsage, groupPromptUsage = "200000,1000", "320000,1000"
 )
 
-// lengthen adds upstreams that take long, and routes to them. What the configuration says of
+// addSlowWorkers adds upstreams that take long, and routes to them. What the configuration says of
 // engines is the longest that their answers take: 20 events with pauses of 0.345 s.
-func (f *fleet) lengthen() {
+func (f *fleet) addSlowWorkers() {
 	for _, pause := range []time.Duration{200, 230, 260, 290, 320, 345} {
-		f.addWorkerThat("long", 20*time.Millisecond, longEvents, pause*time.Millisecond)
+		f.addWorkerWith("long", 20*time.Millisecond, longEvents, pause*time.Millisecond)
 	}
 	for range 3 {
-		f.addWorkerThat("heavy", 1500*time.Millisecond, longEvents, 300*time.Millisecond)
-		f.addWorkerThat("near", 2300*time.Millisecond, 0, 0)
-		f.addWorkerThat("slow", 6500*time.Millisecond, 0, 0)
+		f.addWorkerWith("heavy", 1500*time.Millisecond, longEvents, 300*time.Millisecond)
+		f.addWorkerWith("near", 2300*time.Millisecond, 0, 0)
+		f.addWorkerWith("slow", 6500*time.Millisecond, 0, 0)
 	}
 	for range 3 {
-		f.addWorkerThat("brief", 20*time.Millisecond, longEvents, 100*time.Millisecond)
+		f.addWorkerWith("brief", 20*time.Millisecond, longEvents, 100*time.Millisecond)
 	}
 	route := func(name, kind, service string, timeout, target, attempts int, resume bool) map[string]any {
 		return map[string]any{
@@ -82,33 +82,33 @@
 	time.Sleep(3 * time.Second)
 }
 
-// question is one request to an entry that is told to stop.
-type question struct {
+// plannedRequest is one request to an entry that is told to stop.
+type plannedRequest struct {
 	path string
 	// usage is the prompt's tokens and the most that its answer may have.
 	usage string
-	// at is when it is sent, from the order to stop on, negative before.
-	at time.Duration
-	// body is how long its body takes; 0 for none.
-	body time.Duration
-	// kept is true where its connection has served another request before.
-	kept bool
+	// sendAt is when it is sent, from the order to stop on, negative before.
+	sendAt time.Duration
+	// bodyTime is how long its body takes; 0 for none.
+	bodyTime time.Duration
+	// reusesConn is true where its connection has served another request before.
+	reusesConn bool
 }
 
-// over returns questions alike at times from first to the end of the process.
-func (q question) over(first time.Duration) []question {
-	var out []question
+// repeatUntilExit returns planned alike at times from first to the end of the process.
+func (q plannedRequest) repeatUntilExit(firstSendAt time.Duration) []plannedRequest {
+	var out []plannedRequest
 	// Callers don't ask at the very moments at which a stopping entry looks around.
-	for q.at = first + 5*time.Millisecond; q.at < lifetime; q.at += 250 * time.Millisecond {
+	for q.sendAt = firstSendAt + 5*time.Millisecond; q.sendAt < exitDelay; q.sendAt += 250 * time.Millisecond {
 		out = append(out, q)
 	}
 	return out
 }
 
-// bodiesUntil returns questions alike whose bodies end at times from the order to stop on.
-func (q question) bodiesUntil(last time.Duration) []question {
-	var out []question
-	for q.body = 255*time.Millisecond - q.at; q.body < last-q.at; q.body += 250 * time.Millisecond {
+// withBodiesUntil returns planned alike whose bodies end at times from the order to stop on.
+func (q plannedRequest) withBodiesUntil(lastEnd time.Duration) []plannedRequest {
+	var out []plannedRequest
+	for q.bodyTime = 255*time.Millisecond - q.sendAt; q.bodyTime < lastEnd-q.sendAt; q.bodyTime += 250 * time.Millisecond {
 		out = append(out, q)
 	}
 	return out
@@ -126,95 +126,95 @@
 	return r
 }
 
-// askStopping stops an entry a second from now, and asks it questions by its address, as
-// callers do that still have it. It returns the answers in the order of the questions.
-func (f *fleet) askStopping(e *entry, questions []question) []caller.Result {
-	f.rounds++
-	results := make([]caller.Result, len(questions))
+// sendDuringShutdown stops an entry a second from now, and asks it planned by its address, as
+// callers do that still have it. It returns the answers in the order of the planned.
+func (f *fleet) sendDuringShutdown(e *entry, planned []plannedRequest) []caller.Result {
+	f.trafficCount++
+	results := make([]caller.Result, len(planned))
 	stopAt := time.Now().Add(time.Second)
-	var asked sync.WaitGroup
-	for i, q := range questions {
-		id := f.id(i)
-		asked.Go(func() {
+	var senders sync.WaitGroup
+	for i, q := range planned {
+		id := f.requestID(i)
+		senders.Go(func() {
 			c := f.newCaller(uint64(i))
 			defer c.Close()
 			c.Fix(netip.AddrPortFrom(e.host, entryPort))
-			if q.kept {
-				c.Ask("/safe/x", "before-"+id, "key-1", longPatience)
+			if q.reusesConn {
+				c.Ask("/safe/x", "before-"+id, "key-1", callerTimeout)
 			}
 			if q.usage != "" {
 				c.Usage = q.usage
 			}
-			if q.body > 0 {
-				c.Body = func() io.Reader { return slowBody(q.body) }
+			if q.bodyTime > 0 {
+				c.Body = func() io.Reader { return slowBody(q.bodyTime) }
 			}
-			time.Sleep(time.Until(stopAt.Add(q.at)))
-			results[i] = c.Ask(q.path, id, "key-1", longPatience)
+			time.Sleep(time.Until(stopAt.Add(q.sendAt)))
+			results[i] = c.Ask(q.path, id, "key-1", callerTimeout)
 		})
 	}
 	time.Sleep(time.Until(stopAt))
 	e.stop()
-	asked.Wait()
-	<-e.ended
+	senders.Wait()
+	<-e.exited
 	return results
 }
 
-// id is that of a question of the last round.
-func (f *fleet) id(i int) string { return fmt.Sprintf("q%d-%d", f.rounds, i) }
+// requestID is that of a question of the last round.
+func (f *fleet) requestID(i int) string { return fmt.Sprintf("q%d-%d", f.trafficCount, i) }
 
 var errUnanswered = errors.New("the entry broke the connection off")
 
-// lost says how the entry lost a request that it took; nil where it gave the whole answer, or
+// checkResult says how the entry lost a request that it took; nil where it gave the whole answer, or
 // refused honestly what it never passed on, or no longer took it.
-func (f *fleet) lost(r caller.Result) error {
-	ran := f.runs(r.ID)
-	if broken := r.Broken(ran, longEvents); len(broken) > 0 {
-		return errors.New(strings.Join(broken, ", "))
+func (f *fleet) checkResult(r caller.Result) error {
+	runs := f.runCount(r.ID)
+	if violations := r.Broken(runs, longEvents); len(violations) > 0 {
+		return errors.New(strings.Join(violations, ", "))
 	}
 	switch {
 	case r.Served():
 		return nil
-	case r.Err != nil && ran == 0 && strings.Contains(r.Err.Error(), "connection refused"):
+	case r.Err != nil && runs == 0 && strings.Contains(r.Err.Error(), "connection refused"):
 		return nil
 	case r.Err != nil:
-		return fmt.Errorf("%w after %s, %d runs, %d bytes: %w", errUnanswered, r.Took.Round(time.Millisecond), ran, len(r.Body), r.Err)
-	case r.Status == http.StatusServiceUnavailable && ran == 0:
+		return fmt.Errorf("%w after %s, %d runs, %d bytes: %w", errUnanswered, r.Took.Round(time.Millisecond), runs, len(r.Body), r.Err)
+	case r.Status == http.StatusServiceUnavailable && runs == 0:
 		return checkRetryAfter(r.RetryAfter)
 	}
-	return fmt.Errorf("answered with %d after %s, %d runs, Retry-After %q", r.Status, r.Took.Round(time.Millisecond), ran, r.RetryAfter)
+	return fmt.Errorf("answered with %d after %s, %d runs, Retry-After %q", r.Status, r.Took.Round(time.Millisecond), runs, r.RetryAfter)
 }
 
 // checkRetryAfter wants a time that a caller can wait for.
 func checkRetryAfter(text string) error {
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || seconds <= 0 || seconds > longPatience.Seconds() {
+	if err != nil || seconds <= 0 || seconds > callerTimeout.Seconds() {
 		return fmt.Errorf("refused with Retry-After %q", text)
 	}
 	return nil
 }
 
-// heldBack reports whether a stopping entry took its time to refuse a request.
-func heldBack(q question, r caller.Result) bool {
-	return q.at >= 0 && r.Err == nil && r.Status == http.StatusServiceUnavailable && r.Took > q.body+50*time.Millisecond
+// isRefusedLate reports whether a stopping entry took its time to refuse a request.
+func isRefusedLate(q plannedRequest, r caller.Result) bool {
+	return q.sendAt >= 0 && r.Err == nil && r.Status == http.StatusServiceUnavailable && r.Took > q.bodyTime+50*time.Millisecond
 }
 
 // checkNoneLost asks an entry that stops, and fails the test for every request that it loses.
-// It returns the answers in the order of the questions.
-func (f *fleet) checkNoneLost(questions []question) []caller.Result {
+// It returns the answers in the order of the planned.
+func (f *fleet) checkNoneLost(planned []plannedRequest) []caller.Result {
 	f.t.Helper()
-	results := f.askStopping(f.entries[0], questions)
+	results := f.sendDuringShutdown(f.entries[0], planned)
 	for i, r := range results {
-		if err := f.lost(r); err != nil {
-			f.t.Errorf("%s asked %s after the order to stop, body %s: %v", r.Path, questions[i].at, questions[i].body, err)
+		if err := f.checkResult(r); err != nil {
+			f.t.Errorf("%s asked %s after the order to stop, body %s: %v", r.Path, planned[i].sendAt, planned[i].bodyTime, err)
 		}
-		if heldBack(questions[i], r) {
-			f.t.Errorf("%s asked %s after the order to stop was refused after %s", r.Path, questions[i].at, r.Took)
+		if isRefusedLate(planned[i], r) {
+			f.t.Errorf("%s asked %s after the order to stop was refused after %s", r.Path, planned[i].sendAt, r.Took)
 		}
 	}
 	return results
 }
 
-func (f *fleet) setAll(fault worker.Fault) {
+func (f *fleet) setFaults(fault worker.Fault) {
 	for _, w := range f.workers {
 		w.SetFault(fault)
 	}
@@ -223,7 +223,7 @@
 // withLongAnswers runs a test with two entries before upstreams that take long.
 func withLongAnswers(t *testing.T, test func(is *is.I, f *fleet)) {
 	withFleet(t, 2, func(is *is.I, f *fleet) {
-		f.lengthen()
+		f.addSlowWorkers()
 		test(is, f)
 	})
 }
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -31,20 +31,20 @@
 	os.Exit(m.Run())
 }
 
-// trouble is one drawn disruption. It returns what ends it.
-type trouble struct {
+// disruption is one drawn disruption. It returns what ends it.
+type disruption struct {
 	name  string
 	begin func(f *fleet, t *rapid.T) func()
 }
 
-var troubles = []trouble{
+var disruptions = []disruption{
 	{"upstream fault", func(f *fleet, t *rapid.T) func() {
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
 		w.SetFault(rapid.SampledFrom(worker.Faults).Draw(t, "fault"))
 		return func() { w.SetFault(worker.Sound) }
 	}},
 	{"store", func(f *fleet, t *rapid.T) func() {
-		back := f.troubles.StoreAway()
+		back := f.disruptionLog.StoreAway()
 		f.store.SetMode(rapid.SampledFrom([]store.Mode{store.Busy, store.Many, store.Silent, store.Reset, store.Late}).Draw(t, "mode"))
 		return func() { f.store.SetMode(store.Up); back() }
 	}},
@@ -53,26 +53,26 @@
 		return func() {}
 	}},
 	{"entry cut off from store", func(f *fleet, t *rapid.T) func() {
-		host := hostOf(rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry"))
-		back := f.troubles.StoreAway()
+		host := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry"))
+		back := f.disruptionLog.StoreAway()
 		f.net.Cut(host, storeHost)
 		return func() { f.net.Mend(host, storeHost); back() }
 	}},
 	{"entries parted", func(f *fleet, t *rapid.T) func() {
-		a := hostOf(rapid.IntRange(0, len(f.entries)-1).Draw(t, "one"))
-		b := hostOf(rapid.IntRange(0, len(f.entries)-1).Draw(t, "other"))
-		joined := f.troubles.Parted()
+		a := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "one"))
+		b := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "other"))
+		joined := f.disruptionLog.Parted()
 		f.net.Cut(a, b)
 		return func() { f.net.Mend(a, b); joined() }
 	}},
 	{"entry killed", func(f *fleet, t *rapid.T) func() {
-		if i, ok := f.free(t); ok {
-			f.kill(f.entries[i])
+		if i, ok := f.takeDownEntry(t); ok {
+			f.killEntry(f.entries[i])
 		}
 		return func() {}
 	}},
 	{"entry stopped", func(f *fleet, t *rapid.T) func() {
-		if i, ok := f.free(t); ok {
+		if i, ok := f.takeDownEntry(t); ok {
 			f.stopEntry(f.entries[i])
 		}
 		return func() {}
@@ -90,12 +90,12 @@
 		return func() {}
 	}},
 	{"burst", func(f *fleet, t *rapid.T) func() {
-		x := f.traffic(rapid.IntRange(4, 12).Draw(t, "callers"))
+		x := f.startTraffic(rapid.IntRange(4, 12).Draw(t, "callers"))
 		f.bursts = append(f.bursts, x)
 		return x.Stop
 	}},
 	{"configuration", func(f *fleet, t *rapid.T) func() {
-		f.configure(rapid.IntRange(10, 1000).Draw(t, "version"), "key-1")
+		f.putConfig(rapid.IntRange(10, 1000).Draw(t, "version"), "key-1")
 		return func() {}
 	}},
 	{"upstream starts anew", func(f *fleet, t *rapid.T) func() {
@@ -105,7 +105,7 @@
 	}},
 	{"request that crashes upstreams", func(f *fleet, t *rapid.T) func() {
 		pause := time.Duration(rapid.IntRange(50, 800).Draw(t, "pause")) * time.Millisecond
-		x := f.repeater(rapid.IntRange(1, 3).Draw(t, "callers"), pause)
+		x := f.startRepeater(rapid.IntRange(1, 3).Draw(t, "callers"), pause)
 		f.repeaters = append(f.repeaters, x)
 		return x.Stop
 	}},
@@ -124,24 +124,24 @@
 	{"outage of upstreams", func(f *fleet, t *rapid.T) func() {
 		for range rapid.IntRange(2, 5).Draw(t, "upstreams") {
 			id := rapid.SampledFrom([]string{"i-app-1", "i-lm-2", "i-app-3", "i-lm-4", "i-lm-6"}).Draw(t, "worker")
-			f.crash(id, strings.Split(id, "-")[1])
+			f.crashWorker(id, strings.Split(id, "-")[1])
 			time.Sleep(time.Duration(rapid.IntRange(0, 400).Draw(t, "between")) * time.Millisecond)
 		}
 		return func() {}
 	}},
 	{"upstream leaves and another comes", func(f *fleet, _ *rapid.T) func() {
-		f.list("i-lm-6", "lm", "draining")
-		return func() { f.list("i-lm-6", "lm", "ready") }
+		f.putWorker("i-lm-6", "lm", "draining")
+		return func() { f.putWorker("i-lm-6", "lm", "ready") }
 	}},
 }
 
-// free draws an entry that neither was killed nor stops, and marks it as down; none
+// takeDownEntry draws an entry that neither was killed nor stops, and marks it as down; none
 // where that would leave less than half of the entries.
-func (f *fleet) free(t *rapid.T) (int, bool) {
-	f.startEnded(false)
+func (f *fleet) takeDownEntry(t *rapid.T) (int, bool) {
+	f.restartExited(false)
 	var free []int
 	for i := range f.entries {
-		if !f.down[i] {
+		if !f.downEntries[i] {
 			free = append(free, i)
 		}
 	}
@@ -149,26 +149,26 @@
 		return 0, false
 	}
 	i := rapid.SampledFrom(free).Draw(t, "entry")
-	f.down[i] = true
+	f.downEntries[i] = true
 	return i, true
 }
 
-// startEnded starts those entries that are down and have ended; with wait it waits
+// restartExited starts those entries that are down and have ended; with wait it waits
 // for the end of all that are down.
-func (f *fleet) startEnded(wait bool) {
+func (f *fleet) restartExited(wait bool) {
 	for i := range f.entries {
-		if !f.down[i] {
+		if !f.downEntries[i] {
 			continue
 		}
 		select {
-		case <-f.entries[i].ended:
+		case <-f.entries[i].exited:
 		default:
 			if !wait {
 				continue
 			}
-			<-f.entries[i].ended
+			<-f.entries[i].exited
 		}
-		f.entries[i], f.down[i] = f.start(i), false
+		f.entries[i], f.downEntries[i] = f.startEntry(i), false
 	}
 }
 
@@ -176,7 +176,7 @@
 // overlap; each is started again when it has ended.
 func (f *fleet) stopInSeries(t *rapid.T) {
 	for range rapid.IntRange(2, 3).Draw(t, "stops") {
-		if i, ok := f.free(t); ok {
+		if i, ok := f.takeDownEntry(t); ok {
 			f.stopEntry(f.entries[i])
 		}
 		time.Sleep(time.Duration(rapid.IntRange(100, 1600).Draw(t, "gap")) * time.Millisecond)
@@ -194,10 +194,10 @@
 	rapid.Check(t, func(r *rapid.T) {
 		var plan []int
 		for range rapid.IntRange(2, 5).Draw(r, "troubles") {
-			plan = append(plan, rapid.IntRange(0, len(troubles)-1).Draw(r, "kind"))
+			plan = append(plan, rapid.IntRange(0, len(disruptions)-1).Draw(r, "kind"))
 		}
 		insert := func(name string) {
-			kind := slices.IndexFunc(troubles, func(t trouble) bool { return t.name == name })
+			kind := slices.IndexFunc(disruptions, func(t disruption) bool { return t.name == name })
 			plan = slices.Insert(plan, rapid.IntRange(0, len(plan)).Draw(r, "place"), kind)
 		}
 		// Every run has both.
@@ -210,40 +210,40 @@
 func runSoak(t *testing.T, r *rapid.T, plan []int) {
 	defer func() {
 		if t.Failed() { // a failure within the bubble ends the whole test
-			t.Logf("rapid.seed %s, plan %s", flag.Lookup("rapid.seed").Value, namesOf(plan))
+			t.Logf("rapid.seed %s, plan %s", flag.Lookup("rapid.seed").Value, disruptionNames(plan))
 		}
 	}()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleetWithPlan(t, 6, worker.DrawnPlan(eventPause))
-		defer f.end()
-		f.salt = fmt.Sprintf("s%d", rapid.IntRange(0, 9999).Draw(r, "salt"))
-		x := f.traffic(12)
-		var ends []func()
+		f := newFleetWithPlan(t, 6, worker.DrawnPlan(eventGap))
+		defer f.shutDown()
+		f.idSalt = fmt.Sprintf("s%d", rapid.IntRange(0, 9999).Draw(r, "salt"))
+		x := f.startTraffic(12)
+		var endFuncs []func()
 		for _, kind := range plan {
-			ends = append(ends, troubles[kind].begin(f, r))
+			endFuncs = append(endFuncs, disruptions[kind].begin(f, r))
 			time.Sleep(time.Duration(rapid.IntRange(100, 1500).Draw(r, "gap")) * time.Millisecond)
-			f.startEnded(false)
+			f.restartExited(false)
 		}
-		for _, end := range ends {
+		for _, end := range endFuncs {
 			end()
 		}
-		f.startEnded(true)
+		f.restartExited(true)
 		x.Stop()
 		for _, x := range append(f.bursts, x) {
-			x.judge()
+			x.checkResults()
 		}
-		f.unheeded(x)
+		f.checkBackpressure(x)
 		for _, x := range f.repeaters {
 			for _, b := range x.Repeats(f.evidence()) {
 				t.Error(b)
 			}
 		}
 		time.Sleep(5 * time.Second)
-		calm := f.traffic(4)
+		trafficAfter := f.startTraffic(4)
 		time.Sleep(2 * time.Second)
-		served, asked := calm.end()
-		if served < asked {
-			t.Errorf("after the troubles %d of %d are served", served, asked)
+		served, sent := trafficAfter.stopAndCheck()
+		if served < sent {
+			t.Errorf("after the troubles %d of %d are served", served, sent)
 		}
 		time.Sleep(5 * time.Second)
 		for id, w := range f.workers {
@@ -254,8 +254,8 @@
 	})
 }
 
-// unheeded fails the test for what reached upstreams that had said that they leave or pause.
-func (f *fleet) unheeded(x *traffic) {
+// checkBackpressure fails the test for what reached upstreams that had said that they leave or pause.
+func (f *fleet) checkBackpressure(x *traffic) {
 	all := append([]*caller.Traffic{x.Traffic}, f.repeaters...)
 	for _, x := range f.bursts {
 		all = append(all, x.Traffic)
@@ -265,10 +265,10 @@
 	}
 }
 
-func namesOf(plan []int) []string {
+func disruptionNames(plan []int) []string {
 	var names []string
 	for _, kind := range plan {
-		names = append(names, troubles[kind].name)
+		names = append(names, disruptions[kind].name)
 	}
 	return names
 }
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -25,9 +25,9 @@
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprint(path[1:], " kept ", kept), func(t *testing.T) {
 				withLongAnswers(t, func(is *is.I, f *fleet) {
-					questions := question{path: path, kept: kept}.over(0)
-					for i, r := range f.checkNoneLost(questions) {
-						is.True(r.Served() || questions[i].at > 3*time.Second)
+					planned := plannedRequest{path: path, reusesConn: kept}.repeatUntilExit(0)
+					for i, r := range f.checkNoneLost(planned) {
+						is.True(r.Served() || planned[i].sendAt > 3*time.Second)
 					}
 				})
 			})
@@ -39,9 +39,9 @@
 // address.
 func TestStoppingEntryStreamsWhatEndsInTime(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
-		questions := question{path: "/stream/brief/x", usage: longUsage}.over(0)
-		for i, r := range f.checkNoneLost(questions) {
-			is.True(r.Served() || questions[i].at > 2900*time.Millisecond)
+		planned := plannedRequest{path: "/stream/brief/x", usage: longAnswerUsage}.repeatUntilExit(0)
+		for i, r := range f.checkNoneLost(planned) {
+			is.True(r.Served() || planned[i].sendAt > 2900*time.Millisecond)
 		}
 	})
 }
@@ -49,25 +49,25 @@
 // A call whose body comes in until just before its deadline ends by it, before the entry does.
 func TestStoppingEntryServesLateBodyInTime(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
-		late := question{path: "/once/x", body: 2500 * time.Millisecond}
-		early := question{path: "/once/x", at: -500 * time.Millisecond}
-		f.checkNoneLost(append(late.over(0), early.bodiesUntil(2400*time.Millisecond)...))
+		late := plannedRequest{path: "/once/x", bodyTime: 2500 * time.Millisecond}
+		early := plannedRequest{path: "/once/x", sendAt: -500 * time.Millisecond}
+		f.checkNoneLost(append(late.repeatUntilExit(0), early.withBodiesUntil(2400*time.Millisecond)...))
 	})
 }
 
 // A stream that was begun before the order to stop, and whose engine breaks off after it, goes
 // on at another and ends whole: nothing honest could be said to its caller but the rest.
-func TestStoppingEntryResumesBrokenStream(t *testing.T) {
+func TestStoppingEntryGoesOnWithBrokenStream(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
-		f.setAll(worker.Torn)
-		time.AfterFunc(1100*time.Millisecond, func() { f.setAll(worker.Sound) })
-		var questions []question
+		f.setFaults(worker.Torn)
+		time.AfterFunc(1100*time.Millisecond, func() { f.setFaults(worker.Sound) })
+		var planned []plannedRequest
 		for at := -700 * time.Millisecond; at < 0; at += 100 * time.Millisecond {
-			questions = append(questions, question{path: "/stream/brief/x", usage: longUsage, at: at})
+			planned = append(planned, plannedRequest{path: "/stream/brief/x", usage: longAnswerUsage, sendAt: at})
 		}
-		for _, r := range f.checkNoneLost(questions) {
+		for _, r := range f.checkNoneLost(planned) {
 			is.True(r.Served())
-			is.Equal(f.runs(r.ID), 2)
+			is.Equal(f.runCount(r.ID), 2)
 		}
 	})
 }
@@ -75,16 +75,16 @@
 // Upstreams say nothing, and the entry that asked them ends: callers who had no part of an answer
 // saw their connections closed, and did not know whether anybody had read their request. They
 // are told that it may have run, or that it has not.
-func TestExitingEntryAnswersOpenRequests(t *testing.T) {
+func TestEndOfAnEntryIsTold(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x", "/stream/x", "/fixed/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(is *is.I, f *fleet) {
-				f.setAll(worker.Mute)
-				q := question{path: path, usage: longUsage, at: -100 * time.Millisecond}
-				unread := question{path: path, usage: longUsage, at: -200 * time.Millisecond, body: 7 * time.Second}
-				for _, r := range f.askStopping(f.entries[0], []question{q, unread}) {
+				f.setFaults(worker.Mute)
+				q := plannedRequest{path: path, usage: longAnswerUsage, sendAt: -100 * time.Millisecond}
+				unread := plannedRequest{path: path, usage: longAnswerUsage, sendAt: -200 * time.Millisecond, bodyTime: 7 * time.Second}
+				for _, r := range f.sendDuringShutdown(f.entries[0], []plannedRequest{q, unread}) {
 					is.NoErr(r.Err)
-					ran := f.runs(r.ID) > 0
+					ran := f.runCount(r.ID) > 0
 					is.True(r.Status == http.StatusBadGateway && ran || r.Status == http.StatusServiceUnavailable && !ran)
 				}
 			})
@@ -101,7 +101,7 @@
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprint(path[1:], " kept ", kept), func(t *testing.T) {
 				withLongAnswers(t, func(_ *is.I, f *fleet) {
-					f.checkNoneLost(question{path: path, usage: longUsage, kept: kept}.over(0))
+					f.checkNoneLost(plannedRequest{path: path, usage: longAnswerUsage, reusesConn: kept}.repeatUntilExit(0))
 				})
 			})
 		}
@@ -115,7 +115,7 @@
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprint(path[1:], " kept ", kept), func(t *testing.T) {
 				withLongAnswers(t, func(_ *is.I, f *fleet) {
-					f.checkNoneLost(question{path: path, kept: kept}.over(0))
+					f.checkNoneLost(plannedRequest{path: path, reusesConn: kept}.repeatUntilExit(0))
 				})
 			})
 		}
@@ -128,10 +128,10 @@
 	for _, path := range []string{"/stream/x", "/fixed/x", "/once/slow/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(_ *is.I, f *fleet) {
-				q := question{path: path, usage: longUsage}
+				q := plannedRequest{path: path, usage: longAnswerUsage}
 				early, late := q, q
-				early.at, late.body = -200*time.Millisecond, 2500*time.Millisecond
-				f.checkNoneLost(append(late.over(0), early.bodiesUntil(7*time.Second)...))
+				early.sendAt, late.bodyTime = -200*time.Millisecond, 2500*time.Millisecond
+				f.checkNoneLost(append(late.repeatUntilExit(0), early.withBodiesUntil(7*time.Second)...))
 			})
 		})
 	}
@@ -142,7 +142,7 @@
 	for _, path := range []string{"/stream/heavy/x", "/fixed/heavy/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(_ *is.I, f *fleet) {
-				f.checkNoneLost(question{path: path, usage: groupUsage}.over(0))
+				f.checkNoneLost(plannedRequest{path: path, usage: groupPromptUsage}.repeatUntilExit(0))
 			})
 		})
 	}
@@ -154,27 +154,27 @@
 	for _, path := range []string{"/stream/heavy/x", "/fixed/heavy/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(is *is.I, f *fleet) {
-				var questions []question
+				var planned []plannedRequest
 				for range 3 { // they keep all engines busy, and end before the entry
-					questions = append(questions, question{path: path, usage: "200000,100", at: -700 * time.Millisecond})
+					planned = append(planned, plannedRequest{path: path, usage: "200000,100", sendAt: -700 * time.Millisecond})
 				}
 				for at := -300 * time.Millisecond; at < 0; at += 20 * time.Millisecond {
-					questions = append(questions, question{path: path, usage: heavyUsage, at: at})
+					planned = append(planned, plannedRequest{path: path, usage: longPromptUsage, sendAt: at})
 				}
 				var begun []bool
 				time.AfterFunc(time.Second-time.Millisecond, func() {
-					for i := range questions {
-						begun = append(begun, f.runs(f.id(i)) > 0)
+					for i := range planned {
+						begun = append(begun, f.runCount(f.requestID(i)) > 0)
 					}
 				})
 				waited := 0
-				for i, r := range f.askStopping(f.entries[0], questions) {
+				for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
 					if begun[i] {
 						continue
 					}
 					waited++
-					if err := f.lost(r); err != nil {
-						t.Errorf("%s waited since %s after the order to stop: %v", r.Path, questions[i].at, err)
+					if err := f.checkResult(r); err != nil {
+						t.Errorf("%s waited since %s after the order to stop: %v", r.Path, planned[i].sendAt, err)
 					}
 				}
 				is.True(waited > 0)
@@ -188,27 +188,27 @@
 func TestStoppingEntryBeginsNoLateAttempt(t *testing.T) {
 	for _, c := range []struct {
 		path string
-		// sound is when upstreams are sound again, after the order to stop.
-		sound, from, until time.Duration
+		// soundAt is when upstreams are sound again, after the order to stop.
+		soundAt, from, until time.Duration
 	}{
 		{"/stream/x", 1500 * time.Millisecond, -250 * time.Millisecond, 1500 * time.Millisecond},
 		{"/stream/brief/x", 4 * time.Second, 1750 * time.Millisecond, 3500 * time.Millisecond},
 	} {
 		t.Run(c.path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(_ *is.I, f *fleet) {
-				f.setAll(worker.Mute)
-				time.AfterFunc(time.Second+c.sound, func() { f.setAll(worker.Sound) })
-				var questions []question
-				for _, q := range (question{path: c.path, usage: longUsage}).over(c.from) {
-					if q.at < c.until {
-						questions = append(questions, q)
+				f.setFaults(worker.Mute)
+				time.AfterFunc(time.Second+c.soundAt, func() { f.setFaults(worker.Sound) })
+				var planned []plannedRequest
+				for _, q := range (plannedRequest{path: c.path, usage: longAnswerUsage}).repeatUntilExit(c.from) {
+					if q.sendAt < c.until {
+						planned = append(planned, q)
 					}
 				}
-				for i, r := range f.askStopping(f.entries[0], questions) {
+				for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
 					// The silent upstream may have run it.
-					unsure := r.Err == nil && r.Status == http.StatusBadGateway && f.runs(r.ID) > 0
-					if err := f.lost(r); err != nil && !unsure {
-						t.Errorf("%s asked %s after the order to stop: %v", r.Path, questions[i].at, err)
+					unsure := r.Err == nil && r.Status == http.StatusBadGateway && f.runCount(r.ID) > 0
+					if err := f.checkResult(r); err != nil && !unsure {
+						t.Errorf("%s asked %s after the order to stop: %v", r.Path, planned[i].sendAt, err)
 					}
 				}
 			})
@@ -220,14 +220,14 @@
 // callers keep connections and the directory's answers as long as they may.
 func TestStopsInSeriesCutNothing(t *testing.T) {
 	withFleet(t, 5, func(is *is.I, f *fleet) {
-		f.lengthen()
+		f.addSlowWorkers()
 		over := make(chan struct{})
-		var work sync.WaitGroup
+		var callers sync.WaitGroup
 		var lock sync.Mutex
 		var results []caller.Result
 		for n := range 60 {
-			work.Go(func() {
-				for r := range f.ask(n, over) {
+			callers.Go(func() {
+				for r := range f.sendMixed(n, over) {
 					lock.Lock()
 					results = append(results, r)
 					lock.Unlock()
@@ -239,16 +239,16 @@
 		for i := range 4 {
 			stops.Go(func() {
 				f.entries[i].stop()
-				<-f.entries[i].ended
-				f.entries[i] = f.start(i)
+				<-f.entries[i].exited
+				f.entries[i] = f.startEntry(i)
 			})
 			time.Sleep(time.Second)
 		}
 		stops.Wait()
 		close(over)
-		work.Wait()
+		callers.Wait()
 		for _, r := range results {
-			if err := f.lost(r); err != nil {
+			if err := f.checkResult(r); err != nil {
 				t.Errorf("%s at %s: %v", r.Path, r.Entry, err)
 			}
 		}
@@ -256,25 +256,25 @@
 	})
 }
 
-// ask has a caller ask in turn a short call and, while the directory's answer to that lives, one
+// sendMixed has a caller ask in turn a short call and, while the directory's answer to that lives, one
 // that takes long.
-func (f *fleet) ask(n int, over <-chan struct{}) func(yield func(caller.Result) bool) {
+func (f *fleet) sendMixed(n int, stop <-chan struct{}) func(yield func(caller.Result) bool) {
 	long := []string{"/stream/x", "/fixed/x", "/once/slow/x"}
 	return func(yield func(caller.Result) bool) {
 		c := f.newCaller(uint64(n))
 		defer c.Close()
-		c.AddressLife, c.Usage = 3*time.Second, longUsage
+		c.AddressLife, c.Usage = 3*time.Second, longAnswerUsage
 		for i := 0; ; i++ {
 			wait, path := time.Duration(20+n)*time.Millisecond, "/once/x"
 			if i%2 == 1 {
 				wait, path = time.Duration(n%6+1)*480*time.Millisecond, long[(n+i/2)%len(long)]
 			}
 			select {
-			case <-over:
+			case <-stop:
 				return
 			case <-time.After(wait):
 			}
-			if !yield(c.Ask(path, fmt.Sprintf("s%d-%d", n, i), "key-1", longPatience)) {
+			if !yield(c.Ask(path, fmt.Sprintf("s%d-%d", n, i), "key-1", callerTimeout)) {
 				return
 			}
 		}
@@ -313,7 +313,7 @@
 		is.Equal(response.StatusCode, http.StatusOK)
 		is.True(response.Close)
 		is.NoErr(fresh.Close())
-		<-f.entries[0].ended
+		<-f.entries[0].exited
 		is.True(time.Since(stopped) < 4*time.Second)
 	})
 }
@@ -324,7 +324,7 @@
 	for _, usage := range []string{"2000", "2000,0"} {
 		t.Run(fmt.Sprintf("%q", usage), func(t *testing.T) {
 			withLongAnswers(t, func(_ *is.I, f *fleet) {
-				f.checkNoneLost(question{path: "/stream/x", usage: usage}.over(0))
+				f.checkNoneLost(plannedRequest{path: "/stream/x", usage: usage}.repeatUntilExit(0))
 			})
 		})
 	}
@@ -333,21 +333,21 @@
 // The end of an entry comes while bodies are on their way to it, some of them whole a moment
 // later. Nothing was passed on, but the callers see their connections closed in place of
 // an answer that says so, and the log calls them caller_left.
-func TestExitingEntryRefusesIncompleteRequests(t *testing.T) {
+func TestEndOfAnEntryIsToldToThoseStillSending(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
-		q := question{path: "/once/slow/x", at: -100 * time.Millisecond}
-		var questions []question
-		for _, whole := range []time.Duration{lifetime + 40*time.Millisecond, lifetime + 80*time.Millisecond, lifetime + time.Second} {
-			q.body = whole - q.at
-			questions = append(questions, q)
+		q := plannedRequest{path: "/once/slow/x", sendAt: -100 * time.Millisecond}
+		var planned []plannedRequest
+		for _, whole := range []time.Duration{exitDelay + 40*time.Millisecond, exitDelay + 80*time.Millisecond, exitDelay + time.Second} {
+			q.bodyTime = whole - q.sendAt
+			planned = append(planned, q)
 		}
-		for i, r := range f.askStopping(f.entries[0], questions) {
+		for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
 			if r.Err != nil {
-				t.Errorf("body until %s after the order to stop: %v", questions[i].body+questions[i].at, r.Err)
+				t.Errorf("body until %s after the order to stop: %v", planned[i].bodyTime+planned[i].sendAt, r.Err)
 				continue
 			}
 			is.Equal(r.Status, 503)
-			is.Equal(f.runs(r.ID), 0)
+			is.Equal(f.runCount(r.ID), 0)
 		}
 	})
 }
