--- a/launcher/callers.go
+++ b/launcher/callers.go
@@ -10,8 +10,9 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// newCallerServer returns the server for callers' requests, which keeps the
-// configuration's limits on idle connections. State hears of all connections.
+// newCallerServer returns the HTTP server for callers. It closes connections
+// that exceed the idle timeout of the configuration in view, and passes each
+// change of a connection's state to onStateChange.
 func newCallerServer(h http.Handler, view func() *forwarder.View, onStateChange func(net.Conn, http.ConnState)) *http.Server {
 	idle := idleCloser{limits: func() matcher.Limits {
 		if t := view().Table; t != nil {
@@ -28,18 +29,22 @@
 	}
 }
 
-// idleSlack is added to the idle time that callers are allowed, so that a
-// request sent at its end still meets an open connection.
+// idleSlack is added to the idle timeout, so that a request sent just before
+// the timeout still finds an open connection.
 const idleSlack = 500 * time.Millisecond
 
 // idleCloser closes connections that are idle for longer than the
 // configuration in force allows.
 type idleCloser struct {
+	// limits returns the limits in force.
 	limits func() matcher.Limits
+	// lock guards timers, which holds the timer of each idle connection.
 	lock   sync.Mutex
 	timers map[net.Conn]*time.Timer
 }
 
+// onStateChange starts the idle timer of a connection that is new or idle, and
+// stops that of any other.
 func (i *idleCloser) onStateChange(c net.Conn, s http.ConnState) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -52,8 +57,8 @@
 	}
 }
 
-// scheduleClose closes a connection once it has been idle for the limit in force
-// then, which may be longer than the one in force now.
+// scheduleClose starts a timer that closes a connection when its idle timeout
+// has passed. The timer starts again if the timeout was raised meanwhile.
 func (i *idleCloser) scheduleClose(c net.Conn, idleSince time.Time) {
 	limit := i.limits().IdleTimeout
 	if limit <= 0 {
--- a/launcher/crash_test.go
+++ b/launcher/crash_test.go
@@ -9,12 +9,13 @@
 	"github.com/sapphireramp/sapphireramp/standin/caller"
 )
 
-// Engines ended one after the other, 43 in half a minute, each a moment after it had begun to run
-// one request that came again and again, under new ids and at every entry. Each entry took it for
-// a new request: the budget of repeats counts by service, and health blames the upstream. That it was one request
-// is told by the content in the entries' logs, and by upstream_ended that the engines had ended.
+// The tests in this file guard against a request that crashes each engine it runs on and is sent
+// again under new IDs and to other entries. It crashed 43 engines within half a minute: each entry
+// treated every repeat as a new request, because the retry budget counts per service and health
+// checks blame the upstream. Entries now recognise the request by its fingerprint, logged as content,
+// and log the exit of an engine as upstream_ended.
 
-// newCrashFleet is a fleet with eight engines that a request can crash.
+// newCrashFleet starts a fleet with six entries and eight engines.
 func newCrashFleet(t *testing.T) *fleet {
 	f := newFleet(t, 6)
 	for range 5 {
@@ -24,7 +25,8 @@
 	return f
 }
 
-// startRepeater starts callers that ask for what crashes engines.
+// startRepeater starts callers that send one request that crashes engines again and again, with a
+// pause between.
 func (f *fleet) startRepeater(callers int, pause time.Duration) *caller.Traffic {
 	f.trafficCount++
 	return caller.NewRepeater(fmt.Sprintf("r%d%s", f.trafficCount, f.idSalt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
@@ -34,7 +36,7 @@
 	})
 }
 
-// startDistinctTraffic starts callers that each ask for something else.
+// startDistinctTraffic starts callers whose requests all have different content.
 func (f *fleet) startDistinctTraffic(callers int) *traffic {
 	f.trafficCount++
 	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("d%d%s", f.trafficCount, f.idSalt), callers, func(n int) *caller.Caller {
@@ -44,7 +46,9 @@
 	})}
 }
 
-func TestRequestThatCrashesUpstreamsIsStopped(t *testing.T) {
+// A request that crashes engines is quarantined. Afterwards all requests with other content are
+// served.
+func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCrashFleet(t)
 		defer f.shutDown()
@@ -59,13 +63,13 @@
 		trafficAfter := f.startDistinctTraffic(4)
 		time.Sleep(2 * time.Second)
 		if served, sent := trafficAfter.stopAndCheck(); served < sent {
-			t.Errorf("afterwards %d of %d are served", served, sent)
+			t.Errorf("after the crashes %d of %d requests are served", served, sent)
 		}
 	})
 }
 
-// An entry that starts anew remembers nothing, and learns from the others what they refuse.
-func TestStartedEntryLearnsWhatCrashesUpstreams(t *testing.T) {
+// A restarted entry receives the quarantined fingerprints from the other entries.
+func TestRestartedEntryReceivesQuarantines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCrashFleet(t)
 		defer f.shutDown()
--- a/launcher/dial.go
+++ b/launcher/dial.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// keepAlivePeriod is the silence after which a connection is probed, and the
-	// period of the probes: the shortest that the system takes.
+	// keepAlivePeriod is the idle time before the first keep-alive probe and the
+	// time between probes. One second is the shortest that Linux supports.
 	keepAlivePeriod = time.Second
-	// keepAliveProbes may go unanswered; then the peer is gone.
+	// keepAliveProbes is how many probes may go unanswered before the connection
+	// is closed.
 	keepAliveProbes = 2
-	// ackTimeout is how long sent bytes may go unacknowledged: several
-	// retransmissions within a region, and less than callers wait.
+	// ackTimeout is how long sent data may stay unacknowledged before the
+	// connection is closed. It allows several retransmissions within a region and
+	// is shorter than callers wait.
 	ackTimeout = 1500 * time.Millisecond
 )
 
-// newDialer returns a dialer whose connections fail soon after the peer's
-// instance is gone or cut off, though it never says so.
+// newDialer returns a dialer whose connections fail within seconds if the remote
+// instance disappears or becomes unreachable without closing them.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlivePeriod, Interval: keepAlivePeriod, Count: keepAliveProbes},
@@ -29,16 +31,18 @@
 	}
 }
 
+// setTCPUserTimeout sets ackTimeout on a socket. It is used as the Control of a
+// net.Dialer.
 func setTCPUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var sockoptErr error
 	err := connection.Control(func(fd uintptr) {
 		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return fmt.Errorf("reach socket: %w", err)
+		return fmt.Errorf("access socket: %w", err)
 	}
 	if sockoptErr != nil {
-		return fmt.Errorf("set user timeout: %w", sockoptErr)
+		return fmt.Errorf("set TCP user timeout: %w", sockoptErr)
 	}
 	return nil
 }
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -32,62 +32,76 @@
 
 const (
 	entryPort, readyPort, directoryPort, peerPort, loadPort = 80, 81, 82, 83, 84
-	// streamEvents is how many events an answer has, but in random runs.
+	// streamEvents is the number of events of a streamed response where no response plan is set.
 	streamEvents = 8
-	// eventGap is between events.
+	// eventGap is the time between two events of a stream.
 	eventGap = 60 * time.Millisecond
-	// tokensPerEvent is the stride of the engines.
+	// tokensPerEvent is the stride of the engines in the configuration.
 	tokensPerEvent = 51
-	// shortTimeout is the time limit of calls whose upstreams answer within 20 ms.
+	// shortTimeout is the timeout of plain routes whose upstreams respond within 20 ms.
 	shortTimeout = 3 * time.Second
-	// gracePeriod is the time between the order to stop and the end by force.
+	// gracePeriod is the time from SIGTERM until an entry is killed.
 	gracePeriod = 8 * time.Second
 )
 
-// entry is one run of an entry.
+// entry is one incarnation of an entry.
 type entry struct {
-	host   netip.Addr
-	stop   context.CancelFunc
+	host netip.Addr
+	// stop has the effect of SIGTERM.
+	stop context.CancelFunc
+	// reload has the effect of SIGHUP for each value sent.
 	reload chan struct{}
+	// exited is closed when Run has returned.
 	exited chan struct{}
+	// killed is true if the entry was killed; errors of Run are ignored then.
 	killed bool
 }
 
-// fleet is the whole system before stand-ins, in virtual time.
+// fleet holds entries and the stand-ins that they run against (network, store
+// and upstreams), all in one process and in virtual time.
 type fleet struct {
-	t           *testing.T
-	net         *network.Network
-	store       *store.Store
-	servers     []*http.Server
-	entries     []*entry
+	t     *testing.T
+	net   *network.Network
+	store *store.Store
+	// servers are the HTTP servers of the store and of all incarnations of workers.
+	servers []*http.Server
+	entries []*entry
+	// workers holds the stand-in upstreams and workerHosts their hosts, both by instance ID.
 	workers     map[string]*worker.Worker
 	workerHosts map[string]netip.Addr
-	// lock guards born and servers, which workers that crash change.
+	// lock guards startedAt and servers, which also the goroutines of crashed workers change.
 	lock sync.Mutex
-	// startedAt is when workers started, in Unix milliseconds; missing for those that do not say.
+	// startedAt holds the start of each worker's incarnation in Unix milliseconds, by instance ID.
 	startedAt map[string]int64
-	// downWorkers are the workers that are not back yet.
+	// downWorkers holds the workers that crashed and have not restarted yet.
 	downWorkers worker.Down
-	// repeaters asked for what crashes upstreams.
-	repeaters    []*caller.Traffic
+	// repeaters are the traffic that repeats a request which crashes upstreams.
+	repeaters []*caller.Traffic
+	// lastWorker is the number of the worker added last, trafficCount the number of traffics started; they
+	// make IDs unique.
 	lastWorker   int
 	trafficCount int
-	// responsePlan is how long answers last; nil where all are short.
+	// responsePlan sets how long responses take; if nil, all take the same short time.
 	responsePlan *worker.Plan
-	// idSalt is a part of requests' ids, which lengths are drawn from.
+	// idSalt is appended to the names in request IDs. The response plan derives lengths from request IDs, so
+	// another salt gives other lengths.
 	idSalt string
-	// disruptionLog are what happens to entries and upstreams.
+	// disruptionLog records what the test does to entries and upstreams, and when.
 	disruptionLog caller.Troubles
-	// bursts are callers that asked for a while; down are the entries that were
-	// killed or stopped and not started again.
+	// bursts are the traffics started in addition to the steady one. downEntries holds the indexes of entries
+	// that were killed or stopped and not started again.
 	bursts      []*traffic
 	downEntries map[int]bool
 }
 
+// entryHost returns the host of the entry with index i. Entries are spread over
+// three data centres.
 func entryHost(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(1 + i%3), 0, byte(10 + i)}) }
 
+// newFleet starts a fleet with six workers and the given number of entries.
 func newFleet(t *testing.T, entries int) *fleet { return newFleetWithPlan(t, entries, nil) }
 
+// newFleetWithPlan starts a fleet whose responses follow a plan, if it is not nil.
 func newFleetWithPlan(t *testing.T, entries int, plan *worker.Plan) *fleet {
 	t.Helper()
 	f := &fleet{t: t, responsePlan: plan, downEntries: map[int]bool{}, net: network.New(), store: store.New(), workers: map[string]*worker.Worker{}, workerHosts: map[string]netip.Addr{}, startedAt: map[string]int64{}}
@@ -104,6 +118,7 @@
 	return f
 }
 
+// serve starts an HTTP server at an address of the fleet's network.
 func (f *fleet) serve(address netip.AddrPort, h http.Handler) {
 	listener, err := f.net.Listen(address)
 	if err != nil {
@@ -116,13 +131,14 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// addWorker starts an upstream that answers as most do and lists it.
+// addWorker starts a worker for a service with the usual response times, and
+// returns its instance ID.
 func (f *fleet) addWorker(service string) string {
 	return f.addWorkerWith(service, 20*time.Millisecond, streamEvents, eventGap)
 }
 
-// addWorkerWith starts an upstream that answers after work, or with so many events and pauses
-// between them, and lists it.
+// addWorkerWith starts a worker that responds to plain requests after workTime and to streaming
+// requests with the given number of events, eventGap apart. It returns its instance ID.
 func (f *fleet) addWorkerWith(service string, workTime time.Duration, events int, eventGap time.Duration) string {
 	f.lastWorker++
 	id := fmt.Sprintf("i-%s-%d", service, f.lastWorker)
@@ -135,7 +151,7 @@
 	return id
 }
 
-// startWorker serves a worker that starts, and lists it.
+// startWorker starts a new incarnation of a worker and writes it to the store as ready.
 func (f *fleet) startWorker(id, service string) {
 	f.lock.Lock()
 	f.startedAt[id] = time.Now().UnixMilli()
@@ -144,8 +160,8 @@
 	f.putWorker(id, service, "ready")
 }
 
-// crashWorker ends a worker's process: its connections end, nobody listens, and after some seconds it is
-// started again under its id.
+// crashWorker simulates a crash of a worker: its connections break and new ones are refused. After
+// crashDowntime it restarts under the same instance ID.
 func (f *fleet) crashWorker(id, service string) {
 	if !f.downWorkers.Begin(id) {
 		return
@@ -162,9 +178,10 @@
 	}()
 }
 
-// crashDowntime is how long a worker that crashed is down.
+// crashDowntime is the time until a crashed worker restarts.
 const crashDowntime = 2500 * time.Millisecond
 
+// putWorker writes a worker to the store's list of upstreams with the given state.
 func (f *fleet) putWorker(id, service, state string) {
 	u := store.NewUpstream(service, netip.AddrPortFrom(f.workerHosts[id], 80))
 	f.lock.Lock()
@@ -173,7 +190,7 @@
 	f.store.Put("servers/"+id, u)
 }
 
-// restartWorker starts a worker again under its id.
+// restartWorker starts a new incarnation of a running worker under the same instance ID.
 func (f *fleet) restartWorker(id, service string) {
 	f.workers[id].Restart()
 	f.disruptionLog.Renewed(id)
@@ -183,8 +200,9 @@
 	f.putWorker(id, service, "ready")
 }
 
-// routeTimeout is the time limit of a route: calls are short where no plan draws how long they last,
-// so that one that is asked just after an order to stop ends before the entry.
+// routeTimeout returns the timeout of a route. Without a response plan, plain routes have a short
+// timeout, so that an entry still accepts requests sent shortly after SIGTERM: they end before it
+// exits.
 func (f *fleet) routeTimeout(prefix, kind string) time.Duration {
 	if f.responsePlan == nil && kind != "streaming" {
 		return shortTimeout
@@ -192,6 +210,7 @@
 	return caller.RouteTime(prefix)
 }
 
+// putConfig writes a configuration with the given version and API keys to the store.
 func (f *fleet) putConfig(version int, keys ...string) {
 	route := func(name, prefix, kind, service string, extra map[string]any) map[string]any {
 		r := map[string]any{"name": name, "host": "h", "prefix": prefix, "kind": kind, "service": service, "timeout-ms": f.routeTimeout(prefix, kind).Milliseconds(), "target-latency-ms": 300, "max-attempts": 1}
@@ -217,6 +236,7 @@
 	})
 }
 
+// startEntry starts an incarnation of the entry with index i.
 func (f *fleet) startEntry(i int) *entry {
 	host := entryHost(i)
 	onPort := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(host, port) }
@@ -228,7 +248,7 @@
 	}
 	e := &entry{host: host, reload: make(chan struct{}, 1), exited: make(chan struct{})}
 	l := launcher.New(launcher.Config{
-		SinceBoot: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, // the paused clock
+		SinceBoot: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, // virtual time
 		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), CallerAddress: onPort(entryPort), ReadyAddress: onPort(readyPort),
 		PeerAddress: onPort(peerPort), DirectoryAddress: onPort(directoryPort), LoadAddress: onPort(loadPort), AddressTTL: time.Second, Settings: settings,
 		ReadSettings: func() (launcher.Settings, error) { return settings, nil },
@@ -250,8 +270,8 @@
 	return e
 }
 
-// killEntry ends an entry as a loss of power does: all its connections break. Its
-// goroutines end when they have waited out their own stop.
+// killEntry simulates a power loss of an entry: all its connections break. Its
+// goroutines end once they have gone through their normal shutdown.
 func (f *fleet) killEntry(e *entry) {
 	e.killed = true
 	f.disruptionLog.Killed(e.host)
@@ -259,6 +279,8 @@
 	e.stop()
 }
 
+// shutDown ends all entries, workers and the store, and waits until their
+// goroutines have ended.
 func (f *fleet) shutDown() {
 	f.downWorkers.Await()
 	for _, e := range f.entries {
@@ -278,7 +300,8 @@
 	time.Sleep(20 * time.Second)
 }
 
-// newCaller returns a caller that knows all directories.
+// newCaller returns a caller that queries the directories of all entries. The
+// seed determines its random choices.
 func (f *fleet) newCaller(seed uint64) *caller.Caller {
 	var directories []netip.AddrPort
 	for i := range f.entries {
@@ -293,7 +316,7 @@
 	return c
 }
 
-// evidence is what answers are held against.
+// evidence returns the facts that the results of callers are checked against.
 func (f *fleet) evidence() caller.Evidence {
 	events := func(string) int { return streamEvents }
 	if f.responsePlan != nil {
@@ -304,7 +327,7 @@
 	return caller.Evidence{Runs: runs, Refusals: refusals, Events: events, Troubles: &f.disruptionLog}
 }
 
-// stopEntry sends an entry SIGTERM, and notes when it has ended.
+// stopEntry stops an entry as SIGTERM does, and records the stop and the exit in disruptionLog.
 func (f *fleet) stopEntry(e *entry) {
 	s := f.disruptionLog.Stopping(e.host, gracePeriod)
 	e.stop()
@@ -314,5 +337,5 @@
 	}()
 }
 
-// runCount is how often a request ran, at all workers.
+// runCount returns how many times a request ran, over all workers.
 func (f *fleet) runCount(id string) int { return worker.TimesRun(maps.Values(f.workers), id) }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package launcher runs an entry on the platform: it joins the controller, the
-// forwarder and the listeners into one process, takes over changed settings,
-// and stops the entry without cutting off a request.
+// Package launcher runs an entry on the platform: it assembles the controller,
+// the forwarder and the HTTP servers into one process, applies changed settings
+// without a restart, and shuts the entry down gracefully.
 package launcher
 
 import (
@@ -28,47 +28,63 @@
 	"github.com/sapphireramp/sapphireramp/quarantiner"
 )
 
-// Settings that may change while the entry runs.
+// Settings holds the settings that can change while the entry runs.
 type Settings struct {
-	Seeds       []netip.AddrPort
+	// Seeds are the peer addresses of the entries to contact first.
+	Seeds []netip.AddrPort
+	// RetryBudget bounds the retries of all entries together.
 	RetryBudget budgeter.Config
-	// GracePeriod is the time between the order to stop and the end by force.
+	// GracePeriod is the time from SIGTERM until the process is killed.
 	GracePeriod time.Duration
 }
 
-// Config of a launcher. Every field is needed but Metrics and the
-// network's.
+// Config configures a Launcher. All fields are required, except that
+// MetricsAddress and Speed may be zero and SinceBoot, Dial, Listen and
+// ListenPacket may be nil.
 type Config struct {
-	Name       string
+	// Name identifies the entry among all entries.
+	Name string
+	// DataCentre is the name of the data centre that the entry runs in.
 	DataCentre string
-	// CallerAddress, ReadyAddress, PeerAddress, DirectoryAddress and LoadAddress are where the entry listens;
-	// MetricsAddress too, where it is valid.
+	// CallerAddress, ReadyAddress, PeerAddress and DirectoryAddress are the TCP addresses on which the entry
+	// listens for callers' requests, readiness checks, other entries, and queries of the directory, which lists
+	// the entries that callers may connect to. LoadAddress is the UDP address for load updates of other
+	// entries. MetricsAddress serves the metrics and the status page; if it is invalid, neither is served.
 	CallerAddress, ReadyAddress, PeerAddress, DirectoryAddress, LoadAddress, MetricsAddress netip.AddrPort
-	// AddressTTL is how long callers may keep an answer of the directory.
+	// AddressTTL is how long callers may use the addresses in a response of the directory.
 	AddressTTL time.Duration
-	Settings   Settings
-	// ReadSettings reads the settings again.
+	// Settings are the settings in force until the first reload.
+	Settings Settings
+	// ReadSettings reads the current settings. It is called at every reload.
 	ReadSettings func() (Settings, error)
-	Store        controller.Store
-	// MaxPropagation is how soon a change in the store has to be in force.
+	// Store reads and watches the configuration and the list of upstreams.
+	Store controller.Store
+	// MaxPropagation is the longest time from a change in the store until the entry must act on it.
 	MaxPropagation time.Duration
-	// Speed is that of the instance in processor cores; 0 where it is not known.
-	Speed        float64
-	Protocol     forwarder.Protocol
+	// Speed is the processor capacity of the instance in cores; 0 if unknown.
+	Speed float64
+	// Protocol reads and writes the headers of requests and responses.
+	Protocol forwarder.Protocol
+	// Reservations manages the memory reserved at engines.
 	Reservations forwarder.ReservationClient
 	// ReservationTTL is the lease of memory reserved at engines.
 	ReservationTTL time.Duration
-	// MaxIdle is how long that memory may be unused by a request.
+	// MaxIdle is how long memory may stay reserved at engines before a request uses it.
 	MaxIdle time.Duration
-	// DirectoryHandler and ReadyHandler answer in the platform's words.
-	DirectoryHandler func(life time.Duration, addresses func(dataCentre string) []netip.AddrPort) http.Handler
-	ReadyHandler     func(ready func() bool) http.Handler
-	Log              *zap.Logger
-	Scope            tally.Scope
-	MetricsHandler   http.Handler
-	Asserter         *asserter.Asserter
-	// SinceBoot stands in for the clock since the instance booted, Dial, Listen and
-	// ListenPacket for the network; nil means that of the instance.
+	// DirectoryHandler returns the handler that gives callers the addresses of entries in the platform's
+	// format. A response may be used for ttl; addresses returns the addresses for a caller in a data centre.
+	DirectoryHandler func(ttl time.Duration, addresses func(dataCentre string) []netip.AddrPort) http.Handler
+	// ReadyHandler returns the handler of the platform's readiness checks.
+	ReadyHandler func(ready func() bool) http.Handler
+	Log          *zap.Logger
+	// Scope receives the metrics of the entry, MetricsHandler serves them on MetricsAddress.
+	Scope          tally.Scope
+	MetricsHandler http.Handler
+	// Asserter counts and reports violated invariants.
+	Asserter *asserter.Asserter
+	// SinceBoot returns the time since the instance booted, Dial opens connections, Listen and ListenPacket
+	// open listeners and UDP sockets. Where one is nil, the clock or network of the instance is used; tests
+	// replace them.
 	SinceBoot    func() time.Duration
 	Dial         connector.DialFunc
 	Listen       func(netip.AddrPort) (net.Listener, error)
@@ -76,44 +92,45 @@
 }
 
 const (
-	// maxAddressTTLs is how many times longer than its life some callers keep an
-	// answer of the directory.
+	// maxAddressTTLs is how many times AddressTTL some callers keep using the addresses of a response.
 	maxAddressTTLs = 3
-	// exitMargin is how long before the end by force the entry ends itself: the time for the last answers,
-	// and twice that for a slow instance to exit.
+	// exitMargin is how long before the end of the grace period the entry cancels the remaining requests:
+	// finalResponseTime, and twice that for the process to exit on a slow instance.
 	exitMargin = 300 * time.Millisecond
-	// drainPollPeriod is how often a stopping entry looks for requests in progress.
+	// drainPollPeriod is how often an entry that shuts down checks whether it has drained.
 	drainPollPeriod = 20 * time.Millisecond
-	// finalResponseTime is the time for answers that say that a request could not be finished.
+	// finalResponseTime is the time for sending the error responses of cancelled requests at exit.
 	finalResponseTime = 100 * time.Millisecond
-	// reloadPeriod is how often the settings are read again without a signal.
+	// reloadPeriod is how often the settings are read without a signal.
 	reloadPeriod = 2 * time.Second
-	// headerTimeout and maxHeader bound a caller that the configuration does
-	// not bound yet.
+	// headerTimeout bounds the time in which a client must send the header of a request, and idle connections
+	// of callers while the configuration sets no idle timeout. maxHeaderBytes bounds the size of callers'
+	// request headers. Both apply before a request reaches the limits of the configuration.
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 128 << 10
 )
 
-// Launcher is one entry.
+// Launcher runs one entry.
 type Launcher struct {
 	config      Config
 	controller  *controller.Controller
 	forwarder   *forwarder.Forwarder
 	retryBudget *budgeter.Budgeter
-	// settings are those in force; each reload stores others.
-	settings     atomic.Pointer[Settings]
+	// settings points to the settings in force. A reload stores a new value.
+	settings atomic.Pointer[Settings]
+	// servers are all HTTP servers of the entry, callerServer among them.
 	servers      []*http.Server
 	callerServer *http.Server
-	// activeConns holds the connections of callers that are in use, listener is where they come
-	// from, and served is closed when no more do.
+	// activeConns tracks the active connections accepted by callerListener. acceptDone is closed when
+	// callerServer has stopped accepting.
 	activeConns    *connector.ActiveConns
 	callerListener net.Listener
 	acceptDone     chan struct{}
-	// cancelRequests ends all requests of callers with a cause.
+	// cancelRequests cancels the contexts of all callers' requests with a cause.
 	cancelRequests context.CancelCauseFunc
 }
 
-// New returns an entry that does not listen yet.
+// New returns an entry that does not listen yet. Run starts it.
 func New(c Config) *Launcher {
 	c = c.withSystemDefaults()
 	quarantine := quarantiner.New()
@@ -132,7 +149,8 @@
 	return l
 }
 
-// withSystemDefaults fills in the clock and the network of the instance.
+// withSystemDefaults returns c with the clock and network functions that are
+// nil replaced by those of the instance.
 func (c Config) withSystemDefaults() Config {
 	if c.SinceBoot == nil {
 		c.SinceBoot = controller.SinceBoot
@@ -151,18 +169,19 @@
 	return c
 }
 
-// Run serves until stop ends, then stops gracefully. Each value on reload has
-// the settings read again.
+// Run serves requests until the context shutdown is done, then shuts down
+// gracefully. Each value received from reloadSignals reloads the settings. The
+// error is not nil if the entry could not listen or a server failed.
 func (l *Launcher) Run(shutdown context.Context, reloadSignals <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	peerListener, err := l.config.Listen(l.config.PeerAddress)
 	if err != nil {
-		return fmt.Errorf("listen for peers: %w", err)
+		return fmt.Errorf("listen for other entries: %w", err)
 	}
 	loadSocket, err := l.config.ListenPacket(l.config.LoadAddress)
 	if err != nil {
-		return fmt.Errorf("listen for shares: %w", err)
+		return fmt.Errorf("listen for load updates: %w", err)
 	}
 	serveErrors := make(chan error, 4)
 	if err := l.startServers(serveErrors); err != nil {
@@ -187,7 +206,9 @@
 	return err
 }
 
-// startServers opens the listeners for callers, checks and metrics.
+// startServers listens on the addresses for callers, readiness checks, the
+// directory and metrics, and starts to serve them. A server that fails later
+// sends its error to serveErrors.
 func (l *Launcher) startServers(serveErrors chan<- error) error {
 	c := l.config
 	l.callerServer = newCallerServer(l.forwarder, l.controller.View, l.activeConns.OnStateChange)
@@ -224,14 +245,16 @@
 	return nil
 }
 
-// baseContext is that of all requests of callers.
+// baseContext returns a BaseContext function that gives all callers' requests
+// one parent context. It sets cancelRequests, which cancels that context.
 func (l *Launcher) baseContext() func(net.Listener) context.Context {
 	var ctx context.Context
 	ctx, l.cancelRequests = context.WithCancelCause(context.Background())
 	return func(net.Listener) context.Context { return ctx }
 }
 
-// operatorHandler are the metrics, and what the entry believes.
+// operatorHandler returns the handler of the metrics and of the entry's status,
+// which holds its view of upstreams and other entries.
 func (l *Launcher) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+api.PathMetrics, l.config.MetricsHandler)
@@ -246,8 +269,10 @@
 	return mux
 }
 
-// shutDown takes the entry out of the directory, serves callers that still have
-// its address, and returns when nothing is in progress or time is up.
+// shutDown removes the entry from the directory, serves callers that still use
+// its address, then stops listening and waits until all requests are complete.
+// Requests that remain exitMargin before the end of the grace period are
+// cancelled.
 func (l *Launcher) shutDown() {
 	start := time.Now()
 	gracePeriod := l.settings.Load().GracePeriod
@@ -260,7 +285,7 @@
 		time.Sleep(drainPollPeriod)
 	}
 	_ = l.callerListener.Close()
-	<-l.acceptDone // every connection that was accepted is counted by now
+	<-l.acceptDone // from here on activeConns tracks every accepted connection
 	l.activeConns.WaitIdle(deadline, drainPollPeriod)
 	l.cancelCallerRequests()
 	for _, s := range l.servers {
@@ -268,7 +293,8 @@
 	}
 }
 
-// cancelCallerRequests ends what is still in progress, and waits a moment for the answers that say so.
+// cancelCallerRequests cancels the requests still in progress, and waits up to
+// finalResponseTime for their error responses to be sent.
 func (l *Launcher) cancelCallerRequests() {
 	if n := l.forwarder.InFlight(); n > 0 {
 		l.config.Log.Warn("requests_cut_off", zap.Int("in_flight", n))
@@ -288,7 +314,9 @@
 	return b
 }
 
-// reloadSettings reads the settings again on each signal, and from time to time.
+// reloadSettings reads the settings on each signal and once per reloadPeriod,
+// and applies them on a signal or if they changed. It returns when the context
+// ends.
 func (l *Launcher) reloadSettings(ctx context.Context, signals <-chan struct{}) {
 	signalled := false
 	for ctx.Err() == nil {
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -15,24 +15,27 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// traffic is callers that ask steadily until they are told to stop.
+// traffic is a group of callers that send requests steadily until they are stopped.
 type traffic struct {
 	*caller.Traffic
 	fleet *fleet
 }
 
+// startTraffic starts a traffic with the given number of callers.
 func (f *fleet) startTraffic(callers int) *traffic {
 	f.trafficCount++
 	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("t%d%s", f.trafficCount, f.idSalt), callers, func(n int) *caller.Caller { return f.newCaller(uint64(n)) })}
 }
 
-// stopAndCheck stops the callers, and fails the test for every broken promise.
+// stopAndCheck stops the callers and checks their results. It returns how many requests were served
+// and sent.
 func (x *traffic) stopAndCheck() (served, sent int) {
 	x.Stop()
 	return x.checkResults()
 }
 
-// checkResults fails the test for every broken promise to callers that were stopped.
+// checkResults fails the test for every result of the stopped callers that violates a guarantee of
+// the product. It returns how many requests were served and sent.
 func (x *traffic) checkResults() (served, sent int) {
 	served, sent, violations := x.Judge(x.fleet.evidence())
 	for _, b := range violations {
@@ -41,6 +44,7 @@
 	return served, sent
 }
 
+// withFleet runs a test with a fleet in virtual time.
 func withFleet(t *testing.T, entries int, test func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, entries)
@@ -49,8 +53,8 @@
 	})
 }
 
-// A calm day: everything is served.
-func TestCalmDay(t *testing.T) {
+// Without disruptions, all requests are served.
+func TestAllIsServedWithoutDisruptions(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		x := f.startTraffic(8)
 		time.Sleep(10 * time.Second)
@@ -60,7 +64,7 @@
 	})
 }
 
-// Entries that are stopped and started in turn, while busy, cut off nothing.
+// A rolling restart of all entries under load cuts off no request.
 func TestRollingStopCutsOffNothing(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		x := f.startTraffic(8)
@@ -70,7 +74,7 @@
 			f.stopEntry(f.entries[i])
 			<-f.entries[i].exited
 			is.True(time.Since(began) < gracePeriod)
-			time.Sleep(1500 * time.Millisecond) // nobody knows its address any more
+			time.Sleep(1500 * time.Millisecond) // until no caller uses the address any more
 			f.entries[i] = f.startEntry(i)
 			time.Sleep(2 * time.Second)
 		}
@@ -79,7 +83,7 @@
 	})
 }
 
-// A stopping entry says at once that it is not ready.
+// The readiness check fails as soon as an entry starts to shut down.
 func TestStoppingEntryIsNotReady(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		client := &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(callerHost), DisableKeepAlives: true}}
@@ -96,7 +100,7 @@
 	})
 }
 
-// SIGHUP has the settings read again and changes nothing else.
+// A reload of the settings by SIGHUP does not disturb requests.
 func TestReload(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, f *fleet) {
 		x := f.startTraffic(4)
@@ -111,8 +115,8 @@
 	})
 }
 
-// A key that is taken away is refused everywhere within two seconds, also
-// while the store turns entries away.
+// A revoked API key is refused by all entries within two seconds, also by those
+// that cannot reach the store.
 func TestRevokedKey(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, f *fleet) {
 		c := f.newCaller(1)
@@ -128,8 +132,9 @@
 	})
 }
 
-// An upstream that leaves gets no new work after two seconds; its address then
-// belongs to another, which runs nothing that was meant for the first.
+// An upstream that is draining or deleted from the store receives no new
+// requests after two seconds. Its address may belong to another instance then,
+// which must not run requests for the former one.
 func TestLeavingUpstreamGetsNoWork(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		x := f.startTraffic(8)
@@ -144,8 +149,8 @@
 	})
 }
 
-// All entries are killed at once and come back with no memory: they serve
-// again within seconds, also where the store is away at first.
+// After all entries are killed at once, restarted entries serve again within
+// seconds, even if the store is unavailable at first.
 func TestAllEntriesKilled(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, f *fleet) {
 		f.store.SetMode(store.Reset)
@@ -168,8 +173,9 @@
 	})
 }
 
-// One upstream of each kind fails in each way: what may be repeated is served
-// nevertheless, and the promises hold for the rest.
+// With one faulty upstream per service, for each kind of fault, idempotent
+// requests are retried at another: more than three quarters of all requests are
+// served, and no result violates a guarantee.
 func TestFaultyUpstreams(t *testing.T) {
 	for _, fault := range worker.Faults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
--- a/launcher/planned_requests_test.go
+++ b/launcher/planned_requests_test.go
@@ -20,21 +20,22 @@
 )
 
 const (
-	// longEvents is how many events a long answer has, of 50 tokens each.
+	// longEvents is the number of events, of 50 tokens each, in a long response.
 	longEvents = 20
-	// exitDelay is how long a stopping entry goes on after the order to stop.
+	// exitDelay is the time from SIGTERM until an entry cancels its remaining requests and exits.
 	exitDelay = gracePeriod - 300*time.Millisecond
-	// callerTimeout is that of callers who wait for any answer.
+	// callerTimeout is the timeout of callers. It is longer than any response takes.
 	callerTimeout = 20 * time.Second
-	// longAnswerUsage is a short prompt with a long answer.
+	// longAnswerUsage states the lengths in tokens of a short prompt and its long answer, as in the
+	// header for token usage.
 	longAnswerUsage = "2000,1000"
-	// longPromptUsage is a prompt that takes an engine over a second, groupUsage one that needs the
-	// memory of two; their answers are long.
+	// longPromptUsage states a prompt that takes an engine over a second to prefill, groupPromptUsage
+	// one that needs the memory of two engines. Their answers are long.
 	longPromptUsage, groupPromptUsage = "200000,1000", "320000,1000"
 )
 
-// addSlowWorkers adds upstreams that take long, and routes to them. What the configuration says of
-// engines is the longest that their answers take: 20 events with pauses of 0.345 s.
+// addSlowWorkers adds workers with slow responses, and routes to them. The engines' step time in the
+// configuration is that of the slowest: 20 events with gaps of 0.345 s.
 func (f *fleet) addSlowWorkers() {
 	for _, pause := range []time.Duration{200, 230, 260, 290, 320, 345} {
 		f.addWorkerWith("long", 20*time.Millisecond, longEvents, pause*time.Millisecond)
@@ -82,30 +83,30 @@
 	time.Sleep(3 * time.Second)
 }
 
-// plannedRequest is one request to an entry that is told to stop.
+// plannedRequest is a request to be sent to an entry around the time of its SIGTERM.
 type plannedRequest struct {
 	path string
-	// usage is the prompt's tokens and the most that its answer may have.
+	// usage states the prompt length and the maximum answer length in tokens; empty for no prompt.
 	usage string
-	// sendAt is when it is sent, from the order to stop on, negative before.
+	// sendAt is the time from SIGTERM at which the request is sent; negative for before it.
 	sendAt time.Duration
-	// bodyTime is how long its body takes; 0 for none.
+	// bodyTime is the time that sending the body takes; 0 for no body.
 	bodyTime time.Duration
-	// reusesConn is true where its connection has served another request before.
+	// reusesConn is true if the request is sent on a connection that already served another.
 	reusesConn bool
 }
 
-// repeatUntilExit returns planned alike at times from first to the end of the process.
+// repeatUntilExit returns copies of the request, one each 250 ms from firstSendAt until the entry exits.
 func (q plannedRequest) repeatUntilExit(firstSendAt time.Duration) []plannedRequest {
 	var out []plannedRequest
-	// Callers don't ask at the very moments at which a stopping entry looks around.
+	// The offset keeps requests off the multiples of drainPollPeriod, at which the entry checks its state.
 	for q.sendAt = firstSendAt + 5*time.Millisecond; q.sendAt < exitDelay; q.sendAt += 250 * time.Millisecond {
 		out = append(out, q)
 	}
 	return out
 }
 
-// withBodiesUntil returns planned alike whose bodies end at times from the order to stop on.
+// withBodiesUntil returns copies of the request whose bodies end each 250 ms from SIGTERM until lastEnd.
 func (q plannedRequest) withBodiesUntil(lastEnd time.Duration) []plannedRequest {
 	var out []plannedRequest
 	for q.bodyTime = 255*time.Millisecond - q.sendAt; q.bodyTime < lastEnd-q.sendAt; q.bodyTime += 250 * time.Millisecond {
@@ -114,7 +115,7 @@
 	return out
 }
 
-// slowBody is a body of two bytes, the last of which comes after a time.
+// slowBody returns a body of two bytes, the second of which arrives after d.
 func slowBody(d time.Duration) io.Reader {
 	r, w := io.Pipe()
 	go func() {
@@ -126,8 +127,8 @@
 	return r
 }
 
-// sendDuringShutdown stops an entry a second from now, and asks it planned by its address, as
-// callers do that still have it. It returns the answers in the order of the planned.
+// sendDuringShutdown stops an entry a second from now and sends it the planned requests directly, as
+// callers do that still use its address. It returns the results in the order of the requests.
 func (f *fleet) sendDuringShutdown(e *entry, planned []plannedRequest) []caller.Result {
 	f.trafficCount++
 	results := make([]caller.Result, len(planned))
@@ -159,13 +160,14 @@
 	return results
 }
 
-// requestID is that of a question of the last round.
+// requestID returns the ID of planned request i of the last call of sendDuringShutdown.
 func (f *fleet) requestID(i int) string { return fmt.Sprintf("q%d-%d", f.trafficCount, i) }
 
-var errUnanswered = errors.New("the entry broke the connection off")
+var errUnanswered = errors.New("the entry closed the connection without a complete response")
 
-// checkResult says how the entry lost a request that it took; nil where it gave the whole answer, or
-// refused honestly what it never passed on, or no longer took it.
+// checkResult returns an error if the entry lost a request that it had accepted. It returns nil if the
+// response is complete, if the entry refused a request that did not run, or if it no longer accepted
+// connections.
 func (f *fleet) checkResult(r caller.Result) error {
 	runs := f.runCount(r.ID)
 	if violations := r.Broken(runs, longEvents); len(violations) > 0 {
@@ -184,7 +186,7 @@
 	return fmt.Errorf("answered with %d after %s, %d runs, Retry-After %q", r.Status, r.Took.Round(time.Millisecond), runs, r.RetryAfter)
 }
 
-// checkRetryAfter wants a time that a caller can wait for.
+// checkRetryAfter returns an error unless text is a positive number of seconds within callerTimeout.
 func checkRetryAfter(text string) error {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || seconds <= 0 || seconds > callerTimeout.Seconds() {
@@ -193,34 +195,35 @@
 	return nil
 }
 
-// isRefusedLate reports whether a stopping entry took its time to refuse a request.
+// isRefusedLate reports whether an entry refused a request sent after SIGTERM only after a delay.
 func isRefusedLate(q plannedRequest, r caller.Result) bool {
 	return q.sendAt >= 0 && r.Err == nil && r.Status == http.StatusServiceUnavailable && r.Took > q.bodyTime+50*time.Millisecond
 }
 
-// checkNoneLost asks an entry that stops, and fails the test for every request that it loses.
-// It returns the answers in the order of the planned.
+// checkNoneLost sends the planned requests to an entry that shuts down, and fails the test for every
+// request that is lost or refused late. It returns the results in the order of the requests.
 func (f *fleet) checkNoneLost(planned []plannedRequest) []caller.Result {
 	f.t.Helper()
 	results := f.sendDuringShutdown(f.entries[0], planned)
 	for i, r := range results {
 		if err := f.checkResult(r); err != nil {
-			f.t.Errorf("%s asked %s after the order to stop, body %s: %v", r.Path, planned[i].sendAt, planned[i].bodyTime, err)
+			f.t.Errorf("%s sent %s after SIGTERM, body %s: %v", r.Path, planned[i].sendAt, planned[i].bodyTime, err)
 		}
 		if isRefusedLate(planned[i], r) {
-			f.t.Errorf("%s asked %s after the order to stop was refused after %s", r.Path, planned[i].sendAt, r.Took)
+			f.t.Errorf("%s sent %s after SIGTERM was refused only after %s", r.Path, planned[i].sendAt, r.Took)
 		}
 	}
 	return results
 }
 
+// setFaults sets the fault of all workers.
 func (f *fleet) setFaults(fault worker.Fault) {
 	for _, w := range f.workers {
 		w.SetFault(fault)
 	}
 }
 
-// withLongAnswers runs a test with two entries before upstreams that take long.
+// withLongAnswers runs a test with two entries and workers whose responses take long.
 func withLongAnswers(t *testing.T, test func(is *is.I, f *fleet)) {
 	withFleet(t, 2, func(is *is.I, f *fleet) {
 		f.addSlowWorkers()
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -17,8 +17,8 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// TestMain fixes what rapid draws, so that every run gives one verdict, unless
-// the command line says otherwise.
+// TestMain sets rapid's flags to fixed values, so that test runs are reproducible.
+// Flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -31,12 +31,14 @@
 	os.Exit(m.Run())
 }
 
-// disruption is one drawn disruption. It returns what ends it.
+// disruption is a kind of disruption of the fleet.
 type disruption struct {
-	name  string
+	name string
+	// begin starts a disruption with random parameters, and returns the function that ends it.
 	begin func(f *fleet, t *rapid.T) func()
 }
 
+// disruptions lists the kinds from which TestSoak chooses.
 var disruptions = []disruption{
 	{"upstream fault", func(f *fleet, t *rapid.T) func() {
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
@@ -85,7 +87,7 @@
 		e := f.entries[rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry")]
 		select {
 		case e.reload <- struct{}{}:
-		default: // one is on its way, or the entry has ended
+		default: // a reload is pending, or the entry has exited
 		}
 		return func() {}
 	}},
@@ -118,7 +120,7 @@
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
 		w.SetFault(worker.Pausing)
 		time.Sleep(time.Duration(rapid.IntRange(50, 500).Draw(t, "time")) * time.Millisecond)
-		w.SetFault(worker.Sound) // and is as good as any, but for those that it told
+		w.SetFault(worker.Sound) // accepts requests again, except from entries that it asked for a backoff
 		return func() {}
 	}},
 	{"outage of upstreams", func(f *fleet, t *rapid.T) func() {
@@ -135,8 +137,8 @@
 	}},
 }
 
-// takeDownEntry draws an entry that neither was killed nor stops, and marks it as down; none
-// where that would leave less than half of the entries.
+// takeDownEntry chooses a random running entry, marks it as down and returns its index. It returns
+// false if at most half of the entries are running.
 func (f *fleet) takeDownEntry(t *rapid.T) (int, bool) {
 	f.restartExited(false)
 	var free []int
@@ -153,8 +155,8 @@
 	return i, true
 }
 
-// restartExited starts those entries that are down and have ended; with wait it waits
-// for the end of all that are down.
+// restartExited restarts the entries that were taken down and have exited. If wait is true, it
+// waits until all entries that were taken down have exited and restarts them.
 func (f *fleet) restartExited(wait bool) {
 	for i := range f.entries {
 		if !f.downEntries[i] {
@@ -172,8 +174,8 @@
 	}
 }
 
-// stopInSeries sends entries SIGTERM one after the other, so that their stops
-// overlap; each is started again when it has ended.
+// stopInSeries stops entries as SIGTERM does, one after the other, so that their shutdowns
+// overlap. They are restarted by restartExited.
 func (f *fleet) stopInSeries(t *rapid.T) {
 	for range rapid.IntRange(2, 3).Draw(t, "stops") {
 		if i, ok := f.takeDownEntry(t); ok {
@@ -183,13 +185,13 @@
 	}
 }
 
-// TestSoak lets callers ask while drawn troubles come one after the other and
-// overlap. Every answer is held against the promises; when the troubles are
-// over, everything is served again and nothing is left at the upstreams.
+// TestSoak sends requests while random disruptions overlap. Every result is checked
+// against the guarantees of the product. After the disruptions, all requests must be
+// served and no request or reservation may be left at the upstreams.
 //
-// No trouble was a stop once, and no answer took over half a second: answers that
-// stopping entries cut in the middle were beyond its reach. Every plan has a series
-// of stops now, and answers take up to as long as callers wait.
+// Every plan contains a series of stops, and responses take up to as long as callers
+// wait. Without stops, or with responses of at most half a second, the test missed
+// responses that were cut off by the exit of their entry.
 func TestSoak(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var plan []int
@@ -200,7 +202,7 @@
 			kind := slices.IndexFunc(disruptions, func(t disruption) bool { return t.name == name })
 			plan = slices.Insert(plan, rapid.IntRange(0, len(plan)).Draw(r, "place"), kind)
 		}
-		// Every run has both.
+		// Every plan contains a series of stops and a fault of upstreams.
 		insert("entries stopped in series")
 		insert(rapid.SampledFrom([]string{"request that crashes upstreams", "outage of upstreams", "upstream says that it leaves", "upstream pauses"}).Draw(r, "trouble of upstreams"))
 		runSoak(t, r, plan)
@@ -209,7 +211,7 @@
 
 func runSoak(t *testing.T, r *rapid.T, plan []int) {
 	defer func() {
-		if t.Failed() { // a failure within the bubble ends the whole test
+		if t.Failed() { // a failure in the synctest bubble ends the whole test
 			t.Logf("rapid.seed %s, plan %s", flag.Lookup("rapid.seed").Value, disruptionNames(plan))
 		}
 	}()
@@ -243,18 +245,19 @@
 		time.Sleep(2 * time.Second)
 		served, sent := trafficAfter.stopAndCheck()
 		if served < sent {
-			t.Errorf("after the troubles %d of %d are served", served, sent)
+			t.Errorf("after the disruptions %d of %d requests are served", served, sent)
 		}
 		time.Sleep(5 * time.Second)
 		for id, w := range f.workers {
 			if w.Working() > 0 || len(w.Held()) > 0 {
-				t.Errorf("%s is left with %d requests and %d reservations", id, w.Working(), len(w.Held()))
+				t.Errorf("upstream %s still has %d requests and %d reservations", id, w.Working(), len(w.Held()))
 			}
 		}
 	})
 }
 
-// checkBackpressure fails the test for what reached upstreams that had said that they leave or pause.
+// checkBackpressure fails the test for every request that reached an upstream after it had told the
+// sending entry that it is leaving, or asked it for a backoff.
 func (f *fleet) checkBackpressure(x *traffic) {
 	all := append([]*caller.Traffic{x.Traffic}, f.repeaters...)
 	for _, x := range f.bursts {
@@ -265,6 +268,7 @@
 	}
 }
 
+// disruptionNames returns the names of the disruptions in a plan.
 func disruptionNames(plan []int) []string {
 	var names []string
 	for _, kind := range plan {
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -18,8 +18,8 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// Calls that end by their own deadline before the entry does are served by a stopping entry
-// as long as callers may have its address: they cost nobody a second try.
+// An entry that shuts down serves plain requests whose deadline is before its exit, for as long as
+// callers may use its address. Refusing them would cost callers a retry.
 func TestStoppingEntryServesWhatEndsInTime(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/once/near/x", "/safe/near/x"} {
 		for _, kept := range []bool{false, true} {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Answers that surely end before the entry does are streamed by it as long as callers may have its
-// address.
+// An entry that shuts down serves streams that are certain to end before its exit, for as long as
+// callers may use its address.
 func TestStoppingEntryStreamsWhatEndsInTime(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		planned := plannedRequest{path: "/stream/brief/x", usage: longAnswerUsage}.repeatUntilExit(0)
@@ -46,7 +46,8 @@
 	})
 }
 
-// A call whose body comes in until just before its deadline ends by it, before the entry does.
+// A request whose body arrives until shortly before its deadline still ends by the deadline, before
+// the entry exits.
 func TestStoppingEntryServesLateBodyInTime(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		late := plannedRequest{path: "/once/x", bodyTime: 2500 * time.Millisecond}
@@ -55,9 +56,9 @@
 	})
 }
 
-// A stream that was begun before the order to stop, and whose engine breaks off after it, goes
-// on at another and ends whole: nothing honest could be said to its caller but the rest.
-func TestStoppingEntryGoesOnWithBrokenStream(t *testing.T) {
+// A stream that started before SIGTERM and whose engine fails after it is resumed at another engine
+// and completes: a caller that has part of the response can't be sent an error status any more.
+func TestStoppingEntryResumesBrokenStream(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		f.setFaults(worker.Torn)
 		time.AfterFunc(1100*time.Millisecond, func() { f.setFaults(worker.Sound) })
@@ -72,10 +73,10 @@
 	})
 }
 
-// Upstreams say nothing, and the entry that asked them ends: callers who had no part of an answer
-// saw their connections closed, and did not know whether anybody had read their request. They
-// are told that it may have run, or that it has not.
-func TestEndOfAnEntryIsTold(t *testing.T) {
+// An entry used to exit without answering the requests whose upstreams were silent. Their callers saw
+// the connection close and did not know whether the request had run. The entry must answer 502 if the
+// request may have run, and 503 if it has not.
+func TestExitingEntryAnswersOpenRequests(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x", "/stream/x", "/fixed/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(is *is.I, f *fleet) {
@@ -92,10 +93,9 @@
 	}
 }
 
-// A day of stops in series: callers that still had the address of a stopping entry saw
-// streams break off in the middle. It began them three seconds after the order to stop, as
-// most answers would have ended in the time that it had left; these took longer, and were
-// cut with its process.
+// Callers that still used the address of an entry that was shutting down saw streams break off. The
+// entry had started them three seconds after SIGTERM, since most responses end in the remaining time.
+// These took longer and were cut off by its exit.
 func TestStoppingEntryCutsNoStream(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/fixed/x"} {
 		for _, kept := range []bool{false, true} {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Plain calls are cut as streams are, where the route allows longer answers than the stopping
-// entry has left, unless it looks at their deadline.
+// Plain requests are cut off by the exit as streams are if their route allows more time than the entry
+// has left, unless the entry refuses those whose deadline is after its exit.
 func TestStoppingEntryCutsNoSlowCall(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x"} {
 		for _, kept := range []bool{false, true} {
@@ -122,8 +122,8 @@
 	}
 }
 
-// A request whose body comes slowly is passed on when that is whole, seconds after its header
-// came: that is when it has to be asked whether the entry stops.
+// A request with a slow body is sent to an upstream when the body is complete, seconds after its header
+// arrived. The entry must check at that time whether it is shutting down.
 func TestStoppingEntryCutsNoLateBody(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/fixed/x", "/once/slow/x"} {
 		t.Run(path[1:], func(t *testing.T) {
@@ -137,7 +137,8 @@
 	}
 }
 
-// A prompt that needs the memory of two engines is begun and cut like a short one.
+// A prompt that needs the memory of two engines is subject to the same rule as a short one: an entry
+// that shuts down does not start it if its exit may cut off the response.
 func TestStoppingEntryCutsNoPromptOfAGroup(t *testing.T) {
 	for _, path := range []string{"/stream/heavy/x", "/fixed/heavy/x"} {
 		t.Run(path[1:], func(t *testing.T) {
@@ -148,14 +149,14 @@
 	}
 }
 
-// Prompts that wait for a place when their entry is told to stop are begun at once, at engines
-// that are busy, however long their answers take.
+// Prompts that were waiting for an engine at SIGTERM used to be started at once, at busy engines, however
+// long their answers take. The exit of the entry then cut them off.
 func TestStoppingEntryCutsNoWaitingPrompt(t *testing.T) {
 	for _, path := range []string{"/stream/heavy/x", "/fixed/heavy/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(is *is.I, f *fleet) {
 				var planned []plannedRequest
-				for range 3 { // they keep all engines busy, and end before the entry
+				for range 3 { // keep all engines busy, and end before the entry exits
 					planned = append(planned, plannedRequest{path: path, usage: "200000,100", sendAt: -700 * time.Millisecond})
 				}
 				for at := -300 * time.Millisecond; at < 0; at += 20 * time.Millisecond {
@@ -174,7 +175,7 @@
 					}
 					waited++
 					if err := f.checkResult(r); err != nil {
-						t.Errorf("%s waited since %s after the order to stop: %v", r.Path, planned[i].sendAt, err)
+						t.Errorf("%s waited since %s after SIGTERM: %v", r.Path, planned[i].sendAt, err)
 					}
 				}
 				is.True(waited > 0)
@@ -183,12 +184,13 @@
 	}
 }
 
-// An upstream says nothing, and the request is sent to another when the entry has less time
-// left than that takes.
+// A request whose upstream is silent must not be retried at another if the retry may take longer than
+// the entry has left.
 func TestStoppingEntryBeginsNoLateAttempt(t *testing.T) {
 	for _, c := range []struct {
 		path string
-		// soundAt is when upstreams are sound again, after the order to stop.
+		// soundAt is the time from SIGTERM at which the upstreams answer again. Requests are sent between
+		// from and until, also counted from SIGTERM.
 		soundAt, from, until time.Duration
 	}{
 		{"/stream/x", 1500 * time.Millisecond, -250 * time.Millisecond, 1500 * time.Millisecond},
@@ -205,10 +207,10 @@
 					}
 				}
 				for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
-					// The silent upstream may have run it.
+					// 502 is correct if the silent upstream ran the request.
 					unsure := r.Err == nil && r.Status == http.StatusBadGateway && f.runCount(r.ID) > 0
 					if err := f.checkResult(r); err != nil && !unsure {
-						t.Errorf("%s asked %s after the order to stop: %v", r.Path, planned[i].sendAt, err)
+						t.Errorf("%s sent %s after SIGTERM: %v", r.Path, planned[i].sendAt, err)
 					}
 				}
 			})
@@ -216,8 +218,8 @@
 	}
 }
 
-// Entries are stopped a second apart, so that several stop at once, and started again, while
-// callers keep connections and the directory's answers as long as they may.
+// Entries are stopped a second apart, so that several shut down at once, and restarted, while callers
+// keep connections and directory responses for as long as they are allowed to. No request is lost.
 func TestStopsInSeriesCutNothing(t *testing.T) {
 	withFleet(t, 5, func(is *is.I, f *fleet) {
 		f.addSlowWorkers()
@@ -256,8 +258,8 @@
 	})
 }
 
-// sendMixed has a caller ask in turn a short call and, while the directory's answer to that lives, one
-// that takes long.
+// sendMixed returns the results of caller n, which alternates between a short request and a long one.
+// The long one is sent while the caller may still use the directory response that the short one used.
 func (f *fleet) sendMixed(n int, stop <-chan struct{}) func(yield func(caller.Result) bool) {
 	long := []string{"/stream/x", "/fixed/x", "/once/slow/x"}
 	return func(yield func(caller.Result) bool) {
@@ -281,9 +283,9 @@
 	}
 }
 
-// Callers that had connected to a stopping entry just before it stopped listening saw the connection
-// closed under their first request. The server drops what it reads once its shutdown has begun, also
-// on connections that it accepted before.
+// Callers that connected to an entry just before it stopped listening had the connection closed during
+// their first request: after its Shutdown has begun, an http.Server drops requests that it reads, also on
+// connections that it accepted before.
 func TestStoppingEntryAnswersOpenConnections(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, f *fleet) {
 		address := netip.AddrPortFrom(f.entries[0].host, entryPort).String()
@@ -318,8 +320,8 @@
 	})
 }
 
-// A prompt does not say how many tokens its answer may have. A stopping entry takes that for an
-// answer of one event, begins it, and cuts it.
+// A request that states no maximum answer length was taken for one with a response of a single event.
+// An entry that shut down started its stream and cut it off.
 func TestStoppingEntryCutsNoStreamOfUnknownLength(t *testing.T) {
 	for _, usage := range []string{"2000", "2000,0"} {
 		t.Run(fmt.Sprintf("%q", usage), func(t *testing.T) {
@@ -330,10 +332,10 @@
 	}
 }
 
-// The end of an entry comes while bodies are on their way to it, some of them whole a moment
-// later. Nothing was passed on, but the callers see their connections closed in place of
-// an answer that says so, and the log calls them caller_left.
-func TestEndOfAnEntryIsToldToThoseStillSending(t *testing.T) {
+// An entry that exited while request bodies were still arriving, some of them complete a moment later,
+// closed the connections and logged caller_left. It must answer 503, as none of the requests was sent
+// to an upstream.
+func TestExitingEntryRefusesIncompleteRequests(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		q := plannedRequest{path: "/once/slow/x", sendAt: -100 * time.Millisecond}
 		var planned []plannedRequest
@@ -343,7 +345,7 @@
 		}
 		for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
 			if r.Err != nil {
-				t.Errorf("body until %s after the order to stop: %v", planned[i].bodyTime+planned[i].sendAt, r.Err)
+				t.Errorf("body until %s after SIGTERM: %v", planned[i].bodyTime+planned[i].sendAt, r.Err)
 				continue
 			}
 			is.Equal(r.Status, 503)
