--- a/logger/events_test.go
+++ b/logger/events_test.go
@@ -11,8 +11,8 @@
 	"github.com/sapphireramp/sapphireramp/logger"
 )
 
-// logCall finds the events that the packages of the platform's path log.
-var logCall = regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z_]+)"`)
+// logCallPattern finds the events that the packages of the platform's path log.
+var logCallPattern = regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z_]+)"`)
 
 // Every event that the code logs is listed, in order, with what it means, and
 // nothing else is.
@@ -31,7 +31,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, m := range logCall.FindAllSubmatch(source, -1) {
+			for _, m := range logCallPattern.FindAllSubmatch(source, -1) {
 				used[string(m[1])] = true
 			}
 		}
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -73,11 +73,11 @@
 	if c.WarnOutput == nil {
 		c.WarnOutput = c.Output
 	}
-	ordinary := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l < zapcore.WarnLevel })
-	urgent := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l >= zapcore.WarnLevel })
+	belowWarn := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l < zapcore.WarnLevel })
+	warnAndAbove := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l >= zapcore.WarnLevel })
 	core := zapcore.NewTee(
-		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.Output)), ordinary),
-		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.WarnOutput)), urgent),
+		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.Output)), belowWarn),
+		zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.Lock(zapcore.AddSync(c.WarnOutput)), warnAndAbove),
 	)
 	return &Loggers{root: zap.New(core), layers: c.Layers}, nil
 }
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// queuedLines is how many lines wait for a slow reader of the log; at 300
+	// queueCapacity is how many lines wait for a slow reader of the log; at 300
 	// bytes a line they take about 300 KB.
-	queuedLines = 1024
-	// ordinaryLines is how many of them may be ordinary: the rest is kept for
+	queueCapacity = 1024
+	// ordinaryCapacity is how many of them may be ordinary: the rest is kept for
 	// warnings and errors, of which a failed request has two or three.
-	ordinaryLines = queuedLines * 3 / 4
+	ordinaryCapacity = queueCapacity * 3 / 4
 )
 
 // Queue is a writer that never blocks: lines wait in a bounded queue for a
@@ -27,28 +27,28 @@
 
 // NewQueue returns a queue before an output, and starts to write.
 func NewQueue(output io.Writer) *Queue {
-	q := &Queue{output: output, lines: make(chan []byte, queuedLines), closing: make(chan struct{}), done: make(chan struct{})}
-	go q.run()
+	q := &Queue{output: output, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
+	go q.writeLoop()
 	return q
 }
 
 // Write queues a copy of one ordinary line.
 func (q *Queue) Write(line []byte) (int, error) {
-	if len(q.lines) >= ordinaryLines {
+	if len(q.lines) >= ordinaryCapacity {
 		q.dropped.Add(1)
 		return len(line), nil
 	}
-	return q.urgent(line)
+	return q.enqueue(line)
 }
 
 // PriorityWriter returns a writer whose lines are dropped last.
-func (q *Queue) PriorityWriter() io.Writer { return urgentWriter{q} }
+func (q *Queue) PriorityWriter() io.Writer { return priorityWriter{q} }
 
-type urgentWriter struct{ queue *Queue }
+type priorityWriter struct{ queue *Queue }
 
-func (u urgentWriter) Write(line []byte) (int, error) { return u.queue.urgent(line) }
+func (u priorityWriter) Write(line []byte) (int, error) { return u.queue.enqueue(line) }
 
-func (q *Queue) urgent(line []byte) (int, error) {
+func (q *Queue) enqueue(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
@@ -57,27 +57,27 @@
 	return len(line), nil
 }
 
-func (q *Queue) run() {
+func (q *Queue) writeLoop() {
 	defer close(q.done)
 	for {
 		select {
 		case line := <-q.lines:
-			q.put(line)
+			q.writeLine(line)
 		case <-q.closing:
-			q.finish()
+			q.drainQueue()
 			return
 		}
 	}
 }
 
-// finish writes as many lines as are queued: others may go on writing.
-func (q *Queue) finish() {
+// drainQueue writes as many lines as are queued: others may go on writing.
+func (q *Queue) drainQueue() {
 	for range len(q.lines) {
-		q.put(<-q.lines)
+		q.writeLine(<-q.lines)
 	}
 }
 
-func (q *Queue) put(line []byte) {
+func (q *Queue) writeLine(line []byte) {
 	_, _ = q.output.Write(line) // there is nowhere left to report it
 	if n := q.dropped.Swap(0); n > 0 {
 		_, _ = q.output.Write([]byte("level=warn layer=entry event=log_lines_dropped count=" + strconv.FormatInt(n, 10) + "\n"))
--- a/logger/queue_test.go
+++ b/logger/queue_test.go
@@ -12,14 +12,14 @@
 	"github.com/sapphireramp/sapphireramp/logger"
 )
 
-// stuck is an output whose reader stands still until it is released.
-type stuck struct {
+// blockedOutput is an output whose reader stands still until it is released.
+type blockedOutput struct {
 	release chan struct{}
 	lock    sync.Mutex
 	text    strings.Builder
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -28,10 +28,10 @@
 
 // A reader of the log that stands still holds up nobody, and what could not
 // be kept is counted.
-func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
+func TestStuckReaderDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		output := &stuck{release: make(chan struct{})}
+		output := &blockedOutput{release: make(chan struct{})}
 		q := logger.NewQueue(output)
 		const lines = 5000
 		for range lines {
@@ -48,10 +48,10 @@
 
 // Beside a slow reader the lines of failed requests are kept, and those of
 // answered ones dropped.
-func TestWarningsAreDroppedLast(t *testing.T) {
+func TestFailuresAreDroppedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		output := &stuck{release: make(chan struct{})}
+		output := &blockedOutput{release: make(chan struct{})}
 		q := logger.NewQueue(output)
 		logs, err := logger.New(logger.Config{Level: "info", Output: q, WarnOutput: q.PriorityWriter()})
 		is.NoErr(err)
@@ -73,10 +73,10 @@
 
 // At the end of an entry a call to another one was still under way, and logged its failure after the queue
 // was closed: "panic: send on closed channel", exit status 2, and the last lines were lost.
-func TestLinesAfterCloseAreDropped(t *testing.T) {
+func TestLinesAfterTheEndAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		output := &stuck{release: make(chan struct{})}
+		output := &blockedOutput{release: make(chan struct{})}
 		close(output.release)
 		q := logger.NewQueue(output)
 		_, err := io.WriteString(q, "event=early\n")
