--- a/logger/events_test.go
+++ b/logger/events_test.go
@@ -11,11 +11,11 @@
 	"github.com/sapphireramp/sapphireramp/logger"
 )
 
-// logCallPattern finds the events that the packages of the platform's path log.
+// logCallPattern matches calls of a logger, with the name of the event.
 var logCallPattern = regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z_]+)"`)
 
-// Every event that the code logs is listed, in order, with what it means, and
-// nothing else is.
+// Events lists exactly the events that the code of an entry on the platform
+// logs, sorted by name.
 func TestEventsAreThoseOfTheCode(t *testing.T) {
 	used := map[string]bool{"log_lines_dropped": true, "configuration": true, "upstream": true}
 	for _, pattern := range []string{"../controller/*.go", "../forwarder/*.go", "../launcher/*.go", "../cmd/sapphireramp/gateway.go"} {
@@ -40,19 +40,19 @@
 	for _, e := range logger.Events {
 		listed = append(listed, e.Name)
 		if !used[e.Name] {
-			t.Errorf("%s is listed and not logged", e.Name)
+			t.Errorf("event %s is listed in Events but never logged", e.Name)
 		}
 		delete(used, e.Name)
 	}
 	for name := range used {
-		t.Errorf("%s is logged and not listed", name)
+		t.Errorf("event %s is logged but not listed in Events", name)
 	}
 	if !slices.IsSorted(listed) {
-		t.Error("events are not in order of name")
+		t.Error("Events is not sorted by name")
 	}
 }
 
-// The operators' page names every event.
+// docs/OPERATIONS.md mentions every event.
 func TestEventsAreOnTheOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	for _, e := range logger.Events {
 		if !strings.Contains(string(page), "`"+e.Name+"`") {
-			t.Errorf("docs/OPERATIONS.md lacks %s", e.Name)
+			t.Errorf("docs/OPERATIONS.md does not mention event %s", e.Name)
 		}
 	}
 }
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,5 +1,6 @@
-// Package logger makes the product's loggers: one logfmt line an event, one
-// logger for each layer, and layers that can be left out.
+// Package logger creates the loggers of the product. Each event is one logfmt
+// line. Every layer of the product has its own logger, and layers can be left
+// out of the log.
 package logger
 
 import (
@@ -13,47 +14,57 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Layers of the product that log.
+// Names of the layers of the product, as they appear in the log.
 const (
-	LayerEntry    = "entry"
-	LayerRouter   = "route"
-	LayerKeeper   = "keep"
-	LayerMembers  = "members"
+	// LayerEntry covers the start, the end and the faults of a process, the ends of requests, and the calls to
+	// the platform. A gateway on the platform logs all its events in this layer.
+	LayerEntry = "entry"
+	// LayerRouter covers the choice of upstreams and the attempts of requests.
+	LayerRouter = "route"
+	// LayerKeeper covers the engines whose memory an entry grants, and the reservations there.
+	LayerKeeper = "keep"
+	// LayerMembers covers the other entries, as seen by one of them.
+	LayerMembers = "members"
+	// LayerDocument covers the configuration document.
 	LayerDocument = "document"
 )
 
-// Layers lists all layers.
+// Layers lists the names of all layers.
 var Layers = []string{LayerEntry, LayerRouter, LayerKeeper, LayerMembers, LayerDocument}
 
-// Config of the loggers.
+// Config configures the loggers.
 type Config struct {
-	// Level is debug, info, warn or error.
+	// Level is the lowest level that is logged: debug, info, warn or error.
 	Level string
-	// Layers that log; empty means all.
+	// Layers names the layers that are logged; empty means all.
 	Layers []string
+	// Output receives the lines below the level warn.
 	Output io.Writer
-	// WarnOutput takes warnings and errors; nil means Output.
+	// WarnOutput receives warnings and errors; nil means Output.
 	WarnOutput io.Writer
 }
 
-// Loggers holds a logger for each layer.
+// Loggers holds the loggers of all layers.
 type Loggers struct {
-	root   *zap.Logger
+	root *zap.Logger
+	// layers names the layers that are logged; empty means all.
 	layers []string
 }
 
-// UnknownLayerError names a layer that does not exist.
+// UnknownLayerError is returned if Config.Layers contains a name that is not in
+// Layers.
 type UnknownLayerError struct{ Layer string }
 
 func (e UnknownLayerError) Error() string {
-	return fmt.Sprintf("Log.Layers: %q: must be of %v", e.Layer, Layers)
+	return fmt.Sprintf("Log.Layers: %q: must be one of %v", e.Layer, Layers)
 }
 
-// New returns the loggers.
+// New returns the loggers for a configuration. The error is an
+// UnknownLayerError for an unknown layer; an unknown level is an error too.
 func New(c Config) (*Loggers, error) {
 	level, err := zapcore.ParseLevel(c.Level)
 	if err != nil {
-		return nil, fmt.Errorf("log level: %w", err)
+		return nil, fmt.Errorf("parse log level: %w", err)
 	}
 	for _, l := range c.Layers {
 		if !slices.Contains(Layers, l) {
@@ -82,8 +93,8 @@
 	return &Loggers{root: zap.New(core), layers: c.Layers}, nil
 }
 
-// Layer returns the logger of a layer; it drops everything where the layer
-// is left out.
+// Layer returns the logger of a layer. It writes nothing if the layer is left
+// out of the log.
 func (l *Loggers) Layer(name string) *zap.Logger {
 	if len(l.layers) > 0 && !slices.Contains(l.layers, name) {
 		return zap.NewNop()
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -7,32 +7,36 @@
 )
 
 const (
-	// queueCapacity is how many lines wait for a slow reader of the log; at 300
-	// bytes a line they take about 300 KB.
+	// queueCapacity is the maximum number of queued lines; at 300 bytes per line
+	// they take about 300 KB.
 	queueCapacity = 1024
-	// ordinaryCapacity is how many of them may be ordinary: the rest is kept for
-	// warnings and errors, of which a failed request has two or three.
+	// ordinaryCapacity is the queue length from which on ordinary lines are
+	// dropped. The rest of the queue is reserved for warnings and errors; a failed
+	// request logs two or three.
 	ordinaryCapacity = queueCapacity * 3 / 4
 )
 
-// Queue is a writer that never blocks: lines wait in a bounded queue for a
-// slow output, and those beyond it are dropped and counted.
+// Queue is an io.Writer that never blocks. A goroutine writes the queued lines
+// to an output, which may be slow. Lines that do not fit into the queue are
+// dropped and counted. A Queue is safe for concurrent use.
 type Queue struct {
-	output  io.Writer
-	lines   chan []byte
+	output io.Writer
+	lines  chan []byte
+	// dropped counts the lines dropped since the last log_lines_dropped line.
 	dropped atomic.Int64
-	// closing is closed to have the queue end, done once it has.
+	// closing is closed to stop writeLoop, done when it has returned.
 	closing, done chan struct{}
 }
 
-// NewQueue returns a queue before an output, and starts to write.
+// NewQueue returns a queue that writes to output. It must be closed.
 func NewQueue(output io.Writer) *Queue {
 	q := &Queue{output: output, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
 	go q.writeLoop()
 	return q
 }
 
-// Write queues a copy of one ordinary line.
+// Write queues a copy of one ordinary line, or drops it if the queue is three
+// quarters full. It never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	if len(q.lines) >= ordinaryCapacity {
 		q.dropped.Add(1)
@@ -41,13 +45,16 @@
 	return q.enqueue(line)
 }
 
-// PriorityWriter returns a writer whose lines are dropped last.
+// PriorityWriter returns a writer for warnings and errors. Its lines are dropped
+// only if the queue is full.
 func (q *Queue) PriorityWriter() io.Writer { return priorityWriter{q} }
 
+// priorityWriter is the io.Writer returned by PriorityWriter.
 type priorityWriter struct{ queue *Queue }
 
-func (u priorityWriter) Write(line []byte) (int, error) { return u.queue.enqueue(line) }
+func (w priorityWriter) Write(line []byte) (int, error) { return w.queue.enqueue(line) }
 
+// enqueue queues a copy of a line, or drops and counts it if the queue is full.
 func (q *Queue) enqueue(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -57,6 +64,7 @@
 	return len(line), nil
 }
 
+// writeLoop writes queued lines until the queue is closed.
 func (q *Queue) writeLoop() {
 	defer close(q.done)
 	for {
@@ -70,22 +78,25 @@
 	}
 }
 
-// drainQueue writes as many lines as are queued: others may go on writing.
+// drainQueue writes as many lines as the queue holds when it is called, not
+// until it is empty: goroutines may still add lines.
 func (q *Queue) drainQueue() {
 	for range len(q.lines) {
 		q.writeLine(<-q.lines)
 	}
 }
 
+// writeLine writes a line to the output, followed by the number of lines dropped
+// since the last call, if any.
 func (q *Queue) writeLine(line []byte) {
-	_, _ = q.output.Write(line) // there is nowhere left to report it
+	_, _ = q.output.Write(line) // a failed write of the log can't be reported anywhere
 	if n := q.dropped.Swap(0); n > 0 {
 		_, _ = q.output.Write([]byte("level=warn layer=entry event=log_lines_dropped count=" + strconv.FormatInt(n, 10) + "\n"))
 	}
 }
 
-// Close writes what is queued. Lines that come later are dropped: what is still under way as a process
-// ends may log. It is called once.
+// Close writes the queued lines and stops the queue. It must be called once. Lines written after that
+// are dropped without an error, as operations still running at the exit of a process may log.
 func (q *Queue) Close() error {
 	close(q.closing)
 	<-q.done
--- a/logger/queue_test.go
+++ b/logger/queue_test.go
@@ -12,23 +12,23 @@
 	"github.com/sapphireramp/sapphireramp/logger"
 )
 
-// blockedOutput is an output whose reader stands still until it is released.
+// blockedOutput is an io.Writer that blocks until release is closed, and collects the text written.
 type blockedOutput struct {
 	release chan struct{}
 	lock    sync.Mutex
 	text    strings.Builder
 }
 
-func (s *blockedOutput) Write(p []byte) (int, error) {
-	<-s.release
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.text.Write(p)
+func (o *blockedOutput) Write(p []byte) (int, error) {
+	<-o.release
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	return o.text.Write(p)
 }
 
-// A reader of the log that stands still holds up nobody, and what could not
-// be kept is counted.
-func TestStuckReaderDoesNotBlock(t *testing.T) {
+// Writes to a queue do not block while its output does, and dropped lines are
+// counted.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &blockedOutput{release: make(chan struct{})}
@@ -46,9 +46,8 @@
 	})
 }
 
-// Beside a slow reader the lines of failed requests are kept, and those of
-// answered ones dropped.
-func TestFailuresAreDroppedLast(t *testing.T) {
+// If the output is slow, ordinary lines are dropped and warnings are kept.
+func TestWarningsAreDroppedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &blockedOutput{release: make(chan struct{})}
@@ -71,9 +70,9 @@
 	})
 }
 
-// At the end of an entry a call to another one was still under way, and logged its failure after the queue
-// was closed: "panic: send on closed channel", exit status 2, and the last lines were lost.
-func TestLinesAfterTheEndAreDropped(t *testing.T) {
+// A call that was in progress at the exit of an entry logged its failure after the queue was closed. The
+// process ended with "panic: send on closed channel" and exit status 2, and the last lines were lost.
+func TestLinesAfterCloseAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &blockedOutput{release: make(chan struct{})}
