--- a/loader/loader.go
+++ b/loader/loader.go
@@ -12,8 +12,8 @@
 	"github.com/sapphireramp/sapphireramp/sealer"
 )
 
-// maxSettings is the largest settings file in bytes.
-const maxSettings = 1 << 20
+// maxSettingsSize is the largest settings file in bytes.
+const maxSettingsSize = 1 << 20
 
 // Settings of one entry.
 type Settings struct {
@@ -119,7 +119,7 @@
 // Parse reads and checks settings. The error holds every fault at once.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
-	if err := decoder.Decode(data, maxSettings, &s); err != nil {
+	if err := decoder.Decode(data, maxSettingsSize, &s); err != nil {
 		return Settings{}, fmt.Errorf("read settings: %w", err)
 	}
 	if !s.Listen.IsValid() {
@@ -134,49 +134,49 @@
 	return s, nil
 }
 
-var levels = []string{"debug", "info", "warn", "error"}
+var logLevels = []string{"debug", "info", "warn", "error"}
 
 func (s Settings) check() error {
-	var faults decoder.FieldErrors
-	faults.Require(s.Name != "" && len(s.Name) <= 64 && !strings.ContainsAny(s.Name, " \t\n\"/=,."), "Name", s.Name, "1 to 64 characters without space, quote, '/', '=', ',' or '.'")
-	faults.Require(s.DataCentre != "", "DataCentre", s.DataCentre, "the name of a data centre")
-	faults.Require(s.Address.IsValid() && s.Address.Port() != 0, "Address", s.Address, "IP:port")
-	faults.Require(s.PeerAddress.IsValid() && s.PeerAddress.Port() != 0, "PeerAddress", s.PeerAddress, "IP:port")
-	faults.Require(s.Address != s.PeerAddress, "PeerAddress", s.PeerAddress, "other than Address")
-	faults.Require(s.Listen != s.PeerListen, "PeerListen", s.PeerListen, "other than Listen")
-	faults.Require(s.Platform.IsValid() && s.Platform.Port() != 0, "Platform", s.Platform, "IP:port")
+	var fieldErrors decoder.FieldErrors
+	fieldErrors.Require(s.Name != "" && len(s.Name) <= 64 && !strings.ContainsAny(s.Name, " \t\n\"/=,."), "Name", s.Name, "1 to 64 characters without space, quote, '/', '=', ',' or '.'")
+	fieldErrors.Require(s.DataCentre != "", "DataCentre", s.DataCentre, "the name of a data centre")
+	fieldErrors.Require(s.Address.IsValid() && s.Address.Port() != 0, "Address", s.Address, "IP:port")
+	fieldErrors.Require(s.PeerAddress.IsValid() && s.PeerAddress.Port() != 0, "PeerAddress", s.PeerAddress, "IP:port")
+	fieldErrors.Require(s.Address != s.PeerAddress, "PeerAddress", s.PeerAddress, "other than Address")
+	fieldErrors.Require(s.Listen != s.PeerListen, "PeerListen", s.PeerListen, "other than Listen")
+	fieldErrors.Require(s.Platform.IsValid() && s.Platform.Port() != 0, "Platform", s.Platform, "IP:port")
 	for i, k := range s.SealKeys {
 		_, err := sealer.ParsePublicKey(k)
-		faults.Require(err == nil, fmt.Sprintf("SealKeys[%d]", i), k, "32 bytes in hex")
+		fieldErrors.Require(err == nil, fmt.Sprintf("SealKeys[%d]", i), k, "32 bytes in hex")
 	}
-	known := false
-	for _, l := range levels {
-		known = known || l == s.Log.Level
+	knownLevel := false
+	for _, l := range logLevels {
+		knownLevel = knownLevel || l == s.Log.Level
 	}
-	faults.Require(known, "Log.Level", s.Log.Level, "one of "+strings.Join(levels, ", "))
-	s.Timing.check(&faults)
-	s.Callers.check(&faults)
-	return faults.Err()
+	fieldErrors.Require(knownLevel, "Log.Level", s.Log.Level, "one of "+strings.Join(logLevels, ", "))
+	s.Timing.check(&fieldErrors)
+	s.Callers.check(&fieldErrors)
+	return fieldErrors.Err()
 }
 
-func between(faults *decoder.FieldErrors, field string, d, low, high time.Duration) {
-	faults.Require(d >= low && d <= high, field, d, fmt.Sprintf("%s to %s", low, high))
+func checkDuration(fieldErrors *decoder.FieldErrors, field string, d, low, high time.Duration) {
+	fieldErrors.Require(d >= low && d <= high, field, d, fmt.Sprintf("%s to %s", low, high))
 }
 
-func (t Timing) check(faults *decoder.FieldErrors) {
-	between(faults, "Timing.Heartbeat", t.Heartbeat, 10*time.Millisecond, time.Minute)
-	between(faults, "Timing.Suspect", t.Suspect, 2*t.Heartbeat, 10*time.Minute)
-	between(faults, "Timing.Poll", t.Poll, 10*time.Millisecond, time.Minute)
-	between(faults, "Timing.List", t.List, t.Poll, time.Minute)
-	between(faults, "Timing.Lease", t.Lease, max(4*t.Poll, 2*t.List), 10*time.Minute)
-	between(faults, "Timing.Watch", t.Watch, 100*time.Millisecond, 5*time.Minute)
-	between(faults, "Timing.Silence", t.Silence, 100*time.Millisecond, 10*time.Minute)
-	faults.Require(t.Neighbours >= 1 && t.Neighbours <= 64, "Timing.Neighbours", t.Neighbours, "1 to 64")
+func (t Timing) check(fieldErrors *decoder.FieldErrors) {
+	checkDuration(fieldErrors, "Timing.Heartbeat", t.Heartbeat, 10*time.Millisecond, time.Minute)
+	checkDuration(fieldErrors, "Timing.Suspect", t.Suspect, 2*t.Heartbeat, 10*time.Minute)
+	checkDuration(fieldErrors, "Timing.Poll", t.Poll, 10*time.Millisecond, time.Minute)
+	checkDuration(fieldErrors, "Timing.List", t.List, t.Poll, time.Minute)
+	checkDuration(fieldErrors, "Timing.Lease", t.Lease, max(4*t.Poll, 2*t.List), 10*time.Minute)
+	checkDuration(fieldErrors, "Timing.Watch", t.Watch, 100*time.Millisecond, 5*time.Minute)
+	checkDuration(fieldErrors, "Timing.Silence", t.Silence, 100*time.Millisecond, 10*time.Minute)
+	fieldErrors.Require(t.Neighbours >= 1 && t.Neighbours <= 64, "Timing.Neighbours", t.Neighbours, "1 to 64")
 }
 
-func (c CallerLimits) check(faults *decoder.FieldErrors) {
-	faults.Require(c.MaxBody >= 1<<10 && c.MaxBody <= 1<<30, "Callers.MaxBody", c.MaxBody, "1024 to 1073741824 bytes")
-	between(faults, "Callers.AddressLife", c.AddressLife, 100*time.Millisecond, time.Hour)
-	between(faults, "Callers.TicketLife", c.TicketLife, time.Second, 24*time.Hour)
-	between(faults, "Callers.DrainSlack", c.DrainSlack, 0, time.Minute)
+func (c CallerLimits) check(fieldErrors *decoder.FieldErrors) {
+	fieldErrors.Require(c.MaxBody >= 1<<10 && c.MaxBody <= 1<<30, "Callers.MaxBody", c.MaxBody, "1024 to 1073741824 bytes")
+	checkDuration(fieldErrors, "Callers.AddressLife", c.AddressLife, 100*time.Millisecond, time.Hour)
+	checkDuration(fieldErrors, "Callers.TicketLife", c.TicketLife, time.Second, 24*time.Hour)
+	checkDuration(fieldErrors, "Callers.DrainSlack", c.DrainSlack, 0, time.Minute)
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -10,11 +10,11 @@
 	"github.com/sapphireramp/sapphireramp/loader"
 )
 
-const sample = "../_fixtures/settings.yaml"
+const sampleFile = "../_fixtures/settings.yaml"
 
 func readSample(t testing.TB) string {
 	t.Helper()
-	data, err := os.ReadFile(sample)
+	data, err := os.ReadFile(sampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 
 func TestSampleIsValid(t *testing.T) {
 	is := is.New(t)
-	s, err := loader.Load(sample)
+	s, err := loader.Load(sampleFile)
 	is.NoErr(err)
 	is.Equal(s.Name, "entry-1")
 	is.Equal(s.Listen, s.Address)
