--- a/validator/bench_test.go
+++ b/validator/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func benchDocument(organisations, engines int) []byte {
+func makeBenchDocument(organisations, engines int) []byte {
 	var b strings.Builder
 	b.WriteString("Revision: 1\nModels:\n")
 	for i := range 4 {
@@ -30,11 +30,11 @@
 func BenchmarkParse(b *testing.B) {
 	for _, size := range [][2]int{{10, 14}, {430, 60}, {4300, 14}, {4300, 600}} {
 		b.Run(fmt.Sprintf("organisations=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
-			data := benchDocument(size[0], size[1])
+			data := makeBenchDocument(size[0], size[1])
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			kept, err := Parse(data)
+			parsed, err := Parse(data)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -47,7 +47,7 @@
 			}
 			b.ReportMetric(float64(len(data)), "document-bytes")
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "kept-bytes")
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(parsed)
 		})
 	}
 }
--- a/validator/check.go
+++ b/validator/check.go
@@ -14,7 +14,7 @@
 const (
 	maxNameLength   = 64
 	maxTokens       = 100_000_000
-	maxGroup        = 64
+	maxGroupSize    = 64
 	minShortWeight  = 3
 	maxShortWeight  = 10
 	maxInFlight     = 1_000_000
@@ -34,31 +34,31 @@
 		return nil, fmt.Errorf("check document: %w", err)
 	}
 	version := DocumentVersion{Revision: d.Revision, Digest: Digest(data)}
-	return index(d, version, data), nil
+	return newValidDocument(d, version, data), nil
 }
 
 // checker collects faults while it walks a document.
 type checker struct {
-	faults decoder.FieldErrors
-	models map[string]Model
+	fieldErrors decoder.FieldErrors
+	models      map[string]Model
 }
 
 func check(d Document) error {
 	c := &checker{models: map[string]Model{}}
-	c.faults.Require(d.Revision >= 1, "Revision", d.Revision, "at least 1")
-	c.base(d)
+	c.fieldErrors.Require(d.Revision >= 1, "Revision", d.Revision, "at least 1")
+	c.checkBase(d)
 	c.checkModels(d.Models)
 	c.checkServices(d.Services)
 	c.checkEngines(d.Engines)
 	c.checkOrganisations(d)
 	c.checkLimits(d.Limits)
 	c.checkPolicy(d.Policy, d.Limits)
-	c.crossCheck(d)
-	return c.faults.Err()
+	c.checkAcrossSections(d)
+	return c.fieldErrors.Err()
 }
 
-func (c *checker) base(d Document) {
-	c.faults.Require(d.Base == "" || isDigest(d.Base), "Base", d.Base, "empty or a SHA-256 digest in hex")
+func (c *checker) checkBase(d Document) {
+	c.fieldErrors.Require(d.Base == "" || isDigest(d.Base), "Base", d.Base, "empty or a SHA-256 digest in hex")
 }
 
 func isDigest(text string) bool {
@@ -66,15 +66,15 @@
 	return err == nil && len(raw) == 32 && strings.ToLower(text) == text
 }
 
-// name checks one name and that no earlier item has it.
-func (c *checker) name(field, name string, seen map[string]bool) {
-	valid := name != "" && len(name) <= maxNameLength && !strings.ContainsFunc(name, notNameRune)
-	c.faults.Require(valid, field, name, "1 to 64 of letters, digits, '-', '_', '.'")
-	c.faults.Require(!seen[name], field, name, "unique")
+// checkName checks one name and that no earlier item has it.
+func (c *checker) checkName(field, name string, seen map[string]bool) {
+	valid := name != "" && len(name) <= maxNameLength && !strings.ContainsFunc(name, isInvalidNameRune)
+	c.fieldErrors.Require(valid, field, name, "1 to 64 of letters, digits, '-', '_', '.'")
+	c.fieldErrors.Require(!seen[name], field, name, "unique")
 	seen[name] = true
 }
 
-func notNameRune(r rune) bool {
+func isInvalidNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return false
@@ -82,23 +82,23 @@
 	return !strings.ContainsRune("-_.", r)
 }
 
-func (c *checker) between(field string, value, low, high int) {
-	c.faults.Require(value >= low && value <= high, field, value, fmt.Sprintf("%d to %d", low, high))
+func (c *checker) checkRange(field string, value, low, high int) {
+	c.fieldErrors.Require(value >= low && value <= high, field, value, fmt.Sprintf("%d to %d", low, high))
 }
 
 func (c *checker) checkModels(models []Model) {
-	c.faults.Require(len(models) > 0, "Models", len(models), "at least one model")
+	c.fieldErrors.Require(len(models) > 0, "Models", len(models), "at least one model")
 	seen := map[string]bool{}
 	for i, m := range models {
 		path := fmt.Sprintf("Models[%d]", i)
-		c.name(path+".Name", m.Name, seen)
-		c.faults.Require(len(m.Versions) > 0, path+".Versions", len(m.Versions), "at least one version")
+		c.checkName(path+".Name", m.Name, seen)
+		c.fieldErrors.Require(len(m.Versions) > 0, path+".Versions", len(m.Versions), "at least one version")
 		versions, adapters := map[string]bool{}, map[string]bool{}
 		for j, v := range m.Versions {
-			c.name(fmt.Sprintf("%s.Versions[%d]", path, j), v, versions)
+			c.checkName(fmt.Sprintf("%s.Versions[%d]", path, j), v, versions)
 		}
 		for j, a := range m.Adapters {
-			c.name(fmt.Sprintf("%s.Adapters[%d]", path, j), a, adapters)
+			c.checkName(fmt.Sprintf("%s.Adapters[%d]", path, j), a, adapters)
 		}
 		c.models[m.Name] = m
 	}
@@ -108,15 +108,15 @@
 	seen, instances := map[string]bool{}, map[string]bool{}
 	for i, s := range services {
 		path := fmt.Sprintf("Services[%d]", i)
-		c.name(path+".Name", s.Name, seen)
-		c.faults.Require(len(s.Calls) > 0, path+".Calls", len(s.Calls), "at least one call")
-		c.faults.Require(len(s.Instances) > 0, path+".Instances", len(s.Instances), "at least one instance")
+		c.checkName(path+".Name", s.Name, seen)
+		c.fieldErrors.Require(len(s.Calls) > 0, path+".Calls", len(s.Calls), "at least one call")
+		c.fieldErrors.Require(len(s.Instances) > 0, path+".Instances", len(s.Instances), "at least one instance")
 		for j, name := range s.Instances {
-			c.name(fmt.Sprintf("%s.Instances[%d]", path, j), name, instances)
+			c.checkName(fmt.Sprintf("%s.Instances[%d]", path, j), name, instances)
 		}
 		calls := map[string]bool{}
 		for j, call := range s.Calls {
-			c.name(fmt.Sprintf("%s.Calls[%d].Name", path, j), call.Name, calls)
+			c.checkName(fmt.Sprintf("%s.Calls[%d].Name", path, j), call.Name, calls)
 		}
 	}
 }
@@ -125,21 +125,21 @@
 	seen := map[string]bool{}
 	for i, e := range engines {
 		path := fmt.Sprintf("Engines[%d]", i)
-		c.name(path+".Name", e.Name, seen)
+		c.checkName(path+".Name", e.Name, seen)
 		m, ok := c.models[e.Model]
-		c.faults.Require(ok, path+".Model", e.Model, "the name of a model in Models")
-		c.faults.Require(!ok || slices.Contains(m.Versions, e.Version), path+".Version", e.Version, "a version of the model")
+		c.fieldErrors.Require(ok, path+".Model", e.Model, "the name of a model in Models")
+		c.fieldErrors.Require(!ok || slices.Contains(m.Versions, e.Version), path+".Version", e.Version, "a version of the model")
 		for j, a := range e.Adapters {
-			c.faults.Require(!ok || slices.Contains(m.Adapters, a), fmt.Sprintf("%s.Adapters[%d]", path, j), a, "an adapter of the model")
+			c.fieldErrors.Require(!ok || slices.Contains(m.Adapters, a), fmt.Sprintf("%s.Adapters[%d]", path, j), a, "an adapter of the model")
 		}
-		c.faults.Require(slices.Contains(roles, e.Role), path+".Role", e.Role, "one of "+strings.Join(roles, ", "))
-		c.between(path+".MemoryTokens", e.MemoryTokens, 1, maxTokens)
-		c.between(path+".PrefillRate", e.PrefillRate, 1, maxTokens)
+		c.fieldErrors.Require(slices.Contains(roles, e.Role), path+".Role", e.Role, "one of "+strings.Join(roles, ", "))
+		c.checkRange(path+".MemoryTokens", e.MemoryTokens, 1, maxTokens)
+		c.checkRange(path+".PrefillRate", e.PrefillRate, 1, maxTokens)
 	}
 }
 
 func (c *checker) checkOrganisations(d Document) {
-	c.faults.Require(len(d.Organisations) > 0, "Organisations", len(d.Organisations), "at least one organisation")
+	c.fieldErrors.Require(len(d.Organisations) > 0, "Organisations", len(d.Organisations), "at least one organisation")
 	services := map[string]bool{}
 	for _, s := range d.Services {
 		services[s.Name] = true
@@ -147,71 +147,71 @@
 	names, keys := map[string]bool{}, map[string]bool{}
 	for i, o := range d.Organisations {
 		path := fmt.Sprintf("Organisations[%d]", i)
-		c.name(path+".Name", o.Name, names)
-		c.faults.Require(isDigest(o.KeyDigest), path+".KeyDigest", o.KeyDigest, "a SHA-256 digest in lower-case hex")
-		c.faults.Require(!keys[o.KeyDigest], path+".KeyDigest", o.KeyDigest, "unique")
+		c.checkName(path+".Name", o.Name, names)
+		c.fieldErrors.Require(isDigest(o.KeyDigest), path+".KeyDigest", o.KeyDigest, "a SHA-256 digest in lower-case hex")
+		c.fieldErrors.Require(!keys[o.KeyDigest], path+".KeyDigest", o.KeyDigest, "unique")
 		keys[o.KeyDigest] = true
-		c.faults.Require(len(o.Models)+len(o.Services) > 0, path+".Models", len(o.Models), "at least one model or service")
+		c.fieldErrors.Require(len(o.Models)+len(o.Services) > 0, path+".Models", len(o.Models), "at least one model or service")
 		for j, m := range o.Models {
 			_, ok := c.models[m]
-			c.faults.Require(ok, fmt.Sprintf("%s.Models[%d]", path, j), m, "the name of a model in Models")
+			c.fieldErrors.Require(ok, fmt.Sprintf("%s.Models[%d]", path, j), m, "the name of a model in Models")
 		}
 		for j, s := range o.Services {
-			c.faults.Require(services[s], fmt.Sprintf("%s.Services[%d]", path, j), s, "the name of a service in Services")
+			c.fieldErrors.Require(services[s], fmt.Sprintf("%s.Services[%d]", path, j), s, "the name of a service in Services")
 		}
-		c.between(path+".MaxInFlight", o.MaxInFlight, 1, maxInFlight)
+		c.checkRange(path+".MaxInFlight", o.MaxInFlight, 1, maxInFlight)
 	}
 }
 
 func (c *checker) checkLimits(l Limits) {
-	c.between("Limits.MaxPromptTokens", l.MaxPromptTokens, 1, maxTokens)
-	c.between("Limits.MaxNewTokens", l.MaxNewTokens, 1, maxTokens)
-	c.between("Limits.MaxGroup", l.MaxGroup, 1, maxGroup)
-	c.between("Limits.MaxInFlight", l.MaxInFlight, 1, maxInFlight)
-	c.faults.Require(l.MaxTimeout >= time.Second && l.MaxTimeout <= maxTimeoutLimit, "Limits.MaxTimeout", l.MaxTimeout, "1s to 24h")
-	c.faults.Require(l.DefaultTimeout >= time.Second && l.DefaultTimeout <= l.MaxTimeout, "Limits.DefaultTimeout", l.DefaultTimeout, "1s to MaxTimeout")
+	c.checkRange("Limits.MaxPromptTokens", l.MaxPromptTokens, 1, maxTokens)
+	c.checkRange("Limits.MaxNewTokens", l.MaxNewTokens, 1, maxTokens)
+	c.checkRange("Limits.MaxGroup", l.MaxGroup, 1, maxGroupSize)
+	c.checkRange("Limits.MaxInFlight", l.MaxInFlight, 1, maxInFlight)
+	c.fieldErrors.Require(l.MaxTimeout >= time.Second && l.MaxTimeout <= maxTimeoutLimit, "Limits.MaxTimeout", l.MaxTimeout, "1s to 24h")
+	c.fieldErrors.Require(l.DefaultTimeout >= time.Second && l.DefaultTimeout <= l.MaxTimeout, "Limits.DefaultTimeout", l.DefaultTimeout, "1s to MaxTimeout")
 }
 
 func (c *checker) checkPolicy(p Policy, l Limits) {
-	c.between("Policy.ShortTokens", p.ShortTokens, 1, max(1, l.MaxPromptTokens))
-	weighs := p.ShortWeight >= minShortWeight && p.ShortWeight <= maxShortWeight
-	c.faults.Require(p.ShortWeight == 0 || weighs, "Policy.ShortWeight", p.ShortWeight, fmt.Sprintf("0, or %d to %d", minShortWeight, maxShortWeight))
+	c.checkRange("Policy.ShortTokens", p.ShortTokens, 1, max(1, l.MaxPromptTokens))
+	inRange := p.ShortWeight >= minShortWeight && p.ShortWeight <= maxShortWeight
+	c.fieldErrors.Require(p.ShortWeight == 0 || inRange, "Policy.ShortWeight", p.ShortWeight, fmt.Sprintf("0, or %d to %d", minShortWeight, maxShortWeight))
 }
 
-// crossCheck finds faults that no single field shows.
-func (c *checker) crossCheck(d Document) {
-	memories := map[string][]int{}
+// checkAcrossSections finds faults that no single field shows.
+func (c *checker) checkAcrossSections(d Document) {
+	memoryTokens := map[string][]int{}
 	for _, e := range d.Engines {
-		memories[e.Model] = append(memories[e.Model], e.MemoryTokens)
+		memoryTokens[e.Model] = append(memoryTokens[e.Model], e.MemoryTokens)
 	}
-	c.faults.Require(d.Limits.MaxGroup <= max(1, len(d.Engines)), "Limits.MaxGroup", d.Limits.MaxGroup, "at most the number of engines")
+	c.fieldErrors.Require(d.Limits.MaxGroup <= max(1, len(d.Engines)), "Limits.MaxGroup", d.Limits.MaxGroup, "at most the number of engines")
 	for i, m := range d.Models {
 		path := fmt.Sprintf("Models[%d]", i)
-		held := memories[m.Name]
-		c.faults.Require(len(held) > 0, path, m.Name, "served by at least one engine")
-		if len(held) == 0 {
+		capacities := memoryTokens[m.Name]
+		c.fieldErrors.Require(len(capacities) > 0, path, m.Name, "served by at least one engine")
+		if len(capacities) == 0 {
 			continue
 		}
-		slices.Sort(held)
-		slices.Reverse(held)
-		most := 0
-		for _, tokens := range held[:min(len(held), max(0, d.Limits.MaxGroup))] {
-			most += tokens
+		slices.Sort(capacities)
+		slices.Reverse(capacities)
+		groupTokens := 0
+		for _, tokens := range capacities[:min(len(capacities), max(0, d.Limits.MaxGroup))] {
+			groupTokens += tokens
 		}
-		need := d.Limits.MaxPromptTokens
-		c.faults.Require(most >= need, path, m.Name, fmt.Sprintf("held by a group of at most Limits.MaxGroup engines with %d tokens; they have %d", need, most))
+		maxPrompt := d.Limits.MaxPromptTokens
+		c.fieldErrors.Require(groupTokens >= maxPrompt, path, m.Name, fmt.Sprintf("held by a group of at most Limits.MaxGroup engines with %d tokens; they have %d", maxPrompt, groupTokens))
 	}
-	c.versionsServed(d)
+	c.checkVersionsServed(d)
 }
 
-func (c *checker) versionsServed(d Document) {
+func (c *checker) checkVersionsServed(d Document) {
 	served := map[[2]string]bool{}
 	for _, e := range d.Engines {
 		served[[2]string{e.Model, e.Version}] = true
 	}
 	for i, m := range d.Models {
 		for j, v := range m.Versions {
-			c.faults.Require(served[[2]string{m.Name, v}], fmt.Sprintf("Models[%d].Versions[%d]", i, j), v, "served by at least one engine")
+			c.fieldErrors.Require(served[[2]string{m.Name, v}], fmt.Sprintf("Models[%d].Versions[%d]", i, j), v, "served by at least one engine")
 		}
 	}
 }
--- a/validator/document.go
+++ b/validator/document.go
@@ -125,13 +125,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// shortDigest is the length of a shortened digest, 64 bits in hex.
-const shortDigest = 16
+// shortDigestLength is the length of a shortened digest, 64 bits in hex.
+const shortDigestLength = 16
 
 // ShortenDigest cuts a digest to what is enough to tell documents apart between
 // entries, which fetch and check the whole where two differ.
 func ShortenDigest(digest string) string {
-	return digest[:min(len(digest), shortDigest)]
+	return digest[:min(len(digest), shortDigestLength)]
 }
 
 // DocumentVersion places a document in the one total order of documents. The order
@@ -165,27 +165,27 @@
 }
 
 // OrganisationByKey finds the organisation of a bearer key.
-func (a *ValidDocument) OrganisationByKey(key string) (*Organisation, bool) {
+func (v *ValidDocument) OrganisationByKey(key string) (*Organisation, bool) {
 	sum := sha256.Sum256([]byte(key))
-	o, ok := a.organisations[hex.EncodeToString(sum[:])]
+	o, ok := v.organisations[hex.EncodeToString(sum[:])]
 	return o, ok
 }
 
 // Engine finds an engine by name.
-func (a *ValidDocument) Engine(name string) (*Engine, bool) {
-	e, ok := a.engines[name]
+func (v *ValidDocument) Engine(name string) (*Engine, bool) {
+	e, ok := v.engines[name]
 	return e, ok
 }
 
 // Model finds a model by name.
-func (a *ValidDocument) Model(name string) (*Model, bool) {
-	m, ok := a.models[name]
+func (v *ValidDocument) Model(name string) (*Model, bool) {
+	m, ok := v.models[name]
 	return m, ok
 }
 
 // Service finds a service by name.
-func (a *ValidDocument) Service(name string) (*Service, bool) {
-	s, ok := a.services[name]
+func (v *ValidDocument) Service(name string) (*Service, bool) {
+	s, ok := v.services[name]
 	return s, ok
 }
 
@@ -200,8 +200,8 @@
 	return false, false
 }
 
-func index(d Document, version DocumentVersion, raw []byte) *ValidDocument {
-	a := &ValidDocument{
+func newValidDocument(d Document, version DocumentVersion, raw []byte) *ValidDocument {
+	valid := &ValidDocument{
 		Document:      d,
 		Version:       version,
 		Raw:           bytes.Clone(raw),
@@ -211,16 +211,16 @@
 		services:      make(map[string]*Service, len(d.Services)),
 	}
 	for i := range d.Organisations {
-		a.organisations[d.Organisations[i].KeyDigest] = &a.Document.Organisations[i]
+		valid.organisations[d.Organisations[i].KeyDigest] = &valid.Document.Organisations[i]
 	}
 	for i := range d.Engines {
-		a.engines[d.Engines[i].Name] = &a.Document.Engines[i]
+		valid.engines[d.Engines[i].Name] = &valid.Document.Engines[i]
 	}
 	for i := range d.Models {
-		a.models[d.Models[i].Name] = &a.Document.Models[i]
+		valid.models[d.Models[i].Name] = &valid.Document.Models[i]
 	}
 	for i := range d.Services {
-		a.services[d.Services[i].Name] = &a.Document.Services[i]
+		valid.services[d.Services[i].Name] = &valid.Document.Services[i]
 	}
-	return a
+	return valid
 }
--- a/validator/example_test.go
+++ b/validator/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-const sample = "../_fixtures/document.yaml"
+const sampleFile = "../_fixtures/document.yaml"
 
 func Example() {
 	_, err := validator.Parse([]byte("Revision: 0\nModels: [{Name: m, Versions: []}]\n"))
@@ -22,7 +22,7 @@
 
 func readSample(t testing.TB) string {
 	t.Helper()
-	data, err := os.ReadFile(sample)
+	data, err := os.ReadFile(sampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
