--- a/validator/bench_test.go
+++ b/validator/bench_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// makeBenchDocument returns a valid document with the given numbers of
+// organisations and engines.
 func makeBenchDocument(organisations, engines int) []byte {
 	var b strings.Builder
 	b.WriteString("Revision: 1\nModels:\n")
@@ -25,8 +27,9 @@
 	return []byte(b.String())
 }
 
-// BenchmarkParse is the cost of one change of configuration, and the memory
-// that a document in force takes.
+// BenchmarkParse measures the time to parse a document, as after each change of
+// the configuration, and reports the memory that the parsed document occupies as
+// kept-bytes.
 func BenchmarkParse(b *testing.B) {
 	for _, size := range [][2]int{{10, 14}, {430, 60}, {4300, 14}, {4300, 600}} {
 		b.Run(fmt.Sprintf("organisations=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
--- a/validator/check.go
+++ b/validator/check.go
@@ -10,8 +10,9 @@
 	"github.com/sapphireramp/sapphireramp/decoder"
 )
 
-// Bounds of single fields.
+// Bounds of the values of single fields.
 const (
+	// maxNameLength is in bytes.
 	maxNameLength   = 64
 	maxTokens       = 100_000_000
 	maxGroupSize    = 64
@@ -21,14 +22,16 @@
 	maxTimeoutLimit = 24 * time.Hour
 )
 
+// roles lists the valid roles of an engine.
 var roles = []string{RoleMixed, RoleShort, RoleLong, RolePrefill, RoleDecode}
 
-// Parse reads and checks a document. The error holds every fault at once; a
-// decoder.FieldErrors where the document could be read.
+// Parse decodes and checks a document. The error wraps decoder.FieldErrors with
+// all invalid fields if the document could be decoded, and otherwise a
+// decoder.TooLargeError or an error of the YAML decoder.
 func Parse(data []byte) (*ValidDocument, error) {
 	var d Document
 	if err := decoder.Decode(data, MaxDocumentSize, &d); err != nil {
-		return nil, fmt.Errorf("read document: %w", err)
+		return nil, fmt.Errorf("decode document: %w", err)
 	}
 	if err := check(d); err != nil {
 		return nil, fmt.Errorf("check document: %w", err)
@@ -37,12 +40,15 @@
 	return newValidDocument(d, version, data), nil
 }
 
-// checker collects faults while it walks a document.
+// checker collects the invalid fields of a document.
 type checker struct {
 	fieldErrors decoder.FieldErrors
-	models      map[string]Model
+	// models holds the models of the document by name; checkModels fills it.
+	models map[string]Model
 }
 
+// check returns decoder.FieldErrors with all invalid fields of a document, or
+// nil.
 func check(d Document) error {
 	c := &checker{models: map[string]Model{}}
 	c.fieldErrors.Require(d.Revision >= 1, "Revision", d.Revision, "at least 1")
@@ -58,15 +64,16 @@
 }
 
 func (c *checker) checkBase(d Document) {
-	c.fieldErrors.Require(d.Base == "" || isDigest(d.Base), "Base", d.Base, "empty or a SHA-256 digest in hex")
+	c.fieldErrors.Require(d.Base == "" || isDigest(d.Base), "Base", d.Base, "empty or a SHA-256 digest in lower-case hex")
 }
 
+// isDigest reports whether text is a SHA-256 digest in lower-case hex.
 func isDigest(text string) bool {
 	raw, err := hex.DecodeString(text)
 	return err == nil && len(raw) == 32 && strings.ToLower(text) == text
 }
 
-// checkName checks one name and that no earlier item has it.
+// checkName checks that a name is valid and not in seen, and adds it to seen.
 func (c *checker) checkName(field, name string, seen map[string]bool) {
 	valid := name != "" && len(name) <= maxNameLength && !strings.ContainsFunc(name, isInvalidNameRune)
 	c.fieldErrors.Require(valid, field, name, "1 to 64 of letters, digits, '-', '_', '.'")
@@ -74,6 +81,7 @@
 	seen[name] = true
 }
 
+// isInvalidNameRune reports whether a name must not contain r.
 func isInvalidNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
@@ -82,6 +90,7 @@
 	return !strings.ContainsRune("-_.", r)
 }
 
+// checkRange checks that a value is between low and high, both inclusive.
 func (c *checker) checkRange(field string, value, low, high int) {
 	c.fieldErrors.Require(value >= low && value <= high, field, value, fmt.Sprintf("%d to %d", low, high))
 }
@@ -178,7 +187,9 @@
 	c.fieldErrors.Require(p.ShortWeight == 0 || inRange, "Policy.ShortWeight", p.ShortWeight, fmt.Sprintf("0, or %d to %d", minShortWeight, maxShortWeight))
 }
 
-// checkAcrossSections finds faults that no single field shows.
+// checkAcrossSections checks the limits against the engines: for each model, a
+// group of at most MaxGroup engines must hold the longest prompt, and an engine
+// must serve each version.
 func (c *checker) checkAcrossSections(d Document) {
 	memoryTokens := map[string][]int{}
 	for _, e := range d.Engines {
@@ -199,11 +210,12 @@
 			groupTokens += tokens
 		}
 		maxPrompt := d.Limits.MaxPromptTokens
-		c.fieldErrors.Require(groupTokens >= maxPrompt, path, m.Name, fmt.Sprintf("held by a group of at most Limits.MaxGroup engines with %d tokens; they have %d", maxPrompt, groupTokens))
+		c.fieldErrors.Require(groupTokens >= maxPrompt, path, m.Name, fmt.Sprintf("served by Limits.MaxGroup or fewer engines that together hold Limits.MaxPromptTokens = %d tokens; the largest hold %d", maxPrompt, groupTokens))
 	}
 	c.checkVersionsServed(d)
 }
 
+// checkVersionsServed checks that an engine serves each version of each model.
 func (c *checker) checkVersionsServed(d Document) {
 	served := map[[2]string]bool{}
 	for _, e := range d.Engines {
--- a/validator/document.go
+++ b/validator/document.go
@@ -1,6 +1,6 @@
-// Package validator reads and checks the configuration document: the one
-// thing that operators create. The checker on the command line, the entries
-// and the console all use this package, so they agree on what is valid.
+// Package validator decodes and checks the configuration document, which is
+// written by operators. The command line, the entries and the console all use
+// this package, so they agree on which documents are valid.
 package validator
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// MaxDocumentSize is the largest document in bytes; the configuration service
-// holds values up to this size.
+// MaxDocumentSize is the maximum size of a document in bytes. The configuration
+// service stores values up to this size.
 const MaxDocumentSize = 1 << 20
 
-// Document states which models, adapters and versions serve which
-// organisations, and how each engine and service is used.
+// Document is the configuration of all entries. It states which organisations
+// may use which models and services, and how each engine and service is used.
 type Document struct {
-	// Revision orders documents; every publication raises it by one.
+	// Revision is at least 1. Each publication raises it by one.
 	Revision uint64 `yaml:"Revision"`
-	// Base is the digest of the document this one was edited from; empty
-	// for the first.
+	// Base is the digest of the document that this one was edited from; empty
+	// for the first document.
 	Base          string         `yaml:"Base,omitempty"`
 	Models        []Model        `yaml:"Models"`
 	Organisations []Organisation `yaml:"Organisations"`
@@ -28,50 +28,60 @@
 	Services      []Service      `yaml:"Services"`
 	Limits        Limits         `yaml:"Limits"`
 	Policy        Policy         `yaml:"Policy"`
-	// Seal is put on by the console after the check; see package sealer.
+	// Seal is the signature that the console appends to a document that it has
+	// checked; empty if the document is not signed. See package sealer.
 	Seal string `yaml:"Seal,omitempty"`
 }
 
 // Model is a model that engines can load.
 type Model struct {
-	Name     string   `yaml:"Name"`
+	Name string `yaml:"Name"`
+	// Versions and Adapters name those that engines may load; an engine serves
+	// one version. At least one version is required.
 	Versions []string `yaml:"Versions"`
 	Adapters []string `yaml:"Adapters,omitempty"`
 }
 
-// Organisation is a customer.
+// Organisation is a customer whose callers use models and services.
 type Organisation struct {
 	Name string `yaml:"Name"`
-	// KeyDigest is the SHA-256 of the organisation's bearer key, in hex;
-	// the key itself is in no document.
+	// KeyDigest is the SHA-256 digest, in lower-case hex, of the bearer key that
+	// identifies the organisation. No document contains the key itself.
 	KeyDigest string `yaml:"KeyDigest"`
-	// Models that the organisation may use, by name.
+	// Models and Services are the names of those that the organisation may use.
 	Models   []string `yaml:"Models"`
 	Services []string `yaml:"Services,omitempty"`
-	// MaxInFlight bounds the organisation's requests in flight at one entry.
+	// MaxInFlight is the maximum number of the organisation's requests in flight
+	// at one entry.
 	MaxInFlight int `yaml:"MaxInFlight"`
 }
 
-// Engine says how one model engine is used. Its address comes from the
-// instance list.
+// Engine states what one engine serves, and its capacity. The address of the
+// engine comes from the instance list.
 type Engine struct {
-	Name     string   `yaml:"Name"`
+	// Name is the name of the engine in the instance list.
+	Name string `yaml:"Name"`
+	// Model, Version and Adapters name the model, the version and the adapters
+	// that the engine is to load.
 	Model    string   `yaml:"Model"`
 	Version  string   `yaml:"Version"`
 	Adapters []string `yaml:"Adapters,omitempty"`
 	// Role is one of the Role constants.
 	Role string `yaml:"Role"`
-	// MemoryTokens is the engine's KV memory in tokens.
+	// MemoryTokens is the size of the engine's KV memory in tokens.
 	MemoryTokens int `yaml:"MemoryTokens"`
-	// PrefillRate is prompt tokens prefilled a second.
+	// PrefillRate is the number of prompt tokens that the engine prefills per
+	// second.
 	PrefillRate int `yaml:"PrefillRate"`
-	// ChecksFences says that the engine refuses an old fencing number.
+	// ChecksFences is true if the engine refuses orders with an old fencing
+	// number.
 	ChecksFences bool `yaml:"ChecksFences"`
-	// ChecksOrders says that the engine checks who gives it an order.
+	// ChecksOrders is true if the engine checks the issuer of an order.
 	ChecksOrders bool `yaml:"ChecksOrders"`
 }
 
-// Roles of an engine.
+// Roles of an engine: the part of the work on requests that an engine is
+// ordered to do.
 const (
 	RoleMixed   = "Mixed"
 	RoleShort   = "Short"
@@ -80,70 +90,78 @@
 	RoleDecode  = "Decode"
 )
 
-// Service is a plain service beside the engines.
+// Service is a service other than an engine. It answers plain requests.
 type Service struct {
 	Name string `yaml:"Name"`
-	// Instances that run the service, by their names in the instance list.
+	// Instances are the names, in the instance list, of the instances that run
+	// the service.
 	Instances []string `yaml:"Instances"`
-	Calls     []Call   `yaml:"Calls"`
+	// Calls are the operations of the service that callers may request.
+	Calls []Call `yaml:"Calls"`
 }
 
-// Call is one call of a service.
+// Call is one operation of a service.
 type Call struct {
 	Name string `yaml:"Name"`
-	// Repeatable is false for a call that may run at most once.
+	// Repeatable is true if the call may run more than once for one request. If
+	// it is false, the call runs at most once.
 	Repeatable bool `yaml:"Repeatable"`
 }
 
-// Limits bound what a caller may ask for.
+// Limits bounds the requests of callers.
 type Limits struct {
+	// MaxPromptTokens is the maximum length of a prompt, MaxNewTokens the maximum
+	// number of tokens generated for it.
 	MaxPromptTokens int `yaml:"MaxPromptTokens"`
 	MaxNewTokens    int `yaml:"MaxNewTokens"`
-	// MaxTimeout bounds a caller's time limit; DefaultTimeout stands in
-	// where the caller names none.
+	// MaxTimeout is the maximum timeout of a request. DefaultTimeout applies to
+	// requests that state none; it is at most MaxTimeout.
 	MaxTimeout     time.Duration `yaml:"MaxTimeout"`
 	DefaultTimeout time.Duration `yaml:"DefaultTimeout"`
-	// MaxGroup is the most engines that one prompt may take.
+	// MaxGroup is the maximum number of engines that hold one prompt together.
 	MaxGroup int `yaml:"MaxGroup"`
-	// MaxInFlight bounds all requests in flight at one entry.
+	// MaxInFlight is the maximum number of requests in flight at one entry.
 	MaxInFlight int `yaml:"MaxInFlight"`
 }
 
-// Policy weighs the choices of the router.
+// Policy sets the priority of prompts by the class of their length.
 type Policy struct {
-	// ShortTokens is the longest prompt of the short class.
+	// ShortTokens is the maximum length in tokens of a prompt in the short class.
 	ShortTokens int `yaml:"ShortTokens"`
-	// ShortWeight is the priority of the short class at the engines; longer
-	// classes have less. 0 means that engines go by order of arrival; else
-	// it is 3 to 10.
+	// ShortWeight is the priority of the short class at the engines; classes of
+	// longer prompts have lower priorities. It is 3 to 10, or 0 for no priorities:
+	// engines then run requests in the order of their arrival.
 	ShortWeight int `yaml:"ShortWeight"`
 }
 
-// Digest is the SHA-256 of a document's bytes, in hex.
+// Digest returns the SHA-256 digest of a document's bytes in lower-case hex.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// shortDigestLength is the length of a shortened digest, 64 bits in hex.
+// shortDigestLength is the number of hex digits in a shortened digest: 64 bits.
 const shortDigestLength = 16
 
-// ShortenDigest cuts a digest to what is enough to tell documents apart between
-// entries, which fetch and check the whole where two differ.
+// ShortenDigest returns the first 64 bits of a digest in hex. That is enough for
+// entries to detect that their documents differ; they then fetch the whole
+// document and check its full digest.
 func ShortenDigest(digest string) string {
 	return digest[:min(len(digest), shortDigestLength)]
 }
 
-// DocumentVersion places a document in the one total order of documents. The order
-// depends on the documents alone, so all entries agree on it whatever each
-// has seen.
+// DocumentVersion identifies a document and defines a total order of documents.
+// The order depends on the documents alone, so all entries agree on which of
+// two is newer, whichever documents each has received.
 type DocumentVersion struct {
+	// Revision is the revision stated in the document.
 	Revision uint64
-	// Digest breaks ties: the greater one wins.
+	// Digest is the full digest of the document. Of two documents with the same
+	// revision, the one with the greater digest is newer.
 	Digest string
 }
 
-// Less reports whether v comes before o.
+// Less reports whether the document of v is older than that of o.
 func (v DocumentVersion) Less(o DocumentVersion) bool {
 	if v.Revision != o.Revision {
 		return v.Revision < o.Revision
@@ -151,46 +169,50 @@
 	return v.Digest < o.Digest
 }
 
-// ValidDocument is a document that passed every check. It is never changed.
+// ValidDocument is a document that passed all checks, with indexes by name. It
+// must not be modified.
 type ValidDocument struct {
 	Document Document
-	Version  DocumentVersion
-	// Raw is the document as its publisher wrote it; the digest is of it.
+	// Version holds the revision of the document and the digest of Raw.
+	Version DocumentVersion
+	// Raw is the document as published, seal included.
 	Raw []byte
 
+	// organisations is indexed by KeyDigest, the other maps by name.
 	organisations map[string]*Organisation
 	engines       map[string]*Engine
 	models        map[string]*Model
 	services      map[string]*Service
 }
 
-// OrganisationByKey finds the organisation of a bearer key.
+// OrganisationByKey returns the organisation that a bearer key belongs to, and
+// whether there is one.
 func (v *ValidDocument) OrganisationByKey(key string) (*Organisation, bool) {
 	sum := sha256.Sum256([]byte(key))
 	o, ok := v.organisations[hex.EncodeToString(sum[:])]
 	return o, ok
 }
 
-// Engine finds an engine by name.
+// Engine returns the engine with a name, and whether there is one.
 func (v *ValidDocument) Engine(name string) (*Engine, bool) {
 	e, ok := v.engines[name]
 	return e, ok
 }
 
-// Model finds a model by name.
+// Model returns the model with a name, and whether there is one.
 func (v *ValidDocument) Model(name string) (*Model, bool) {
 	m, ok := v.models[name]
 	return m, ok
 }
 
-// Service finds a service by name.
+// Service returns the service with a name, and whether there is one.
 func (v *ValidDocument) Service(name string) (*Service, bool) {
 	s, ok := v.services[name]
 	return s, ok
 }
 
-// IsRepeatable reports whether the service has the call and whether the call
-// may run more than once.
+// IsRepeatable reports whether a call of the service may run more than once for
+// one request. Found is false if the service has no call of that name.
 func (s *Service) IsRepeatable(call string) (repeatable, found bool) {
 	for _, c := range s.Calls {
 		if c.Name == call {
@@ -200,6 +222,8 @@
 	return false, false
 }
 
+// newValidDocument returns a document that has been checked, with its indexes.
+// It copies raw.
 func newValidDocument(d Document, version DocumentVersion, raw []byte) *ValidDocument {
 	valid := &ValidDocument{
 		Document:      d,
--- a/validator/example_test.go
+++ b/validator/example_test.go
@@ -11,6 +11,7 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
+// sampleFile holds a valid document.
 const sampleFile = "../_fixtures/document.yaml"
 
 func Example() {
@@ -20,6 +21,7 @@
 	// check document: Revision: "0": must be at least 1
 }
 
+// readSample returns the text of sampleFile.
 func readSample(t testing.TB) string {
 	t.Helper()
 	data, err := os.ReadFile(sampleFile)
@@ -37,7 +39,7 @@
 	is.True(ok)
 }
 
-// Every fault is named with its field.
+// The error for an invalid document names the path of the invalid field.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	cases := map[string]struct{ old, new, want string }{
 		"unknown key":          {"Revision: 1", "Revision: 1\nColour: blue", "field Colour not found"},
@@ -85,7 +87,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		a, err := validator.Parse(data)
 		if err == nil && a.Version.Digest != validator.Digest(data) {
-			t.Fatal("digest is not of the document")
+			t.Fatal("Version.Digest is not the digest of the document")
 		}
 	})
 }
