--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,4 +1,5 @@
-// Package loader reads the settings of an entry daemon from YAML.
+// Package loader reads the YAML file with the settings of an entry daemon, sets
+// defaults and checks the values.
 package loader
 
 import (
@@ -12,79 +13,87 @@
 	"github.com/sapphireramp/sapphireramp/sealer"
 )
 
-// maxSettingsSize is the largest settings file in bytes.
+// maxSettingsSize is the maximum size of a settings file in bytes.
 const maxSettingsSize = 1 << 20
 
-// Settings of one entry.
+// Settings holds the settings of one entry.
 type Settings struct {
 	// Name is unique among the entries.
-	Name       string `yaml:"Name"`
+	Name string `yaml:"Name"`
+	// DataCentre is the name of the data centre that the entry runs in.
 	DataCentre string `yaml:"DataCentre"`
-	// Address is where callers connect; PeerAddress where other entries do.
+	// Address is the address announced to callers, PeerAddress the one announced
+	// to other entries.
 	Address     netip.AddrPort `yaml:"Address"`
 	PeerAddress netip.AddrPort `yaml:"PeerAddress"`
-	// Listen and PeerListen are where the entry binds, where that is other
-	// than what callers and peers are told to connect to.
+	// Listen and PeerListen are the addresses that the entry listens on for
+	// callers and for other entries. They default to Address and PeerAddress.
 	Listen     netip.AddrPort `yaml:"Listen"`
 	PeerListen netip.AddrPort `yaml:"PeerListen"`
-	// Platform is where the configuration service and instance list answer.
+	// Platform is the address of the platform's configuration service and
+	// instance list.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Peers are peer addresses to ask at the start, before the instance
-	// list is known or while it is down.
+	// Peers are addresses of other entries to contact at the start, when the
+	// instance list is not known yet or is unavailable.
 	Peers []netip.AddrPort `yaml:"Peers"`
 
-	// SealKeys are the public keys, in hex, of consoles whose seals this
-	// entry accepts. Without one it accepts documents without a seal.
-	SealKeys []string `yaml:"SealKeys"`
-
-	Log     Log          `yaml:"Log"`
-	Timing  Timing       `yaml:"Timing"`
-	Callers CallerLimits `yaml:"Callers"`
+	// SealKeys are the public keys, in hex, of the consoles whose seals this
+	// entry accepts. If it is empty, documents need no seal.
+	SealKeys []string     `yaml:"SealKeys"`
+	Log      Log          `yaml:"Log"`
+	Timing   Timing       `yaml:"Timing"`
+	Callers  CallerLimits `yaml:"Callers"`
 }
 
-// Log selects what is logged.
+// Log selects the lines that are logged.
 type Log struct {
-	// Level is debug, info, warn or error.
+	// Level is the lowest level that is logged: debug, info, warn or error.
 	Level string `yaml:"Level"`
-	// Layers that log; empty means all.
+	// Layers names the layers that are logged, as in logger.Layers; empty means
+	// all.
 	Layers []string `yaml:"Layers"`
 }
 
-// Timing holds every period of the control loops.
+// Timing holds the periods and timeouts of an entry's control loops.
 type Timing struct {
-	// Heartbeat is the period of heartbeats to neighbours.
+	// Heartbeat is the time between two heartbeats to a neighbour.
 	Heartbeat time.Duration `yaml:"Heartbeat"`
-	// Neighbours is how many entries each entry sends heartbeats to.
+	// Neighbours is the number of entries that each entry sends heartbeats to.
 	Neighbours int `yaml:"Neighbours"`
-	// Suspect is the silence after which a neighbour counts as dead.
+	// Suspect is the time without a heartbeat after which a neighbour counts as
+	// dead.
 	Suspect time.Duration `yaml:"Suspect"`
-	// Poll is the period of load reports asked of a kept engine.
+	// Poll is the period at which a keeper requests the load of its engines.
 	Poll time.Duration `yaml:"Poll"`
-	// List is the period of listings of a kept engine's holds.
+	// List is the period at which a keeper lists the memory reservations (holds)
+	// at its engines.
 	List time.Duration `yaml:"List"`
-	// Lease is the age at which an unrenewed hold is an orphan.
+	// Lease is the time after which a hold that was not renewed counts as
+	// orphaned.
 	Lease time.Duration `yaml:"Lease"`
-	// Watch is how long a watch of the platform waits for news.
+	// Watch is how long a watch request to the platform waits for a change.
 	Watch time.Duration `yaml:"Watch"`
-	// Silence is how long an engine's stream may say nothing between chunks
-	// before the attempt is given up and resumed elsewhere.
+	// Silence is the maximum time between two chunks of an engine's stream. After
+	// it, the attempt is cancelled and the stream is resumed at another engine.
 	Silence time.Duration `yaml:"Silence"`
 }
 
-// CallerLimits bounds what callers may do.
+// CallerLimits bounds what callers may send and how long they may use what they
+// were given.
 type CallerLimits struct {
-	// MaxBody is the largest request body in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64 `yaml:"MaxBody"`
-	// AddressLife is how long a caller may keep an answer to its question
-	// for addresses.
+	// AddressLife is how long a caller may use the entry addresses in a response.
 	AddressLife time.Duration `yaml:"AddressLife"`
-	// TicketLife is how long a ticket may be spent.
+	// TicketLife is how long a ticket, which allows one request to run at most
+	// once, is valid.
 	TicketLife time.Duration `yaml:"TicketLife"`
-	// DrainSlack is added to AddressLife before a stopping entry exits.
+	// DrainSlack is the time for which an entry that shuts down accepts requests
+	// after AddressLife has passed.
 	DrainSlack time.Duration `yaml:"DrainSlack"`
 }
 
-// Defaults returns the settings that a file need not name.
+// Defaults returns the default settings. The fields without a default are zero.
 func Defaults() Settings {
 	return Settings{
 		Log: Log{Level: "info"},
@@ -107,7 +116,7 @@
 	}
 }
 
-// Load reads and checks the settings in a file.
+// Load reads and checks the settings file at path.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -116,11 +125,13 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings. The error holds every fault at once.
+// Parse decodes and checks settings, with Defaults for the fields that data does
+// not set. The error for invalid values wraps decoder.FieldErrors with all
+// invalid fields.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
 	if err := decoder.Decode(data, maxSettingsSize, &s); err != nil {
-		return Settings{}, fmt.Errorf("read settings: %w", err)
+		return Settings{}, fmt.Errorf("decode settings: %w", err)
 	}
 	if !s.Listen.IsValid() {
 		s.Listen = s.Address
@@ -134,8 +145,10 @@
 	return s, nil
 }
 
+// logLevels lists the valid values of Log.Level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
+// check returns decoder.FieldErrors with all invalid fields, or nil.
 func (s Settings) check() error {
 	var fieldErrors decoder.FieldErrors
 	fieldErrors.Require(s.Name != "" && len(s.Name) <= 64 && !strings.ContainsAny(s.Name, " \t\n\"/=,."), "Name", s.Name, "1 to 64 characters without space, quote, '/', '=', ',' or '.'")
@@ -159,10 +172,13 @@
 	return fieldErrors.Err()
 }
 
+// checkDuration adds a field error unless d is between low and high, both
+// inclusive.
 func checkDuration(fieldErrors *decoder.FieldErrors, field string, d, low, high time.Duration) {
 	fieldErrors.Require(d >= low && d <= high, field, d, fmt.Sprintf("%s to %s", low, high))
 }
 
+// check adds the invalid fields of t to fieldErrors.
 func (t Timing) check(fieldErrors *decoder.FieldErrors) {
 	checkDuration(fieldErrors, "Timing.Heartbeat", t.Heartbeat, 10*time.Millisecond, time.Minute)
 	checkDuration(fieldErrors, "Timing.Suspect", t.Suspect, 2*t.Heartbeat, 10*time.Minute)
@@ -174,6 +190,7 @@
 	fieldErrors.Require(t.Neighbours >= 1 && t.Neighbours <= 64, "Timing.Neighbours", t.Neighbours, "1 to 64")
 }
 
+// check adds the invalid fields of c to fieldErrors.
 func (c CallerLimits) check(fieldErrors *decoder.FieldErrors) {
 	fieldErrors.Require(c.MaxBody >= 1<<10 && c.MaxBody <= 1<<30, "Callers.MaxBody", c.MaxBody, "1024 to 1073741824 bytes")
 	checkDuration(fieldErrors, "Callers.AddressLife", c.AddressLife, 100*time.Millisecond, time.Hour)
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -10,8 +10,10 @@
 	"github.com/sapphireramp/sapphireramp/loader"
 )
 
+// sampleFile holds valid settings.
 const sampleFile = "../_fixtures/settings.yaml"
 
+// readSample returns the text of sampleFile.
 func readSample(t testing.TB) string {
 	t.Helper()
 	data, err := os.ReadFile(sampleFile)
@@ -29,7 +31,8 @@
 	is.Equal(s.Listen, s.Address)
 }
 
-// All faults are reported at once, each with field, value and limit.
+// The error for invalid settings names all invalid fields, each with its value
+// and the accepted values.
 func TestAllInvalidFieldsAreReported(t *testing.T) {
 	is := is.New(t)
 	text := readSample(t)
@@ -41,7 +44,7 @@
 	is.True(err != nil)
 	for _, want := range []string{"Name: \"\"", "Timing.Heartbeat: \"1ns\": must be 10ms to 1m0s", "Callers.MaxBody: \"-1\"", "Log.Level: \"loud\""} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in:\n%s", want, err)
+			t.Errorf("%q is not in the error:\n%s", want, err)
 		}
 	}
 }
