--- a/sleeper/sleeper.go
+++ b/sleeper/sleeper.go
@@ -1,4 +1,4 @@
-// Package sleeper pauses for as long as somebody still waits for the result.
+// Package sleeper provides a sleep that ends early when a context ends.
 package sleeper
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Sleep pauses, and reports whether the context is still alive.
+// Sleep blocks for the duration d or until ctx is done. It returns false if it
+// was ended by ctx.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
