--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,4 +1,5 @@
-// Package meter makes the product's metrics and the page they are read from.
+// Package meter collects the product's metrics and serves them in the Prometheus
+// text format.
 package meter
 
 import (
@@ -10,18 +11,23 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportPeriod is how often counts reach the scrape page.
+// reportPeriod is the interval at which collected metrics are passed on to the
+// handler that serves them.
 const reportPeriod = time.Second
 
-// Meter is the root of the metrics.
+// Meter holds the root scope of a process's metrics and the handler that serves
+// them.
 type Meter struct {
+	// Scope is the root scope: metrics are registered on it or on its subscopes.
 	Scope tally.Scope
-	// Handler serves the metrics in the text format that scrapers read.
+	// Handler serves the metrics in the Prometheus text format.
 	Handler http.Handler
-	closer  io.Closer
+	// closer stops the scope.
+	closer io.Closer
 }
 
-// New returns a meter whose metrics start with the product's name.
+// New returns a meter. The names of its metrics start with "sapphireramp". It
+// must be closed.
 func New() *Meter {
 	reporter := prometheus.NewReporter(prometheus.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -34,5 +40,5 @@
 	return &Meter{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close reports what is left and stops.
+// Close passes the remaining metrics on to the handler and stops the meter.
 func (m *Meter) Close() error { return m.closer.Close() }
