--- a/launcher/planned_requests_test.go
+++ b/launcher/planned_requests_test.go
@@ -37,8 +37,8 @@
 // addSlowWorkers adds workers with slow responses, and routes to them. The engines' step time in the
 // configuration is that of the slowest: 20 events with gaps of 0.345 s.
 func (f *fleet) addSlowWorkers() {
-	for _, pause := range []time.Duration{200, 230, 260, 290, 320, 345} {
-		f.addWorkerWith("long", 20*time.Millisecond, longEvents, pause*time.Millisecond)
+	for _, gap := range []time.Duration{200, 230, 260, 290, 320, 345} {
+		f.addWorkerWith("long", 20*time.Millisecond, longEvents, gap*time.Millisecond)
 	}
 	for range 3 {
 		f.addWorkerWith("heavy", 1500*time.Millisecond, longEvents, 300*time.Millisecond)
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -21,10 +21,10 @@
 // Flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	flagsSet := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { flagsSet[f.Name] = true })
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "12", "rapid.nofailfile": "true"} {
-		if !given[name] {
+		if !flagsSet[name] {
 			_ = flag.Set(name, value)
 		}
 	}
@@ -46,9 +46,9 @@
 		return func() { w.SetFault(worker.Sound) }
 	}},
 	{"store", func(f *fleet, t *rapid.T) func() {
-		back := f.disruptionLog.StoreAway()
+		storeReturned := f.disruptionLog.StoreAway()
 		f.store.SetMode(rapid.SampledFrom([]store.Mode{store.Busy, store.Many, store.Silent, store.Reset, store.Late}).Draw(t, "mode"))
-		return func() { f.store.SetMode(store.Up); back() }
+		return func() { f.store.SetMode(store.Up); storeReturned() }
 	}},
 	{"history dropped", func(f *fleet, _ *rapid.T) func() {
 		f.store.Compact()
@@ -56,16 +56,16 @@
 	}},
 	{"entry cut off from store", func(f *fleet, t *rapid.T) func() {
 		host := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry"))
-		back := f.disruptionLog.StoreAway()
+		storeReturned := f.disruptionLog.StoreAway()
 		f.net.Cut(host, storeHost)
-		return func() { f.net.Mend(host, storeHost); back() }
+		return func() { f.net.Mend(host, storeHost); storeReturned() }
 	}},
 	{"entries parted", func(f *fleet, t *rapid.T) func() {
 		a := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "one"))
 		b := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "other"))
-		joined := f.disruptionLog.Parted()
+		partitionEnded := f.disruptionLog.Parted()
 		f.net.Cut(a, b)
-		return func() { f.net.Mend(a, b); joined() }
+		return func() { f.net.Mend(a, b); partitionEnded() }
 	}},
 	{"entry killed", func(f *fleet, t *rapid.T) func() {
 		if i, ok := f.takeDownEntry(t); ok {
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -223,13 +223,13 @@
 func TestStopsInSeriesCutNothing(t *testing.T) {
 	withFleet(t, 5, func(is *is.I, f *fleet) {
 		f.addSlowWorkers()
-		over := make(chan struct{})
+		stopCallers := make(chan struct{})
 		var callers sync.WaitGroup
 		var lock sync.Mutex
 		var results []caller.Result
 		for n := range 60 {
 			callers.Go(func() {
-				for r := range f.sendMixed(n, over) {
+				for r := range f.sendMixed(n, stopCallers) {
 					lock.Lock()
 					results = append(results, r)
 					lock.Unlock()
@@ -247,7 +247,7 @@
 			time.Sleep(time.Second)
 		}
 		stops.Wait()
-		close(over)
+		close(stopCallers)
 		callers.Wait()
 		for _, r := range results {
 			if err := f.checkResult(r); err != nil {
