--- a/cmd/standin/measure.go
+++ b/cmd/standin/measure.go
@@ -75,14 +75,14 @@
 			r.Print(os.Stdout, p.Name)
 			continue
 		}
-		alone := measurer.Run(d, o, load, false, m.seed).Quantile(router.Short, 95)
-		short := r.Quantile(router.Short, 95)
+		alone := measurer.Run(d, o, load, false, m.seed).FirstTokenQuantile(router.Short, 95)
+		short := r.FirstTokenQuantile(router.Short, 95)
 		answered, refused, late := 0, 0, 0
 		for _, c := range r.Classes {
 			answered, refused, late = answered+c.Answered, refused+c.Refused, late+c.Late
 		}
 		fmt.Printf("  %-30s %9.0f %9.0f %9.2f %9.0f %9.0f %8d %8d %8d %9.0f\n", p.Name, short, alone, short/alone,
-			r.Quantile(router.Long, 95), r.Quantile(router.Longest, 95), answered, refused, late, r.Goodput)
+			r.FirstTokenQuantile(router.Long, 95), r.FirstTokenQuantile(router.Longest, 95), answered, refused, late, r.Goodput)
 	}
 }
 
@@ -95,10 +95,10 @@
 			continue
 		}
 		o := p.Options
-		o.Retries, o.Budget = retries, p.Options.Refuse
-		fmt.Printf("  %s: base %.1f, peak %.1f from 60 s to 120 s, up to %d retries, budget %t\n", p.Name, base, peak, retries, o.Budget)
-		for _, w := range measurer.Burst(d, o, base, peak, m.seed) {
-			fmt.Printf("    from_s=%d sent=%d answered=%d refused=%d late=%d goodput=%.0f\n", int(w.From.Seconds()), w.Sent, w.Answered, w.Refused, w.Late, w.Goodput)
+		o.MaxRetries, o.HasRetryBudget = retries, p.Options.RefusesLate
+		fmt.Printf("  %s: base %.1f, peak %.1f from 60 s to 120 s, up to %d retries, budget %t\n", p.Name, base, peak, retries, o.HasRetryBudget)
+		for _, w := range measurer.RunBurst(d, o, base, peak, m.seed) {
+			fmt.Printf("    from_s=%d sent=%d answered=%d refused=%d late=%d goodput=%.0f\n", int(w.Start.Seconds()), w.Sent, w.Answered, w.Refused, w.Late, w.Goodput)
 		}
 	}
 }
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -92,9 +92,9 @@
 	}
 	_ = f.server.Close()
 	for _, e := range f.entries {
-		f.net.Kill(e.host)
+		f.net.KillHost(e.host)
 	}
-	f.net.Kill(storeAddress.Addr())
+	f.net.KillHost(storeAddress.Addr())
 	time.Sleep(2 * time.Second)
 	synctest.Wait()
 }
@@ -165,7 +165,7 @@
 func (f *fleet) register(id, state string) { f.registerAt("app", id, state) }
 
 func (f *fleet) registerAt(service, id, state string) {
-	u := store.NewUpstream(service, netip.MustParseAddrPort("10.1.0.200:80"))
+	u := store.NewUpstreamRecord(service, netip.MustParseAddrPort("10.1.0.200:80"))
 	u.Slots, u.State = 4, state
 	f.store.Put("servers/"+id, u)
 }
@@ -243,9 +243,9 @@
 // Only two entries read the store, so that its calls do not grow with the fleet.
 func TestStoreCallsDoNotGrowWithTheFleet(t *testing.T) {
 	withFleet(t, 12, func(f *fleet) {
-		before := f.store.Calls()
+		before := f.store.CallCount()
 		time.Sleep(10 * time.Second)
-		calls := f.store.Calls() - before
+		calls := f.store.CallCount() - before
 		if calls > 40 {
 			t.Errorf("%d store calls in ten seconds, at most 40 expected", calls)
 		}
@@ -256,7 +256,7 @@
 func TestEntriesCutOffFromStoreGetChanges(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		for i := range f.entries[1:] {
-			f.net.Cut(f.entries[i].host, storeAddress.Addr())
+			f.net.Disconnect(f.entries[i].host, storeAddress.Addr())
 		}
 		f.putVersion(2)
 		f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
@@ -269,7 +269,7 @@
 		for i := range f.entries {
 			for j := range f.entries {
 				if i != j {
-					f.net.Cut(f.entries[i].host, f.entries[j].host)
+					f.net.Disconnect(f.entries[i].host, f.entries[j].host)
 				}
 			}
 		}
@@ -283,7 +283,7 @@
 // outage take effect in time, and upstreams whose registration lapsed are retained until
 // they had time to register again. The store fails in each of its modes.
 func TestStoreOutage(t *testing.T) {
-	for _, mode := range []store.Mode{store.Busy, store.Many, store.Silent, store.Reset} {
+	for _, mode := range []store.Mode{store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections} {
 		t.Run(fmt.Sprint(mode), func(t *testing.T) {
 			withFleet(t, 5, func(f *fleet) {
 				f.store.SetMode(mode)
@@ -293,7 +293,7 @@
 				f.store.Delete("servers/i-1")
 				f.store.Compact()
 				f.putVersion(2)
-				f.store.SetMode(store.Up)
+				f.store.SetMode(store.Available)
 				f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
 				f.eventually(0, "lapsed upstreams retained", hasUsable(3))
 				f.register("i-0", "ready")
@@ -307,7 +307,7 @@
 // Changes take effect in time though the store replies late and drops its history.
 func TestSlowStoreWithoutHistory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
-		f.store.SetMode(store.Late)
+		f.store.SetMode(store.Slow)
 		f.putVersion(2)
 		f.store.Compact()
 		f.eventually(1900*time.Millisecond, "version 2", hasVersion(2))
@@ -335,9 +335,9 @@
 func TestLargeConfigurationSpreadsOverSlowLinks(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i, e := range f.entries {
-			f.net.Limit(e.host, 20e6/8)
+			f.net.LimitSendRate(e.host, 20e6/8)
 			if i >= 2 {
-				f.net.Cut(e.host, storeAddress.Addr())
+				f.net.Disconnect(e.host, storeAddress.Addr())
 			}
 		}
 		time.Sleep(2 * time.Second)
@@ -353,7 +353,7 @@
 func TestDeadEntryLeavesDirectory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		dead := f.entries[4]
-		f.net.Kill(dead.host)
+		f.net.KillHost(dead.host)
 		dead.end()
 		f.entries = f.entries[:4]
 		f.eventually(2500*time.Millisecond, "dead entry left out", func(e *entry) bool { return len(e.CallerAddresses("dc-0")) == 4 })
@@ -403,7 +403,7 @@
 		time.Sleep(150 * time.Millisecond) // past the next full update
 		f.is.Equal(f.entries[0].requestCount(), 6)
 		f.entries[2].end()
-		f.net.Kill(f.entries[2].host)
+		f.net.KillHost(f.entries[2].host)
 		f.entries[2] = f.startEntry(2)
 		time.Sleep(250 * time.Millisecond)
 		f.is.Equal(f.entries[2].requestCount(), 5)
@@ -416,10 +416,10 @@
 func TestUnreadableItemsDoNotAffectOthers(t *testing.T) {
 	withFleet(t, 4, func(f *fleet) {
 		for i := range 200 {
-			f.store.PutItem(fmt.Sprintf("servers/bad-%d", i), json.RawMessage(`12`))
+			f.store.PutRaw(fmt.Sprintf("servers/bad-%d", i), json.RawMessage(`12`))
 		}
 		f.store.PutBytes("servers/i-1", []byte{0xff, 0})
-		f.store.PutItem("op/config", json.RawMessage(`"?"`))
+		f.store.PutRaw("op/config", json.RawMessage(`"?"`))
 		f.eventually(time.Second, "i-1 unreadable", hasUsable(2))
 		f.eventually(0, "version 1 kept", hasVersion(1))
 		f.store.Compact() // the complete state is read again, including the unreadable items
@@ -435,9 +435,9 @@
 // An upstream's new incarnation under an ID used before is known to all entries in a second.
 func TestNewIncarnationUnderTheSameIDReachesAllEntries(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
-		u := store.NewUpstream("app", netip.MustParseAddrPort("10.1.0.200:80"))
+		u := store.NewUpstreamRecord("app", netip.MustParseAddrPort("10.1.0.200:80"))
 		first := time.Now()
-		f.store.Put("servers/i-1", u.BornAt(first))
+		f.store.Put("servers/i-1", u.WithStart(first))
 		startedAt := func(at time.Time) func(*entry) bool {
 			return func(e *entry) bool {
 				for _, row := range e.dispatcher.Upstreams(time.Now()) {
@@ -449,7 +449,7 @@
 			}
 		}
 		f.eventually(time.Second, "first incarnation", startedAt(first))
-		f.store.Put("servers/i-1", u.BornAt(first.Add(time.Minute)))
+		f.store.Put("servers/i-1", u.WithStart(first.Add(time.Minute)))
 		f.eventually(time.Second, "second incarnation", startedAt(first.Add(time.Minute)))
 	})
 }
@@ -462,7 +462,7 @@
 	withFleet(t, 24, func(f *fleet) {
 		var lock sync.Mutex
 		across, within := 0, 0
-		f.net.OnPacket = func(from, to netip.Addr, size int) {
+		f.net.OnDatagram = func(from, to netip.Addr, size int) {
 			lock.Lock()
 			defer lock.Unlock()
 			if from.As4()[1] != to.As4()[1] {
@@ -483,7 +483,7 @@
 		f.is.True(across*4 < within) // 2 of 2 + 7 + 14 datagrams
 		lock.Unlock()
 		for _, e := range f.entries[1:7] {
-			f.net.Kill(e.host)
+			f.net.KillHost(e.host)
 			e.end()
 		}
 		f.entries = append(f.entries[:1], f.entries[7:]...)
@@ -518,7 +518,7 @@
 			f.eventually(20*time.Millisecond, "load received by all, including stopping entries", hasRequests(n))
 		}
 		for _, e := range stopped {
-			f.net.Kill(e.host)
+			f.net.KillHost(e.host)
 			e.end()
 		}
 		f.entries = others
@@ -541,7 +541,7 @@
 		}
 		time.Sleep(5 * time.Second) // until most have exchanged heartbeats
 		for _, e := range f.entries[15:] {
-			f.net.Kill(e.host)
+			f.net.KillHost(e.host)
 			e.end()
 		}
 		f.entries = f.entries[:15]
@@ -571,7 +571,7 @@
 		f.eventually(time.Second, "address of a stopping entry removed", isListed(false))
 		time.Sleep(3 * time.Second)
 		restarted.end()
-		f.net.Kill(restarted.host)
+		f.net.KillHost(restarted.host)
 		time.Sleep(500 * time.Millisecond)
 		f.entries[7] = f.startEntry(7)
 		f.eventually(2*time.Second, "address of a restarted entry listed", isListed(true))
@@ -626,7 +626,7 @@
 		}
 		var lock sync.Mutex
 		toSlow, counts := 0, false
-		f.net.OnPacket = func(_, to netip.Addr, _ int) {
+		f.net.OnDatagram = func(_, to netip.Addr, _ int) {
 			lock.Lock()
 			defer lock.Unlock()
 			if counts && hosts[to] {
@@ -689,7 +689,7 @@
 			f.is.True(refusal == nil)
 		}
 		f.entries[59].end()
-		f.net.Kill(f.entries[59].host)
+		f.net.KillHost(f.entries[59].host)
 		f.entries[59] = f.startEntry(59)
 		time.Sleep(500 * time.Millisecond)
 		_, refusal := f.entries[59].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
@@ -703,14 +703,14 @@
 func TestStoreCallsInAnOutageDoNotGrowWithTheFleet(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
-		f.store.SetMode(store.Reset)
-		before := f.store.Calls()
+		f.store.SetMode(store.ResetsConnections)
+		before := f.store.CallCount()
 		time.Sleep(8 * time.Second)
-		if calls := f.store.Calls() - before; calls > 500 {
+		if calls := f.store.CallCount() - before; calls > 500 {
 			t.Errorf("%d store calls in an outage of 8 s, at most 500 expected", calls)
 		}
 		f.putVersion(2)
-		f.store.SetMode(store.Up)
+		f.store.SetMode(store.Available)
 		f.eventually(2*time.Second, "version 2", hasVersion(2))
 	})
 }
@@ -722,7 +722,7 @@
 		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
 		for i := 30; i < 60; i++ {
 			f.entries[i].end()
-			f.net.Kill(f.entries[i].host)
+			f.net.KillHost(f.entries[i].host)
 		}
 		time.Sleep(2 * time.Second)
 		for i := 30; i < 60; i++ {
--- a/forwarder/crash_test.go
+++ b/forwarder/crash_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		w.Restart()
-		f.net.Kill(f.instances[len(f.plain)+i].Address.Addr())
+		f.net.KillHost(f.instances[len(f.plain)+i].Address.Addr())
 	}
 }
 
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -111,7 +111,7 @@
 				_ = s.Close()
 			}
 			for _, h := range []netip.Addr{entryHost, callerHost} {
-				f.net.Kill(h)
+				f.net.KillHost(h)
 			}
 			time.Sleep(time.Second) // until crash detection has ended
 			synctest.Wait()
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -235,10 +235,10 @@
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
 		time.Sleep(400 * time.Millisecond)
 		silent := f.instances[2+f.runningEngine("s1")].Address.Addr()
-		f.net.Cut(entryHost, silent)
+		f.net.Disconnect(entryHost, silent)
 		f.startStopping(left, 1)
 		time.Sleep(left)
-		f.net.Kill(silent)
+		f.net.KillHost(silent)
 		a := <-done
 		f.is.NoErr(a.err)
 		f.is.Equal(a.body, wholeStream("s1", 1))
--- a/launcher/crash_test.go
+++ b/launcher/crash_test.go
@@ -29,7 +29,7 @@
 // pause between.
 func (f *fleet) startRepeater(callers int, pause time.Duration) *caller.Traffic {
 	f.trafficCount++
-	return caller.NewRepeater(fmt.Sprintf("r%d%s", f.trafficCount, f.idSalt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
+	return caller.NewRepeatingTraffic(fmt.Sprintf("r%d%s", f.trafficCount, f.idSalt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
 		c := f.newCaller(uint64(100 + n))
 		c.BodyOf = func(string) string { return "the same" }
 		return c
@@ -56,7 +56,7 @@
 		x := f.startRepeater(3, 150*time.Millisecond)
 		time.Sleep(12 * time.Second)
 		x.Stop()
-		for _, b := range x.Repeats(f.evidence()) {
+		for _, b := range x.RepeatViolations(f.evidence()) {
 			t.Error(b)
 		}
 		others.stopAndCheck()
@@ -80,7 +80,7 @@
 		f.entries[2] = f.startEntry(2)
 		time.Sleep(8 * time.Second)
 		x.Stop()
-		for _, b := range x.Repeats(f.evidence()) {
+		for _, b := range x.RepeatViolations(f.evidence()) {
 			t.Error(b)
 		}
 	})
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -87,7 +87,7 @@
 	// another salt gives other lengths.
 	idSalt string
 	// disruptionLog records what the test does to entries and upstreams, and when.
-	disruptionLog caller.Troubles
+	disruptionLog caller.FaultLog
 	// bursts are the traffics started in addition to the steady one. downEntries holds the indexes of entries
 	// that were killed or stopped and not started again.
 	bursts      []*traffic
@@ -166,13 +166,13 @@
 	if !f.downWorkers.Begin(id) {
 		return
 	}
-	endOutage := f.disruptionLog.Cut(id)
+	endOutage := f.disruptionLog.RecordCut(id)
 	f.workers[id].Restart()
-	f.net.Kill(f.workerHosts[id])
+	f.net.KillHost(f.workerHosts[id])
 	go func() {
 		defer f.downWorkers.End(id)
 		time.Sleep(crashDowntime)
-		f.disruptionLog.Renewed(id)
+		f.disruptionLog.RecordRestart(id)
 		f.startWorker(id, service)
 		endOutage()
 	}()
@@ -183,9 +183,9 @@
 
 // putWorker writes a worker to the store's list of upstreams with the given state.
 func (f *fleet) putWorker(id, service, state string) {
-	u := store.NewUpstream(service, netip.AddrPortFrom(f.workerHosts[id], 80))
+	u := store.NewUpstreamRecord(service, netip.AddrPortFrom(f.workerHosts[id], 80))
 	f.lock.Lock()
-	u.State, u.Born = state, f.startedAt[id]
+	u.State, u.StartedMillis = state, f.startedAt[id]
 	f.lock.Unlock()
 	f.store.Put("servers/"+id, u)
 }
@@ -193,7 +193,7 @@
 // restartWorker starts a new incarnation of a running worker under the same instance ID.
 func (f *fleet) restartWorker(id, service string) {
 	f.workers[id].Restart()
-	f.disruptionLog.Renewed(id)
+	f.disruptionLog.RecordRestart(id)
 	f.lock.Lock()
 	f.startedAt[id] = time.Now().UnixMilli()
 	f.lock.Unlock()
@@ -207,7 +207,7 @@
 	if f.responsePlan == nil && kind != "streaming" {
 		return shortTimeout
 	}
-	return caller.RouteTime(prefix)
+	return caller.RouteTimeout(prefix)
 }
 
 // putConfig writes a configuration with the given version and API keys to the store.
@@ -274,8 +274,8 @@
 // goroutines end once they have gone through their normal shutdown.
 func (f *fleet) killEntry(e *entry) {
 	e.killed = true
-	f.disruptionLog.Killed(e.host)
-	f.net.Kill(e.host)
+	f.disruptionLog.RecordKill(e.host)
+	f.net.KillHost(e.host)
 	e.stop()
 }
 
@@ -293,10 +293,10 @@
 		_ = s.Close()
 	}
 	for _, h := range f.workerHosts {
-		f.net.Kill(h)
+		f.net.KillHost(h)
 	}
-	f.net.Kill(storeHost)
-	f.net.Kill(callerHost)
+	f.net.KillHost(storeHost)
+	f.net.KillHost(callerHost)
 	time.Sleep(20 * time.Second)
 }
 
@@ -309,31 +309,31 @@
 	}
 	c := caller.New(directories, seed, f.net.Dialer(callerHost))
 	if f.responsePlan != nil {
-		c.SetHabit(int(seed))
+		c.SetAddressReuse(int(seed))
 		c.BodyOf = caller.MixedBody
-		c.UsageOf = func(id string) (most, hint int) { return f.responsePlan.Usage(id, tokensPerEvent) }
+		c.TokenUsageOf = func(id string) (most, hint int) { return f.responsePlan.Usage(id, tokensPerEvent) }
 	}
 	return c
 }
 
 // evidence returns the facts that the results of callers are checked against.
-func (f *fleet) evidence() caller.Evidence {
+func (f *fleet) evidence() caller.Observations {
 	events := func(string) int { return streamEvents }
 	if f.responsePlan != nil {
 		events = f.responsePlan.Events
 	}
 	runs := func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.workers), id) }
 	refusals := func(id string) []worker.Run { return worker.RefusalsOf(maps.Values(f.workers), id) }
-	return caller.Evidence{Runs: runs, Refusals: refusals, Events: events, Troubles: &f.disruptionLog}
+	return caller.Observations{Runs: runs, Refusals: refusals, EventCount: events, Faults: &f.disruptionLog}
 }
 
 // stopEntry stops an entry as SIGTERM does, and records the stop and the exit in disruptionLog.
 func (f *fleet) stopEntry(e *entry) {
-	s := f.disruptionLog.Stopping(e.host, gracePeriod)
+	s := f.disruptionLog.RecordShutdown(e.host, gracePeriod)
 	e.stop()
 	go func() {
 		<-e.exited
-		s.Ended()
+		s.RecordExit()
 	}()
 }
 
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -37,7 +37,7 @@
 // checkResults fails the test for every result of the stopped callers that violates a guarantee of
 // the product. It returns how many requests were served and sent.
 func (x *traffic) checkResults() (served, sent int) {
-	served, sent, violations := x.Judge(x.fleet.evidence())
+	served, sent, violations := x.Evaluate(x.fleet.evidence())
 	for _, b := range violations {
 		x.fleet.t.Error(b)
 	}
@@ -120,13 +120,13 @@
 func TestRevokedKey(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, f *fleet) {
 		c := f.newCaller(1)
-		is.Equal(c.Ask("/safe/x", "r1", "key-2", time.Second).Status, http.StatusOK)
-		f.net.Cut(entryHost(2), storeHost)
-		f.net.Cut(entryHost(3), storeHost)
+		is.Equal(c.Do("/safe/x", "r1", "key-2", time.Second).Status, http.StatusOK)
+		f.net.Disconnect(entryHost(2), storeHost)
+		f.net.Disconnect(entryHost(3), storeHost)
 		f.putConfig(2, "key-1")
 		time.Sleep(2 * time.Second)
 		for i := range 20 {
-			is.Equal(c.Ask("/safe/x", fmt.Sprintf("r2-%d", i), "key-2", time.Second).Status, http.StatusUnauthorized)
+			is.Equal(c.Do("/safe/x", fmt.Sprintf("r2-%d", i), "key-2", time.Second).Status, http.StatusUnauthorized)
 		}
 		c.Close()
 	})
@@ -153,7 +153,7 @@
 // seconds, even if the store is unavailable at first.
 func TestAllEntriesKilled(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, f *fleet) {
-		f.store.SetMode(store.Reset)
+		f.store.SetMode(store.ResetsConnections)
 		for _, e := range f.entries {
 			f.killEntry(e)
 		}
@@ -164,7 +164,7 @@
 			f.entries[i] = f.startEntry(i)
 		}
 		time.Sleep(2 * time.Second)
-		f.store.SetMode(store.Up)
+		f.store.SetMode(store.Available)
 		time.Sleep(time.Second)
 		x := f.startTraffic(4)
 		time.Sleep(3 * time.Second)
--- a/launcher/planned_requests_test.go
+++ b/launcher/planned_requests_test.go
@@ -139,18 +139,18 @@
 		senders.Go(func() {
 			c := f.newCaller(uint64(i))
 			defer c.Close()
-			c.Fix(netip.AddrPortFrom(e.host, entryPort))
+			c.SetFixedAddress(netip.AddrPortFrom(e.host, entryPort))
 			if q.reusesConn {
-				c.Ask("/safe/x", "before-"+id, "key-1", callerTimeout)
+				c.Do("/safe/x", "before-"+id, "key-1", callerTimeout)
 			}
 			if q.usage != "" {
-				c.Usage = q.usage
+				c.TokenUsage = q.usage
 			}
 			if q.bodyTime > 0 {
 				c.Body = func() io.Reader { return slowBody(q.bodyTime) }
 			}
 			time.Sleep(time.Until(stopAt.Add(q.sendAt)))
-			results[i] = c.Ask(q.path, id, "key-1", callerTimeout)
+			results[i] = c.Do(q.path, id, "key-1", callerTimeout)
 		})
 	}
 	time.Sleep(time.Until(stopAt))
@@ -170,20 +170,20 @@
 // connections.
 func (f *fleet) checkResult(r caller.Result) error {
 	runs := f.runCount(r.ID)
-	if violations := r.Broken(runs, longEvents); len(violations) > 0 {
+	if violations := r.Violations(runs, longEvents); len(violations) > 0 {
 		return errors.New(strings.Join(violations, ", "))
 	}
 	switch {
-	case r.Served():
+	case r.IsServed():
 		return nil
 	case r.Err != nil && runs == 0 && strings.Contains(r.Err.Error(), "connection refused"):
 		return nil
 	case r.Err != nil:
-		return fmt.Errorf("%w after %s, %d runs, %d bytes: %w", errUnanswered, r.Took.Round(time.Millisecond), runs, len(r.Body), r.Err)
+		return fmt.Errorf("%w after %s, %d runs, %d bytes: %w", errUnanswered, r.Duration.Round(time.Millisecond), runs, len(r.Body), r.Err)
 	case r.Status == http.StatusServiceUnavailable && runs == 0:
 		return checkRetryAfter(r.RetryAfter)
 	}
-	return fmt.Errorf("answered with %d after %s, %d runs, Retry-After %q", r.Status, r.Took.Round(time.Millisecond), runs, r.RetryAfter)
+	return fmt.Errorf("answered with %d after %s, %d runs, Retry-After %q", r.Status, r.Duration.Round(time.Millisecond), runs, r.RetryAfter)
 }
 
 // checkRetryAfter returns an error unless text is a positive number of seconds within callerTimeout.
@@ -197,7 +197,7 @@
 
 // isRefusedLate reports whether an entry refused a request sent after SIGTERM only after a delay.
 func isRefusedLate(q plannedRequest, r caller.Result) bool {
-	return q.sendAt >= 0 && r.Err == nil && r.Status == http.StatusServiceUnavailable && r.Took > q.bodyTime+50*time.Millisecond
+	return q.sendAt >= 0 && r.Err == nil && r.Status == http.StatusServiceUnavailable && r.Duration > q.bodyTime+50*time.Millisecond
 }
 
 // checkNoneLost sends the planned requests to an entry that shuts down, and fails the test for every
@@ -210,7 +210,7 @@
 			f.t.Errorf("%s sent %s after SIGTERM, body %s: %v", r.Path, planned[i].sendAt, planned[i].bodyTime, err)
 		}
 		if isRefusedLate(planned[i], r) {
-			f.t.Errorf("%s sent %s after SIGTERM was refused only after %s", r.Path, planned[i].sendAt, r.Took)
+			f.t.Errorf("%s sent %s after SIGTERM was refused only after %s", r.Path, planned[i].sendAt, r.Duration)
 		}
 	}
 	return results
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -46,9 +46,9 @@
 		return func() { w.SetFault(worker.Sound) }
 	}},
 	{"store", func(f *fleet, t *rapid.T) func() {
-		storeReturned := f.disruptionLog.StoreAway()
-		f.store.SetMode(rapid.SampledFrom([]store.Mode{store.Busy, store.Many, store.Silent, store.Reset, store.Late}).Draw(t, "mode"))
-		return func() { f.store.SetMode(store.Up); storeReturned() }
+		storeReturned := f.disruptionLog.RecordStoreOutage()
+		f.store.SetMode(rapid.SampledFrom([]store.Mode{store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections, store.Slow}).Draw(t, "mode"))
+		return func() { f.store.SetMode(store.Available); storeReturned() }
 	}},
 	{"history dropped", func(f *fleet, _ *rapid.T) func() {
 		f.store.Compact()
@@ -56,16 +56,16 @@
 	}},
 	{"entry cut off from store", func(f *fleet, t *rapid.T) func() {
 		host := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry"))
-		storeReturned := f.disruptionLog.StoreAway()
-		f.net.Cut(host, storeHost)
-		return func() { f.net.Mend(host, storeHost); storeReturned() }
+		storeReturned := f.disruptionLog.RecordStoreOutage()
+		f.net.Disconnect(host, storeHost)
+		return func() { f.net.Reconnect(host, storeHost); storeReturned() }
 	}},
 	{"entries parted", func(f *fleet, t *rapid.T) func() {
 		a := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "one"))
 		b := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "other"))
-		partitionEnded := f.disruptionLog.Parted()
-		f.net.Cut(a, b)
-		return func() { f.net.Mend(a, b); partitionEnded() }
+		partitionEnded := f.disruptionLog.RecordPartition()
+		f.net.Disconnect(a, b)
+		return func() { f.net.Reconnect(a, b); partitionEnded() }
 	}},
 	{"entry killed", func(f *fleet, t *rapid.T) func() {
 		if i, ok := f.takeDownEntry(t); ok {
@@ -236,7 +236,7 @@
 		}
 		f.checkBackpressure(x)
 		for _, x := range f.repeaters {
-			for _, b := range x.Repeats(f.evidence()) {
+			for _, b := range x.RepeatViolations(f.evidence()) {
 				t.Error(b)
 			}
 		}
@@ -263,7 +263,7 @@
 	for _, x := range f.bursts {
 		all = append(all, x.Traffic)
 	}
-	for _, b := range caller.Unheeded(f.evidence(), all...) {
+	for _, b := range caller.BackpressureViolations(f.evidence(), all...) {
 		f.t.Error(b)
 	}
 }
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -27,7 +27,7 @@
 				withLongAnswers(t, func(is *is.I, f *fleet) {
 					planned := plannedRequest{path: path, reusesConn: kept}.repeatUntilExit(0)
 					for i, r := range f.checkNoneLost(planned) {
-						is.True(r.Served() || planned[i].sendAt > 3*time.Second)
+						is.True(r.IsServed() || planned[i].sendAt > 3*time.Second)
 					}
 				})
 			})
@@ -41,7 +41,7 @@
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		planned := plannedRequest{path: "/stream/brief/x", usage: longAnswerUsage}.repeatUntilExit(0)
 		for i, r := range f.checkNoneLost(planned) {
-			is.True(r.Served() || planned[i].sendAt > 2900*time.Millisecond)
+			is.True(r.IsServed() || planned[i].sendAt > 2900*time.Millisecond)
 		}
 	})
 }
@@ -67,7 +67,7 @@
 			planned = append(planned, plannedRequest{path: "/stream/brief/x", usage: longAnswerUsage, sendAt: at})
 		}
 		for _, r := range f.checkNoneLost(planned) {
-			is.True(r.Served())
+			is.True(r.IsServed())
 			is.Equal(f.runCount(r.ID), 2)
 		}
 	})
@@ -265,7 +265,7 @@
 	return func(yield func(caller.Result) bool) {
 		c := f.newCaller(uint64(n))
 		defer c.Close()
-		c.AddressLife, c.Usage = 3*time.Second, longAnswerUsage
+		c.AddressTTL, c.TokenUsage = 3*time.Second, longAnswerUsage
 		for i := 0; ; i++ {
 			wait, path := time.Duration(20+n)*time.Millisecond, "/once/x"
 			if i%2 == 1 {
@@ -276,7 +276,7 @@
 				return
 			case <-time.After(wait):
 			}
-			if !yield(c.Ask(path, fmt.Sprintf("s%d-%d", n, i), "key-1", callerTimeout)) {
+			if !yield(c.Do(path, fmt.Sprintf("s%d-%d", n, i), "key-1", callerTimeout)) {
 				return
 			}
 		}
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -62,7 +62,7 @@
 func (c *crashingPrompt) startEngine(e *testEngine) {
 	c.fleet.startEngine(e)
 	_ = e.httpServer.Close()
-	c.fleet.net.Kill(e.host)
+	c.fleet.net.KillHost(e.host)
 	listener, _ := c.fleet.net.Listen(netip.AddrPortFrom(e.host, 80))
 	e.httpServer = &http.Server{Handler: c.wrap(e, e.server.Handler())}
 	go func() { _ = e.httpServer.Serve(listener) }()
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -163,7 +163,7 @@
 func (f *testFleet) killEngine(e *testEngine) {
 	e.dead = true
 	e.stop()
-	f.net.Kill(e.host)
+	f.net.KillHost(e.host)
 	_ = e.httpServer.Close()
 }
 
@@ -210,14 +210,14 @@
 // killEntry cuts all connections of an entry and ends it, so that nobody sees how its requests end.
 func (f *testFleet) killEntry(e *testEntry) {
 	e.dead = true
-	f.net.Kill(e.host)
+	f.net.KillHost(e.host)
 	for _, o := range f.hosts() {
-		f.net.Cut(e.host, o)
+		f.net.Disconnect(e.host, o)
 	}
 	e.stop()
 	<-e.done
 	for _, o := range f.hosts() {
-		f.net.Mend(e.host, o)
+		f.net.Reconnect(e.host, o)
 	}
 }
 
@@ -279,14 +279,14 @@
 	}
 	for _, e := range f.entries {
 		<-e.done
-		f.net.Kill(e.host)
+		f.net.KillHost(e.host)
 	}
 	for _, e := range f.engines {
 		e.stop()
 		_ = e.httpServer.Close()
-		f.net.Kill(e.host)
+		f.net.KillHost(e.host)
 	}
-	f.net.Kill(host(9, 1))
-	f.net.Kill(host(3, 1))
-	f.net.Kill(callerHost)
+	f.net.KillHost(host(9, 1))
+	f.net.KillHost(host(3, 1))
+	f.net.KillHost(callerHost)
 }
--- a/server/services_test.go
+++ b/server/services_test.go
@@ -76,7 +76,7 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.crashedAt = append(c.crashedAt, time.Now())
-	c.fleet.net.Kill(address)
+	c.fleet.net.KillHost(address)
 	_ = c.servers[address].Close()
 }
 
@@ -84,7 +84,7 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for address, web := range c.servers {
-		c.fleet.net.Kill(address)
+		c.fleet.net.KillHost(address)
 		_ = web.Close()
 	}
 	c.servers = nil
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -219,9 +219,9 @@
 	if a == b {
 		return
 	}
-	s.net.Cut(a, b)
+	s.net.Disconnect(a, b)
 	time.Sleep(length)
-	s.net.Mend(a, b)
+	s.net.Reconnect(a, b)
 }
 
 // checkAtRest checks, after all faults and callers have ended, that no memory is held, no request is in
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -271,7 +271,7 @@
 		is := is.New(f.t)
 		e := f.entries[0]
 		header, body := rawPrompt(api.CompletionRequest{Model: "model", Prompt: "again", MaxTokens: 1})
-		f.net.Limit(callerHost, 4*len(header+body))
+		f.net.LimitSendRate(callerHost, 4*len(header+body))
 		e.stop()
 		time.Sleep(100 * time.Millisecond)
 		for {
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -88,7 +88,7 @@
 	servers []*http.Server
 	version int
 	// troubles are what happens to entries and upstreams.
-	troubles caller.Troubles
+	troubles caller.FaultLog
 	// background is what goes on beside the faults: series of stops.
 	background sync.WaitGroup
 	// crashed are the upstreams that are not back yet; lock guards born.
@@ -159,9 +159,9 @@
 
 func (f *fleet) list(id, state string) {
 	n := id[strings.LastIndex(id, "-")+1:]
-	u := store.NewUpstream(f.services[id], netip.AddrPortFrom(f.address(2, int(n[0]-'0')), workerPort))
+	u := store.NewUpstreamRecord(f.services[id], netip.AddrPortFrom(f.address(2, int(n[0]-'0')), workerPort))
 	f.lock.Lock()
-	u.State, u.Born = state, f.born[id]
+	u.State, u.StartedMillis = state, f.born[id]
 	f.lock.Unlock()
 	f.store.Put("servers/"+id, u)
 }
@@ -191,7 +191,7 @@
 // restartWorker starts a worker again under its id.
 func (f *fleet) restartWorker(id string) {
 	f.workers[id].Restart()
-	f.troubles.Renewed(id)
+	f.troubles.RecordRestart(id)
 	f.bear(id)
 }
 
@@ -212,7 +212,7 @@
 	if !f.crashed.Begin(id) {
 		return
 	}
-	mended := f.troubles.Cut(id)
+	mended := f.troubles.RecordCut(id)
 	f.workers[id].Restart()
 	f.ways[id].Down()
 	go func() {
@@ -221,7 +221,7 @@
 		if err := f.ways[id].Up(); err != nil {
 			f.t.Errorf("seed %d: %s: %v", f.seed, id, err)
 		}
-		f.troubles.Renewed(id)
+		f.troubles.RecordRestart(id)
 		f.bear(id)
 		mended()
 	}()
@@ -230,7 +230,7 @@
 func (f *fleet) configure(keys ...string) {
 	f.version++
 	route := func(name, kind, service string, attempts int, more string) json.RawMessage {
-		timeout := caller.RouteTime("/" + name + "/").Milliseconds()
+		timeout := caller.RouteTimeout("/" + name + "/").Milliseconds()
 		return json.RawMessage(fmt.Sprintf(`{"name":%q,"host":"h","prefix":"/%s/","kind":%q,"service":%q,"timeout-ms":%d,"target-latency-ms":300,"max-attempts":%d%s}`, name, name, kind, service, timeout, attempts, more))
 	}
 	f.store.Put("op/config", map[string]any{
@@ -379,10 +379,10 @@
 	return caller.NewTraffic(name, callers, func(n int) *caller.Caller {
 		c := f.newCaller(n)
 		if !isCalm(name) { // calm callers are to reach every entry
-			c.SetHabit(n)
+			c.SetAddressReuse(n)
 		}
 		c.BodyOf = caller.MixedBody
-		c.UsageOf = func(id string) (most, hint int) { return calmly(plan).Usage(id, tokensOfEvent) }
+		c.TokenUsageOf = func(id string) (most, hint int) { return calmly(plan).Usage(id, tokensOfEvent) }
 		return c
 	})
 }
@@ -390,21 +390,21 @@
 // repeater starts callers that ask for what crashes upstreams.
 func (f *fleet) repeater(callers int, pause time.Duration) *caller.Traffic {
 	name := fmt.Sprintf("repeat%d-%d", f.seed, len(f.repeaters))
-	return caller.NewRepeater(name, callers, caller.CrashPath, pause, func(n int) *caller.Caller { return f.newCaller(50 + n) })
+	return caller.NewRepeatingTraffic(name, callers, caller.CrashPath, pause, func(n int) *caller.Caller { return f.newCaller(50 + n) })
 }
 
 // evidence is what answers are held against.
-func (f *fleet) evidence() caller.Evidence {
-	return caller.Evidence{
-		Runs:     func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.workers), id) },
-		Refusals: func(id string) []worker.Run { return worker.RefusalsOf(maps.Values(f.workers), id) },
-		Events:   calmly(plan).Events, Troubles: &f.troubles,
+func (f *fleet) evidence() caller.Observations {
+	return caller.Observations{
+		Runs:       func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.workers), id) },
+		Refusals:   func(id string) []worker.Run { return worker.RefusalsOf(maps.Values(f.workers), id) },
+		EventCount: calmly(plan).Events, Faults: &f.troubles,
 	}
 }
 
 // judge fails the test for every broken promise to callers that were stopped.
 func (f *fleet) judge(x *caller.Traffic) (served, asked int) {
-	served, asked, broken := x.Judge(f.evidence())
+	served, asked, broken := x.Evaluate(f.evidence())
 	for _, b := range broken {
 		f.t.Errorf("seed %d: %s", f.seed, b)
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -42,7 +42,7 @@
 		if e == nil {
 			return func() {}
 		}
-		f.troubles.Killed(e.host)
+		f.troubles.RecordKill(e.host)
 		e.signal(syscall.SIGKILL)
 		return func() { e.restart(); e.signalled.Store(false) }
 	},
@@ -69,7 +69,7 @@
 		if e == nil {
 			return func() {}
 		}
-		joined := f.troubles.Parted()
+		joined := f.troubles.RecordPartition()
 		e.signal(syscall.SIGSTOP)
 		return func() { e.signal(syscall.SIGCONT); e.signalled.Store(false); joined() }
 	},
@@ -90,7 +90,7 @@
 		return func() {}
 	},
 	"way to the store": func(f *fleet, r *rand.Rand) func() {
-		back := f.troubles.StoreAway()
+		back := f.troubles.RecordStoreOutage()
 		f.storeWay.Set(loopback, draw(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late))
 		return func() { f.storeWay.Set(loopback, ""); back() }
 	},
@@ -98,18 +98,18 @@
 		id := draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
 		how, mended := draw(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
 		if how != relay.Late { // which cuts nothing before it is mended
-			mended = f.troubles.Cut(id)
+			mended = f.troubles.RecordCut(id)
 		}
 		f.ways[id].Set(loopback, how)
 		return func() {
-			defer f.troubles.Cut(id)() // what hung is reset
+			defer f.troubles.RecordCut(id)() // what hung is reset
 			f.ways[id].Set(loopback, "")
 			mended()
 		}
 	},
 	"connections reset": func(f *fleet, r *rand.Rand) func() {
 		id := draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		defer f.troubles.Cut(id)()
+		defer f.troubles.RecordCut(id)()
 		f.ways[id].Reset(func(netip.Addr) bool { return true })
 		return func() {}
 	},
@@ -119,9 +119,9 @@
 		return func() { w.SetFault(worker.Sound) }
 	},
 	"store fails": func(f *fleet, r *rand.Rand) func() {
-		back := f.troubles.StoreAway()
-		f.store.SetMode(draw(r, store.Busy, store.Many, store.Silent, store.Reset, store.Late))
-		return func() { f.store.SetMode(store.Up); back() }
+		back := f.troubles.RecordStoreOutage()
+		f.store.SetMode(draw(r, store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections, store.Slow))
+		return func() { f.store.SetMode(store.Available); back() }
 	},
 	"history dropped": func(f *fleet, _ *rand.Rand) func() {
 		f.store.Compact()
@@ -208,10 +208,10 @@
 
 // stop sends the entry SIGTERM and waits until its process has ended.
 func (e *entry) stop() {
-	s := e.fleet.troubles.Stopping(e.host, grace)
+	s := e.fleet.troubles.RecordShutdown(e.host, grace)
 	e.signal(syscall.SIGTERM)
 	e.awaitEnd()
-	s.Ended()
+	s.RecordExit()
 }
 
 // awaitEnd waits until the entry's process has ended by itself.
@@ -300,11 +300,11 @@
 		served, asked := f.judge(x)
 		t.Logf("seed %d: %d of %d served under faults", seed, served, asked)
 	}
-	for _, b := range caller.Unheeded(f.evidence(), append(f.callers, f.repeaters...)...) {
+	for _, b := range caller.BackpressureViolations(f.evidence(), append(f.callers, f.repeaters...)...) {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	for _, x := range f.repeaters {
-		for _, b := range x.Repeats(f.evidence()) {
+		for _, b := range x.RepeatViolations(f.evidence()) {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 	}
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -39,16 +39,16 @@
 type Caller struct {
 	// Directories are where entries say which addresses to use.
 	Directories []netip.AddrPort
-	// AddressLife is how long an answer of the directory is kept.
-	AddressLife time.Duration
-	// Usage is what prompts say of their token counts.
-	Usage string
-	// UsageOf, where not nil, takes the place of Usage: the most tokens that the answer
+	// AddressTTL is how long an answer of the directory is kept.
+	AddressTTL time.Duration
+	// TokenUsage is what prompts say of their token counts.
+	TokenUsage string
+	// TokenUsageOf, where not nil, takes the place of Usage: the most tokens that the answer
 	// to a request may have, and the caller's estimate.
-	UsageOf func(id string) (most, hint int)
-	// Keeps callers ask one address until a request to it fails, also where newer
+	TokenUsageOf func(id string) (most, hint int)
+	// KeepsAddress callers ask one address until a request to it fails, also where newer
 	// answers of the directory don't name it any more.
-	Keeps bool
+	KeepsAddress bool
 	// Body returns what a request sends; nil for nothing. BodyOf, where not nil, takes its place.
 	Body      func() io.Reader
 	BodyOf    func(id string) string
@@ -66,7 +66,7 @@
 func New(directories []netip.AddrPort, seed uint64, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Caller {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idleConnections}
 	return &Caller{
-		Directories: directories, AddressLife: addressLife, Usage: usualUsage,
+		Directories: directories, AddressTTL: addressLife, TokenUsage: usualUsage,
 		random: rand.New(rand.NewPCG(seed, 1)), client: &http.Client{Transport: transport},
 	}
 }
@@ -80,18 +80,20 @@
 	return id
 }
 
-// SetHabit gives callers, numbered from 0, in turn each habit that keeps an address
+// SetAddressReuse gives callers, numbered from 0, in turn each habit that keeps an address
 // longer than most do: an answer of the directory for three of its lives, one address
 // until a request to it fails, both or neither.
-func (c *Caller) SetHabit(n int) {
+func (c *Caller) SetAddressReuse(n int) {
 	if n%2 == 1 {
-		c.AddressLife = 3 * addressLife
+		c.AddressTTL = 3 * addressLife
 	}
-	c.Keeps = n%4 >= 2
+	c.KeepsAddress = n%4 >= 2
 }
 
-// Fix has the caller use an address whatever the directory says.
-func (c *Caller) Fix(address netip.AddrPort) { c.addresses, c.fixed = []netip.AddrPort{address}, true }
+// SetFixedAddress has the caller use an address whatever the directory says.
+func (c *Caller) SetFixedAddress(address netip.AddrPort) {
+	c.addresses, c.fixed = []netip.AddrPort{address}, true
+}
 
 // Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
@@ -103,32 +105,32 @@
 	Entry  netip.AddrPort
 	Status int
 	Body   string
-	// Sent is true once the header of the request was written to a connection.
-	Sent bool
-	// Limit is the time that the request has: as long as its caller waits, or its
+	// HeaderSent is true once the header of the request was written to a connection.
+	HeaderSent bool
+	// TimeLimit is the time that the request has: as long as its caller waits, or its
 	// route allows.
-	Limit time.Duration
+	TimeLimit time.Duration
 	// RetryAfter is when a refused caller is asked to come back; empty where nothing is said.
 	RetryAfter string
 	// Upstream is the one whose answer was passed on, Leaving whether that answer said that it
 	// leaves.
-	Upstream string
-	Leaving  bool
+	Upstream        string
+	UpstreamLeaving bool
 	// Err is a connection that ended before a whole answer.
-	Err  error
-	At   time.Time
-	Took time.Duration
+	Err       error
+	StartedAt time.Time
+	Duration  time.Duration
 }
 
-// End is when the request ended.
-func (r Result) End() time.Time { return r.At.Add(r.Took) }
+// EndedAt is when the request ended.
+func (r Result) EndedAt() time.Time { return r.StartedAt.Add(r.Duration) }
 
-// Served reports whether a whole answer came.
-func (r Result) Served() bool { return r.Err == nil && r.Status == http.StatusOK }
+// IsServed reports whether a whole answer came.
+func (r Result) IsServed() bool { return r.Err == nil && r.Status == http.StatusOK }
 
 // resolve asks up to three entries for addresses.
 func (c *Caller) resolve() {
-	if c.fixed || time.Since(c.asked) < c.AddressLife {
+	if c.fixed || time.Since(c.asked) < c.AddressTTL {
 		return
 	}
 	order := c.random.Perm(len(c.Directories))
@@ -161,10 +163,10 @@
 	return answer.Addresses, nil
 }
 
-// Ask sends one request; patience is how long it waits.
-func (c *Caller) Ask(path, id, key string, patience time.Duration) Result {
+// Do sends one request; patience is how long it waits.
+func (c *Caller) Do(path, id, key string, patience time.Duration) Result {
 	c.resolve()
-	r := Result{ID: id, Path: path, At: time.Now(), Limit: patience}
+	r := Result{ID: id, Path: path, StartedAt: time.Now(), TimeLimit: patience}
 	if len(c.addresses) == 0 {
 		r.Err = ErrNoAddress
 		return r
@@ -175,7 +177,7 @@
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
 	r.Err = c.send(ctx, &r, key, patience)
-	r.Took, r.Sent = time.Since(r.At), sent.Load()
+	r.Duration, r.HeaderSent = time.Since(r.StartedAt), sent.Load()
 	if r.Err != nil {
 		c.kept = netip.AddrPort{}
 	}
@@ -188,7 +190,7 @@
 		return c.kept
 	}
 	a := c.addresses[c.random.IntN(len(c.addresses))]
-	if c.Keeps {
+	if c.KeepsAddress {
 		c.kept = a
 	}
 	return a
@@ -223,7 +225,7 @@
 		return fmt.Errorf("send: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	r.Upstream, r.Leaving = response.Header.Get("X-Engine-Stamp"), response.Header.Get("Server-Leaving") != ""
+	r.Upstream, r.UpstreamLeaving = response.Header.Get("X-Engine-Stamp"), response.Header.Get("Server-Leaving") != ""
 	answer, err := io.ReadAll(response.Body)
 	r.Status, r.Body, r.RetryAfter = response.StatusCode, string(answer), response.Header.Get("Retry-After")
 	if err != nil {
@@ -233,9 +235,9 @@
 }
 
 func (c *Caller) sayUsage(h http.Header, id string) {
-	h.Set("X-Token-Usage", c.Usage)
-	if c.UsageOf != nil {
-		most, hint := c.UsageOf(id)
+	h.Set("X-Token-Usage", c.TokenUsage)
+	if c.TokenUsageOf != nil {
+		most, hint := c.TokenUsageOf(id)
 		h.Set("X-Token-Usage", fmt.Sprintf("2000,%d", most))
 		h.Set("X-Length-Hint", fmt.Sprint(hint))
 	}
@@ -250,9 +252,9 @@
 	return strings.HasPrefix(path, "/safe/") || strings.HasPrefix(path, "/stream/")
 }
 
-// Broken says which promises a result breaks, given how often the request ran
+// Violations says which promises a result breaks, given how often the request ran
 // and how many events a stream has.
-func (r Result) Broken(ran, events int) []string {
+func (r Result) Violations(ran, events int) []string {
 	var out []string
 	if !repeatable(r.Path) && ran > 1 {
 		out = append(out, fmt.Sprintf("%s %s ran %d times", r.Path, r.ID, ran))
@@ -263,7 +265,7 @@
 	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !repeatable(r.Path) && ran > 0 {
 		out = append(out, fmt.Sprintf("%s %s was called not run and ran", r.Path, r.ID))
 	}
-	if r.Served() && r.Body != whole(r, events) {
+	if r.IsServed() && r.Body != whole(r, events) {
 		out = append(out, fmt.Sprintf("%s %s: answer %q is not the whole one", r.Path, r.ID, r.Body))
 	}
 	return out
--- a/standin/caller/repeater.go
+++ b/standin/caller/repeater.go
@@ -20,16 +20,16 @@
 	contactTime = 3 * time.Second
 )
 
-// NewRepeater starts callers that ask for one thing again and again, each time under a
+// NewRepeatingTraffic starts callers that ask for one thing again and again, each time under a
 // new id, at whichever entry the directory names, with a pause between.
-func NewRepeater(name string, callers int, path string, pause time.Duration, newCaller func(n int) *Caller) *Traffic {
+func NewRepeatingTraffic(name string, callers int, path string, pause time.Duration, newCaller func(n int) *Caller) *Traffic {
 	return newTraffic(name, callers, newCaller, func(int) (string, time.Duration) { return path, pause })
 }
 
-// Repeats says whether the requests of a stopped repeater reached upstreams more often
+// RepeatViolations says whether the requests of a stopped repeater reached upstreams more often
 // than they may once upstreams had ended under three of them. Those sent by entries
 // out of contact with the others don't count: around a disruption of theirs, or of all.
-func (x *Traffic) Repeats(e Evidence) (broken []string) {
+func (x *Traffic) RepeatViolations(e Observations) (broken []string) {
 	var runs []worker.Run
 	entries := map[string]Result{}
 	for _, r := range x.results {
@@ -51,7 +51,7 @@
 	late := map[string]bool{}
 	for _, run := range runs {
 		r := entries[run.ID]
-		if r.At.After(known.Add(contactTime)) && e.Troubles.inContact(r) {
+		if r.StartedAt.After(known.Add(contactTime)) && e.Faults.inContact(r) {
 			late[r.ID] = true
 		}
 	}
@@ -75,12 +75,12 @@
 // inContact reports whether the entry that took a request was in contact with others
 // when it came: nothing had been done to it, to the ways between entries or to all entries
 // for a while.
-func (x *Troubles) inContact(r Result) bool {
-	return !x.renewed(r.Entry, r.At.Add(-contactTime), r.End())
+func (x *FaultLog) inContact(r Result) bool {
+	return !x.renewed(r.Entry, r.StartedAt.Add(-contactTime), r.EndedAt())
 }
 
 // renewed reports whether an entry was killed, stopped or stood still between two times.
-func (x *Troubles) renewed(entry netip.AddrPort, from, to time.Time) bool {
+func (x *FaultLog) renewed(entry netip.AddrPort, from, to time.Time) bool {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	for _, s := range x.stops {
@@ -102,7 +102,7 @@
 }
 
 // cutSince reports whether an upstream was cut off between two times.
-func (x *Troubles) cutSince(upstream string, from, to time.Time) bool {
+func (x *FaultLog) cutSince(upstream string, from, to time.Time) bool {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	return x.cutBetween(from, to, upstream, false)
@@ -111,6 +111,8 @@
 // startTime is how long an entry that ended takes to be started again, at most.
 const startTime = 10 * time.Second
 
-// Parted notes that some entries are about to lose others or to stand still; what it returns
+// RecordPartition notes that some entries are about to lose others or to stand still; what it returns
 // notes that it is over.
-func (x *Troubles) Parted() (joined func()) { return x.note(&x.parted, &cut{from: time.Now()}) }
+func (x *FaultLog) RecordPartition() (joined func()) {
+	return x.note(&x.parted, &cut{from: time.Now()})
+}
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -12,10 +12,10 @@
 // paths are one of each kind of request.
 var paths = []string{"/once/x", "/safe/x", "/stream/x", "/fixed/x"}
 
-// RouteTime is the time limit that the route of a path is to have: a safe call's
+// RouteTimeout is the time limit that the route of a path is to have: a safe call's
 // is less than callers wait, the others' more. A safe call has time for a run
 // that is given up and a second one.
-func RouteTime(path string) time.Duration {
+func RouteTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 4 * time.Second
 	}
@@ -73,24 +73,24 @@
 			return
 		case <-time.After(pause):
 		}
-		r := c.Ask(path, fmt.Sprintf("%s-%d-%d", x.name, n, i), "key-1", patience(path))
-		r.Limit = min(r.Limit, RouteTime(path))
+		r := c.Do(path, fmt.Sprintf("%s-%d-%d", x.name, n, i), "key-1", patience(path))
+		r.TimeLimit = min(r.TimeLimit, RouteTimeout(path))
 		x.lock.Lock()
 		x.results = append(x.results, r)
 		x.lock.Unlock()
 	}
 }
 
-// Evidence is what the answers of a traffic are held against.
-type Evidence struct {
+// Observations is what the answers of a traffic are held against.
+type Observations struct {
 	// Runs are a request's runs at all upstreams, the earliest first.
 	Runs func(id string) []worker.Run
 	// Refusals are those by upstreams that were too full, the earliest first.
 	Refusals func(id string) []worker.Run
-	// Events is how many events the answer to a stream has.
-	Events func(id string) int
-	// Troubles are those of the time of the traffic.
-	Troubles *Troubles
+	// EventCount is how many events the answer to a stream has.
+	EventCount func(id string) int
+	// Faults are those of the time of the traffic.
+	Faults *FaultLog
 }
 
 // Stop stops the callers and waits for what they have asked.
@@ -99,15 +99,15 @@
 	x.work.Wait()
 }
 
-// Judge returns how many requests of a stopped traffic were served and asked,
+// Evaluate returns how many requests of a stopped traffic were served and asked,
 // and the promises that were broken. Stops of entries are over by then.
-func (x *Traffic) Judge(e Evidence) (served, asked int, broken []string) {
+func (x *Traffic) Evaluate(e Observations) (served, asked int, broken []string) {
 	for _, r := range x.results {
 		runs := e.Runs(r.ID)
-		broken = append(broken, r.Broken(len(runs), e.Events(r.ID))...)
+		broken = append(broken, r.Violations(len(runs), e.EventCount(r.ID))...)
 		broken = append(broken, r.blamed()...)
-		broken = append(broken, e.Troubles.lost(r, runs, e.Refusals(r.ID))...)
-		if r.Served() {
+		broken = append(broken, e.Faults.lost(r, runs, e.Refusals(r.ID))...)
+		if r.IsServed() {
 			served++
 		}
 	}
--- a/standin/caller/troubles.go
+++ b/standin/caller/troubles.go
@@ -25,11 +25,11 @@
 	straySlack = 20 * time.Millisecond
 )
 
-// Troubles are what a test did to entries and upstreams, by time. It is what
+// FaultLog are what a test did to entries and upstreams, by time. It is what
 // decides whether the end of a request is a stopping entry's fault.
-type Troubles struct {
+type FaultLog struct {
 	lock  sync.Mutex
-	stops []*Stop
+	stops []*Shutdown
 	kills []kill
 	cuts  []*cut
 	// away are the times when entries could not read the store.
@@ -38,9 +38,9 @@
 	parted []*cut
 }
 
-// Stop is one SIGTERM of an entry.
-type Stop struct {
-	troubles *Troubles
+// Shutdown is one SIGTERM of an entry.
+type Shutdown struct {
+	troubles *FaultLog
 	entry    netip.Addr
 	// at is when SIGTERM was sent, force when SIGKILL would follow, ended when the
 	// process had ended; zero before.
@@ -61,40 +61,40 @@
 	heard bool
 }
 
-// Stopping notes that an entry is about to get SIGTERM.
-func (x *Troubles) Stopping(entry netip.Addr, grace time.Duration) *Stop {
+// RecordShutdown notes that an entry is about to get SIGTERM.
+func (x *FaultLog) RecordShutdown(entry netip.Addr, grace time.Duration) *Shutdown {
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	s := &Stop{troubles: x, entry: entry, at: time.Now(), force: time.Now().Add(grace)}
+	s := &Shutdown{troubles: x, entry: entry, at: time.Now(), force: time.Now().Add(grace)}
 	x.stops = append(x.stops, s)
 	return s
 }
 
-// Ended notes that the process has ended.
-func (s *Stop) Ended() {
+// RecordExit notes that the process has ended.
+func (s *Shutdown) RecordExit() {
 	s.troubles.lock.Lock()
 	defer s.troubles.lock.Unlock()
 	s.ended = time.Now()
 }
 
-// Killed notes that an entry is killed.
-func (x *Troubles) Killed(entry netip.Addr) {
+// RecordKill notes that an entry is killed.
+func (x *FaultLog) RecordKill(entry netip.Addr) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	x.kills = append(x.kills, kill{entry: entry, at: time.Now()})
 }
 
-// Cut notes that connections to an upstream are about to break or be held up;
+// RecordCut notes that connections to an upstream are about to break or be held up;
 // what it returns notes that they are not any more.
-func (x *Troubles) Cut(upstream string) (mended func()) {
+func (x *FaultLog) RecordCut(upstream string) (mended func()) {
 	return x.note(&x.cuts, &cut{upstream: upstream, from: time.Now()})
 }
 
-// StoreAway notes that entries are about to lose the store, and what it returns that
+// RecordStoreOutage notes that entries are about to lose the store, and what it returns that
 // they have it again.
-func (x *Troubles) StoreAway() (back func()) { return x.note(&x.away, &cut{from: time.Now()}) }
+func (x *FaultLog) RecordStoreOutage() (back func()) { return x.note(&x.away, &cut{from: time.Now()}) }
 
-func (x *Troubles) note(list *[]*cut, c *cut) (over func()) {
+func (x *FaultLog) note(list *[]*cut, c *cut) (over func()) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	*list = append(*list, c)
@@ -109,11 +109,11 @@
 // of an upstream's new run.
 const hearTime = 2 * time.Second
 
-// Renewed notes that an upstream starts anew under its id. What it worked on is never
+// RecordRestart notes that an upstream starts anew under its id. What it worked on is never
 // answered. Entries that hear of the new run end all that they sent to its id before,
 // also what reached the new run already: they can't tell it from the other.
-func (x *Troubles) Renewed(upstream string) {
-	x.Cut(upstream)()
+func (x *FaultLog) RecordRestart(upstream string) {
+	x.RecordCut(upstream)()
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	x.cuts = append(x.cuts, &cut{upstream: upstream, from: time.Now(), to: time.Now().Add(hearTime), heard: true})
@@ -131,19 +131,19 @@
 //     connection between two requests, which HTTP/1.1 has no word for.
 //   - Its last run could not end whole, see doomed.
 //   - Its last attempt met an upstream that was too full, see turnedAway.
-func (x *Troubles) lost(r Result, runs, refusals []worker.Run) []string {
+func (x *FaultLog) lost(r Result, runs, refusals []worker.Run) []string {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	var out []string
 	for _, s := range x.stops {
-		if r.Entry.Addr() != s.entry || !r.Sent || r.End().Before(s.at) || !s.ended.IsZero() && r.At.After(s.ended) {
+		if r.Entry.Addr() != s.entry || !r.HeaderSent || r.EndedAt().Before(s.at) || !s.ended.IsZero() && r.StartedAt.After(s.ended) {
 			continue
 		}
-		if r.Served() || refused(r, runs) || x.excused(r, runs, refusals, s) {
+		if r.IsServed() || refused(r, runs) || x.excused(r, runs, refusals, s) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("%s %s: sent %s after SIGTERM of %s with a limit of %s, ended %s after SIGTERM with status %d, %d bytes, %v; the process ended after %s; runs: %s",
-			r.Path, r.ID, sinceStop(s, r.At), s.entry, r.Limit, sinceStop(s, r.End()), r.Status, len(r.Body), r.Err, sinceStop(s, s.ended), x.describe(s, runs)))
+			r.Path, r.ID, sinceStop(s, r.StartedAt), s.entry, r.TimeLimit, sinceStop(s, r.EndedAt()), r.Status, len(r.Body), r.Err, sinceStop(s, s.ended), x.describe(s, runs)))
 	}
 	return out
 }
@@ -154,17 +154,17 @@
 	return r.Err == nil && r.Status == http.StatusServiceUnavailable && r.RetryAfter != "" && len(runs) == 0
 }
 
-func (x *Troubles) excused(r Result, runs, refusals []worker.Run, s *Stop) bool {
+func (x *FaultLog) excused(r Result, runs, refusals []worker.Run, s *Shutdown) bool {
 	switch {
-	case r.Took >= r.Limit-limitSlack:
+	case r.Duration >= r.TimeLimit-limitSlack:
 		return true
-	case r.At.Before(s.at) && r.At.Add(r.Limit).After(s.force):
+	case r.StartedAt.Before(s.at) && r.StartedAt.Add(r.TimeLimit).After(s.force):
 		return true
-	case r.Err != nil && len(runs) == 0 && r.Took < unreadSlack:
+	case r.Err != nil && len(runs) == 0 && r.Duration < unreadSlack:
 		return true
 	}
 	for _, k := range x.kills {
-		if k.entry == s.entry && !k.at.Before(r.At) && !k.at.After(r.End()) {
+		if k.entry == s.entry && !k.at.Before(r.StartedAt) && !k.at.After(r.EndedAt()) {
 			return true
 		}
 	}
@@ -178,7 +178,7 @@
 		return false
 	}
 	at := refusals[len(refusals)-1].Began
-	return at.After(r.End().Add(-endSlack)) && !at.Before(runs[len(runs)-1].Began)
+	return at.After(r.EndedAt().Add(-endSlack)) && !at.Before(runs[len(runs)-1].Began)
 }
 
 // doomed reports whether the last attempt at a request could not end with a whole
@@ -188,21 +188,21 @@
 // Attempts before the last don't count, as the last may have mended them. Where
 // no run was going on at the end, the last attempt hung before an upstream that
 // was cut, if there was one.
-func (x *Troubles) doomed(r Result, runs []worker.Run, s *Stop) bool {
-	since := r.At
+func (x *FaultLog) doomed(r Result, runs []worker.Run, s *Shutdown) bool {
+	since := r.StartedAt
 	if last, ok := lastRun(runs); ok {
 		// A process that ends long before it would be ended by force has nothing left to do.
 		byForce := s.ended.IsZero() || s.ended.After(s.force.Add(-forceSlack))
-		atEnd := byForce && (s.ended.IsZero() || r.End().After(s.ended.Add(-endSlack)))
-		if fails(last.Fault, plain(r.Path)) || last.Fault == worker.Slow && !atEnd || x.cutBetween(beganOf(last, r), r.End(), last.Upstream, !atEnd) {
+		atEnd := byForce && (s.ended.IsZero() || r.EndedAt().After(s.ended.Add(-endSlack)))
+		if fails(last.Fault, plain(r.Path)) || last.Fault == worker.Slow && !atEnd || x.cutBetween(beganOf(last, r), r.EndedAt(), last.Upstream, !atEnd) {
 			return true
 		}
-		if last.Ended.IsZero() || last.Ended.After(r.End().Add(-endSlack)) {
-			return givenUp(r, last) && x.cutBetween(last.Began, r.End(), serviceOf(r.Path), false)
+		if last.Ended.IsZero() || last.Ended.After(r.EndedAt().Add(-endSlack)) {
+			return givenUp(r, last) && x.cutBetween(last.Began, r.EndedAt(), serviceOf(r.Path), false)
 		}
 		since = last.Ended
 	}
-	return x.cutBetween(since, r.End(), serviceOf(r.Path), false)
+	return x.cutBetween(since, r.EndedAt(), serviceOf(r.Path), false)
 }
 
 // givenUp reports whether the entry may have given the last run up for its silence: it then
@@ -239,8 +239,8 @@
 // beganOf is when the attempt began that a run is of: a late cable may bring it to
 // its upstream when the request has ended.
 func beganOf(run worker.Run, r Result) time.Time {
-	if run.Began.After(r.End()) {
-		return r.At
+	if run.Began.After(r.EndedAt()) {
+		return r.StartedAt
 	}
 	return run.Began
 }
@@ -260,7 +260,7 @@
 
 // cutBetween reports whether an upstream whose id contains a text was cut at any
 // moment between two; with heard also where entries may hear of that late.
-func (x *Troubles) cutBetween(from, to time.Time, id string, heard bool) bool {
+func (x *FaultLog) cutBetween(from, to time.Time, id string, heard bool) bool {
 	for _, c := range x.cuts {
 		if c.heard && !heard {
 			continue
@@ -278,7 +278,7 @@
 
 // heardBy is when all have heard what they would have heard by a time but for the
 // troubles of the store; zero for never.
-func (x *Troubles) heardBy(by time.Time) time.Time {
+func (x *FaultLog) heardBy(by time.Time) time.Time {
 	for _, a := range x.away { // by their beginnings
 		switch {
 		case a.from.After(by):
@@ -291,7 +291,7 @@
 	return by
 }
 
-func (x *Troubles) describe(s *Stop, runs []worker.Run) string {
+func (x *FaultLog) describe(s *Shutdown, runs []worker.Run) string {
 	text := ""
 	for _, r := range runs {
 		text += fmt.Sprintf("[%s fault %d, %s to %s]", r.Upstream, r.Fault, sinceStop(s, r.Began), sinceStop(s, r.Ended))
@@ -300,7 +300,7 @@
 }
 
 // sinceStop is how long after SIGTERM something was; zero where it is unknown.
-func sinceStop(s *Stop, t time.Time) time.Duration {
+func sinceStop(s *Shutdown, t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
--- a/standin/caller/troubles_test.go
+++ b/standin/caller/troubles_test.go
@@ -15,7 +15,7 @@
 // the random runs let that pass: nothing there held an answer that broke off against
 // the stop of its entry. Here is which ends count as lost to a stop, and which have
 // another cause. Times are in milliseconds after SIGTERM; the process ends at 7300.
-func TestLostToStop(t *testing.T) {
+func TestLossByShutdown(t *testing.T) {
 	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	entry, other := netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2")
@@ -82,8 +82,8 @@
 		"ran nowhere, another service cut off": {sent: 2000, took: 5300, err: ended, cut: &cut{upstream: "i-app-0", from: at(1000)}, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := &Troubles{}
-			x.stops = []*Stop{{troubles: x, entry: entry, at: start, force: at(8000), ended: at(7300)}}
+			x := &FaultLog{}
+			x.stops = []*Shutdown{{troubles: x, entry: entry, at: start, force: at(8000), ended: at(7300)}}
 			if c.killed > 0 {
 				x.kills = []kill{{entry: entry, at: at(c.killed)}}
 			}
@@ -94,14 +94,14 @@
 				x.away = []*cut{c.away}
 			}
 			r := Result{
-				ID: "r", Path: "/stream/x", Entry: netip.AddrPortFrom(entry, 80), Status: c.status, Err: c.err, Sent: !c.unsent, RetryAfter: c.again,
-				At: at(c.sent), Took: time.Duration(c.took) * time.Millisecond, Limit: 7 * time.Second,
+				ID: "r", Path: "/stream/x", Entry: netip.AddrPortFrom(entry, 80), Status: c.status, Err: c.err, HeaderSent: !c.unsent, RetryAfter: c.again,
+				StartedAt: at(c.sent), Duration: time.Duration(c.took) * time.Millisecond, TimeLimit: 7 * time.Second,
 			}
 			if c.path != "" {
 				r.Path = c.path
 			}
 			if c.limit > 0 {
-				r.Limit = time.Duration(c.limit) * time.Millisecond
+				r.TimeLimit = time.Duration(c.limit) * time.Millisecond
 			}
 			if c.elsewhere {
 				r.Entry = netip.AddrPortFrom(other, 80)
--- a/standin/caller/wishes.go
+++ b/standin/caller/wishes.go
@@ -23,10 +23,10 @@
 	run    worker.Run
 }
 
-// Unheeded says which requests of stopped traffics reached upstreams that had told the entry
+// BackpressureViolations says which requests of stopped traffics reached upstreams that had told the entry
 // that sent them that they leave, or that they want nothing for a time. An entry that was started anew
 // or stood still since then is excused, and one that was cut off where an upstream pauses.
-func Unheeded(e Evidence, traffics ...*Traffic) (broken []string) {
+func BackpressureViolations(e Observations, traffics ...*Traffic) (broken []string) {
 	var results []Result
 	var arrivals, refusals []arrival
 	for _, x := range traffics {
@@ -43,11 +43,11 @@
 	arrivals = append(arrivals, refusals...)
 	for _, a := range arrivals {
 		for _, r := range results {
-			if !r.Leaving || r.Upstream != a.run.Upstream || r.Entry != a.result.Entry || !a.result.At.After(r.End().Add(leaveTime)) {
+			if !r.UpstreamLeaving || r.Upstream != a.run.Upstream || r.Entry != a.result.Entry || !a.result.StartedAt.After(r.EndedAt().Add(leaveTime)) {
 				continue
 			}
-			if told, ok := runAt(e, r); ok && told.Process == a.run.Process && !e.Troubles.renewed(r.Entry, r.At, a.result.End()) {
-				broken = append(broken, fmt.Sprintf("%s %s reached %s %s after an answer of it that said that it leaves", a.result.Path, a.result.ID, r.Upstream, a.run.Began.Sub(r.End())))
+			if told, ok := runAt(e, r); ok && told.Process == a.run.Process && !e.Faults.renewed(r.Entry, r.StartedAt, a.result.EndedAt()) {
+				broken = append(broken, fmt.Sprintf("%s %s reached %s %s after an answer of it that said that it leaves", a.result.Path, a.result.ID, r.Upstream, a.run.Began.Sub(r.EndedAt())))
 				break
 			}
 		}
@@ -64,7 +64,7 @@
 			}
 		}
 		until := told.run.Began.Add(worker.PauseTime)
-		if len(late) > mostInPause && !e.Troubles.renewed(told.result.Entry, told.result.At, until) && !e.Troubles.cutSince(told.run.Upstream, told.run.Began, until) {
+		if len(late) > mostInPause && !e.Faults.renewed(told.result.Entry, told.result.StartedAt, until) && !e.Faults.cutSince(told.run.Upstream, told.run.Began, until) {
 			broken = append(broken, fmt.Sprintf("%d requests reached %s while it wanted none from %s: %v", len(late), told.run.Upstream, told.result.Entry, late))
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // runAt is the run of a request at the upstream whose answer was passed on.
-func runAt(e Evidence, r Result) (worker.Run, bool) {
+func runAt(e Observations, r Result) (worker.Run, bool) {
 	for _, run := range append(e.Runs(r.ID), e.Refusals(r.ID)...) {
 		if run.Upstream == r.Upstream {
 			return run, true
--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -17,33 +17,33 @@
 	Name    string
 	Entries int
 	Engines int
-	// Centres is how many data centres entries and engines are spread over.
-	Centres int
-	// Distance is one way between instances, CallerDistance to callers.
-	Distance       time.Duration
-	CallerDistance time.Duration
-	MemoryTokens   int
-	PrefillRate    int
-	TokenTime      time.Duration
-	MaxGroup       int
-	Organisations  int
+	// DataCentres is how many data centres entries and engines are spread over.
+	DataCentres int
+	// Latency is one way between instances, CallerDistance to callers.
+	Latency         time.Duration
+	CallerLatency   time.Duration
+	MemoryTokens    int
+	PrefillRate     int
+	TokenTime       time.Duration
+	MaxGroupEngines int
+	Organisations   int
 }
 
 // Deployments of the users, as the brief gives them. The brief says nothing
 // of an engine's speed and memory: these are assumed.
 var Deployments = map[string]Deployment{
 	"condor": {
-		Name: "condor", Entries: 7, Engines: 14, Centres: 3, Distance: time.Millisecond, CallerDistance: time.Millisecond,
-		MemoryTokens: 400_000, PrefillRate: 20_000, TokenTime: 30 * time.Millisecond, MaxGroup: 5, Organisations: 10,
+		Name: "condor", Entries: 7, Engines: 14, DataCentres: 3, Latency: time.Millisecond, CallerLatency: time.Millisecond,
+		MemoryTokens: 400_000, PrefillRate: 20_000, TokenTime: 30 * time.Millisecond, MaxGroupEngines: 5, Organisations: 10,
 	},
 	"zeekant": {
-		Name: "zeekant", Entries: 7, Engines: 16, Centres: 3, Distance: 1500 * time.Microsecond, CallerDistance: 3 * time.Millisecond,
-		MemoryTokens: 400_000, PrefillRate: 20_000, TokenTime: 30 * time.Millisecond, MaxGroup: 5, Organisations: 10,
+		Name: "zeekant", Entries: 7, Engines: 16, DataCentres: 3, Latency: 1500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
+		MemoryTokens: 400_000, PrefillRate: 20_000, TokenTime: 30 * time.Millisecond, MaxGroupEngines: 5, Organisations: 10,
 	},
 }
 
-// ShortTokens is the longest prompt of the short class.
-const ShortTokens = 4000
+// MaxShortTokens is the longest prompt of the short class.
+const MaxShortTokens = 4000
 
 // lengths of the classes' prompts in tokens, drawn log-uniformly, how many of
 // a hundred requests are of each, and their callers' time limits.
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -29,24 +29,24 @@
 // Options of a run: the policy and what fails.
 type Options struct {
 	Policy router.Policy
-	// Ask has keepers grant attempts.
-	Ask bool
-	// Priority has engines schedule shorter prompts first.
-	Priority bool
-	// Classes has queues estimated by class.
-	Classes bool
-	// Pace has entries go by how fast engines were.
-	Pace bool
-	// Retries is how often callers send again what was refused or late, and
+	// AskKeepers has keepers grant attempts.
+	AskKeepers bool
+	// SchedulesByPriority has engines schedule shorter prompts first.
+	SchedulesByPriority bool
+	// QueuesByClass has queues estimated by class.
+	QueuesByClass bool
+	// MeasuresPace has entries go by how fast engines were.
+	MeasuresPace bool
+	// MaxRetries is how often callers send again what was refused or late, and
 	// Budget bounds that to a tenth of the requests.
-	Retries int
-	Budget  bool
-	// Levels is how many levels of priority there are, the longest classes
+	MaxRetries     int
+	HasRetryBudget bool
+	// PriorityLevels is how many levels of priority there are, the longest classes
 	// sharing the last; 0 means one for each class.
-	Levels int
-	// Refuse has keepers refuse what would be too late.
-	Refuse bool
-	Fault  Fault
+	PriorityLevels int
+	// RefusesLate has keepers refuse what would be too late.
+	RefusesLate bool
+	Fault       Fault
 }
 
 // Fault is what fails during a run.
@@ -54,11 +54,11 @@
 
 // The faults.
 const (
-	NoFault    Fault = ""
-	DeadEngine Fault = "dead-engine"
-	SlowEngine Fault = "slow-engine"
-	LaggedLoad Fault = "lagged-load"
-	CutCentre  Fault = "cut-centre"
+	NoFault       Fault = ""
+	DeadEngine    Fault = "dead-engine"
+	SlowEngine    Fault = "slow-engine"
+	LaggedLoad    Fault = "lagged-load"
+	CutDataCentre Fault = "cut-centre"
 )
 
 // slowFactor is how much slower an engine works under SlowEngine, and
@@ -149,7 +149,7 @@
 	return f
 }
 
-func (f *fleet) centre(i int) string { return fmt.Sprintf("dc-%d", i%f.deployment.Centres) }
+func (f *fleet) centre(i int) string { return fmt.Sprintf("dc-%d", i%f.deployment.DataCentres) }
 
 func (f *fleet) addEngine(i int, members []assigner.Member) {
 	d := f.deployment
@@ -196,7 +196,7 @@
 		e.loads[s.name] = &router.Load{}
 		engines = append(engines, &router.Engine{
 			Name: s.name, DataCentre: s.centre, Model: "model", Version: "1", MemoryTokens: d.MemoryTokens,
-			PrefillRate: d.PrefillRate, OneWayDelay: d.Distance, Load: e.loads[s.name],
+			PrefillRate: d.PrefillRate, OneWayDelay: d.Latency, Load: e.loads[s.name],
 		})
 	}
 	e.board = router.NewEngineIndex(engines)
@@ -236,7 +236,7 @@
 
 // reach reports whether an entry can reach an engine.
 func (f *fleet) reach(e *simEntry, s *simEngine) bool {
-	cut := f.options.Fault == CutCentre && f.now.After(time.Unix(1_000_000, 0).Add(warmUp))
+	cut := f.options.Fault == CutDataCentre && f.now.After(time.Unix(1_000_000, 0).Add(warmUp))
 	return !s.dead && (!cut || s.centre == e.centre || (s.centre != "dc-0" && e.centre != "dc-0"))
 }
 
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -82,22 +82,22 @@
 	return out
 }
 
-// Quantile is a quantile of a class's time to first token, in milliseconds.
-func (r Result) Quantile(c router.LengthClass, percent float64) float64 {
+// FirstTokenQuantile is a quantile of a class's time to first token, in milliseconds.
+func (r Result) FirstTokenQuantile(c router.LengthClass, percent float64) float64 {
 	return float64(r.Classes[c].FirstToken.ValueAtQuantile(percent)) / 1000
 }
 
 // Window is what became of the requests sent in a part of a run.
 type Window struct {
-	From                          time.Duration
+	Start                         time.Duration
 	Sent, Answered, Refused, Late int
 	// Goodput is prompt tokens a second of those answered in time.
 	Goodput float64
 }
 
-// Burst measures recovery: load is base but for a minute after the first, when
+// RunBurst measures recovery: load is base but for a minute after the first, when
 // it is peak. It returns a window for every half minute.
-func Burst(d Deployment, o Options, base, peak float64, seed uint64) []Window {
+func RunBurst(d Deployment, o Options, base, peak float64, seed uint64) []Window {
 	const (
 		width = 30 * time.Second
 		begin = time.Minute
@@ -121,7 +121,7 @@
 			continue
 		}
 		w := &windows[n]
-		w.From = time.Duration(n) * width
+		w.Start = time.Duration(n) * width
 		w.count(r, width)
 	}
 	return windows
@@ -147,7 +147,7 @@
 	for _, c := range classes {
 		t := r.Classes[c]
 		_, _ = fmt.Fprintf(w, "  %-9s %6d %8d %7d %5d %9.0f %9.0f %9.0f\n", classNames[c], t.Sent, t.Answered, t.Refused, t.Late,
-			r.Quantile(c, 50), r.Quantile(c, 95), r.Quantile(c, 99))
+			r.FirstTokenQuantile(c, 50), r.FirstTokenQuantile(c, 95), r.FirstTokenQuantile(c, 99))
 	}
 }
 
@@ -162,11 +162,11 @@
 	{"fewest-own", Options{Policy: router.FewestOwn}},
 	{"power-of-two", Options{Policy: router.PowerOfTwo}},
 	{"predicted", Options{Policy: router.Predicted}},
-	{"predicted+ask", Options{Policy: router.Predicted, Ask: true}},
-	{"predicted+ask+refuse", Options{Policy: router.Predicted, Ask: true, Refuse: true}},
-	{"predicted+ask+refuse+priority", Options{Policy: router.Predicted, Ask: true, Refuse: true, Priority: true}},
-	{"classes-2", Options{Policy: router.Predicted, Ask: true, Refuse: true, Priority: true, Classes: true, Levels: 2}},
-	{"classes-3", Options{Policy: router.Predicted, Ask: true, Refuse: true, Priority: true, Classes: true, Levels: 3}},
-	{"classes-4", Options{Policy: router.Predicted, Ask: true, Refuse: true, Priority: true, Classes: true}},
-	{"classes-4+pace", Options{Policy: router.Predicted, Ask: true, Refuse: true, Priority: true, Classes: true, Pace: true}},
+	{"predicted+ask", Options{Policy: router.Predicted, AskKeepers: true}},
+	{"predicted+ask+refuse", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true}},
+	{"predicted+ask+refuse+priority", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true}},
+	{"classes-2", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, PriorityLevels: 2}},
+	{"classes-3", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, PriorityLevels: 3}},
+	{"classes-4", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true}},
+	{"classes-4+pace", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, MeasuresPace: true}},
 }
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -64,7 +64,7 @@
 	r.deadline = f.now.Add(lengths[d.class].limit)
 	f.requests = append(f.requests, r)
 	f.after(lengths[d.class].limit, func() { f.expire(r) })
-	f.after(f.deployment.CallerDistance, func() { f.begin(r) })
+	f.after(f.deployment.CallerLatency, func() { f.begin(r) })
 }
 
 func (f *fleet) begin(r *request) {
@@ -107,10 +107,10 @@
 // comeBack has a caller send a request again, as a new one, after a while.
 func (f *fleet) comeBack(r *request) {
 	const leastWait, mostWait, budget = 500, 3000, 10.0
-	if r.sends >= f.options.Retries {
+	if r.sends >= f.options.MaxRetries {
 		return
 	}
-	if f.options.Budget && f.spent > budget*float64(f.deployment.Entries)-1 {
+	if f.options.HasRetryBudget && f.spent > budget*float64(f.deployment.Entries)-1 {
 		return
 	}
 	f.spent++
@@ -121,18 +121,18 @@
 // ask asks the engine's keeper, where the policy does, or takes the engine.
 func (f *fleet) ask(r *request, s *simEngine) {
 	r.attempt = f.newID()
-	if !f.options.Ask {
+	if !f.options.AskKeepers {
 		r.placer.RecordReply(keeper.GrantReply{Granted: true})
 		f.place(r)
 		return
 	}
-	delay := 2 * f.deployment.Distance
+	delay := 2 * f.deployment.Latency
 	if s.keptBy == r.entry.number {
 		delay = 0
 	}
 	f.after(delay, func() {
 		left := r.deadline.Sub(f.now)
-		if !f.options.Refuse {
+		if !f.options.RefusesLate {
 			left = time.Hour
 		}
 		answer := s.keeper.RequestGrant(f.now, keeper.GrantRequest{
@@ -149,7 +149,7 @@
 }
 
 func (f *fleet) priority(r *request) int {
-	if !f.options.Priority {
+	if !f.options.SchedulesByPriority {
 		return 0
 	}
 	return router.Priority(f.level(r), shortWeight)
@@ -158,14 +158,14 @@
 // class is what the queue is estimated by: all one where engines go by order
 // of arrival.
 func (f *fleet) class(r *request) router.LengthClass {
-	if !f.options.Classes {
+	if !f.options.QueuesByClass {
 		return router.Longest
 	}
 	return f.level(r)
 }
 
 func (f *fleet) level(r *request) router.LengthClass {
-	if f.options.Levels > 0 && int(r.class) >= f.options.Levels-1 {
+	if f.options.PriorityLevels > 0 && int(r.class) >= f.options.PriorityLevels-1 {
 		return router.Longest
 	}
 	return r.class
@@ -176,7 +176,7 @@
 	load.OwnInFlight.Add(1)
 	load.OwnPrefillTokens[f.class(r)].Add(int64(r.tokens))
 	r.counted, r.engine = true, s
-	f.after(f.deployment.Distance, func() { f.give(r, s) })
+	f.after(f.deployment.Latency, func() { f.give(r, s) })
 }
 
 func (f *fleet) give(r *request, s *simEngine) {
@@ -194,7 +194,7 @@
 	}
 	running, err := s.batcher.Give(f.now, engine.Prompt{AttemptID: r.attempt, Request: f.prompt(r), Priority: f.priority(r), Group: ids})
 	if err != nil {
-		f.after(f.deployment.Distance, func() { f.again(r, s) })
+		f.after(f.deployment.Latency, func() { f.again(r, s) })
 		return
 	}
 	s.running[r] = running
@@ -232,13 +232,13 @@
 // pace notes how fast the engine was.
 func (f *fleet) pace(r *request) {
 	const leastPaced = 8
-	if f.options.Pace && r.made >= leastPaced {
+	if f.options.MeasuresPace && r.made >= leastPaced {
 		r.entry.loads[r.engine.name].RecordTimePerToken(f.now, f.now.Sub(r.first)/time.Duration(r.made))
 	}
 }
 
 func (f *fleet) firstToken(r *request) {
-	r.first = f.now.Add(f.deployment.Distance + f.deployment.CallerDistance)
+	r.first = f.now.Add(f.deployment.Latency + f.deployment.CallerLatency)
 	if r.counted {
 		r.entry.loads[r.engine.name].OwnPrefillTokens[f.class(r)].Add(-int64(r.tokens))
 		r.counted = false
@@ -288,14 +288,14 @@
 			candidates = append(candidates, reserver.Candidate{Name: e.Name, DataCentre: e.DataCentre, FreeTokens: free, MemoryTokens: e.MemoryTokens})
 		}
 	}
-	shares, err := reserver.Plan(candidates, r.tokens+r.answer, f.deployment.MaxGroup, f.newID)
+	shares, err := reserver.Plan(candidates, r.tokens+r.answer, f.deployment.MaxGroupEngines, f.newID)
 	if err != nil || !f.hold(shares) {
 		f.after(groupPause, func() { f.reserveGroup(r, patience) })
 		return
 	}
 	r.group = shares
 	r.attempt = f.newID()
-	delay := 2 * f.deployment.Distance * time.Duration(len(shares))
+	delay := 2 * f.deployment.Latency * time.Duration(len(shares))
 	f.after(delay, func() { f.dispatch(r, f.byName[shares[0].Engine]) })
 }
 
--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -20,9 +20,9 @@
 // Network joins hosts, told apart by address. A cable joins two of them. It is
 // safe for concurrent use.
 type Network struct {
-	// OnPacket, where not nil, is told of each datagram; it is set before the first and
+	// OnDatagram, where not nil, is told of each datagram; it is set before the first and
 	// must not use the network.
-	OnPacket func(from, to netip.Addr, size int)
+	OnDatagram func(from, to netip.Addr, size int)
 
 	lock      sync.Mutex
 	moved     *sync.Cond
@@ -121,8 +121,8 @@
 	}
 }
 
-// Limit bounds what a host sends over connections, in bytes a second.
-func (n *Network) Limit(host netip.Addr, rate int) {
+// LimitSendRate bounds what a host sends over connections, in bytes a second.
+func (n *Network) LimitSendRate(host netip.Addr, rate int) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.rates[host] = rate
@@ -179,15 +179,15 @@
 	}
 }
 
-// Cut parts two hosts, both ways.
-func (n *Network) Cut(a, b netip.Addr) {
+// Disconnect parts two hosts, both ways.
+func (n *Network) Disconnect(a, b netip.Addr) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.cuts[[2]netip.Addr{a, b}], n.cuts[[2]netip.Addr{b, a}] = true, true
 }
 
-// Mend joins two hosts and breaks what hung.
-func (n *Network) Mend(a, b netip.Addr) {
+// Reconnect joins two hosts and breaks what hung.
+func (n *Network) Reconnect(a, b netip.Addr) {
 	n.lock.Lock()
 	delete(n.cuts, [2]netip.Addr{a, b})
 	delete(n.cuts, [2]netip.Addr{b, a})
@@ -196,8 +196,8 @@
 	n.breakLinks(func(l *link) bool { return l.from == a && l.to == b || l.from == b && l.to == a })
 }
 
-// Kill ends a host: its listeners and every link to or from it.
-func (n *Network) Kill(host netip.Addr) {
+// KillHost ends a host: its listeners and every link to or from it.
+func (n *Network) KillHost(host netip.Addr) {
 	n.lock.Lock()
 	for address, l := range n.listeners {
 		if address.Addr() == host {
--- a/standin/network/packets.go
+++ b/standin/network/packets.go
@@ -54,8 +54,8 @@
 	if !ok || p.net.cuts[[2]netip.Addr{p.address.Addr(), address.Addr()}] {
 		return len(data), nil
 	}
-	if p.net.OnPacket != nil {
-		p.net.OnPacket(p.address.Addr(), address.Addr(), len(data))
+	if p.net.OnDatagram != nil {
+		p.net.OnDatagram(p.address.Addr(), address.Addr(), len(data))
 	}
 	select {
 	case receiver.queue <- packet{from: p.address, data: append([]byte(nil), data...)}:
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -18,21 +18,21 @@
 
 // The modes.
 const (
-	// Up answers.
-	Up Mode = iota
-	// Busy answers 503, Many 429.
-	Busy
-	Many
-	// Silent says nothing until the caller gives up.
-	Silent
-	// Reset breaks connections.
-	Reset
-	// Late answers after Delay.
-	Late
+	// Available answers.
+	Available Mode = iota
+	// Unavailable answers 503, Many 429.
+	Unavailable
+	RateLimited
+	// Unresponsive says nothing until the caller gives up.
+	Unresponsive
+	// ResetsConnections breaks connections.
+	ResetsConnections
+	// Slow answers after Delay.
+	Slow
 )
 
-// Delay is how long a store that is Late takes.
-const Delay = 300 * time.Millisecond
+// SlowDelay is how long a store that is Late takes.
+const SlowDelay = 300 * time.Millisecond
 
 // pageItems is the most items of an answer.
 const pageItems = 50
@@ -40,10 +40,10 @@
 type item struct {
 	Key string `json:"key"`
 	// Value is base64 text, unless a test wrote something else.
-	Value   json.RawMessage `json:"value,omitempty"`
-	Rev     int64           `json:"rev"`
-	Made    int64           `json:"create-rev,omitempty"`
-	Deleted bool            `json:"deleted,omitempty"`
+	Value          json.RawMessage `json:"value,omitempty"`
+	Revision       int64           `json:"rev"`
+	CreateRevision int64           `json:"create-rev,omitempty"`
+	Deleted        bool            `json:"deleted,omitempty"`
 }
 
 // Store holds the items. It is safe for concurrent use.
@@ -78,20 +78,20 @@
 	if err != nil {
 		panic(err) // bytes can always be written
 	}
-	return s.PutItem(key, text)
+	return s.PutRaw(key, text)
 }
 
-// PutItem writes a key whose value is the given JSON on the wire, which need not be
+// PutRaw writes a key whose value is the given JSON on the wire, which need not be
 // base64 text, and returns the revision.
-func (s *Store) PutItem(key string, value json.RawMessage) int64 {
+func (s *Store) PutRaw(key string, value json.RawMessage) int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.revision++
 	made := s.revision
 	if before, ok := s.items[key]; ok {
-		made = before.Made
+		made = before.CreateRevision
 	}
-	i := item{Key: key, Value: value, Rev: s.revision, Made: made}
+	i := item{Key: key, Value: value, Revision: s.revision, CreateRevision: made}
 	s.items[key] = i
 	s.note(i)
 	return s.revision
@@ -103,7 +103,7 @@
 	defer s.lock.Unlock()
 	s.revision++
 	delete(s.items, key)
-	s.note(item{Key: key, Rev: s.revision, Deleted: true})
+	s.note(item{Key: key, Revision: s.revision, Deleted: true})
 	return s.revision
 }
 
@@ -129,8 +129,8 @@
 	s.history, s.forgot = nil, s.revision
 }
 
-// Calls is how many calls were made.
-func (s *Store) Calls() int {
+// CallCount is how many calls were made.
+func (s *Store) CallCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.calls
@@ -158,16 +158,16 @@
 // misbehave reports whether the call is to be answered after all.
 func misbehave(w http.ResponseWriter, r *http.Request, mode Mode) bool {
 	switch mode {
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Many:
+	case RateLimited:
 		w.WriteHeader(http.StatusTooManyRequests)
-	case Silent:
+	case Unresponsive:
 		<-r.Context().Done()
-	case Reset:
+	case ResetsConnections:
 		panic(http.ErrAbortHandler)
-	case Late:
-		time.Sleep(Delay)
+	case Slow:
+		time.Sleep(SlowDelay)
 		return true
 	default:
 		return true
@@ -206,11 +206,11 @@
 		changed, asOf, gone := s.changed, s.revision, after < s.forgot
 		var events []item
 		for _, i := range s.history {
-			if i.Rev > after && strings.HasPrefix(i.Key, query.Get("prefix")) {
+			if i.Revision > after && strings.HasPrefix(i.Key, query.Get("prefix")) {
 				events = append(events, i)
 			}
 		}
-		up := s.mode == Up || s.mode == Late
+		up := s.mode == Available || s.mode == Slow
 		s.lock.Unlock()
 		waited := false
 		switch {
