--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	// addressLife is how long an answer of the directory is kept.
-	addressLife = time.Second
-	// directoryTime is how long one entry's directory is waited for.
-	directoryTime = time.Second
-	// idleConnections are kept to each entry.
-	idleConnections = 4
-	// usualUsage is a prompt of 2,000 tokens with an answer of up to 200.
-	usualUsage = "2000,200"
+	// addressTTL is how long an answer of the directory is kept.
+	addressTTL = time.Second
+	// directoryTimeout is how long one entry's directory is waited for.
+	directoryTimeout = time.Second
+	// maxIdleConnections are kept to each entry.
+	maxIdleConnections = 4
+	// defaultTokenUsage is a prompt of 2,000 tokens with an answer of up to 200.
+	defaultTokenUsage = "2000,200"
 )
 
 // ErrNoAddress says that no directory named an address.
@@ -50,23 +50,23 @@
 	// answers of the directory don't name it any more.
 	KeepsAddress bool
 	// Body returns what a request sends; nil for nothing. BodyOf, where not nil, takes its place.
-	Body      func() io.Reader
-	BodyOf    func(id string) string
-	client    *http.Client
-	random    *rand.Rand
-	addresses []netip.AddrPort
-	asked     time.Time
-	// fixed is true where the directory is not asked.
-	fixed bool
-	// kept is the address that a caller who keeps one asks; invalid for none.
-	kept netip.AddrPort
+	Body       func() io.Reader
+	BodyOf     func(id string) string
+	client     *http.Client
+	random     *rand.Rand
+	addresses  []netip.AddrPort
+	resolvedAt time.Time
+	// hasFixedAddress is true where the directory is not asked.
+	hasFixedAddress bool
+	// keptAddress is the address that a caller who keeps one asks; invalid for none.
+	keptAddress netip.AddrPort
 }
 
 // New returns a caller that connects by dial.
 func New(directories []netip.AddrPort, seed uint64, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Caller {
-	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idleConnections}
+	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdleConnections}
 	return &Caller{
-		Directories: directories, AddressTTL: addressLife, TokenUsage: usualUsage,
+		Directories: directories, AddressTTL: addressTTL, TokenUsage: defaultTokenUsage,
 		random: rand.New(rand.NewPCG(seed, 1)), client: &http.Client{Transport: transport},
 	}
 }
@@ -85,14 +85,14 @@
 // until a request to it fails, both or neither.
 func (c *Caller) SetAddressReuse(n int) {
 	if n%2 == 1 {
-		c.AddressTTL = 3 * addressLife
+		c.AddressTTL = 3 * addressTTL
 	}
 	c.KeepsAddress = n%4 >= 2
 }
 
 // SetFixedAddress has the caller use an address whatever the directory says.
 func (c *Caller) SetFixedAddress(address netip.AddrPort) {
-	c.addresses, c.fixed = []netip.AddrPort{address}, true
+	c.addresses, c.hasFixedAddress = []netip.AddrPort{address}, true
 }
 
 // Close closes idle connections.
@@ -130,20 +130,20 @@
 
 // resolve asks up to three entries for addresses.
 func (c *Caller) resolve() {
-	if c.fixed || time.Since(c.asked) < c.AddressTTL {
+	if c.hasFixedAddress || time.Since(c.resolvedAt) < c.AddressTTL {
 		return
 	}
 	order := c.random.Perm(len(c.Directories))
 	for _, i := range order[:min(3, len(order))] {
-		if list, err := c.directory(c.Directories[i]); err == nil && len(list) > 0 {
-			c.addresses, c.asked = list, time.Now()
+		if list, err := c.queryDirectory(c.Directories[i]); err == nil && len(list) > 0 {
+			c.addresses, c.resolvedAt = list, time.Now()
 			return
 		}
 	}
 }
 
-func (c *Caller) directory(address netip.AddrPort) ([]netip.AddrPort, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), directoryTime)
+func (c *Caller) queryDirectory(address netip.AddrPort) ([]netip.AddrPort, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), directoryTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/resolve?name=h&region=r&zone=dc-0", nil)
 	if err != nil {
@@ -164,40 +164,40 @@
 }
 
 // Do sends one request; patience is how long it waits.
-func (c *Caller) Do(path, id, key string, patience time.Duration) Result {
+func (c *Caller) Do(path, id, apiKey string, timeout time.Duration) Result {
 	c.resolve()
-	r := Result{ID: id, Path: path, StartedAt: time.Now(), TimeLimit: patience}
+	r := Result{ID: id, Path: path, StartedAt: time.Now(), TimeLimit: timeout}
 	if len(c.addresses) == 0 {
 		r.Err = ErrNoAddress
 		return r
 	}
-	r.Entry = c.choose()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	r.Entry = c.chooseAddress()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
-	r.Err = c.send(ctx, &r, key, patience)
+	r.Err = c.send(ctx, &r, apiKey, timeout)
 	r.Duration, r.HeaderSent = time.Since(r.StartedAt), sent.Load()
 	if r.Err != nil {
-		c.kept = netip.AddrPort{}
+		c.keptAddress = netip.AddrPort{}
 	}
 	return r
 }
 
-// choose picks an address, or the one that the caller keeps.
-func (c *Caller) choose() netip.AddrPort {
-	if c.kept.IsValid() {
-		return c.kept
+// chooseAddress picks an address, or the one that the caller keeps.
+func (c *Caller) chooseAddress() netip.AddrPort {
+	if c.keptAddress.IsValid() {
+		return c.keptAddress
 	}
 	a := c.addresses[c.random.IntN(len(c.addresses))]
 	if c.KeepsAddress {
-		c.kept = a
+		c.keptAddress = a
 	}
 	return a
 }
 
 // send sends the request of a result and fills in its answer.
-func (c *Caller) send(ctx context.Context, r *Result, key string, patience time.Duration) error {
+func (c *Caller) send(ctx context.Context, r *Result, apiKey string, timeout time.Duration) error {
 	method := http.MethodPost
 	if strings.HasPrefix(r.Path, "/safe/") {
 		method = http.MethodGet
@@ -214,11 +214,11 @@
 		return fmt.Errorf("build request: %w", err)
 	}
 	request.Host = "h"
-	request.Header.Set("Authorization", "Bearer "+key)
+	request.Header.Set("Authorization", "Bearer "+apiKey)
 	request.Header.Set("X-Attempt-Id", r.ID)
-	request.Header.Set("X-Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
-	if !plain(r.Path) {
-		c.sayUsage(request.Header, r.ID)
+	request.Header.Set("X-Deadline-Ms", fmt.Sprint(timeout.Milliseconds()))
+	if !isPlainCall(r.Path) {
+		c.setUsageHeaders(request.Header, r.ID)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func (c *Caller) sayUsage(h http.Header, id string) {
+func (c *Caller) setUsageHeaders(h http.Header, id string) {
 	h.Set("X-Token-Usage", c.TokenUsage)
 	if c.TokenUsageOf != nil {
 		most, hint := c.TokenUsageOf(id)
@@ -243,36 +243,36 @@
 	}
 }
 
-func plain(path string) bool {
+func isPlainCall(path string) bool {
 	return strings.HasPrefix(path, "/once/") || strings.HasPrefix(path, "/safe/")
 }
 
-// repeatable reports whether requests of a path may run more than once.
-func repeatable(path string) bool {
+// isRepeatable reports whether requests of a path may run more than once.
+func isRepeatable(path string) bool {
 	return strings.HasPrefix(path, "/safe/") || strings.HasPrefix(path, "/stream/")
 }
 
 // Violations says which promises a result breaks, given how often the request ran
 // and how many events a stream has.
-func (r Result) Violations(ran, events int) []string {
+func (r Result) Violations(runs, events int) []string {
 	var out []string
-	if !repeatable(r.Path) && ran > 1 {
-		out = append(out, fmt.Sprintf("%s %s ran %d times", r.Path, r.ID, ran))
+	if !isRepeatable(r.Path) && runs > 1 {
+		out = append(out, fmt.Sprintf("%s %s ran %d times", r.Path, r.ID, runs))
 	}
-	if ran > 2 {
-		out = append(out, fmt.Sprintf("%s %s ran at %d upstreams of two allowed", r.Path, r.ID, ran))
+	if runs > 2 {
+		out = append(out, fmt.Sprintf("%s %s ran at %d upstreams of two allowed", r.Path, r.ID, runs))
 	}
-	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !repeatable(r.Path) && ran > 0 {
+	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !isRepeatable(r.Path) && runs > 0 {
 		out = append(out, fmt.Sprintf("%s %s was called not run and ran", r.Path, r.ID))
 	}
-	if r.IsServed() && r.Body != whole(r, events) {
+	if r.IsServed() && r.Body != completeBody(r, events) {
 		out = append(out, fmt.Sprintf("%s %s: answer %q is not the whole one", r.Path, r.ID, r.Body))
 	}
 	return out
 }
 
-func whole(r Result, events int) string {
-	if plain(r.Path) {
+func completeBody(r Result, events int) string {
+	if isPlainCall(r.Path) {
 		return worker.Body(r.ID)
 	}
 	text := ""
--- /dev/null
+++ b/standin/caller/faultlog_test.go
@@ -0,0 +1,112 @@
+package caller
+
+import (
+	"errors"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/sapphireramp/sapphireramp/standin/worker"
+)
+
+// Callers saw answers cut in the middle by entries that had been told to stop, and
+// the random runs let that pass: nothing there held an answer that broke off against
+// the stop of its entry. Here is which ends count as lost to a stop, and which have
+// another cause. Times are in milliseconds after SIGTERM; the process ends at 7300.
+func TestLossByShutdown(t *testing.T) {
+	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+	entry, other := netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2")
+	errCut := errors.New("unexpected EOF")
+	type run = worker.Run
+	sound := []run{{Upstream: "i-lm-1", Began: at(2010), Ended: at(7300)}}
+	with := func(f worker.Fault, began, ended int) run {
+		return run{Upstream: "i-lm-1", Fault: f, Began: at(began), Ended: at(ended)}
+	}
+	for name, c := range map[string]struct {
+		path             string
+		sentAt, duration int
+		timeLimit        int
+		status           int
+		err              error
+		retryAfter       string
+		runs             []run
+		refusals         []run
+		storeOutage      *outage
+		unsent           bool
+		otherEntry       bool
+		killedAt         int
+		cut              *outage
+		lost             bool
+	}{
+		"cut by the end":                       {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, lost: true},
+		"cut before the header":                {sentAt: 2000, duration: 5300, err: errCut, runs: sound, lost: true},
+		"sent before, limit before the end":    {sentAt: -500, duration: 7800, timeLimit: 8500, status: 200, err: errCut, runs: sound, lost: true},
+		"sent before, limit beyond the end":    {sentAt: -500, duration: 7800, timeLimit: 8600, status: 200, err: errCut, runs: sound},
+		"sent after, limit beyond the end":     {sentAt: 10, duration: 7290, timeLimit: 8600, status: 200, err: errCut, runs: sound, lost: true},
+		"whole":                                {sentAt: 2000, duration: 5000, status: 200, runs: sound},
+		"refused":                              {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05"},
+		"refused without a time":               {sentAt: 2000, duration: 5, status: 503, lost: true},
+		"refused though it ran":                {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05", runs: sound, lost: true},
+		"another answer":                       {sentAt: 2000, duration: 5, status: 502, lost: true},
+		"limit reached":                        {sentAt: 200, duration: 7000, status: 504, runs: sound},
+		"not sent":                             {sentAt: 4000, duration: 1, err: errCut, unsent: true},
+		"another entry":                        {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, otherEntry: true},
+		"ended before":                         {sentAt: -3000, duration: 2000, status: 200, err: errCut, runs: sound},
+		"sent after the end":                   {sentAt: 7400, duration: 100, err: errCut, runs: sound},
+		"met the closing of its connection":    {sentAt: 3600, duration: 1, err: errCut},
+		"read, and closed without a word":      {sentAt: 3600, duration: 300, err: errCut, lost: true},
+		"killed meanwhile":                     {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3000},
+		"killed after it":                      {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3500, lost: true},
+		"torn by its upstream":                 {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.Torn, 2010, 3000)}},
+		"its upstream is mute":                 {sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.Mute, 2010, 7300)}},
+		"its upstream is slow":                 {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: []run{with(worker.Slow, 2010, 7300)}, lost: true},
+		"given up as its upstream was slow":    {sentAt: 2000, duration: 1500, status: 502, runs: []run{with(worker.Slow, 2010, 3500)}},
+		"a torn run, mended by a sound one":    {sentAt: 1000, duration: 6300, status: 200, err: errCut, runs: []run{with(worker.Torn, 1010, 2000), sound[0]}, lost: true},
+		"short is a stream's fault only":       {path: "/once/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.Short, 2010, 7300)}, lost: true},
+		"its upstream cut off":                 {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(3000), to: at(3000)}},
+		"its upstream cut off before":          {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1000), to: at(2000)}, lost: true},
+		"another upstream cut off":             {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-3", from: at(1000)}, lost: true},
+		"cut off on its way to its upstream":   {sentAt: 2000, duration: 100, status: 502, runs: []run{with(0, 2150, 2150)}, cut: &outage{upstream: "i-lm-1", from: at(2100), to: at(2100)}},
+		"a stray run beside the last":          {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.Torn, 2100, 3000), with(0, 2150, 2150)}},
+		"ended by late word of a new run":      {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}},
+		"word of a new run is over":            {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
+		"word of a new run came later still":   {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, storeOutage: &outage{from: at(1000), to: at(3000)}},
+		"given up for a full upstream":         {path: "/safe/x", sentAt: 2000, duration: 600, status: 502, runs: []run{with(0, 2000, 2600)}, refusals: []run{with(worker.Full, 2600, 2600)}},
+		"only full upstreams":                  {sentAt: 2000, duration: 5, status: 502, refusals: []run{with(worker.Full, 2002, 2002)}, lost: true},
+		"cut after a full upstream":            {path: "/safe/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(0, 2000, 7300)}, refusals: []run{with(worker.Full, 1990, 1990)}, lost: true},
+		"not ended by late word of a new run":  {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
+		"hung before an upstream cut off":      {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-lm-3", from: at(1000)}},
+		"ran nowhere, another service cut off": {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-app-0", from: at(1000)}, lost: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			x := &FaultLog{}
+			x.shutdowns = []*Shutdown{{faults: x, entry: entry, signalledAt: start, killAt: at(8000), exitedAt: at(7300)}}
+			if c.killedAt > 0 {
+				x.kills = []kill{{entry: entry, at: at(c.killedAt)}}
+			}
+			if c.cut != nil {
+				x.cuts = []*outage{c.cut}
+			}
+			if c.storeOutage != nil {
+				x.storeOutages = []*outage{c.storeOutage}
+			}
+			r := Result{
+				ID: "r", Path: "/stream/x", Entry: netip.AddrPortFrom(entry, 80), Status: c.status, Err: c.err, HeaderSent: !c.unsent, RetryAfter: c.retryAfter,
+				StartedAt: at(c.sentAt), Duration: time.Duration(c.duration) * time.Millisecond, TimeLimit: 7 * time.Second,
+			}
+			if c.path != "" {
+				r.Path = c.path
+			}
+			if c.timeLimit > 0 {
+				r.TimeLimit = time.Duration(c.timeLimit) * time.Millisecond
+			}
+			if c.otherEntry {
+				r.Entry = netip.AddrPortFrom(other, 80)
+			}
+			is.New(t).Equal(len(x.lossesByShutdown(r, c.runs, c.refusals)) > 0, c.lost)
+		})
+	}
+}
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -9,8 +9,8 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// paths are one of each kind of request.
-var paths = []string{"/once/x", "/safe/x", "/stream/x", "/fixed/x"}
+// requestPaths are one of each kind of request.
+var requestPaths = []string{"/once/x", "/safe/x", "/stream/x", "/fixed/x"}
 
 // RouteTimeout is the time limit that the route of a path is to have: a safe call's
 // is less than callers wait, the others' more. A safe call has time for a run
@@ -22,9 +22,9 @@
 	return 8 * time.Second
 }
 
-// patience is how long the callers of a path wait: for streams and calls that
+// callerTimeout is how long the callers of a path wait: for streams and calls that
 // may run once, about as long as the longest of them takes.
-func patience(path string) time.Duration {
+func callerTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 5 * time.Second
 	}
@@ -35,11 +35,11 @@
 type Traffic struct {
 	name    string
 	stop    chan struct{}
-	work    sync.WaitGroup
+	running sync.WaitGroup
 	lock    sync.Mutex
 	results []Result
-	// next is what a caller asks next, and after which pause; nil for each kind in turn.
-	next func(n int) (path string, pause time.Duration)
+	// nextRequest is what a caller asks next, and after which pause; nil for each kind in turn.
+	nextRequest func(n int) (path string, pause time.Duration)
 }
 
 // NewTraffic starts callers, made by newCaller. The name tells its requests'
@@ -50,30 +50,30 @@
 
 // newTraffic starts callers that ask what next says, or each kind of request in turn where
 // that is nil.
-func newTraffic(name string, callers int, newCaller func(n int) *Caller, next func(n int) (path string, pause time.Duration)) *Traffic {
-	x := &Traffic{name: name, stop: make(chan struct{}), next: next}
+func newTraffic(name string, callers int, newCaller func(n int) *Caller, nextRequest func(n int) (path string, pause time.Duration)) *Traffic {
+	x := &Traffic{name: name, stop: make(chan struct{}), nextRequest: nextRequest}
 	for n := range callers {
 		c := newCaller(n)
-		x.work.Add(1)
-		go x.ask(c, n)
+		x.running.Add(1)
+		go x.runCaller(c, n)
 	}
 	return x
 }
 
-func (x *Traffic) ask(c *Caller, n int) {
-	defer x.work.Done()
+func (x *Traffic) runCaller(c *Caller, n int) {
+	defer x.running.Done()
 	defer c.Close()
 	for i := 0; ; i++ {
-		path, pause := paths[(n+i)%len(paths)], time.Duration(20+n)*time.Millisecond
-		if x.next != nil {
-			path, pause = x.next(n)
+		path, pause := requestPaths[(n+i)%len(requestPaths)], time.Duration(20+n)*time.Millisecond
+		if x.nextRequest != nil {
+			path, pause = x.nextRequest(n)
 		}
 		select {
 		case <-x.stop:
 			return
 		case <-time.After(pause):
 		}
-		r := c.Do(path, fmt.Sprintf("%s-%d-%d", x.name, n, i), "key-1", patience(path))
+		r := c.Do(path, fmt.Sprintf("%s-%d-%d", x.name, n, i), "key-1", callerTimeout(path))
 		r.TimeLimit = min(r.TimeLimit, RouteTimeout(path))
 		x.lock.Lock()
 		x.results = append(x.results, r)
@@ -96,20 +96,20 @@
 // Stop stops the callers and waits for what they have asked.
 func (x *Traffic) Stop() {
 	close(x.stop)
-	x.work.Wait()
+	x.running.Wait()
 }
 
 // Evaluate returns how many requests of a stopped traffic were served and asked,
 // and the promises that were broken. Stops of entries are over by then.
-func (x *Traffic) Evaluate(e Observations) (served, asked int, broken []string) {
+func (x *Traffic) Evaluate(observed Observations) (served, sent int, violations []string) {
 	for _, r := range x.results {
-		runs := e.Runs(r.ID)
-		broken = append(broken, r.Violations(len(runs), e.EventCount(r.ID))...)
-		broken = append(broken, r.blamed()...)
-		broken = append(broken, e.Faults.lost(r, runs, e.Refusals(r.ID))...)
+		runs := observed.Runs(r.ID)
+		violations = append(violations, r.Violations(len(runs), observed.EventCount(r.ID))...)
+		violations = append(violations, r.falseQuarantine()...)
+		violations = append(violations, observed.Faults.lossesByShutdown(r, runs, observed.Refusals(r.ID))...)
 		if r.IsServed() {
 			served++
 		}
 	}
-	return served, len(x.results), broken
+	return served, len(x.results), violations
 }
