--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// leavingReactionTime is how soon after it passed on an answer that says that an upstream leaves an
-	// entry sends that one nothing more that comes to it.
+	// leavingReactionTime is the time within which an entry that forwarded an answer of a
+	// leaving upstream stops sending new requests to that upstream.
 	leavingReactionTime = 2 * time.Second
-	// backoffReactionTime is how soon an entry heeds that an upstream wants nothing for a time, and
-	// mostInPause how many requests may reach the upstream all the same.
+	// backoffReactionTime is the time within which an entry applies a backoff that an
+	// upstream asked for. maxDuringBackoff is the number of the entry's requests that may
+	// reach the upstream during the rest of the backoff.
 	backoffReactionTime = 500 * time.Millisecond
 	maxDuringBackoff    = 2
 )
 
-// arrival is a request's arrival at an upstream.
+// arrival is a request that reached an upstream, which ran or refused it.
 type arrival struct {
 	result Result
 	run    worker.Run
 }
 
-// BackpressureViolations says which requests of stopped traffics reached upstreams that had told the entry
-// that sent them that they leave, or that they want nothing for a time. An entry that was started anew
-// or stood still since then is excused, and one that was cut off where an upstream pauses.
+// BackpressureViolations describes the requests of stopped traffics that an entry sent
+// to an upstream although the same incarnation of the upstream had announced to this
+// entry that it was leaving or had asked for a backoff. Entries that were restarted,
+// suspended or partitioned since then are excused, and in the case of a backoff also
+// all entries if connections to the upstream were cut.
 func BackpressureViolations(observed Observations, traffics ...*Traffic) (violations []string) {
 	var results []Result
 	var arrivals, refusals []arrival
@@ -47,7 +50,7 @@
 				continue
 			}
 			if leavingRun, ok := passedOnRun(observed, r); ok && leavingRun.Process == a.run.Process && !observed.Faults.wasDisturbed(r.Entry, r.StartedAt, a.result.EndedAt()) {
-				violations = append(violations, fmt.Sprintf("%s %s reached %s %s after an answer of it that said that it leaves", a.result.Path, a.result.ID, r.Upstream, a.run.Began.Sub(r.EndedAt())))
+				violations = append(violations, fmt.Sprintf("%s %s: reached upstream %s %s after the entry forwarded an answer in which it announced that it is leaving", a.result.Path, a.result.ID, r.Upstream, a.run.Began.Sub(r.EndedAt())))
 				break
 			}
 		}
@@ -65,13 +68,14 @@
 		}
 		until := refusal.run.Began.Add(worker.PauseTime)
 		if len(late) > maxDuringBackoff && !observed.Faults.wasDisturbed(refusal.result.Entry, refusal.result.StartedAt, until) && !observed.Faults.wasCut(refusal.run.Upstream, refusal.run.Began, until) {
-			violations = append(violations, fmt.Sprintf("%d requests reached %s while it wanted none from %s: %v", len(late), refusal.run.Upstream, refusal.result.Entry, late))
+			violations = append(violations, fmt.Sprintf("%d requests reached upstream %s during a backoff that it asked of entry %s: %v", len(late), refusal.run.Upstream, refusal.result.Entry, late))
 		}
 	}
 	return violations
 }
 
-// passedOnRun is the run of a request at the upstream whose answer was passed on.
+// passedOnRun returns the run or refusal of a request at the upstream whose answer its
+// entry forwarded, and whether there is one.
 func passedOnRun(observed Observations, r Result) (worker.Run, bool) {
 	for _, run := range append(observed.Runs(r.ID), observed.Refusals(r.ID)...) {
 		if run.Upstream == r.Upstream {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,6 +1,8 @@
-// Package caller is a stand-in for the callers of the users' platform: it asks
-// the directory for addresses, keeps the answer for its life, connects to one
-// of them, and holds every answer against the product's promises.
+// Package caller emulates the callers of the users' platform. A caller gets the
+// addresses of entries from the directory service, caches them for a fixed time
+// and sends requests to one of them. The package also checks every response
+// against the guarantees of the product, such as that a request that must not be
+// repeated runs at most once.
 package caller
 
 import (
@@ -22,47 +24,54 @@
 )
 
 const (
-	// addressTTL is how long an answer of the directory is kept.
+	// addressTTL is the time for which a caller caches a response of the directory.
 	addressTTL = time.Second
-	// directoryTimeout is how long one entry's directory is waited for.
+	// directoryTimeout limits a query to the directory service of one entry.
 	directoryTimeout = time.Second
-	// maxIdleConnections are kept to each entry.
+	// maxIdleConnections is the number of idle connections kept open to each entry.
 	maxIdleConnections = 4
-	// defaultTokenUsage is a prompt of 2,000 tokens with an answer of up to 200.
+	// defaultTokenUsage announces a prompt of 2,000 tokens and an answer of up to 200.
 	defaultTokenUsage = "2000,200"
 )
 
-// ErrNoAddress says that no directory named an address.
-var ErrNoAddress = errors.New("no directory named an address")
+// ErrNoAddress is the error of a request that was not sent because no directory
+// returned an address.
+var ErrNoAddress = errors.New("no directory returned an address of an entry")
 
-// Caller is one caller. It is not safe for concurrent use.
+// Caller sends requests to entries, one at a time. It is not safe for concurrent use.
 type Caller struct {
-	// Directories are where entries say which addresses to use.
+	// Directories are the addresses of the directory service at each entry, which
+	// lists the addresses that callers may use.
 	Directories []netip.AddrPort
-	// AddressTTL is how long an answer of the directory is kept.
+	// AddressTTL is the time for which a response of the directory is cached.
 	AddressTTL time.Duration
-	// TokenUsage is what prompts say of their token counts.
+	// TokenUsage is the X-Token-Usage header of prompts: the tokens of the prompt and
+	// the maximum of the answer, separated by a comma.
 	TokenUsage string
-	// TokenUsageOf, where not nil, takes the place of Usage: the most tokens that the answer
-	// to a request may have, and the caller's estimate.
-	TokenUsageOf func(id string) (most, hint int)
-	// KeepsAddress callers ask one address until a request to it fails, also where newer
-	// answers of the directory don't name it any more.
+	// TokenUsageOf, if not nil, replaces TokenUsage. It returns, for a request id, the
+	// maximum of tokens in the answer and the caller's estimate of them.
+	TokenUsageOf func(id string) (maxTokens, hint int)
+	// KeepsAddress makes the caller use one address until a request to it fails, even
+	// if newer responses of the directory no longer list it.
 	KeepsAddress bool
-	// Body returns what a request sends; nil for nothing. BodyOf, where not nil, takes its place.
-	Body       func() io.Reader
-	BodyOf     func(id string) string
-	client     *http.Client
-	random     *rand.Rand
+	// Body returns the body of a request; nil sends none. BodyOf, if not nil, replaces
+	// Body in POST requests; it returns the body for a request id.
+	Body   func() io.Reader
+	BodyOf func(id string) string
+	client *http.Client
+	random *rand.Rand
+	// addresses are the entries that the directory listed at resolvedAt.
 	addresses  []netip.AddrPort
 	resolvedAt time.Time
-	// hasFixedAddress is true where the directory is not asked.
+	// hasFixedAddress is true if the directory is never queried.
 	hasFixedAddress bool
-	// keptAddress is the address that a caller who keeps one asks; invalid for none.
+	// keptAddress is the address in use if KeepsAddress is set; the zero value if none
+	// has been chosen since the last failure.
 	keptAddress netip.AddrPort
 }
 
-// New returns a caller that connects by dial.
+// New returns a caller that opens connections by dial and chooses directories and
+// addresses at random from the seed.
 func New(directories []netip.AddrPort, seed uint64, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Caller {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdleConnections}
 	return &Caller{
@@ -71,8 +80,9 @@
 	}
 }
 
-// MixedBody is what a request sends of callers of whom some ask for the same and most for
-// something else each time.
+// MixedBody returns the request body for a request id: the same text for every id
+// whose length is a multiple of four, and the id itself for the others, so that a
+// part of the traffic consists of identical requests.
 func MixedBody(id string) string {
 	if len(id)%4 == 0 {
 		return "popular"
@@ -80,9 +90,10 @@
 	return id
 }
 
-// SetAddressReuse gives callers, numbered from 0, in turn each habit that keeps an address
-// longer than most do: an answer of the directory for three of its lives, one address
-// until a request to it fails, both or neither.
+// SetAddressReuse configures how long the n-th caller, counted from 0, reuses an
+// address. Every second caller caches responses of the directory for three times
+// the default; callers 2 and 3 of every four use one address until a request to it
+// fails.
 func (c *Caller) SetAddressReuse(n int) {
 	if n%2 == 1 {
 		c.AddressTTL = 3 * addressTTL
@@ -90,45 +101,46 @@
 	c.KeepsAddress = n%4 >= 2
 }
 
-// SetFixedAddress has the caller use an address whatever the directory says.
+// SetFixedAddress makes the caller send every request to one address without
+// querying the directory.
 func (c *Caller) SetFixedAddress(address netip.AddrPort) {
 	c.addresses, c.hasFixedAddress = []netip.AddrPort{address}, true
 }
 
-// Close closes idle connections.
+// Close closes the caller's idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Result is how one request ended.
+// Result describes how one request ended, as its caller saw it.
 type Result struct {
 	ID, Path string
-	// Entry is the address that was asked.
+	// Entry is the address that the request was sent to.
 	Entry  netip.AddrPort
 	Status int
 	Body   string
-	// HeaderSent is true once the header of the request was written to a connection.
+	// HeaderSent is true if the header of the request was written to a connection.
 	HeaderSent bool
-	// TimeLimit is the time that the request has: as long as its caller waits, or its
-	// route allows.
+	// TimeLimit is the shorter of the caller's timeout and the timeout of the route.
 	TimeLimit time.Duration
-	// RetryAfter is when a refused caller is asked to come back; empty where nothing is said.
+	// RetryAfter is the Retry-After header of the response; empty if it has none.
 	RetryAfter string
-	// Upstream is the one whose answer was passed on, Leaving whether that answer said that it
-	// leaves.
+	// Upstream is the id of the upstream whose answer the entry forwarded.
+	// UpstreamLeaving is true if that answer announced that the upstream is leaving.
 	Upstream        string
 	UpstreamLeaving bool
-	// Err is a connection that ended before a whole answer.
+	// Err is not nil if no complete response arrived.
 	Err       error
 	StartedAt time.Time
 	Duration  time.Duration
 }
 
-// EndedAt is when the request ended.
+// EndedAt returns the time at which the request ended.
 func (r Result) EndedAt() time.Time { return r.StartedAt.Add(r.Duration) }
 
-// IsServed reports whether a whole answer came.
+// IsServed reports whether a complete response with status 200 arrived.
 func (r Result) IsServed() bool { return r.Err == nil && r.Status == http.StatusOK }
 
-// resolve asks up to three entries for addresses.
+// resolve queries the directory service of up to three entries for addresses, unless
+// the cached ones are still valid. If all queries fail, the old addresses stay.
 func (c *Caller) resolve() {
 	if c.hasFixedAddress || time.Since(c.resolvedAt) < c.AddressTTL {
 		return
@@ -142,28 +154,30 @@
 	}
 }
 
+// queryDirectory returns the addresses that the directory service at an address lists.
 func (c *Caller) queryDirectory(address netip.AddrPort) ([]netip.AddrPort, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), directoryTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/resolve?name=h&region=r&zone=dc-0", nil)
 	if err != nil {
-		return nil, fmt.Errorf("build question: %w", err)
+		return nil, fmt.Errorf("build directory request: %w", err)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("ask directory: %w", err)
+		return nil, fmt.Errorf("query directory: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	var answer struct {
 		Addresses []netip.AddrPort `json:"addresses"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
-		return nil, fmt.Errorf("decode answer: %w", err)
+		return nil, fmt.Errorf("decode directory response: %w", err)
 	}
 	return answer.Addresses, nil
 }
 
-// Do sends one request; patience is how long it waits.
+// Do sends one request with an id, authenticated by apiKey, and waits up to timeout
+// for the complete response.
 func (c *Caller) Do(path, id, apiKey string, timeout time.Duration) Result {
 	c.resolve()
 	r := Result{ID: id, Path: path, StartedAt: time.Now(), TimeLimit: timeout}
@@ -184,7 +198,8 @@
 	return r
 }
 
-// chooseAddress picks an address, or the one that the caller keeps.
+// chooseAddress returns the kept address, or else a random one of those that the
+// directory listed.
 func (c *Caller) chooseAddress() netip.AddrPort {
 	if c.keptAddress.IsValid() {
 		return c.keptAddress
@@ -196,7 +211,8 @@
 	return a
 }
 
-// send sends the request of a result and fills in its answer.
+// send sends the request that a result describes and stores the response in it. The
+// error is not nil if no complete response arrived.
 func (c *Caller) send(ctx context.Context, r *Result, apiKey string, timeout time.Duration) error {
 	method := http.MethodPost
 	if strings.HasPrefix(r.Path, "/safe/") {
@@ -222,55 +238,61 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return fmt.Errorf("send: %w", err)
+		return fmt.Errorf("send request: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	r.Upstream, r.UpstreamLeaving = response.Header.Get("X-Engine-Stamp"), response.Header.Get("Server-Leaving") != ""
 	answer, err := io.ReadAll(response.Body)
 	r.Status, r.Body, r.RetryAfter = response.StatusCode, string(answer), response.Header.Get("Retry-After")
 	if err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	return nil
 }
 
+// setUsageHeaders sets the headers that announce the token counts of a prompt.
 func (c *Caller) setUsageHeaders(h http.Header, id string) {
 	h.Set("X-Token-Usage", c.TokenUsage)
 	if c.TokenUsageOf != nil {
-		most, hint := c.TokenUsageOf(id)
-		h.Set("X-Token-Usage", fmt.Sprintf("2000,%d", most))
+		maxTokens, hint := c.TokenUsageOf(id)
+		h.Set("X-Token-Usage", fmt.Sprintf("2000,%d", maxTokens))
 		h.Set("X-Length-Hint", fmt.Sprint(hint))
 	}
 }
 
+// isPlainCall reports whether a path belongs to a plain call, which is answered as a
+// whole, rather than to a prompt, which is answered by a stream of events.
 func isPlainCall(path string) bool {
 	return strings.HasPrefix(path, "/once/") || strings.HasPrefix(path, "/safe/")
 }
 
-// isRepeatable reports whether requests of a path may run more than once.
+// isRepeatable reports whether requests to a path may run more than once.
 func isRepeatable(path string) bool {
 	return strings.HasPrefix(path, "/safe/") || strings.HasPrefix(path, "/stream/")
 }
 
-// Violations says which promises a result breaks, given how often the request ran
-// and how many events a stream has.
+// Violations describes the guarantees that a result violates, one text each. The
+// request ran at upstreams runs times; a complete stream has the given number of
+// events.
 func (r Result) Violations(runs, events int) []string {
 	var out []string
 	if !isRepeatable(r.Path) && runs > 1 {
-		out = append(out, fmt.Sprintf("%s %s ran %d times", r.Path, r.ID, runs))
+		out = append(out, fmt.Sprintf("%s %s: ran %d times, but must run at most once", r.Path, r.ID, runs))
 	}
 	if runs > 2 {
-		out = append(out, fmt.Sprintf("%s %s ran at %d upstreams of two allowed", r.Path, r.ID, runs))
+		out = append(out, fmt.Sprintf("%s %s: ran at %d upstreams, but at most 2 are allowed", r.Path, r.ID, runs))
 	}
 	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !isRepeatable(r.Path) && runs > 0 {
-		out = append(out, fmt.Sprintf("%s %s was called not run and ran", r.Path, r.ID))
+		out = append(out, fmt.Sprintf("%s %s: refused with status 503 as not run, but ran", r.Path, r.ID))
 	}
 	if r.IsServed() && r.Body != completeBody(r, events) {
-		out = append(out, fmt.Sprintf("%s %s: answer %q is not the whole one", r.Path, r.ID, r.Body))
+		out = append(out, fmt.Sprintf("%s %s: response body %q is not the complete answer", r.Path, r.ID, r.Body))
 	}
 	return out
 }
 
+// completeBody returns the body of a complete answer: for a prompt, a stream with the
+// given number of events.
 func completeBody(r Result, events int) string {
 	if isPlainCall(r.Path) {
 		return worker.Body(r.ID)
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -12,56 +12,69 @@
 )
 
 const (
-	// timeoutSlack is how long before its time limit a request counts as ended by it.
+	// timeoutSlack is the time before its limit from which on a request counts as timed
+	// out.
 	timeoutSlack = 50 * time.Millisecond
-	// sameEndSlack is how far apart two ends of one cause are seen at most.
+	// sameEndSlack is the maximum time between two observed ends that have the same cause.
 	sameEndSlack = 200 * time.Millisecond
-	// unreadCloseTime is how soon after its sending a connection ends that was closed
-	// before its request was read.
+	// unreadCloseTime is the time after sending a request within which its connection ends
+	// if the entry closed it without reading the request.
 	unreadCloseTime = 200 * time.Millisecond
-	// forcedExitSlack is how long before its end by force a process ends that has still something to do.
+	// forcedExitSlack is the time before SIGKILL within which an exit counts as forced:
+	// the process may have had unfinished requests.
 	forcedExitSlack = time.Second
-	// strayRunTime is how soon a run ends whose connection was closed before it began.
+	// strayRunTime is the time within which a run ends if its connection had been closed
+	// before it began.
 	strayRunTime = 20 * time.Millisecond
 )
 
-// FaultLog are what a test did to entries and upstreams, by time. It is what
-// decides whether the end of a request is a stopping entry's fault.
+// FaultLog records the faults that a test injected into entries and upstreams, with
+// their times. It decides whether a request failed because its entry shut down or for
+// another reason. It is safe for concurrent use.
 type FaultLog struct {
 	lock      sync.Mutex
 	shutdowns []*Shutdown
 	kills     []kill
-	cuts      []*outage
-	// storeOutages are the times when entries could not read the store.
+	// cuts are the outages of connections to upstreams.
+	cuts []*outage
+	// storeOutages are the times in which entries could not read the store, in the order
+	// of their beginnings.
 	storeOutages []*outage
-	// partitions are the times when some entries could not reach others.
+	// partitions are the times in which some entries could not reach others or were
+	// suspended.
 	partitions []*outage
 }
 
-// Shutdown is one SIGTERM of an entry.
+// Shutdown records one SIGTERM to an entry and the exit of its process.
 type Shutdown struct {
 	faults *FaultLog
 	entry  netip.Addr
-	// signalledAt is when SIGTERM was sent, force when SIGKILL would follow, ended when the
-	// process had ended; zero before.
+	// signalledAt is the time of SIGTERM and killAt the time at which SIGKILL would follow.
+	// exitedAt is the time of the exit; zero before it.
 	signalledAt, killAt, exitedAt time.Time
 }
 
+// kill records that an entry was killed without SIGTERM.
 type kill struct {
 	entry netip.Addr
 	at    time.Time
 }
 
-// outage is a time during which connections to an upstream broke or said nothing.
+// outage is a time in which connections broke or carried no data.
 type outage struct {
+	// upstream is the id of the affected upstream; empty if the outage is not one of an
+	// upstream.
 	upstream string
+	// to is zero until the outage ends.
 	from, to time.Time
-	// fromRestart is set where entries only hear of a cut that is over: they end requests
-	// for it, but not by their own end.
+	// fromRestart is true if the upstream restarted and this is the time in which entries
+	// may detect that. It explains why an entry ended a request, but not why a request
+	// ended with the exit of its entry.
 	fromRestart bool
 }
 
-// RecordShutdown notes that an entry is about to get SIGTERM.
+// RecordShutdown records that an entry is about to get SIGTERM, and SIGKILL after the
+// grace period.
 func (x *FaultLog) RecordShutdown(entry netip.Addr, grace time.Duration) *Shutdown {
 	x.lock.Lock()
 	defer x.lock.Unlock()
@@ -70,32 +83,33 @@
 	return s
 }
 
-// RecordExit notes that the process has ended.
+// RecordExit records that the process of the entry has exited.
 func (s *Shutdown) RecordExit() {
 	s.faults.lock.Lock()
 	defer s.faults.lock.Unlock()
 	s.exitedAt = time.Now()
 }
 
-// RecordKill notes that an entry is killed.
+// RecordKill records that an entry is about to be killed without SIGTERM.
 func (x *FaultLog) RecordKill(entry netip.Addr) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	x.kills = append(x.kills, kill{entry: entry, at: time.Now()})
 }
 
-// RecordCut notes that connections to an upstream are about to break or be held up;
-// what it returns notes that they are not any more.
+// RecordCut records that connections to an upstream are about to break or stall. The
+// returned function records the end.
 func (x *FaultLog) RecordCut(upstream string) (end func()) {
 	return x.record(&x.cuts, &outage{upstream: upstream, from: time.Now()})
 }
 
-// RecordStoreOutage notes that entries are about to lose the store, and what it returns that
-// they have it again.
+// RecordStoreOutage records that entries are about to lose access to the store. The
+// returned function records that they have it again.
 func (x *FaultLog) RecordStoreOutage() (end func()) {
 	return x.record(&x.storeOutages, &outage{from: time.Now()})
 }
 
+// record appends an outage to a list. The returned function records its end.
 func (x *FaultLog) record(list *[]*outage, c *outage) (end func()) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
@@ -107,13 +121,14 @@
 	}
 }
 
-// restartNoticeTime is how long after its start, or after the store is back, entries may hear
-// of an upstream's new run.
+// restartNoticeTime is the maximum time until all entries detect a new incarnation of
+// an upstream, counted from its start or from the return of the store.
 const restartNoticeTime = 2 * time.Second
 
-// RecordRestart notes that an upstream starts anew under its id. What it worked on is never
-// answered. Entries that hear of the new run end all that they sent to its id before,
-// also what reached the new run already: they can't tell it from the other.
+// RecordRestart records that an upstream restarts under the same id. The requests that
+// it was running are never answered. An entry that detects the new incarnation ends
+// every request that it sent to this id before, including those that reached the new
+// incarnation, as it can't distinguish them from the others.
 func (x *FaultLog) RecordRestart(upstream string) {
 	x.RecordCut(upstream)()
 	x.lock.Lock()
@@ -121,18 +136,21 @@
 	x.cuts = append(x.cuts, &outage{upstream: upstream, from: time.Now(), to: time.Now().Add(restartNoticeTime), fromRestart: true})
 }
 
-// lossesByShutdown says where a request was lost to the stop of its entry, which is never to
-// happen: what a stopping entry begins gets its whole answer or an honest refusal.
+// lossesByShutdown describes the shutdowns by which a request was lost. There must be
+// none: a request that an entry accepts gets a complete answer or a clean refusal, even
+// if the entry shuts down.
 //
-// Excused is only what follows, whether SIGTERM came before the request or after:
-//   - It was not sent, as nobody accepted a connection: callers ask elsewhere.
-//   - Its caller's time limit was reached: no entry answers in time then.
-//   - It was sent before SIGTERM, and its time limit lies beyond the end by force.
-//   - The entry was killed meanwhile.
-//   - Its connection ended at once, and it ran nowhere: it met the closing of a
-//     connection between two requests, which HTTP/1.1 has no word for.
-//   - Its last run could not end whole, see doomed.
-//   - Its last attempt met an upstream that was too full, see turnedAway.
+// A request without either is excused only in these cases, whether SIGTERM came before
+// the request or after it:
+//   - It was not sent because no connection was accepted: callers try another entry.
+//   - It reached its time limit, in which no entry could have answered.
+//   - It was sent before SIGTERM, and its time limit is later than SIGKILL.
+//   - The entry was killed while the request was in progress.
+//   - Its connection ended at once, and it ran at no upstream: the entry closed a
+//     connection between two requests, which HTTP/1.1 can't announce.
+//   - Its last attempt could not complete, see [FaultLog.couldNotComplete].
+//   - Its last attempt was refused by an upstream without capacity, see
+//     [endedAtFullUpstream].
 func (x *FaultLog) lossesByShutdown(r Result, runs, refusals []worker.Run) []string {
 	x.lock.Lock()
 	defer x.lock.Unlock()
@@ -144,18 +162,20 @@
 		if r.IsServed() || isCleanRefusal(r, runs) || x.isExcused(r, runs, refusals, s) {
 			continue
 		}
-		out = append(out, fmt.Sprintf("%s %s: sent %s after SIGTERM of %s with a limit of %s, ended %s after SIGTERM with status %d, %d bytes, %v; the process ended after %s; runs: %s",
+		out = append(out, fmt.Sprintf("%s %s: sent %s after SIGTERM to entry %s with a time limit of %s, ended %s after SIGTERM with status %d, %d bytes, error %v; the process exited %s after SIGTERM; runs, times after SIGTERM: %s",
 			r.Path, r.ID, sinceShutdown(s, r.StartedAt), s.entry, r.TimeLimit, sinceShutdown(s, r.EndedAt()), r.Status, len(r.Body), r.Err, sinceShutdown(s, s.exitedAt), x.describeRuns(s, runs)))
 	}
 	return out
 }
 
-// isCleanRefusal reports whether a request was refused honestly: not run, and with a
-// time to come back.
+// isCleanRefusal reports whether a request was refused with status 503 and a
+// Retry-After header, and ran at no upstream.
 func isCleanRefusal(r Result, runs []worker.Run) bool {
 	return r.Err == nil && r.Status == http.StatusServiceUnavailable && r.RetryAfter != "" && len(runs) == 0
 }
 
+// isExcused reports whether a request that was sent has one of the excuses listed at
+// lossesByShutdown.
 func (x *FaultLog) isExcused(r Result, runs, refusals []worker.Run, s *Shutdown) bool {
 	switch {
 	case r.Duration >= r.TimeLimit-timeoutSlack:
@@ -173,8 +193,9 @@
 	return x.couldNotComplete(r, runs, s) || endedAtFullUpstream(r, runs, refusals)
 }
 
-// endedAtFullUpstream reports whether the last attempt at a request met an upstream that was too
-// full. Where an earlier one may have run, that is no refusal that a caller could be told.
+// endedAtFullUpstream reports whether the last attempt of a request was refused by an
+// upstream without capacity after an earlier attempt ran. The entry can't forward this
+// refusal, as the caller would take the request for not run.
 func endedAtFullUpstream(r Result, runs, refusals []worker.Run) bool {
 	if r.Err != nil || len(refusals) == 0 || len(runs) == 0 {
 		return false
@@ -183,17 +204,17 @@
 	return at.After(r.EndedAt().Add(-sameEndSlack)) && !at.Before(runs[len(runs)-1].Began)
 }
 
-// couldNotComplete reports whether the last attempt at a request could not end with a whole
-// answer, whatever its entry did: the upstream failed it in a way of its own, or
-// its connection was cut. An upstream that is merely slow dooms nothing that the
-// end of the entry cuts, but an entry may give it up before, for its silence.
-// Attempts before the last don't count, as the last may have mended them. Where
-// no run was going on at the end, the last attempt hung before an upstream that
-// was cut, if there was one.
+// couldNotComplete reports whether the last attempt of a request could not end with a
+// complete answer, whatever its entry did: the upstream failed in a way that a test
+// ordered, or its connection was cut. A slow upstream is no excuse for a request that
+// the exit of its entry cut off, but before that the entry may abandon an attempt whose
+// upstream is silent. Earlier attempts don't count, as the last one may have replaced
+// them. If no run was in progress at the end, the last attempt may have been waiting
+// for a connection to any upstream of the service that was cut.
 func (x *FaultLog) couldNotComplete(r Result, runs []worker.Run, s *Shutdown) bool {
 	from := r.StartedAt
 	if last, ok := lastAttemptRun(runs); ok {
-		// A process that ends long before it would be ended by force has nothing left to do.
+		// A process that exits long before SIGKILL has no unfinished requests.
 		wasKilled := s.exitedAt.IsZero() || s.exitedAt.After(s.killAt.Add(-forcedExitSlack))
 		endedWithEntry := wasKilled && (s.exitedAt.IsZero() || r.EndedAt().After(s.exitedAt.Add(-sameEndSlack)))
 		if preventsCompleteAnswer(last.Fault, isPlainCall(r.Path)) || last.Fault == worker.Slow && !endedWithEntry || x.hasCut(attemptStart(last, r), r.EndedAt(), last.Upstream, !endedWithEntry) {
@@ -207,17 +228,18 @@
 	return x.hasCut(from, r.EndedAt(), upstreamIDPart(r.Path), false)
 }
 
-// mayBeGivenUp reports whether the entry may have given the last run up for its silence: it then
-// sends the request elsewhere, and does not know of upstreams that are down before it tries.
+// mayBeGivenUp reports whether the entry may have abandoned the last run because the
+// upstream was silent. It then retries at another upstream, which may be down, as the
+// entry only detects that by trying.
 func mayBeGivenUp(r Result, last worker.Run) bool {
 	return isPlainCall(r.Path) && isRepeatable(r.Path) && last.Ended.Sub(last.Began) >= plainCallSilence
 }
 
-// plainCallSilence is the silence for which entries give a plain call up that may be repeated:
-// twice the target of its route.
+// plainCallSilence is the silence after which entries abandon an attempt at a repeatable
+// plain call: twice the latency target of its route, less the tolerance strayRunTime.
 const plainCallSilence = 600*time.Millisecond - strayRunTime
 
-// upstreamIDPart is a part of the ids of the upstreams that serve a path.
+// upstreamIDPart returns a substring of the ids of all upstreams that serve a path.
 func upstreamIDPart(path string) string {
 	if isPlainCall(path) {
 		return "-app-"
@@ -225,8 +247,9 @@
 	return "-lm-"
 }
 
-// lastAttemptRun is the run of the last attempt: the latest, but for one that arrived when its
-// entry had given it up already and sent the request elsewhere.
+// lastAttemptRun returns the run of the last attempt, if there is a run: the latest run
+// that is not stray. A stray run began after its entry had abandoned the attempt and
+// retried at another upstream; it ends at once while the run before it goes on.
 func lastAttemptRun(runs []worker.Run) (worker.Run, bool) {
 	for i := len(runs) - 1; i >= 0; i-- {
 		r := runs[i]
@@ -238,8 +261,9 @@
 	return worker.Run{}, false
 }
 
-// attemptStart is when the attempt began that a run is of: a late cable may bring it to
-// its upstream when the request has ended.
+// attemptStart returns a time at which the attempt of a run was in progress: the start
+// of the run or, if a slow connection delivered the attempt after the end of the
+// request, the start of the request.
 func attemptStart(run worker.Run, r Result) time.Time {
 	if run.Began.After(r.EndedAt()) {
 		return r.StartedAt
@@ -247,21 +271,23 @@
 	return run.Began
 }
 
-// preventsCompleteAnswer reports whether a fault keeps a run from a whole answer.
+// preventsCompleteAnswer reports whether an upstream with a fault can't give a complete
+// answer to a plain call, or else to a prompt.
 func preventsCompleteAnswer(f worker.Fault, plainCall bool) bool {
 	switch f {
 	case worker.Failing, worker.Lost, worker.Mute, worker.Torn, worker.Foreign, worker.Unsigned:
 		return true
 	case worker.Short:
 		return !plainCall
-	case worker.Unframed: // which not every network lets one tell from a cut
+	case worker.Unframed: // on some networks not distinguishable from a lost connection
 		return plainCall
 	}
 	return false
 }
 
-// hasCut reports whether an upstream whose id contains a text was cut at any
-// moment between two; with heard also where entries may hear of that late.
+// hasCut reports whether, at any moment between from and to, connections were cut to an
+// upstream whose id contains idPart. With withRestarts, the time in which entries may
+// detect a restart of such an upstream counts as a cut.
 func (x *FaultLog) hasCut(from, to time.Time, idPart string, withRestarts bool) bool {
 	for _, c := range x.cuts {
 		if c.fromRestart && !withRestarts {
@@ -278,10 +304,11 @@
 	return false
 }
 
-// noticedBy is when all have heard what they would have heard by a time but for the
-// troubles of the store; zero for never.
+// noticedBy returns the time at which all entries have detected a restart that they would
+// have detected by the deadline if the store had had no outage; zero if an outage of the
+// store has not ended.
 func (x *FaultLog) noticedBy(deadline time.Time) time.Time {
-	for _, a := range x.storeOutages { // by their beginnings
+	for _, a := range x.storeOutages { // in the order of their beginnings
 		switch {
 		case a.from.After(deadline):
 		case a.to.IsZero():
@@ -293,6 +320,7 @@
 	return deadline
 }
 
+// describeRuns returns the runs as text, with times relative to SIGTERM.
 func (x *FaultLog) describeRuns(s *Shutdown, runs []worker.Run) string {
 	text := ""
 	for _, r := range runs {
@@ -301,7 +329,7 @@
 	return text
 }
 
-// sinceShutdown is how long after SIGTERM something was; zero where it is unknown.
+// sinceShutdown returns the time from SIGTERM to t; zero if t is zero.
 func sinceShutdown(s *Shutdown, t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
--- a/standin/caller/faultlog_test.go
+++ b/standin/caller/faultlog_test.go
@@ -11,10 +11,10 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// Callers saw answers cut in the middle by entries that had been told to stop, and
-// the random runs let that pass: nothing there held an answer that broke off against
-// the stop of its entry. Here is which ends count as lost to a stop, and which have
-// another cause. Times are in milliseconds after SIGTERM; the process ends at 7300.
+// Entries that got SIGTERM cut answers in the middle, and the randomised tests didn't
+// notice, as they never attributed an interrupted answer to the shutdown of its entry.
+// This test checks which failed requests count as lost by a shutdown and which have
+// another cause. Times are in milliseconds after SIGTERM; the process exits at 7300.
 func TestLossByShutdown(t *testing.T) {
 	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -41,45 +41,45 @@
 		cut              *outage
 		lost             bool
 	}{
-		"cut by the end":                       {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, lost: true},
-		"cut before the header":                {sentAt: 2000, duration: 5300, err: errCut, runs: sound, lost: true},
-		"sent before, limit before the end":    {sentAt: -500, duration: 7800, timeLimit: 8500, status: 200, err: errCut, runs: sound, lost: true},
-		"sent before, limit beyond the end":    {sentAt: -500, duration: 7800, timeLimit: 8600, status: 200, err: errCut, runs: sound},
-		"sent after, limit beyond the end":     {sentAt: 10, duration: 7290, timeLimit: 8600, status: 200, err: errCut, runs: sound, lost: true},
-		"whole":                                {sentAt: 2000, duration: 5000, status: 200, runs: sound},
-		"refused":                              {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05"},
-		"refused without a time":               {sentAt: 2000, duration: 5, status: 503, lost: true},
-		"refused though it ran":                {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05", runs: sound, lost: true},
-		"another answer":                       {sentAt: 2000, duration: 5, status: 502, lost: true},
-		"limit reached":                        {sentAt: 200, duration: 7000, status: 504, runs: sound},
-		"not sent":                             {sentAt: 4000, duration: 1, err: errCut, unsent: true},
-		"another entry":                        {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, otherEntry: true},
-		"ended before":                         {sentAt: -3000, duration: 2000, status: 200, err: errCut, runs: sound},
-		"sent after the end":                   {sentAt: 7400, duration: 100, err: errCut, runs: sound},
-		"met the closing of its connection":    {sentAt: 3600, duration: 1, err: errCut},
-		"read, and closed without a word":      {sentAt: 3600, duration: 300, err: errCut, lost: true},
-		"killed meanwhile":                     {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3000},
-		"killed after it":                      {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3500, lost: true},
-		"torn by its upstream":                 {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.Torn, 2010, 3000)}},
-		"its upstream is mute":                 {sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.Mute, 2010, 7300)}},
-		"its upstream is slow":                 {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: []run{with(worker.Slow, 2010, 7300)}, lost: true},
-		"given up as its upstream was slow":    {sentAt: 2000, duration: 1500, status: 502, runs: []run{with(worker.Slow, 2010, 3500)}},
-		"a torn run, mended by a sound one":    {sentAt: 1000, duration: 6300, status: 200, err: errCut, runs: []run{with(worker.Torn, 1010, 2000), sound[0]}, lost: true},
-		"short is a stream's fault only":       {path: "/once/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.Short, 2010, 7300)}, lost: true},
-		"its upstream cut off":                 {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(3000), to: at(3000)}},
-		"its upstream cut off before":          {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1000), to: at(2000)}, lost: true},
-		"another upstream cut off":             {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-3", from: at(1000)}, lost: true},
-		"cut off on its way to its upstream":   {sentAt: 2000, duration: 100, status: 502, runs: []run{with(0, 2150, 2150)}, cut: &outage{upstream: "i-lm-1", from: at(2100), to: at(2100)}},
-		"a stray run beside the last":          {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.Torn, 2100, 3000), with(0, 2150, 2150)}},
-		"ended by late word of a new run":      {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}},
-		"word of a new run is over":            {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
-		"word of a new run came later still":   {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, storeOutage: &outage{from: at(1000), to: at(3000)}},
-		"given up for a full upstream":         {path: "/safe/x", sentAt: 2000, duration: 600, status: 502, runs: []run{with(0, 2000, 2600)}, refusals: []run{with(worker.Full, 2600, 2600)}},
-		"only full upstreams":                  {sentAt: 2000, duration: 5, status: 502, refusals: []run{with(worker.Full, 2002, 2002)}, lost: true},
-		"cut after a full upstream":            {path: "/safe/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(0, 2000, 7300)}, refusals: []run{with(worker.Full, 1990, 1990)}, lost: true},
-		"not ended by late word of a new run":  {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
-		"hung before an upstream cut off":      {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-lm-3", from: at(1000)}},
-		"ran nowhere, another service cut off": {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-app-0", from: at(1000)}, lost: true},
+		"interrupted by the exit":                  {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, lost: true},
+		"interrupted before the header":            {sentAt: 2000, duration: 5300, err: errCut, runs: sound, lost: true},
+		"sent before, limit before SIGKILL":        {sentAt: -500, duration: 7800, timeLimit: 8500, status: 200, err: errCut, runs: sound, lost: true},
+		"sent before, limit after SIGKILL":         {sentAt: -500, duration: 7800, timeLimit: 8600, status: 200, err: errCut, runs: sound},
+		"sent after, limit after SIGKILL":          {sentAt: 10, duration: 7290, timeLimit: 8600, status: 200, err: errCut, runs: sound, lost: true},
+		"complete":                                 {sentAt: 2000, duration: 5000, status: 200, runs: sound},
+		"refused":                                  {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05"},
+		"refused without Retry-After":              {sentAt: 2000, duration: 5, status: 503, lost: true},
+		"refused though it ran":                    {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05", runs: sound, lost: true},
+		"another status":                           {sentAt: 2000, duration: 5, status: 502, lost: true},
+		"limit reached":                            {sentAt: 200, duration: 7000, status: 504, runs: sound},
+		"not sent":                                 {sentAt: 4000, duration: 1, err: errCut, unsent: true},
+		"another entry":                            {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, otherEntry: true},
+		"ended before SIGTERM":                     {sentAt: -3000, duration: 2000, status: 200, err: errCut, runs: sound},
+		"sent after the exit":                      {sentAt: 7400, duration: 100, err: errCut, runs: sound},
+		"connection closed before it was read":     {sentAt: 3600, duration: 1, err: errCut},
+		"read and closed without a response":       {sentAt: 3600, duration: 300, err: errCut, lost: true},
+		"entry killed during the request":          {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3000},
+		"entry killed after the request":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3500, lost: true},
+		"upstream interrupts the answer":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.Torn, 2010, 3000)}},
+		"upstream is silent":                       {sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.Mute, 2010, 7300)}},
+		"upstream is slow":                         {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: []run{with(worker.Slow, 2010, 7300)}, lost: true},
+		"abandoned because the upstream was slow":  {sentAt: 2000, duration: 1500, status: 502, runs: []run{with(worker.Slow, 2010, 3500)}},
+		"retried after an interrupted answer":      {sentAt: 1000, duration: 6300, status: 200, err: errCut, runs: []run{with(worker.Torn, 1010, 2000), sound[0]}, lost: true},
+		"short answer is a fault of streams only":  {path: "/once/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.Short, 2010, 7300)}, lost: true},
+		"upstream cut off":                         {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(3000), to: at(3000)}},
+		"upstream cut off before the run":          {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1000), to: at(2000)}, lost: true},
+		"another upstream cut off":                 {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-3", from: at(1000)}, lost: true},
+		"cut off before the run began":             {sentAt: 2000, duration: 100, status: 502, runs: []run{with(0, 2150, 2150)}, cut: &outage{upstream: "i-lm-1", from: at(2100), to: at(2100)}},
+		"stray run after the last attempt's run":   {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.Torn, 2100, 3000), with(0, 2150, 2150)}},
+		"ended by a late restart notice":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}},
+		"after the time for restart notices":       {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
+		"restart notice delayed by a store outage": {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, storeOutage: &outage{from: at(1000), to: at(3000)}},
+		"retry refused by a full upstream":         {path: "/safe/x", sentAt: 2000, duration: 600, status: 502, runs: []run{with(0, 2000, 2600)}, refusals: []run{with(worker.Full, 2600, 2600)}},
+		"only full upstreams":                      {sentAt: 2000, duration: 5, status: 502, refusals: []run{with(worker.Full, 2002, 2002)}, lost: true},
+		"interrupted after a full upstream":        {path: "/safe/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(0, 2000, 7300)}, refusals: []run{with(worker.Full, 1990, 1990)}, lost: true},
+		"exit during a late restart notice":        {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
+		"waiting for an upstream that is cut off":  {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-lm-3", from: at(1000)}},
+		"not run, another service cut off":         {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-app-0", from: at(1000)}, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := &FaultLog{}
--- a/standin/caller/repeat.go
+++ b/standin/caller/repeat.go
@@ -11,24 +11,27 @@
 )
 
 const (
-	// CrashPath is that of a request that crashes whatever runs it.
+	// CrashPath is the path of requests that crash every upstream that runs them.
 	CrashPath = "/stream/crash"
-	// quarantineCrashes is under how many upstreams that ended a request is known for it, and
-	// maxRequestsAfterQuarantine how often it may be sent to upstreams after that.
+	// quarantineCrashes is the number of crashed incarnations after which entries must
+	// quarantine equal requests. maxRequestsAfterQuarantine is the number of such
+	// requests that may still reach upstreams afterwards.
 	quarantineCrashes, maxRequestsAfterQuarantine = 3, 3
-	// convergenceTime is how soon after a disruption entries know what the others know.
+	// convergenceTime is the time within which all entries have received what the others
+	// know, once nothing disrupts their exchange.
 	convergenceTime = 3 * time.Second
 )
 
-// NewRepeatingTraffic starts callers that ask for one thing again and again, each time under a
-// new id, at whichever entry the directory names, with a pause between.
+// NewRepeatingTraffic starts callers that send equal requests to one path, each with a
+// new id, to any entry that the directory lists, with a pause before each.
 func NewRepeatingTraffic(name string, callers int, path string, pause time.Duration, newCaller func(n int) *Caller) *Traffic {
 	return newTraffic(name, callers, newCaller, func(int) (string, time.Duration) { return path, pause })
 }
 
-// RepeatViolations says whether the requests of a stopped repeater reached upstreams more often
-// than they may once upstreams had ended under three of them. Those sent by entries
-// out of contact with the others don't count: around a disruption of theirs, or of all.
+// RepeatViolations checks stopped repeating traffic whose requests crash upstreams. It
+// returns a violation if too many of them reached upstreams after three incarnations
+// had crashed. Requests through entries that may have been out of contact with the
+// others, because these entries or all of them were disturbed, don't count.
 func (x *Traffic) RepeatViolations(observed Observations) (violations []string) {
 	var runs []worker.Run
 	resultOf := map[string]Result{}
@@ -37,7 +40,7 @@
 		runs = append(runs, observed.Runs(r.ID)...)
 	}
 	slices.SortFunc(runs, func(a, b worker.Run) int { return a.Ended.Compare(b.Ended) })
-	var crashes []worker.Run // one of each process that ended
+	var crashes []worker.Run // one per crashed incarnation
 	for _, r := range runs {
 		isCounted := slices.ContainsFunc(crashes, func(o worker.Run) bool { return o.Upstream == r.Upstream && o.Process == r.Process })
 		if r.Crashed && !isCounted {
@@ -56,30 +59,34 @@
 		}
 	}
 	if len(lateIDs) > maxRequestsAfterQuarantine {
-		violations = append(violations, fmt.Sprintf("%s: a request under which upstreams had ended was sent to upstreams %d times more, %d runs in all", x.name, len(lateIDs), len(runs)))
+		violations = append(violations, fmt.Sprintf("%s: %d requests reached upstreams after equal requests had crashed enough upstreams for a quarantine, %d runs in total", x.name, len(lateIDs), len(runs)))
 	}
 	return violations
 }
 
-// quarantinedReason is the reason that entries give.
+// quarantinedReason is the JSON text of the reason in an entry's refusal of a
+// quarantined request.
 const quarantinedReason = `"quarantined"`
 
-// falseQuarantine says whether a request that crashes nothing was refused as one that does.
+// falseQuarantine returns a violation if a request that crashes no upstream was
+// refused as quarantined.
 func (r Result) falseQuarantine() []string {
 	if worker.Crashes(r.Path) || !strings.Contains(r.Body, quarantinedReason) {
 		return nil
 	}
-	return []string{fmt.Sprintf("%s %s crashes nothing and was refused for crashes", r.Path, r.ID)}
+	return []string{fmt.Sprintf("%s %s: crashes no upstream, but was refused as quarantined", r.Path, r.ID)}
 }
 
-// wasInContact reports whether the entry that took a request was in contact with others
-// when it came: nothing had been done to it, to the ways between entries or to all entries
-// for a while.
+// wasInContact reports whether the entry that received a request was in contact with
+// the other entries: from convergenceTime before the request until its end, the entry
+// was neither stopped nor killed, and no partition of entries was recorded.
 func (x *FaultLog) wasInContact(r Result) bool {
 	return !x.wasDisturbed(r.Entry, r.StartedAt.Add(-convergenceTime), r.EndedAt())
 }
 
-// wasDisturbed reports whether an entry was killed, stopped or stood still between two times.
+// wasDisturbed reports whether, between two times, an entry was stopped or killed, or a
+// partition of any entries was recorded. A stopped or killed entry counts as disturbed
+// for maxRestartTime after its exit.
 func (x *FaultLog) wasDisturbed(entry netip.AddrPort, from, to time.Time) bool {
 	x.lock.Lock()
 	defer x.lock.Unlock()
@@ -101,18 +108,18 @@
 	return false
 }
 
-// wasCut reports whether an upstream was cut off between two times.
+// wasCut reports whether connections to an upstream were cut between two times.
 func (x *FaultLog) wasCut(upstream string, from, to time.Time) bool {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	return x.hasCut(from, to, upstream, false)
 }
 
-// maxRestartTime is how long an entry that ended takes to be started again, at most.
+// maxRestartTime is the maximum time from the exit of an entry until it runs again.
 const maxRestartTime = 10 * time.Second
 
-// RecordPartition notes that some entries are about to lose others or to stand still; what it returns
-// notes that it is over.
+// RecordPartition records that some entries are about to lose contact with others or
+// to be suspended. The returned function records the end.
 func (x *FaultLog) RecordPartition() (end func()) {
 	return x.record(&x.partitions, &outage{from: time.Now()})
 }
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -9,12 +9,13 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// requestPaths are one of each kind of request.
+// requestPaths has one path for each kind of request.
 var requestPaths = []string{"/once/x", "/safe/x", "/stream/x", "/fixed/x"}
 
-// RouteTimeout is the time limit that the route of a path is to have: a safe call's
-// is less than callers wait, the others' more. A safe call has time for a run
-// that is given up and a second one.
+// RouteTimeout returns the timeout that a test configures for the route of a path.
+// The timeout of safe calls is shorter than that of their callers, the others are
+// longer. The timeout of a safe call allows for a run that the entry abandons and a
+// second one.
 func RouteTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 4 * time.Second
@@ -22,8 +23,9 @@
 	return 8 * time.Second
 }
 
-// callerTimeout is how long the callers of a path wait: for streams and calls that
-// may run once, about as long as the longest of them takes.
+// callerTimeout returns the time for which callers wait for a response from a path.
+// For streams and for calls that may run only once, it is about the time that the
+// longest of them takes.
 func callerTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 5 * time.Second
@@ -31,25 +33,30 @@
 	return 7 * time.Second
 }
 
-// Traffic is callers that ask steadily, each kind of request in turn.
+// Traffic is a set of callers, each of which sends one request after the other until
+// [Traffic.Stop], and the results of these requests.
 type Traffic struct {
-	name    string
+	// name is the first part of the request ids.
+	name string
+	// stop is closed to stop the callers.
 	stop    chan struct{}
 	running sync.WaitGroup
 	lock    sync.Mutex
 	results []Result
-	// nextRequest is what a caller asks next, and after which pause; nil for each kind in turn.
+	// nextRequest returns the path of the next request of the n-th caller and the pause
+	// before it. If it is nil, callers send each kind of request in turn.
 	nextRequest func(n int) (path string, pause time.Duration)
 }
 
-// NewTraffic starts callers, made by newCaller. The name tells its requests'
-// ids from those of other traffic.
+// NewTraffic starts a number of callers, created by newCaller from their index. They
+// send each kind of request in turn. Request ids begin with the name, which must
+// differ from that of other traffic.
 func NewTraffic(name string, callers int, newCaller func(n int) *Caller) *Traffic {
 	return newTraffic(name, callers, newCaller, nil)
 }
 
-// newTraffic starts callers that ask what next says, or each kind of request in turn where
-// that is nil.
+// newTraffic starts callers that send the requests returned by nextRequest, or each
+// kind of request in turn if nextRequest is nil.
 func newTraffic(name string, callers int, newCaller func(n int) *Caller, nextRequest func(n int) (path string, pause time.Duration)) *Traffic {
 	x := &Traffic{name: name, stop: make(chan struct{}), nextRequest: nextRequest}
 	for n := range callers {
@@ -60,6 +67,7 @@
 	return x
 }
 
+// runCaller sends the requests of the n-th caller until the traffic is stopped.
 func (x *Traffic) runCaller(c *Caller, n int) {
 	defer x.running.Done()
 	defer c.Close()
@@ -81,26 +89,29 @@
 	}
 }
 
-// Observations is what the answers of a traffic are held against.
+// Observations is what a test recorded at the upstreams and about the faults that it
+// injected. The results of a [Traffic] are checked against it.
 type Observations struct {
-	// Runs are a request's runs at all upstreams, the earliest first.
+	// Runs returns the runs of a request at all upstreams, the earliest first.
 	Runs func(id string) []worker.Run
-	// Refusals are those by upstreams that were too full, the earliest first.
+	// Refusals returns the refusals of a request by upstreams that had no capacity or
+	// asked for a backoff, the earliest first.
 	Refusals func(id string) []worker.Run
-	// EventCount is how many events the answer to a stream has.
+	// EventCount returns the number of events in the complete stream that answers a
+	// request.
 	EventCount func(id string) int
-	// Faults are those of the time of the traffic.
+	// Faults are the faults injected while the traffic ran.
 	Faults *FaultLog
 }
 
-// Stop stops the callers and waits for what they have asked.
+// Stop stops the callers and waits until their last requests have ended.
 func (x *Traffic) Stop() {
 	close(x.stop)
 	x.running.Wait()
 }
 
-// Evaluate returns how many requests of a stopped traffic were served and asked,
-// and the promises that were broken. Stops of entries are over by then.
+// Evaluate returns how many requests of a stopped traffic were served and sent, and a
+// text for each violated guarantee. Every shutdown of an entry must have ended.
 func (x *Traffic) Evaluate(observed Observations) (served, sent int, violations []string) {
 	for _, r := range x.results {
 		runs := observed.Runs(r.ID)
