--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -45,12 +45,12 @@
 // MaxShortTokens is the longest prompt of the short class.
 const MaxShortTokens = 4000
 
-// lengths of the classes' prompts in tokens, drawn log-uniformly, how many of
+// classProfiles of the classes' prompts in tokens, drawn log-uniformly, how many of
 // a hundred requests are of each, and their callers' time limits.
-var lengths = [...]struct {
-	low, high float64
-	share     int
-	limit     time.Duration
+var classProfiles = [...]struct {
+	minTokens, maxTokens float64
+	percent              int
+	timeLimit            time.Duration
 }{
 	router.Short:   {1_000, 4_000, 70, 10 * time.Second},
 	router.Medium:  {4_000, 32_000, 20, 30 * time.Second},
@@ -60,49 +60,49 @@
 
 // answer lengths in tokens.
 const (
-	leastAnswer = 50
-	mostAnswer  = 300
+	minAnswerTokens = 50
+	maxAnswerTokens = 300
 )
 
-// demand is one request of a run.
-type demand struct {
-	at     time.Duration
-	class  router.LengthClass
-	tokens int
-	answer int
-	entry  int
+// requestSpec is one request of a run.
+type requestSpec struct {
+	arrivalOffset time.Duration
+	class         router.LengthClass
+	promptTokens  int
+	answerTokens  int
+	entryIndex    int
 }
 
-// draw makes the requests of a run that asks for a part of what the engines
+// sampleRequests makes the requests of a run that asks for a part of what the engines
 // can prefill.
-func draw(d Deployment, load float64, length time.Duration, seed uint64) []demand {
+func sampleRequests(d Deployment, load float64, length time.Duration, seed uint64) []requestSpec {
 	random := rand.New(rand.NewPCG(seed, seed))
 	mean := 0.0
-	for _, l := range lengths {
-		mean += float64(l.share) / 100 * (l.high - l.low) / math.Log(l.high/l.low)
+	for _, l := range classProfiles {
+		mean += float64(l.percent) / 100 * (l.maxTokens - l.minTokens) / math.Log(l.maxTokens/l.minTokens)
 	}
 	rate := load * float64(d.Engines*d.PrefillRate) / mean
-	var out []demand
+	var out []requestSpec
 	for at := 0.0; at < length.Seconds(); at += random.ExpFloat64() / rate {
-		class := drawClass(random)
-		l := lengths[class]
-		out = append(out, demand{
-			at: time.Duration(at * float64(time.Second)), class: class,
-			tokens: int(l.low * math.Exp(random.Float64()*math.Log(l.high/l.low))),
-			answer: leastAnswer + random.IntN(mostAnswer-leastAnswer),
-			entry:  random.IntN(d.Entries),
+		class := sampleClass(random)
+		l := classProfiles[class]
+		out = append(out, requestSpec{
+			arrivalOffset: time.Duration(at * float64(time.Second)), class: class,
+			promptTokens: int(l.minTokens * math.Exp(random.Float64()*math.Log(l.maxTokens/l.minTokens))),
+			answerTokens: minAnswerTokens + random.IntN(maxAnswerTokens-minAnswerTokens),
+			entryIndex:   random.IntN(d.Entries),
 		})
 	}
 	return out
 }
 
-func drawClass(random *rand.Rand) router.LengthClass {
+func sampleClass(random *rand.Rand) router.LengthClass {
 	n := random.IntN(100)
-	for c, l := range lengths {
-		if n < l.share {
+	for c, l := range classProfiles {
+		if n < l.percent {
 			return router.LengthClass(c)
 		}
-		n -= l.share
+		n -= l.percent
 	}
 	return router.Short
 }
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// stepTime is how often engines work.
-	stepTime = 5 * time.Millisecond
-	// pollTime, listTime and beatTime are an entry's default periods.
-	pollTime = 250 * time.Millisecond
-	listTime = time.Second
-	beatTime = 500 * time.Millisecond
-	lease    = 6 * time.Second
-	// grantLife is as in the product.
-	grantLife = 2 * time.Second
+	// engineStepPeriod is how often engines work.
+	engineStepPeriod = 5 * time.Millisecond
+	// pollPeriod, listTime and beatTime are an entry's default periods.
+	pollPeriod      = 250 * time.Millisecond
+	listPeriod      = time.Second
+	heartbeatPeriod = 500 * time.Millisecond
+	holdLease       = 6 * time.Second
+	// grantTTL is as in the product.
+	grantTTL = 2 * time.Second
 )
 
 // Options of a run: the policy and what fails.
@@ -61,32 +61,32 @@
 	CutDataCentre Fault = "cut-centre"
 )
 
-// slowFactor is how much slower an engine works under SlowEngine, and
-// laggedLoad the age of load reports under LaggedLoad.
+// slowdownFactor is how much slower an engine works under SlowEngine, and
+// laggedLoadAge the age of load reports under LaggedLoad.
 const (
-	slowFactor = 4
-	laggedLoad = 5 * time.Second
+	slowdownFactor = 4
+	laggedLoadAge  = 5 * time.Second
 )
 
 // event is something to be done at a time.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at       time.Time
+	sequence int
+	action   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	*e = (*e)[:last]
@@ -95,50 +95,50 @@
 
 // fleet is a deployment in virtual time.
 type fleet struct {
-	deployment Deployment
-	options    Options
-	random     *rand.Rand
-	now        time.Time
-	queue      events
-	order      int
-	engines    []*simEngine
-	entries    []*simEntry
-	byName     map[string]*simEngine
-	requests   []*request
-	// filler is cut into prompts, so that none is copied.
-	filler string
-	ids    int
-	// spent is the retries taken from the callers' budget, all together.
-	spent float64
+	deployment   Deployment
+	options      Options
+	random       *rand.Rand
+	now          time.Time
+	queue        eventQueue
+	lastSequence int
+	engines      []*simEngine
+	entries      []*simEntry
+	engineByName map[string]*simEngine
+	requests     []*request
+	// promptFiller is cut into prompts, so that none is copied.
+	promptFiller string
+	lastID       int
+	// retryBudgetUsed is the retries taken from the callers' budget, all together.
+	retryBudgetUsed float64
 }
 
 type simEngine struct {
-	name    string
-	centre  string
-	batcher *engine.Batcher
-	keeper  *keeper.Keeper
-	// keptBy is the entry that keeps the engine.
-	keptBy  int
-	running map[*request]*engine.Running
-	dead    bool
-	listed  time.Time
+	name       string
+	dataCentre string
+	batcher    *engine.Batcher
+	keeper     *keeper.Keeper
+	// keeperEntry is the entry that keeps the engine.
+	keeperEntry int
+	running     map[*request]*engine.Running
+	isDead      bool
+	listedAt    time.Time
 }
 
 type simEntry struct {
-	number int
-	centre string
-	board  *router.EngineIndex
-	loads  map[string]*router.Load
+	index      int
+	dataCentre string
+	board      *router.EngineIndex
+	loads      map[string]*router.Load
 }
 
 func newFleet(d Deployment, o Options, seed uint64) *fleet {
 	f := &fleet{
 		deployment: d, options: o, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0),
-		byName: map[string]*simEngine{}, filler: strings.Repeat("abc ", 1_000_001),
+		engineByName: map[string]*simEngine{}, promptFiller: strings.Repeat("abc ", 1_000_001),
 	}
 	var members []assigner.Member
 	for i := range d.Entries {
-		members = append(members, assigner.Member{Name: fmt.Sprintf("entry-%d", i), DataCentre: f.centre(i)})
+		members = append(members, assigner.Member{Name: fmt.Sprintf("entry-%d", i), DataCentre: f.dataCentreOf(i)})
 	}
 	for i := range d.Engines {
 		f.addEngine(i, members)
@@ -149,53 +149,53 @@
 	return f
 }
 
-func (f *fleet) centre(i int) string { return fmt.Sprintf("dc-%d", i%f.deployment.DataCentres) }
+func (f *fleet) dataCentreOf(i int) string { return fmt.Sprintf("dc-%d", i%f.deployment.DataCentres) }
 
 func (f *fleet) addEngine(i int, members []assigner.Member) {
 	d := f.deployment
-	e := &simEngine{name: fmt.Sprintf("engine-%d", i), centre: f.centre(i), running: map[*request]*engine.Running{}}
-	lag := pollTime
+	e := &simEngine{name: fmt.Sprintf("engine-%d", i), dataCentre: f.dataCentreOf(i), running: map[*request]*engine.Running{}}
+	lag := pollPeriod
 	if f.options.Fault == LaggedLoad {
-		lag = laggedLoad
+		lag = laggedLoadAge
 	}
 	e.batcher = engine.NewBatcher(f.now, engine.Config{
 		Name: e.name, Model: "model", Version: "1", MemoryTokens: d.MemoryTokens, PrefillRate: d.PrefillRate,
 		TokenTime: d.TokenTime, ReportLag: lag,
 	})
 	e.keeper = keeper.New(keeper.Config{
-		Engine: e.name, Lease: lease, GrantTTL: grantLife, MemoryTokens: d.MemoryTokens, PrefillRate: d.PrefillRate,
+		Engine: e.name, Lease: holdLease, GrantTTL: grantTTL, MemoryTokens: d.MemoryTokens, PrefillRate: d.PrefillRate,
 	})
-	owner := assigner.Owner(members, e.name, e.centre)
+	owner := assigner.Owner(members, e.name, e.dataCentre)
 	for n, m := range members {
 		if m.Name == owner {
-			e.keptBy = n
+			e.keeperEntry = n
 		}
 	}
 	if i == 0 {
-		f.breakLater(e)
+		f.scheduleFault(e)
 	}
 	f.engines = append(f.engines, e)
-	f.byName[e.name] = e
+	f.engineByName[e.name] = e
 }
 
-// breakLater breaks the one engine that the fault is about, after warming up.
-func (f *fleet) breakLater(e *simEngine) {
+// scheduleFault breaks the one engine that the fault is about, after warming up.
+func (f *fleet) scheduleFault(e *simEngine) {
 	switch f.options.Fault {
 	case DeadEngine:
-		f.after(warmUp, func() { e.dead = true })
+		f.schedule(warmUp, func() { e.isDead = true })
 	case SlowEngine:
-		f.after(warmUp, func() { e.batcher.Slow(slowFactor) })
+		f.schedule(warmUp, func() { e.batcher.Slow(slowdownFactor) })
 	}
 }
 
 func (f *fleet) addEntry(number int) {
 	d := f.deployment
-	e := &simEntry{number: number, centre: f.centre(number), loads: map[string]*router.Load{}}
+	e := &simEntry{index: number, dataCentre: f.dataCentreOf(number), loads: map[string]*router.Load{}}
 	var engines []*router.Engine
 	for _, s := range f.engines {
 		e.loads[s.name] = &router.Load{}
 		engines = append(engines, &router.Engine{
-			Name: s.name, DataCentre: s.centre, Model: "model", Version: "1", MemoryTokens: d.MemoryTokens,
+			Name: s.name, DataCentre: s.dataCentre, Model: "model", Version: "1", MemoryTokens: d.MemoryTokens,
 			PrefillRate: d.PrefillRate, OneWayDelay: d.Latency, Load: e.loads[s.name],
 		})
 	}
@@ -203,54 +203,54 @@
 	f.entries = append(f.entries, e)
 }
 
-// after has something done later.
-func (f *fleet) after(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.queue, event{at: f.now.Add(d), order: f.order, do: do})
+// schedule has something done later.
+func (f *fleet) schedule(delay time.Duration, action func()) {
+	f.lastSequence++
+	heap.Push(&f.queue, event{at: f.now.Add(delay), sequence: f.lastSequence, action: action})
 }
 
-// every has something done again and again until the fleet ends.
-func (f *fleet) every(period time.Duration, do func()) {
-	f.after(period, func() {
-		do()
-		f.every(period, do)
+// repeatEvery has something done again and again until the fleet ends.
+func (f *fleet) repeatEvery(period time.Duration, action func()) {
+	f.schedule(period, func() {
+		action()
+		f.repeatEvery(period, action)
 	})
 }
 
-// run lets time pass.
-func (f *fleet) run(length time.Duration) {
+// advance lets time pass.
+func (f *fleet) advance(length time.Duration) {
 	end := f.now.Add(length)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
 		next := heap.Pop(&f.queue).(event)
 		f.now = next.at
-		next.do()
+		next.action()
 	}
 	f.now = end
 }
 
 func (f *fleet) start() {
-	f.every(stepTime, f.step)
-	f.every(pollTime, f.poll)
-	f.every(beatTime, f.beat)
+	f.repeatEvery(engineStepPeriod, f.stepEngines)
+	f.repeatEvery(pollPeriod, f.pollEngines)
+	f.repeatEvery(heartbeatPeriod, f.broadcastLoads)
 }
 
-// reach reports whether an entry can reach an engine.
-func (f *fleet) reach(e *simEntry, s *simEngine) bool {
+// canReach reports whether an entry can reach an engine.
+func (f *fleet) canReach(e *simEntry, s *simEngine) bool {
 	cut := f.options.Fault == CutDataCentre && f.now.After(time.Unix(1_000_000, 0).Add(warmUp))
-	return !s.dead && (!cut || s.centre == e.centre || (s.centre != "dc-0" && e.centre != "dc-0"))
+	return !s.isDead && (!cut || s.dataCentre == e.dataCentre || (s.dataCentre != "dc-0" && e.dataCentre != "dc-0"))
 }
 
-func (f *fleet) step() {
+func (f *fleet) stepEngines() {
 	for _, s := range f.engines {
-		if s.dead {
+		if s.isDead {
 			continue
 		}
 		s.batcher.Step(f.now)
 		for r, running := range s.running {
 			made, ended := running.Tokens()
-			r.made += made
-			if made > 0 && r.first.IsZero() {
-				f.firstToken(r)
+			r.generatedTokens += made
+			if made > 0 && r.firstTokenAt.IsZero() {
+				f.recordFirstToken(r)
 			}
 			if ended {
 				delete(s.running, r)
@@ -260,30 +260,30 @@
 	}
 }
 
-// poll is what keepers ask of their engines.
-func (f *fleet) poll() {
+// pollEngines is what keepers ask of their engines.
+func (f *fleet) pollEngines() {
 	for _, s := range f.engines {
-		if !f.reach(f.entries[s.keptBy], s) {
+		if !f.canReach(f.entries[s.keeperEntry], s) {
 			continue
 		}
-		if f.now.Sub(s.listed) < listTime {
+		if f.now.Sub(s.listedAt) < listPeriod {
 			s.keeper.RecordLoad(f.now, s.batcher.Report())
 			continue
 		}
-		s.listed = f.now
+		s.listedAt = f.now
 		s.keeper.RecordReport(f.now, s.batcher.Report(), s.batcher.Holds(f.now))
 	}
 }
 
-// beat tells all entries what keepers know.
-func (f *fleet) beat() {
+// broadcastLoads tells all entries what keepers know.
+func (f *fleet) broadcastLoads() {
 	for _, s := range f.engines {
 		if s.keeper.LastReportAt().IsZero() {
 			continue
 		}
 		d := s.keeper.EstimateLoad(f.now)
 		for _, e := range f.entries {
-			if f.reach(e, s) {
+			if f.canReach(e, s) {
 				e.loads[s.name].RecordReport(f.now, d.QueuedTokens, d.FreeTokens)
 			}
 		}
@@ -291,10 +291,10 @@
 }
 
 func (f *fleet) newID() string {
-	f.ids++
-	return fmt.Sprint(f.ids)
+	f.lastID++
+	return fmt.Sprint(f.lastID)
 }
 
-func (f *fleet) prompt(r *request) api.CompletionRequest {
-	return api.CompletionRequest{Model: "model", Prompt: f.filler[:api.BytesPerToken*r.tokens], MaxTokens: r.answer}
+func (f *fleet) completionRequest(r *request) api.CompletionRequest {
+	return api.CompletionRequest{Model: "model", Prompt: f.promptFiller[:api.BytesPerToken*r.promptTokens], MaxTokens: r.answerTokens}
 }
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -41,28 +41,28 @@
 // Run measures a policy on a deployment at a load, the part of what engines
 // can prefill that is asked for. Where longs is false the two longest classes
 // are left out; all else is the same.
-func Run(d Deployment, o Options, load float64, longs bool, seed uint64) Result {
+func Run(d Deployment, o Options, load float64, withLongClasses bool, seed uint64) Result {
 	f := newFleet(d, o, seed)
 	f.start()
-	for _, dm := range draw(d, load, warmUp+runTime, seed) {
-		if longs || dm.class <= router.Medium {
-			f.after(dm.at, func() { f.arrive(dm) })
+	for _, spec := range sampleRequests(d, load, warmUp+runTime, seed) {
+		if withLongClasses || spec.class <= router.Medium {
+			f.schedule(spec.arrivalOffset, func() { f.sendFirst(spec) })
 		}
 	}
 	start := f.now
-	f.run(warmUp + runTime + coolDown)
-	return f.result(start)
+	f.advance(warmUp + runTime + coolDown)
+	return f.summarise(start)
 }
 
-func (f *fleet) result(start time.Time) Result {
-	const mostMicros, digits = 600_000_000, 3
+func (f *fleet) summarise(start time.Time) Result {
+	const maxMicros, digits = 600_000_000, 3
 	out := Result{Classes: map[router.LengthClass]*ClassResult{}}
 	for _, c := range classes {
-		out.Classes[c] = &ClassResult{FirstToken: hdrhistogram.New(1, mostMicros, digits)}
+		out.Classes[c] = &ClassResult{FirstToken: hdrhistogram.New(1, maxMicros, digits)}
 	}
 	tokens := 0
 	for _, r := range f.requests {
-		if r.arrived.Sub(start) < warmUp {
+		if r.sentAt.Sub(start) < warmUp {
 			continue
 		}
 		c := out.Classes[r.class]
@@ -70,8 +70,8 @@
 		switch r.outcome {
 		case answered:
 			c.Answered++
-			tokens += r.tokens
-			_ = c.FirstToken.RecordValue(r.first.Sub(r.arrived).Microseconds())
+			tokens += r.promptTokens
+			_ = c.FirstToken.RecordValue(r.firstTokenAt.Sub(r.sentAt).Microseconds())
 		case refused:
 			c.Refused++
 		default:
@@ -83,8 +83,8 @@
 }
 
 // FirstTokenQuantile is a quantile of a class's time to first token, in milliseconds.
-func (r Result) FirstTokenQuantile(c router.LengthClass, percent float64) float64 {
-	return float64(r.Classes[c].FirstToken.ValueAtQuantile(percent)) / 1000
+func (r Result) FirstTokenQuantile(c router.LengthClass, percentile float64) float64 {
+	return float64(r.Classes[c].FirstToken.ValueAtQuantile(percentile)) / 1000
 }
 
 // Window is what became of the requests sent in a part of a run.
@@ -99,40 +99,40 @@
 // it is peak. It returns a window for every half minute.
 func RunBurst(d Deployment, o Options, base, peak float64, seed uint64) []Window {
 	const (
-		width = 30 * time.Second
-		begin = time.Minute
-		end   = 2 * time.Minute
-		whole = 6 * time.Minute
+		windowLength = 30 * time.Second
+		peakStart    = time.Minute
+		peakEnd      = 2 * time.Minute
+		totalLength  = 6 * time.Minute
 	)
 	f := newFleet(d, o, seed)
 	f.start()
 	start := f.now
-	for _, dm := range draw(d, base, whole, seed) {
-		f.after(dm.at, func() { f.arrive(dm) })
+	for _, spec := range sampleRequests(d, base, totalLength, seed) {
+		f.schedule(spec.arrivalOffset, func() { f.sendFirst(spec) })
 	}
-	for _, dm := range draw(d, peak-base, end-begin, seed+1) {
-		f.after(begin+dm.at, func() { f.arrive(dm) })
+	for _, spec := range sampleRequests(d, peak-base, peakEnd-peakStart, seed+1) {
+		f.schedule(peakStart+spec.arrivalOffset, func() { f.sendFirst(spec) })
 	}
-	f.run(whole + coolDown)
-	windows := make([]Window, whole/width)
+	f.advance(totalLength + coolDown)
+	windows := make([]Window, totalLength/windowLength)
 	for _, r := range f.requests {
-		n := int(r.arrived.Sub(start) / width)
+		n := int(r.sentAt.Sub(start) / windowLength)
 		if n >= len(windows) {
 			continue
 		}
 		w := &windows[n]
-		w.Start = time.Duration(n) * width
-		w.count(r, width)
+		w.Start = time.Duration(n) * windowLength
+		w.add(r, windowLength)
 	}
 	return windows
 }
 
-func (w *Window) count(r *request, width time.Duration) {
+func (w *Window) add(r *request, windowLength time.Duration) {
 	w.Sent++
 	switch r.outcome {
 	case answered:
 		w.Answered++
-		w.Goodput += float64(r.tokens) / width.Seconds()
+		w.Goodput += float64(r.promptTokens) / windowLength.Seconds()
 	case refused:
 		w.Refused++
 	default:
