--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -1,7 +1,6 @@
-// Package measurer measures the routing and admission policy: it runs the
-// product's decision cores against stand-in engines in virtual time, so that
-// a figure repeats exactly for a seed. It is for the developers' figures; the
-// product never uses it.
+// Package measurer compares policies for routing and admission. It runs the decision
+// logic of the product against emulated engines in virtual time, so that equal seeds
+// give equal results. It is a tool for developers; the product doesn't import it.
 package measurer
 
 import (
@@ -12,25 +11,33 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// Deployment is where the policy runs.
+// Deployment describes the entries, engines and network that a policy is measured on.
 type Deployment struct {
-	Name    string
+	Name string
+	// Entries and Engines are the numbers of entries and engines.
 	Entries int
 	Engines int
-	// DataCentres is how many data centres entries and engines are spread over.
+	// DataCentres is the number of data centres, over which entries and engines are
+	// spread evenly.
 	DataCentres int
-	// Latency is one way between instances, CallerDistance to callers.
-	Latency         time.Duration
-	CallerLatency   time.Duration
-	MemoryTokens    int
-	PrefillRate     int
-	TokenTime       time.Duration
+	// Latency is the one-way network delay between an entry and an engine or keeper.
+	Latency time.Duration
+	// CallerLatency is the one-way network delay between a caller and an entry.
+	CallerLatency time.Duration
+	// MemoryTokens is the memory of one engine in tokens of prompts and answers.
+	MemoryTokens int
+	// PrefillRate is the prefill speed of one engine in prompt tokens per second.
+	PrefillRate int
+	// TokenTime is the time in which an engine generates one token of each stream.
+	TokenTime time.Duration
+	// MaxGroupEngines is the maximum number of engines that hold one prompt together.
 	MaxGroupEngines int
-	Organisations   int
+	// Organisations is the number of organisations. The simulation doesn't use it.
+	Organisations int
 }
 
-// Deployments of the users, as the brief gives them. The brief says nothing
-// of an engine's speed and memory: these are assumed.
+// Deployments are the deployments of the users as they specified them, by name. The
+// memory and speed of engines are assumptions, as the users didn't specify them.
 var Deployments = map[string]Deployment{
 	"condor": {
 		Name: "condor", Entries: 7, Engines: 14, DataCentres: 3, Latency: time.Millisecond, CallerLatency: time.Millisecond,
@@ -42,11 +49,12 @@
 	},
 }
 
-// MaxShortTokens is the longest prompt of the short class.
+// MaxShortTokens is the length of the longest prompt in the short class, in tokens.
 const MaxShortTokens = 4000
 
-// classProfiles of the classes' prompts in tokens, drawn log-uniformly, how many of
-// a hundred requests are of each, and their callers' time limits.
+// classProfiles describe the requests of each class: the range of prompt lengths in
+// tokens, which are distributed log-uniformly, the percentage of all requests and the
+// callers' timeout.
 var classProfiles = [...]struct {
 	minTokens, maxTokens float64
 	percent              int
@@ -58,23 +66,27 @@
 	router.Longest: {128_000, 1_000_000, 2, 5 * time.Minute},
 }
 
-// answer lengths in tokens.
+// The range of answer lengths in tokens; the maximum is excluded.
 const (
 	minAnswerTokens = 50
 	maxAnswerTokens = 300
 )
 
-// requestSpec is one request of a run.
+// requestSpec specifies one request of the simulated load.
 type requestSpec struct {
+	// arrivalOffset is the time from the start of the load until the caller sends the
+	// request.
 	arrivalOffset time.Duration
 	class         router.LengthClass
 	promptTokens  int
 	answerTokens  int
-	entryIndex    int
+	// entryIndex is the index of the entry that the caller sends the request to.
+	entryIndex int
 }
 
-// sampleRequests makes the requests of a run that asks for a part of what the engines
-// can prefill.
+// sampleRequests returns random requests over the given length of time, arriving as a
+// Poisson process. Their prompt tokens per second are, on average, load times the
+// prefill rate of all engines together. Equal seeds give equal requests.
 func sampleRequests(d Deployment, load float64, length time.Duration, seed uint64) []requestSpec {
 	random := rand.New(rand.NewPCG(seed, seed))
 	mean := 0.0
@@ -96,6 +108,7 @@
 	return out
 }
 
+// sampleClass returns a random class, with the percentages of classProfiles.
 func sampleClass(random *rand.Rand) router.LengthClass {
 	n := random.IntN(100)
 	for c, l := range classProfiles {
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -15,66 +15,82 @@
 )
 
 const (
-	// engineStepPeriod is how often engines work.
+	// engineStepPeriod is the time between two steps of the emulated engines.
 	engineStepPeriod = 5 * time.Millisecond
-	// pollPeriod, listTime and beatTime are an entry's default periods.
+	// pollPeriod, listPeriod, heartbeatPeriod and holdLease are the defaults of an entry:
+	// the time between two polls of an engine's load, two listings of its holds and two
+	// heartbeats, and the age at which an unrenewed hold expires.
 	pollPeriod      = 250 * time.Millisecond
 	listPeriod      = time.Second
 	heartbeatPeriod = 500 * time.Millisecond
 	holdLease       = 6 * time.Second
-	// grantTTL is as in the product.
+	// grantTTL is the time for which a keeper counts a grant that the engine doesn't
+	// list, the same as in the product.
 	grantTTL = 2 * time.Second
 )
 
-// Options of a run: the policy and what fails.
+// Options select the policy that a run measures and the fault injected into the run.
 type Options struct {
+	// Policy is the way in which entries choose engines.
 	Policy router.Policy
-	// AskKeepers has keepers grant attempts.
+	// AskKeepers makes entries ask an engine's keeper for a grant before each attempt.
 	AskKeepers bool
-	// SchedulesByPriority has engines schedule shorter prompts first.
+	// SchedulesByPriority makes engines schedule shorter prompts first.
 	SchedulesByPriority bool
-	// QueuesByClass has queues estimated by class.
+	// QueuesByClass makes estimates of queues distinguish the classes of prompts.
 	QueuesByClass bool
-	// MeasuresPace has entries go by how fast engines were.
+	// MeasuresPace makes entries measure the time per answer token of each engine and
+	// use it in predictions.
 	MeasuresPace bool
-	// MaxRetries is how often callers send again what was refused or late, and
-	// Budget bounds that to a tenth of the requests.
-	MaxRetries     int
+	// MaxRetries is the maximum number of times that a caller sends a request again that
+	// was refused or late.
+	MaxRetries int
+	// HasRetryBudget limits retries to a tenth of the requests, plus a reserve.
 	HasRetryBudget bool
-	// PriorityLevels is how many levels of priority there are, the longest classes
-	// sharing the last; 0 means one for each class.
+	// PriorityLevels is the number of priority levels; the longest classes share the
+	// last level. 0 means one level for each class.
 	PriorityLevels int
-	// RefusesLate has keepers refuse what would be too late.
+	// RefusesLate makes keepers refuse attempts that would miss the deadline.
 	RefusesLate bool
-	Fault       Fault
+	// Fault is the fault injected into the run; empty for none.
+	Fault Fault
 }
 
-// Fault is what fails during a run.
+// Fault names a fault that is injected into a run.
 type Fault string
 
-// The faults.
+// The faults that a run can have.
 const (
-	NoFault       Fault = ""
-	DeadEngine    Fault = "dead-engine"
-	SlowEngine    Fault = "slow-engine"
-	LaggedLoad    Fault = "lagged-load"
+	// NoFault injects nothing.
+	NoFault Fault = ""
+	// DeadEngine stops the first engine after the warm-up. It then answers nothing.
+	DeadEngine Fault = "dead-engine"
+	// SlowEngine slows the first engine down after the warm-up, by slowdownFactor.
+	SlowEngine Fault = "slow-engine"
+	// LaggedLoad delays the load reports of all engines by laggedLoadAge for the whole
+	// run.
+	LaggedLoad Fault = "lagged-load"
+	// CutDataCentre disconnects the first data centre from the others after the warm-up.
 	CutDataCentre Fault = "cut-centre"
 )
 
-// slowdownFactor is how much slower an engine works under SlowEngine, and
-// laggedLoadAge the age of load reports under LaggedLoad.
+// slowdownFactor divides the speed of the engine slowed down by SlowEngine.
+// laggedLoadAge is the age of load reports with LaggedLoad.
 const (
 	slowdownFactor = 4
 	laggedLoadAge  = 5 * time.Second
 )
 
-// event is something to be done at a time.
+// event is an action scheduled for a moment of virtual time.
 type event struct {
-	at       time.Time
+	at time.Time
+	// sequence orders events of the same time as they were scheduled.
 	sequence int
 	action   func()
 }
 
+// eventQueue is a heap of events, with the earliest first. It implements
+// [heap.Interface].
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -93,44 +109,59 @@
 	return x
 }
 
-// fleet is a deployment in virtual time.
+// fleet simulates the entries and engines of a deployment and its callers in virtual
+// time.
 type fleet struct {
-	deployment   Deployment
-	options      Options
-	random       *rand.Rand
-	now          time.Time
-	queue        eventQueue
+	deployment Deployment
+	options    Options
+	random     *rand.Rand
+	// now is the virtual time.
+	now   time.Time
+	queue eventQueue
+	// lastSequence is the sequence number of the event scheduled last.
 	lastSequence int
 	engines      []*simEngine
 	entries      []*simEntry
 	engineByName map[string]*simEngine
-	requests     []*request
-	// promptFiller is cut into prompts, so that none is copied.
+	// requests has every request sent, including each retry.
+	requests []*request
+	// promptFiller is the text of which each prompt is a prefix, to avoid copies.
 	promptFiller string
-	lastID       int
-	// retryBudgetUsed is the retries taken from the callers' budget, all together.
+	// lastID is the number of ids issued by newID.
+	lastID int
+	// retryBudgetUsed is the part of the retry budget, common to all callers, that is
+	// used up, in retries.
 	retryBudgetUsed float64
 }
 
+// simEngine is a simulated engine with its keeper.
 type simEngine struct {
 	name       string
 	dataCentre string
 	batcher    *engine.Batcher
 	keeper     *keeper.Keeper
-	// keeperEntry is the entry that keeps the engine.
+	// keeperEntry is the index of the entry that runs the keeper.
 	keeperEntry int
-	running     map[*request]*engine.Running
-	isDead      bool
-	listedAt    time.Time
+	// running has the requests that the engine prefills or answers.
+	running map[*request]*engine.Running
+	// isDead is true if the engine neither works nor answers.
+	isDead bool
+	// listedAt is the time of the last listing of holds.
+	listedAt time.Time
 }
 
+// simEntry is a simulated entry.
 type simEntry struct {
 	index      int
 	dataCentre string
-	board      *router.EngineIndex
-	loads      map[string]*router.Load
+	// board chooses among the engines.
+	board *router.EngineIndex
+	// loads are the entry's estimates of the engines' loads, by engine name.
+	loads map[string]*router.Load
 }
 
+// newFleet returns a fleet at the start of virtual time, with nothing scheduled but the
+// fault. The random choices of entries and callers depend only on the seed.
 func newFleet(d Deployment, o Options, seed uint64) *fleet {
 	f := &fleet{
 		deployment: d, options: o, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0),
@@ -149,8 +180,10 @@
 	return f
 }
 
+// dataCentreOf returns the data centre of the i-th entry or engine.
 func (f *fleet) dataCentreOf(i int) string { return fmt.Sprintf("dc-%d", i%f.deployment.DataCentres) }
 
+// addEngine adds the i-th engine, whose keeper runs on the member that owns it.
 func (f *fleet) addEngine(i int, members []assigner.Member) {
 	d := f.deployment
 	e := &simEngine{name: fmt.Sprintf("engine-%d", i), dataCentre: f.dataCentreOf(i), running: map[*request]*engine.Running{}}
@@ -178,7 +211,7 @@
 	f.engineByName[e.name] = e
 }
 
-// scheduleFault breaks the one engine that the fault is about, after warming up.
+// scheduleFault schedules the fault of a single engine for the end of the warm-up.
 func (f *fleet) scheduleFault(e *simEngine) {
 	switch f.options.Fault {
 	case DeadEngine:
@@ -188,6 +221,7 @@
 	}
 }
 
+// addEntry adds an entry, which knows all engines.
 func (f *fleet) addEntry(number int) {
 	d := f.deployment
 	e := &simEntry{index: number, dataCentre: f.dataCentreOf(number), loads: map[string]*router.Load{}}
@@ -203,13 +237,13 @@
 	f.entries = append(f.entries, e)
 }
 
-// schedule has something done later.
+// schedule runs an action after a delay of virtual time.
 func (f *fleet) schedule(delay time.Duration, action func()) {
 	f.lastSequence++
 	heap.Push(&f.queue, event{at: f.now.Add(delay), sequence: f.lastSequence, action: action})
 }
 
-// repeatEvery has something done again and again until the fleet ends.
+// repeatEvery runs an action after each period until the simulation ends.
 func (f *fleet) repeatEvery(period time.Duration, action func()) {
 	f.schedule(period, func() {
 		action()
@@ -217,7 +251,7 @@
 	})
 }
 
-// advance lets time pass.
+// advance advances the virtual time by a length and runs the events that fall due.
 func (f *fleet) advance(length time.Duration) {
 	end := f.now.Add(length)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
@@ -228,18 +262,21 @@
 	f.now = end
 }
 
+// start schedules the periodic work of engines, keepers and entries.
 func (f *fleet) start() {
 	f.repeatEvery(engineStepPeriod, f.stepEngines)
 	f.repeatEvery(pollPeriod, f.pollEngines)
 	f.repeatEvery(heartbeatPeriod, f.broadcastLoads)
 }
 
-// canReach reports whether an entry can reach an engine.
+// canReach reports whether an entry can exchange messages with an engine.
 func (f *fleet) canReach(e *simEntry, s *simEngine) bool {
 	cut := f.options.Fault == CutDataCentre && f.now.After(time.Unix(1_000_000, 0).Add(warmUp))
 	return !s.isDead && (!cut || s.dataCentre == e.dataCentre || (s.dataCentre != "dc-0" && e.dataCentre != "dc-0"))
 }
 
+// stepEngines lets all engines work until now and records the tokens that they generated
+// and the requests that they finished.
 func (f *fleet) stepEngines() {
 	for _, s := range f.engines {
 		if s.isDead {
@@ -260,7 +297,8 @@
 	}
 }
 
-// pollEngines is what keepers ask of their engines.
+// pollEngines passes to each keeper the load of its engine and, once per listPeriod, the
+// list of the engine's holds.
 func (f *fleet) pollEngines() {
 	for _, s := range f.engines {
 		if !f.canReach(f.entries[s.keeperEntry], s) {
@@ -275,7 +313,7 @@
 	}
 }
 
-// broadcastLoads tells all entries what keepers know.
+// broadcastLoads gives all entries the keepers' estimates of the engines' loads.
 func (f *fleet) broadcastLoads() {
 	for _, s := range f.engines {
 		if s.keeper.LastReportAt().IsZero() {
@@ -290,11 +328,13 @@
 	}
 }
 
+// newID returns an id that is unique in the fleet.
 func (f *fleet) newID() string {
 	f.lastID++
 	return fmt.Sprint(f.lastID)
 }
 
+// completionRequest returns the message that asks an engine for the answer to a request.
 func (f *fleet) completionRequest(r *request) api.CompletionRequest {
 	return api.CompletionRequest{Model: "model", Prompt: f.promptFiller[:api.BytesPerToken*r.promptTokens], MaxTokens: r.answerTokens}
 }
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -11,36 +11,40 @@
 )
 
 const (
-	// warmUp is left out of the figures; runTime is measured; coolDown lets
-	// the last requests end.
+	// warmUp is the time at the start of a run that is excluded from the result. runTime
+	// is the time measured after it. coolDown lets the last requests end.
 	warmUp   = 30 * time.Second
 	runTime  = 5 * time.Minute
 	coolDown = 5 * time.Minute
 )
 
-// classes in the order of the table.
+// classes lists the classes in the order of the table.
 var classes = []router.LengthClass{router.Short, router.Medium, router.Long, router.Longest}
 
+// classNames are the ranges of prompt tokens by which the table names the classes.
 var classNames = map[router.LengthClass]string{router.Short: "1k-4k", router.Medium: "4k-32k", router.Long: "32k-128k", router.Longest: "128k-1M"}
 
-// ClassResult is what was measured of one class.
+// ClassResult holds the figures of one class of requests.
 type ClassResult struct {
+	// Sent is the number of requests; Answered, Refused and Late count them by outcome.
+	// Late includes the requests that have no other outcome.
 	Sent, Answered, Refused, Late int
-	// FirstToken holds times to first token of answered requests, in
-	// microseconds.
+	// FirstToken holds the times to first token of answered requests, in microseconds,
+	// as their callers see them.
 	FirstToken *hdrhistogram.Histogram
 }
 
-// Result of a run.
+// Result holds the figures of a run.
 type Result struct {
 	Classes map[router.LengthClass]*ClassResult
-	// Goodput is prompt tokens a second of requests answered in time.
+	// Goodput is the rate of prompt tokens in requests answered in time, in tokens per
+	// second.
 	Goodput float64
 }
 
-// Run measures a policy on a deployment at a load, the part of what engines
-// can prefill that is asked for. Where longs is false the two longest classes
-// are left out; all else is the same.
+// Run measures a policy on a deployment. The load is the rate of prompt tokens as a
+// fraction of the prefill rate of all engines together. Without withLongClasses, the
+// requests of the two longest classes are left out and the others are the same.
 func Run(d Deployment, o Options, load float64, withLongClasses bool, seed uint64) Result {
 	f := newFleet(d, o, seed)
 	f.start()
@@ -54,6 +58,8 @@
 	return f.summarise(start)
 }
 
+// summarise returns the figures of the requests that were sent after the warm-up, which
+// began at start.
 func (f *fleet) summarise(start time.Time) Result {
 	const maxMicros, digits = 600_000_000, 3
 	out := Result{Classes: map[router.LengthClass]*ClassResult{}}
@@ -82,21 +88,27 @@
 	return out
 }
 
-// FirstTokenQuantile is a quantile of a class's time to first token, in milliseconds.
+// FirstTokenQuantile returns a percentile, from 0 to 100, of the time to first token of
+// a class, in milliseconds.
 func (r Result) FirstTokenQuantile(c router.LengthClass, percentile float64) float64 {
 	return float64(r.Classes[c].FirstToken.ValueAtQuantile(percentile)) / 1000
 }
 
-// Window is what became of the requests sent in a part of a run.
+// Window holds the figures of the requests sent in one interval of a run.
 type Window struct {
-	Start                         time.Duration
+	// Start is the time from the start of the run to that of the interval.
+	Start time.Duration
+	// Sent is the number of requests; Answered, Refused and Late count them by outcome.
+	// Late includes the requests that have no other outcome.
 	Sent, Answered, Refused, Late int
-	// Goodput is prompt tokens a second of those answered in time.
+	// Goodput is the rate of prompt tokens in requests answered in time, in tokens per
+	// second.
 	Goodput float64
 }
 
-// RunBurst measures recovery: load is base but for a minute after the first, when
-// it is peak. It returns a window for every half minute.
+// RunBurst measures how a policy recovers from overload: the load is peak during the
+// second minute of the run and base otherwise. It returns a window for every half
+// minute, without a warm-up.
 func RunBurst(d Deployment, o Options, base, peak float64, seed uint64) []Window {
 	const (
 		windowLength = 30 * time.Second
@@ -127,6 +139,7 @@
 	return windows
 }
 
+// add counts a request that was sent in the window.
 func (w *Window) add(r *request, windowLength time.Duration) {
 	w.Sent++
 	switch r.outcome {
@@ -140,7 +153,7 @@
 	}
 }
 
-// Print writes a result as a table.
+// Print writes a result to w as a table with a title line.
 func (r Result) Print(w io.Writer, title string) {
 	_, _ = fmt.Fprintf(w, "%s goodput=%.0f tokens/s\n", title, r.Goodput)
 	_, _ = fmt.Fprintf(w, "  %-9s %6s %8s %7s %5s %9s %9s %9s\n", "tokens", "sent", "answered", "refused", "late", "p50_ms", "p95_ms", "p99_ms")
@@ -151,8 +164,8 @@
 	}
 }
 
-// Policies are those compared, by name: the baselines, and the product's with
-// its parts switched on one at a time.
+// Policies lists the policies to compare, with their names: the baselines, then the
+// product's policy with its parts switched on one after the other.
 var Policies = []struct {
 	Name    string
 	Options Options
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -12,53 +12,71 @@
 )
 
 const (
-	// maxAskedKeepers is as in the product.
+	// maxAskedKeepers is the maximum number of engines whose keepers are asked per round
+	// of a placement, the same as in the product.
 	maxAskedKeepers = 3
-	// groupRetryDelay is between tries for a group.
+	// groupRetryDelay is the time between two attempts to reserve a group of engines.
 	groupRetryDelay = 120 * time.Millisecond
-	// shortWeight is the document's default.
+	// shortWeight is the priority of the short class, the default of the configuration.
 	shortWeight = 6
-	// engineTimeout is how long a dead engine is waited for.
+	// engineTimeout is the time after which an entry gives up an engine that doesn't
+	// answer.
 	engineTimeout = 5 * time.Second
 )
 
+// outcome is what became of a request.
 type outcome int
 
 const (
+	// pending requests are in progress.
 	pending outcome = iota
+	// answered requests got their complete answer within the time limit.
 	answered
+	// refused requests found no engine.
 	refused
+	// late requests reached their time limit.
 	late
+	// failed is not used.
 	failed
 )
 
-// request is one demand on its way.
+// request is the state of one request that a caller sent to an entry.
 type request struct {
 	requestSpec
-	entry        *simEntry
-	sentAt       time.Time
-	deadline     time.Time
+	entry    *simEntry
+	sentAt   time.Time
+	deadline time.Time
+	// firstTokenAt is the time at which the caller receives the first token; zero before
+	// the engine generates it.
 	firstTokenAt time.Time
 	outcome      outcome
-	placer       *placer.Placer
-	engine       *simEngine
-	attemptID    string
-	groupShards  []reserver.Shard
+	// placer selects the engine; nil if a group of engines holds the prompt.
+	placer *placer.Placer
+	// engine is the engine that the current attempt was sent to; nil for none.
+	engine    *simEngine
+	attemptID string
+	// groupShards are the reserved shards of a prompt that no single engine can hold;
+	// nil for other prompts.
+	groupShards []reserver.Shard
+	// triedEngines are the names of engines that refused an attempt or didn't answer.
 	triedEngines []string
-	// priorSends is how often its caller sent it before.
+	// priorSends is the number of times that the caller sent the same request before.
 	priorSends int
-	// generatedTokens is how many tokens of the answer were made.
+	// generatedTokens is the number of answer tokens that the engine has generated.
 	generatedTokens int
-	// isCounted says that the engine's first token is still owed.
+	// isCounted is true if the prompt is counted in the entry's OwnTokens of the engine,
+	// which is until the first token.
 	isCounted bool
 }
 
-// sendFirst begins a request at its entry.
+// sendFirst sends a request for the first time and replenishes the retry budget by a
+// tenth of a retry.
 func (f *fleet) sendFirst(d requestSpec) {
 	f.retryBudgetUsed = max(0, f.retryBudgetUsed-0.1)
 	f.send(d, 0)
 }
 
+// send sends a request to its entry and schedules its timeout.
 func (f *fleet) send(d requestSpec, priorSends int) {
 	r := &request{requestSpec: d, entry: f.entries[d.entryIndex], sentAt: f.now, priorSends: priorSends}
 	r.deadline = f.now.Add(classProfiles[d.class].timeLimit)
@@ -67,6 +85,9 @@
 	f.schedule(f.deployment.CallerLatency, func() { f.admit(r) })
 }
 
+// admit starts the placement of a request, or the reservation of a group if no single
+// engine can hold the request. The search for a group ends after a quarter of the time
+// limit.
 func (f *fleet) admit(r *request) {
 	if r.promptTokens+r.answerTokens > f.deployment.MemoryTokens {
 		f.reserveGroup(r, f.now.Add(r.deadline.Sub(f.now)/4))
@@ -76,7 +97,7 @@
 	f.advancePlacement(r)
 }
 
-// advancePlacement carries out the placer's next step.
+// advancePlacement executes the next step of the request's placer.
 func (f *fleet) advancePlacement(r *request) {
 	if r.outcome != pending {
 		return
@@ -84,8 +105,8 @@
 	step := r.placer.Next(f.now)
 	switch step.Kind {
 	case placer.Choose:
-		w := router.Requirements{Model: "model", Class: f.queueClass(r), PrefillTokens: r.promptTokens, MemoryTokens: r.promptTokens + r.answerTokens, MaxAnswerTokens: r.answerTokens, Exclude: r.triedEngines}
-		r.placer.SetChoices(r.entry.board.Choose(f.now, f.options.Policy, w, maxAskedKeepers, f.random))
+		requirements := router.Requirements{Model: "model", Class: f.queueClass(r), PrefillTokens: r.promptTokens, MemoryTokens: r.promptTokens + r.answerTokens, MaxAnswerTokens: r.answerTokens, Exclude: r.triedEngines}
+		r.placer.SetChoices(r.entry.board.Choose(f.now, f.options.Policy, requirements, maxAskedKeepers, f.random))
 		f.advancePlacement(r)
 	case placer.Ask:
 		f.askKeeper(r, f.engineByName[step.Choice.Engine.Name])
@@ -98,13 +119,14 @@
 	}
 }
 
-// refuse gives a request up; its caller may come back.
+// refuse refuses a request; its caller may retry.
 func (f *fleet) refuse(r *request) {
 	r.outcome = refused
 	f.scheduleRetry(r)
 }
 
-// scheduleRetry has a caller send a request again, as a new one, after a while.
+// scheduleRetry makes the caller send a request again, as a new one, after a random
+// delay, unless it has reached MaxRetries or the retry budget is used up.
 func (f *fleet) scheduleRetry(r *request) {
 	const minWaitMillis, maxWaitMillis, retriesPerEntry = 500, 3000, 10.0
 	if r.priorSends >= f.options.MaxRetries {
@@ -118,7 +140,8 @@
 	f.schedule(wait, func() { f.send(r.requestSpec, r.priorSends+1) })
 }
 
-// askKeeper asks the engine's keeper, where the policy does, or takes the engine.
+// askKeeper asks the keeper of an engine for a grant and passes the answer to the placer.
+// If the policy doesn't ask keepers, the grant is assumed.
 func (f *fleet) askKeeper(r *request, s *simEngine) {
 	r.attemptID = f.newID()
 	if !f.options.AskKeepers {
@@ -148,6 +171,8 @@
 	})
 }
 
+// priority returns the priority by which engines schedule a request; 0 if they don't
+// schedule by priority.
 func (f *fleet) priority(r *request) int {
 	if !f.options.SchedulesByPriority {
 		return 0
@@ -155,8 +180,9 @@
 	return router.Priority(f.priorityClass(r), shortWeight)
 }
 
-// queueClass is what the queue is estimated by: all one where engines go by order
-// of arrival.
+// queueClass returns the class by which queues are estimated for a request. It is the
+// longest class for all requests if queues don't distinguish classes, as engines then
+// serve prompts in the order of arrival.
 func (f *fleet) queueClass(r *request) router.LengthClass {
 	if !f.options.QueuesByClass {
 		return router.Longest
@@ -164,6 +190,8 @@
 	return f.priorityClass(r)
 }
 
+// priorityClass returns the class that determines a request's priority. Classes that
+// share the last priority level count as the longest one.
 func (f *fleet) priorityClass(r *request) router.LengthClass {
 	if f.options.PriorityLevels > 0 && int(r.class) >= f.options.PriorityLevels-1 {
 		return router.Longest
@@ -171,6 +199,7 @@
 	return r.class
 }
 
+// dispatch sends a request to an engine and counts it in the entry's own load.
 func (f *fleet) dispatch(r *request, s *simEngine) {
 	load := r.entry.loads[s.name]
 	load.OwnInFlight.Add(1)
@@ -179,6 +208,8 @@
 	f.schedule(f.deployment.Latency, func() { f.submit(r, s) })
 }
 
+// submit starts a request on an engine when it arrives there. An engine that can't be
+// reached or refuses the request makes the entry place the request again.
 func (f *fleet) submit(r *request, s *simEngine) {
 	if r.outcome != pending {
 		f.releaseLoad(r)
@@ -200,7 +231,8 @@
 	s.running[r] = running
 }
 
-// retryPlacement places a request anew after an engine refused or was silent.
+// retryPlacement places a request again after an engine refused it or didn't answer.
+// Engines already tried are avoided until there are more of them than maxAskedKeepers.
 func (f *fleet) retryPlacement(r *request, s *simEngine) {
 	f.releaseLoad(r)
 	if r.outcome != pending {
@@ -214,7 +246,7 @@
 	f.schedule(groupRetryDelay/4, func() { f.advancePlacement(r) })
 }
 
-// releaseLoad takes a request out of its entry's own counts.
+// releaseLoad removes a request from the load that its entry counts for its engine.
 func (f *fleet) releaseLoad(r *request) {
 	if r.engine == nil {
 		return
@@ -229,7 +261,8 @@
 	r.engine = nil
 }
 
-// recordPace notes how fast the engine was.
+// recordPace gives the entry the measured time per answer token, if the answer has
+// enough tokens.
 func (f *fleet) recordPace(r *request) {
 	const minPacedTokens = 8
 	if f.options.MeasuresPace && r.generatedTokens >= minPacedTokens {
@@ -237,6 +270,8 @@
 	}
 }
 
+// recordFirstToken records when the first token reaches the caller. From then on the
+// prompt no longer counts in the entry's own load.
 func (f *fleet) recordFirstToken(r *request) {
 	r.firstTokenAt = f.now.Add(f.deployment.Latency + f.deployment.CallerLatency)
 	if r.isCounted {
@@ -245,6 +280,7 @@
 	}
 }
 
+// finish ends a request whose answer is complete.
 func (f *fleet) finish(r *request) {
 	f.releaseLoad(r)
 	f.freeGroup(r)
@@ -253,7 +289,8 @@
 	}
 }
 
-// expire ends a request at its limit.
+// expire ends a request that is still in progress at its time limit; its caller may
+// retry.
 func (f *fleet) expire(r *request) {
 	if r.outcome != pending {
 		return
@@ -268,7 +305,8 @@
 	f.scheduleRetry(r)
 }
 
-// reserveGroup reserves a group, or tries again until patience ends.
+// reserveGroup reserves a group of engines for a request and dispatches the request. If
+// no group is available, it retries until the deadline and then refuses the request.
 func (f *fleet) reserveGroup(r *request, deadline time.Time) {
 	if r.outcome != pending {
 		return
@@ -299,7 +337,7 @@
 	f.schedule(delay, func() { f.dispatch(r, f.engineByName[shards[0].Engine]) })
 }
 
-// holdShards takes all shares or none.
+// holdShards reserves all shards and returns true, or else reserves none.
 func (f *fleet) holdShards(shards []reserver.Shard) bool {
 	for i, shard := range shards {
 		err := f.engineByName[shard.Engine].batcher.Hold(f.now, api.EngineHold{ID: shard.HoldID, Kind: api.HoldGroup, Tokens: shard.Tokens})
@@ -314,6 +352,7 @@
 	return true
 }
 
+// freeGroup releases the shards of a request, if it has any.
 func (f *fleet) freeGroup(r *request) {
 	for _, shard := range r.groupShards {
 		f.engineByName[shard.Engine].batcher.Free(f.now, shard.HoldID, 0)
