--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -24,16 +24,16 @@
 	// must not use the network.
 	OnDatagram func(from, to netip.Addr, size int)
 
-	lock      sync.Mutex
-	moved     *sync.Cond
-	listeners map[netip.AddrPort]*listener
-	cuts      map[[2]netip.Addr]bool
-	open      map[*link]bool
-	packets   map[netip.AddrPort]*packetConn
-	// rates are what hosts send at most, in bytes a second; freeAt is when a
+	lock        sync.Mutex
+	changed     *sync.Cond
+	listeners   map[netip.AddrPort]*listener
+	cuts        map[[2]netip.Addr]bool
+	links       map[*link]bool
+	packetConns map[netip.AddrPort]*packetConn
+	// sendRates are what hosts send at most, in bytes a second; freeAt is when a
 	// host has sent what it was given.
-	rates  map[netip.Addr]int
-	freeAt map[netip.Addr]time.Time
+	sendRates map[netip.Addr]int
+	idleAt    map[netip.Addr]time.Time
 }
 
 type link struct {
@@ -42,11 +42,11 @@
 }
 
 type listener struct {
-	net     *Network
-	address netip.AddrPort
-	accept  chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
+	network  *Network
+	address  netip.AddrPort
+	accepted chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 var errRefused = fmt.Errorf("network: %w", syscall.ECONNREFUSED)
@@ -54,10 +54,10 @@
 // New returns a network without hosts.
 func New() *Network {
 	n := &Network{
-		listeners: map[netip.AddrPort]*listener{}, cuts: map[[2]netip.Addr]bool{}, open: map[*link]bool{},
-		packets: map[netip.AddrPort]*packetConn{}, rates: map[netip.Addr]int{}, freeAt: map[netip.Addr]time.Time{},
+		listeners: map[netip.AddrPort]*listener{}, cuts: map[[2]netip.Addr]bool{}, links: map[*link]bool{},
+		packetConns: map[netip.AddrPort]*packetConn{}, sendRates: map[netip.Addr]int{}, idleAt: map[netip.Addr]time.Time{},
 	}
-	n.moved = sync.NewCond(&n.lock)
+	n.changed = sync.NewCond(&n.lock)
 	return n
 }
 
@@ -65,14 +65,14 @@
 func (n *Network) Listen(address netip.AddrPort) (net.Listener, error) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	l := &listener{net: n, address: address, accept: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{network: n, address: address, accepted: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accept:
+	case c := <-l.accepted:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -102,22 +102,22 @@
 		if l == nil {
 			return nil, errRefused
 		}
-		near, nearEnd := net.Pipe()
-		farEnd, far := net.Pipe()
+		callerEnd, callerPipe := net.Pipe()
+		acceptorPipe, acceptorEnd := net.Pipe()
 		select {
-		case l.accept <- far:
+		case l.accepted <- acceptorEnd:
 		case <-l.closed:
 			return nil, errRefused
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		joined := &link{from: from, to: to.Addr(), ends: [4]net.Conn{near, nearEnd, farEnd, far}}
+		opened := &link{from: from, to: to.Addr(), ends: [4]net.Conn{callerEnd, callerPipe, acceptorPipe, acceptorEnd}}
 		n.lock.Lock()
-		n.open[joined] = true
+		n.links[opened] = true
 		n.lock.Unlock()
-		go n.carry(joined, joined.from, nearEnd, farEnd)
-		go n.carry(joined, joined.to, farEnd, nearEnd)
-		return near, nil
+		go n.copyBytes(opened, opened.from, callerPipe, acceptorPipe)
+		go n.copyBytes(opened, opened.to, acceptorPipe, callerPipe)
+		return callerEnd, nil
 	}
 }
 
@@ -125,37 +125,37 @@
 func (n *Network) LimitSendRate(host netip.Addr, rate int) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	n.rates[host] = rate
+	n.sendRates[host] = rate
 }
 
-// sending is how long a host takes until it has sent so many bytes more.
-func (n *Network) sending(host netip.Addr, size int) time.Duration {
+// sendDelay is how long a host takes until it has sent so many bytes more.
+func (n *Network) sendDelay(host netip.Addr, size int) time.Duration {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	rate, ok := n.rates[host]
+	rate, ok := n.sendRates[host]
 	if !ok {
 		return 0
 	}
 	now := time.Now()
-	if n.freeAt[host].Before(now) {
-		n.freeAt[host] = now
+	if n.idleAt[host].Before(now) {
+		n.idleAt[host] = now
 	}
-	n.freeAt[host] = n.freeAt[host].Add(time.Duration(size) * time.Second / time.Duration(rate))
-	return n.freeAt[host].Sub(now)
+	n.idleAt[host] = n.idleAt[host].Add(time.Duration(size) * time.Second / time.Duration(rate))
+	return n.idleAt[host].Sub(now)
 }
 
-// carry moves bytes one way; while the cable is cut it holds them.
-func (n *Network) carry(l *link, sender netip.Addr, from, to net.Conn) {
-	defer n.drop(l)
+// copyBytes moves bytes one way; while the cable is cut it holds them.
+func (n *Network) copyBytes(l *link, sender netip.Addr, from, to net.Conn) {
+	defer n.closeLink(l)
 	buffer := make([]byte, 64<<10)
 	for {
 		size, err := from.Read(buffer)
 		n.lock.Lock()
-		for n.cuts[[2]netip.Addr{l.from, l.to}] && n.open[l] {
-			n.moved.Wait()
+		for n.cuts[[2]netip.Addr{l.from, l.to}] && n.links[l] {
+			n.changed.Wait()
 		}
 		n.lock.Unlock()
-		if wait := n.sending(sender, size); wait > 0 {
+		if wait := n.sendDelay(sender, size); wait > 0 {
 			time.Sleep(wait)
 		}
 		if size > 0 {
@@ -169,10 +169,10 @@
 	}
 }
 
-func (n *Network) drop(l *link) {
+func (n *Network) closeLink(l *link) {
 	n.lock.Lock()
-	delete(n.open, l)
-	n.moved.Broadcast()
+	delete(n.links, l)
+	n.changed.Broadcast()
 	n.lock.Unlock()
 	for _, c := range l.ends {
 		_ = c.Close()
@@ -191,9 +191,9 @@
 	n.lock.Lock()
 	delete(n.cuts, [2]netip.Addr{a, b})
 	delete(n.cuts, [2]netip.Addr{b, a})
-	n.moved.Broadcast()
+	n.changed.Broadcast()
 	n.lock.Unlock()
-	n.breakLinks(func(l *link) bool { return l.from == a && l.to == b || l.from == b && l.to == a })
+	n.closeLinks(func(l *link) bool { return l.from == a && l.to == b || l.from == b && l.to == a })
 }
 
 // KillHost ends a host: its listeners and every link to or from it.
@@ -205,25 +205,25 @@
 			delete(n.listeners, address)
 		}
 	}
-	for address, p := range n.packets {
+	for address, p := range n.packetConns {
 		if address.Addr() == host {
 			p.closeLocked()
 		}
 	}
 	n.lock.Unlock()
-	n.breakLinks(func(l *link) bool { return l.from == host || l.to == host })
+	n.closeLinks(func(l *link) bool { return l.from == host || l.to == host })
 }
 
-func (n *Network) breakLinks(which func(*link) bool) {
+func (n *Network) closeLinks(matches func(*link) bool) {
 	n.lock.Lock()
 	var found []*link
-	for l := range n.open {
-		if which(l) {
+	for l := range n.links {
+		if matches(l) {
 			found = append(found, l)
 		}
 	}
 	n.lock.Unlock()
 	for _, l := range found {
-		n.drop(l)
+		n.closeLink(l)
 	}
 }
--- a/standin/network/packets.go
+++ b/standin/network/packets.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// queuedPackets is how many datagrams wait for a reader; more are lost.
-const queuedPackets = 256
+// maxQueuedPackets is how many datagrams wait for a reader; more are lost.
+const maxQueuedPackets = 256
 
 type packet struct {
 	from netip.AddrPort
@@ -17,7 +17,7 @@
 
 // packetConn is a socket for datagrams.
 type packetConn struct {
-	net     *Network
+	network *Network
 	address netip.AddrPort
 	queue   chan packet
 	closed  chan struct{}
@@ -28,8 +28,8 @@
 func (n *Network) ListenPacket(address netip.AddrPort) (net.PacketConn, error) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	p := &packetConn{net: n, address: address, queue: make(chan packet, queuedPackets), closed: make(chan struct{})}
-	n.packets[address] = p
+	p := &packetConn{network: n, address: address, queue: make(chan packet, maxQueuedPackets), closed: make(chan struct{})}
+	n.packetConns[address] = p
 	return p, nil
 }
 
@@ -48,14 +48,14 @@
 	if err != nil {
 		return 0, err
 	}
-	p.net.lock.Lock()
-	defer p.net.lock.Unlock()
-	receiver, ok := p.net.packets[address]
-	if !ok || p.net.cuts[[2]netip.Addr{p.address.Addr(), address.Addr()}] {
+	p.network.lock.Lock()
+	defer p.network.lock.Unlock()
+	receiver, ok := p.network.packetConns[address]
+	if !ok || p.network.cuts[[2]netip.Addr{p.address.Addr(), address.Addr()}] {
 		return len(data), nil
 	}
-	if p.net.OnDatagram != nil {
-		p.net.OnDatagram(p.address.Addr(), address.Addr(), len(data))
+	if p.network.OnDatagram != nil {
+		p.network.OnDatagram(p.address.Addr(), address.Addr(), len(data))
 	}
 	select {
 	case receiver.queue <- packet{from: p.address, data: append([]byte(nil), data...)}:
@@ -65,15 +65,15 @@
 }
 
 func (p *packetConn) Close() error {
-	p.net.lock.Lock()
-	defer p.net.lock.Unlock()
+	p.network.lock.Lock()
+	defer p.network.lock.Unlock()
 	p.closeLocked()
 	return nil
 }
 
 func (p *packetConn) closeLocked() {
-	if p.net.packets[p.address] == p {
-		delete(p.net.packets, p.address)
+	if p.network.packetConns[p.address] == p {
+		delete(p.network.packetConns, p.address)
 	}
 	p.once.Do(func() { close(p.closed) })
 }
