--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -1,5 +1,5 @@
-// Package network is a network in memory whose cables can be cut, for runs in
-// virtual time.
+// Package network emulates a network in memory, for tests in virtual time. Tests can
+// disconnect hosts from each other, kill hosts and limit the rate at which they send.
 package network
 
 import (
@@ -14,44 +14,57 @@
 	"github.com/sapphireramp/sapphireramp/connector"
 )
 
-// dialTimeout bounds a connection where the caller sets no limit.
+// dialTimeout limits the time for opening a connection, if the caller's context doesn't
+// set an earlier deadline.
 const dialTimeout = time.Second
 
-// Network joins hosts, told apart by address. A cable joins two of them. It is
-// safe for concurrent use.
+// Network connects hosts, which are identified by their IP addresses. All hosts can reach
+// each other at first. It is safe for concurrent use.
 type Network struct {
-	// OnDatagram, where not nil, is told of each datagram; it is set before the first and
-	// must not use the network.
+	// OnDatagram, if not nil, is called for each datagram to an open socket that can be
+	// reached, with its size in bytes, also if the socket's queue is full. It must be set
+	// before the first datagram and must not call methods of the network, whose lock is
+	// held.
 	OnDatagram func(from, to netip.Addr, size int)
 
-	lock        sync.Mutex
-	changed     *sync.Cond
-	listeners   map[netip.AddrPort]*listener
-	cuts        map[[2]netip.Addr]bool
+	lock sync.Mutex
+	// changed is signalled when a link is closed or hosts are reconnected.
+	changed   *sync.Cond
+	listeners map[netip.AddrPort]*listener
+	// cuts has the pairs of hosts that are disconnected, in both orders.
+	cuts map[[2]netip.Addr]bool
+	// links has the open connections.
 	links       map[*link]bool
 	packetConns map[netip.AddrPort]*packetConn
-	// sendRates are what hosts send at most, in bytes a second; freeAt is when a
-	// host has sent what it was given.
+	// sendRates are the maximum rates at which hosts send over connections, in bytes per
+	// second; hosts without one are not limited. idleAt is the time at which a host with
+	// a rate has sent all data that it was given.
 	sendRates map[netip.Addr]int
 	idleAt    map[netip.Addr]time.Time
 }
 
+// link is an open connection from one host to another.
 type link struct {
 	from, to netip.Addr
-	ends     [4]net.Conn
+	// ends are the ends of two pipes, between which copyBytes moves data: the caller's,
+	// the two inner ones and the acceptor's.
+	ends [4]net.Conn
 }
 
+// listener implements [net.Listener] for one address.
 type listener struct {
 	network  *Network
 	address  netip.AddrPort
 	accepted chan net.Conn
-	closed   chan struct{}
-	once     sync.Once
+	// closed is closed by Close.
+	closed chan struct{}
+	once   sync.Once
 }
 
+// errRefused is the error of a connection to an address at which nothing listens.
 var errRefused = fmt.Errorf("network: %w", syscall.ECONNREFUSED)
 
-// New returns a network without hosts.
+// New returns a network on which nothing listens.
 func New() *Network {
 	n := &Network{
 		listeners: map[netip.AddrPort]*listener{}, cuts: map[[2]netip.Addr]bool{}, links: map[*link]bool{},
@@ -61,7 +74,8 @@
 	return n
 }
 
-// Listen opens a listener at an address.
+// Listen opens a listener at an address, replacing any previous one. The error is
+// always nil.
 func (n *Network) Listen(address netip.AddrPort) (net.Listener, error) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -86,7 +100,8 @@
 
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
-// Dialer returns the way to connect from a host.
+// Dialer returns a function that opens connections from a host. Connections to a host
+// that is disconnected time out; those to an address without a listener are refused.
 func (n *Network) Dialer(from netip.Addr) connector.DialFunc {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to := netip.MustParseAddrPort(address)
@@ -95,7 +110,7 @@
 		n.lock.Unlock()
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		if cut { // nothing says that nobody is there
+		if cut { // packets are lost without a reply, so the connection times out
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -121,14 +136,16 @@
 	}
 }
 
-// LimitSendRate bounds what a host sends over connections, in bytes a second.
+// LimitSendRate limits the data that a host sends over all connections together, in
+// bytes per second.
 func (n *Network) LimitSendRate(host netip.Addr, rate int) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.sendRates[host] = rate
 }
 
-// sendDelay is how long a host takes until it has sent so many bytes more.
+// sendDelay returns the time until a host has sent size more bytes after everything that
+// it was given before; 0 if its rate is not limited.
 func (n *Network) sendDelay(host netip.Addr, size int) time.Duration {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -144,7 +161,8 @@
 	return n.idleAt[host].Sub(now)
 }
 
-// copyBytes moves bytes one way; while the cable is cut it holds them.
+// copyBytes copies the bytes of a link in one direction, at the sender's rate, until an
+// end is closed. While the hosts are disconnected, it holds the bytes back.
 func (n *Network) copyBytes(l *link, sender netip.Addr, from, to net.Conn) {
 	defer n.closeLink(l)
 	buffer := make([]byte, 64<<10)
@@ -169,6 +187,7 @@
 	}
 }
 
+// closeLink closes all ends of a link.
 func (n *Network) closeLink(l *link) {
 	n.lock.Lock()
 	delete(n.links, l)
@@ -179,14 +198,16 @@
 	}
 }
 
-// Disconnect parts two hosts, both ways.
+// Disconnect cuts all traffic between two hosts, in both directions. Open connections
+// stall, new connections time out, and datagrams are lost.
 func (n *Network) Disconnect(a, b netip.Addr) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.cuts[[2]netip.Addr{a, b}], n.cuts[[2]netip.Addr{b, a}] = true, true
 }
 
-// Reconnect joins two hosts and breaks what hung.
+// Reconnect restores the traffic between two hosts and closes their open connections,
+// which have stalled.
 func (n *Network) Reconnect(a, b netip.Addr) {
 	n.lock.Lock()
 	delete(n.cuts, [2]netip.Addr{a, b})
@@ -196,7 +217,8 @@
 	n.closeLinks(func(l *link) bool { return l.from == a && l.to == b || l.from == b && l.to == a })
 }
 
-// KillHost ends a host: its listeners and every link to or from it.
+// KillHost closes all listeners and datagram sockets of a host and every connection to or
+// from it.
 func (n *Network) KillHost(host netip.Addr) {
 	n.lock.Lock()
 	for address, l := range n.listeners {
@@ -214,6 +236,7 @@
 	n.closeLinks(func(l *link) bool { return l.from == host || l.to == host })
 }
 
+// closeLinks closes the links that match.
 func (n *Network) closeLinks(matches func(*link) bool) {
 	n.lock.Lock()
 	var found []*link
--- a/standin/network/packets.go
+++ b/standin/network/packets.go
@@ -7,24 +7,29 @@
 	"time"
 )
 
-// maxQueuedPackets is how many datagrams wait for a reader; more are lost.
+// maxQueuedPackets is the number of unread datagrams that a socket buffers; further ones
+// are lost.
 const maxQueuedPackets = 256
 
+// packet is a datagram with its sender.
 type packet struct {
 	from netip.AddrPort
 	data []byte
 }
 
-// packetConn is a socket for datagrams.
+// packetConn implements [net.PacketConn] for one address.
 type packetConn struct {
 	network *Network
 	address netip.AddrPort
-	queue   chan packet
-	closed  chan struct{}
-	once    sync.Once
+	// queue has the datagrams received and not yet read.
+	queue chan packet
+	// closed is closed by Close.
+	closed chan struct{}
+	once   sync.Once
 }
 
-// ListenPacket opens a socket for datagrams at an address.
+// ListenPacket opens a datagram socket at an address, replacing any previous one. The
+// error is always nil.
 func (n *Network) ListenPacket(address netip.AddrPort) (net.PacketConn, error) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -42,7 +47,8 @@
 	}
 }
 
-// WriteTo sends a datagram, which is lost where nobody listens.
+// WriteTo sends a datagram. It is lost without an error if no socket is open at the
+// address, the hosts are disconnected or the receiver's queue is full.
 func (p *packetConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	address, err := netip.ParseAddrPort(to.String())
 	if err != nil {
@@ -71,6 +77,7 @@
 	return nil
 }
 
+// closeLocked closes the socket. The caller holds the lock of the network.
 func (p *packetConn) closeLocked() {
 	if p.network.packetConns[p.address] == p {
 		delete(p.network.packetConns, p.address)
@@ -80,7 +87,7 @@
 
 func (p *packetConn) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.address) }
 
-// Deadlines are not kept: the product sets none on these sockets.
+// Deadlines are ignored, as the product sets none on datagram sockets.
 
 func (p *packetConn) SetDeadline(time.Time) error      { return nil }
 func (p *packetConn) SetReadDeadline(time.Time) error  { return nil }
