--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -34,8 +34,8 @@
 // SlowDelay is how long a store that is Late takes.
 const SlowDelay = 300 * time.Millisecond
 
-// pageItems is the most items of an answer.
-const pageItems = 50
+// maxPageItems is the most items of an answer.
+const maxPageItems = 50
 
 type item struct {
 	Key string `json:"key"`
@@ -48,14 +48,14 @@
 
 // Store holds the items. It is safe for concurrent use.
 type Store struct {
-	lock     sync.Mutex
-	mode     Mode
-	items    map[string]item
-	history  []item
-	forgot   int64
-	revision int64
-	changed  chan struct{}
-	calls    int
+	lock              sync.Mutex
+	mode              Mode
+	items             map[string]item
+	history           []item
+	compactedRevision int64
+	revision          int64
+	changed           chan struct{}
+	callCount         int
 }
 
 // New returns an empty store that is up.
@@ -87,13 +87,13 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.revision++
-	made := s.revision
+	createRevision := s.revision
 	if before, ok := s.items[key]; ok {
-		made = before.CreateRevision
+		createRevision = before.CreateRevision
 	}
-	i := item{Key: key, Value: value, Revision: s.revision, CreateRevision: made}
+	i := item{Key: key, Value: value, Revision: s.revision, CreateRevision: createRevision}
 	s.items[key] = i
-	s.note(i)
+	s.recordChange(i)
 	return s.revision
 }
 
@@ -103,11 +103,11 @@
 	defer s.lock.Unlock()
 	s.revision++
 	delete(s.items, key)
-	s.note(item{Key: key, Revision: s.revision, Deleted: true})
+	s.recordChange(item{Key: key, Revision: s.revision, Deleted: true})
 	return s.revision
 }
 
-func (s *Store) note(i item) {
+func (s *Store) recordChange(i item) {
 	s.history = append(s.history, i)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -126,37 +126,37 @@
 func (s *Store) Compact() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.history, s.forgot = nil, s.revision
+	s.history, s.compactedRevision = nil, s.revision
 }
 
 // CallCount is how many calls were made.
 func (s *Store) CallCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.calls
+	return s.callCount
 }
 
 // ServeHTTP answers one call.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.lock.Lock()
-	s.calls++
+	s.callCount++
 	mode := s.mode
 	s.lock.Unlock()
-	if !misbehave(w, r, mode) {
+	if !applyMode(w, r, mode) {
 		return
 	}
 	switch r.URL.Path {
 	case "/kv-range":
-		s.rangeOf(w, r)
+		s.serveRange(w, r)
 	case "/kv-watch":
-		s.watch(w, r)
+		s.serveWatch(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// misbehave reports whether the call is to be answered after all.
-func misbehave(w http.ResponseWriter, r *http.Request, mode Mode) bool {
+// applyMode reports whether the call is to be answered after all.
+func applyMode(w http.ResponseWriter, r *http.Request, mode Mode) bool {
 	switch mode {
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -175,7 +175,7 @@
 	return false
 }
 
-func (s *Store) rangeOf(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("prefix"), r.URL.Query().Get("after")
 	s.lock.Lock()
 	var found []item
@@ -187,23 +187,23 @@
 	asOf := s.revision
 	s.lock.Unlock()
 	slices.SortFunc(found, func(a, b item) int { return strings.Compare(a.Key, b.Key) })
-	more := len(found) > pageItems
-	answer(w, struct {
+	more := len(found) > maxPageItems
+	writeJSON(w, struct {
 		Items []item `json:"items"`
 		More  bool   `json:"more-pages"`
 		AsOf  int64  `json:"as-of"`
-	}{found[:min(len(found), pageItems)], more, asOf})
+	}{found[:min(len(found), maxPageItems)], more, asOf})
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait-ms"))
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		s.lock.Lock()
-		changed, asOf, gone := s.changed, s.revision, after < s.forgot
+		changed, asOf, gone := s.changed, s.revision, after < s.compactedRevision
 		var events []item
 		for _, i := range s.history {
 			if i.Revision > after && strings.HasPrefix(i.Key, query.Get("prefix")) {
@@ -223,14 +223,14 @@
 			select {
 			case <-changed:
 				continue
-			case <-over.C:
+			case <-timeout.C:
 				waited = true
 			case <-r.Context().Done():
 				return
 			}
 		}
 		if len(events) > 0 || waited {
-			answer(w, struct {
+			writeJSON(w, struct {
 				Events []item `json:"events"`
 				AsOf   int64  `json:"as-of"`
 			}{events, asOf})
@@ -239,7 +239,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
