--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the store of the users' platform, which can
-// be read and watched: it speaks the platform's protocol, and misbehaves as
-// tests order.
+// Package store emulates the key-value store of the users' platform over HTTP. Its items
+// can be read by prefix and watched for changes. Tests write items and make the store
+// fail in several ways.
 package store
 
 import (
@@ -13,70 +13,80 @@
 	"time"
 )
 
-// Mode is how the store behaves.
+// Mode selects how the store responds to calls.
 type Mode int
 
-// The modes.
+// The modes of a store. The zero value is Available.
 const (
-	// Available answers.
+	// Available responds normally.
 	Available Mode = iota
-	// Unavailable answers 503, Many 429.
+	// Unavailable responds with status 503.
 	Unavailable
+	// RateLimited responds with status 429.
 	RateLimited
-	// Unresponsive says nothing until the caller gives up.
+	// Unresponsive sends nothing until the client closes the connection.
 	Unresponsive
-	// ResetsConnections breaks connections.
+	// ResetsConnections closes the connection instead of responding.
 	ResetsConnections
-	// Slow answers after Delay.
+	// Slow responds normally after SlowDelay.
 	Slow
 )
 
-// SlowDelay is how long a store that is Late takes.
+// SlowDelay is the time before the response of a store that is Slow.
 const SlowDelay = 300 * time.Millisecond
 
-// maxPageItems is the most items of an answer.
+// maxPageItems is the maximum number of items in the response to a range request.
 const maxPageItems = 50
 
+// item is an item or a change of one, as the store sends it.
 type item struct {
 	Key string `json:"key"`
-	// Value is base64 text, unless a test wrote something else.
-	Value          json.RawMessage `json:"value,omitempty"`
-	Revision       int64           `json:"rev"`
-	CreateRevision int64           `json:"create-rev,omitempty"`
-	Deleted        bool            `json:"deleted,omitempty"`
+	// Value is a JSON string with the value in base64, unless a test wrote other JSON by
+	// PutRaw.
+	Value json.RawMessage `json:"value,omitempty"`
+	// Revision is the store's revision after the last change of the item, CreateRevision
+	// the one after it was created; 0 in a change that removes the item.
+	Revision       int64 `json:"rev"`
+	CreateRevision int64 `json:"create-rev,omitempty"`
+	// Deleted is true in a change that removes the item.
+	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Store holds the items. It is safe for concurrent use.
+// Store holds items by key and serves them over HTTP. It is safe for concurrent use.
 type Store struct {
-	lock              sync.Mutex
-	mode              Mode
-	items             map[string]item
+	lock  sync.Mutex
+	mode  Mode
+	items map[string]item
+	// history has the changes after compactedRevision, the oldest first.
 	history           []item
 	compactedRevision int64
-	revision          int64
-	changed           chan struct{}
-	callCount         int
+	// revision is the number of changes so far.
+	revision int64
+	// changed is closed and replaced on each change of an item or of the mode.
+	changed   chan struct{}
+	callCount int
 }
 
-// New returns an empty store that is up.
+// New returns an empty store in the mode Available.
 func New() *Store {
 	return &Store{items: map[string]item{}, changed: make(chan struct{})}
 }
 
-// Put writes a key and returns the revision.
+// Put writes a value, encoded as JSON, to a key and returns the store's new revision. It
+// panics if the value can't be encoded.
 func (s *Store) Put(key string, value any) int64 {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // a test's own value
+		panic(err) // the value comes from a test
 	}
 	return s.PutBytes(key, data)
 }
 
-// PutBytes writes a key with any bytes as its value and returns the revision.
+// PutBytes writes any bytes to a key and returns the store's new revision.
 func (s *Store) PutBytes(key string, data []byte) int64 {
 	text, err := json.Marshal(data)
 	if err != nil {
-		panic(err) // bytes can always be written
+		panic(err) // unreachable: bytes can always be encoded as base64
 	}
 	return s.PutRaw(key, text)
 }
@@ -97,7 +107,7 @@
 	return s.revision
 }
 
-// Delete removes a key and returns the revision.
+// Delete removes a key and returns the store's new revision.
 func (s *Store) Delete(key string) int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -107,13 +117,16 @@
 	return s.revision
 }
 
+// recordChange appends a change to the history and wakes all watches. The caller holds
+// the lock.
 func (s *Store) recordChange(i item) {
 	s.history = append(s.history, i)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetMode changes how the store behaves; what waits is cut.
+// SetMode changes the mode of the store. Watches in progress are aborted unless the new
+// mode is Available or Slow.
 func (s *Store) SetMode(m Mode) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -122,21 +135,23 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets all history.
+// Compact discards the history of changes. A watch from an older revision then fails with
+// status 410.
 func (s *Store) Compact() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.history, s.compactedRevision = nil, s.revision
 }
 
-// CallCount is how many calls were made.
+// CallCount returns the number of HTTP calls received so far, in all modes.
 func (s *Store) CallCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.callCount
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP responds to one call as the mode requires. /kv-range returns items, /kv-watch
+// changes.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.lock.Lock()
 	s.callCount++
@@ -155,7 +170,8 @@
 	}
 }
 
-// applyMode reports whether the call is to be answered after all.
+// applyMode responds to a call if the mode is a failure. Otherwise it returns true, after
+// the delay of Slow, and the call is to be served.
 func applyMode(w http.ResponseWriter, r *http.Request, mode Mode) bool {
 	switch mode {
 	case Unavailable:
@@ -175,6 +191,9 @@
 	return false
 }
 
+// serveRange responds with the items whose keys have the prefix of the query and come
+// after its key "after", in the order of keys, up to maxPageItems, and with the revision
+// that they were read at.
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("prefix"), r.URL.Query().Get("after")
 	s.lock.Lock()
@@ -195,6 +214,8 @@
 	}{found[:min(len(found), maxPageItems)], more, asOf})
 }
 
+// serveWatch responds with the changes after the revision "after" of the query to keys
+// with its prefix, or without changes if there are none within "wait-ms" milliseconds.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
@@ -239,6 +260,7 @@
 	}
 }
 
+// writeJSON writes a body, encoded as JSON, as the response with status 200.
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
