--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -28,16 +28,11 @@
 type outcome int
 
 const (
-	// pending requests are in progress.
-	pending outcome = iota
-	// answered requests got their complete answer within the time limit.
-	answered
-	// refused requests found no engine.
-	refused
-	// late requests reached their time limit.
-	late
-	// failed is not used.
-	failed
+	pending  outcome = iota // in progress
+	answered                // answered completely within the time limit
+	refused                 // refused, as no engine was found
+	late                    // cut off at the time limit
+	failed                  // not used
 )
 
 // request is the state of one request that a caller sent to an entry.
