--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -114,12 +114,15 @@
 type Result struct {
 	ID, Path string
 	// Entry is the address that the request was sent to.
-	Entry  netip.AddrPort
+	Entry netip.AddrPort
+	// Status and Body are those of the response. Status is 0 if no response began, and
+	// Body is incomplete if Err is not nil.
 	Status int
 	Body   string
 	// HeaderSent is true if the header of the request was written to a connection.
 	HeaderSent bool
-	// TimeLimit is the shorter of the caller's timeout and the timeout of the route.
+	// TimeLimit is the caller's timeout. In the results of a [Traffic], it is the timeout of
+	// the route if that is shorter.
 	TimeLimit time.Duration
 	// RetryAfter is the Retry-After header of the response; empty if it has none.
 	RetryAfter string
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -143,7 +143,7 @@
 // A request without either is excused only in these cases, whether SIGTERM came before
 // the request or after it:
 //   - It was not sent because no connection was accepted: callers try another entry.
-//   - It reached its time limit, in which no entry could have answered.
+//   - It reached its time limit, which also happens without a shutdown.
 //   - It was sent before SIGTERM, and its time limit is later than SIGKILL.
 //   - The entry was killed while the request was in progress.
 //   - Its connection ended at once, and it ran at no upstream: the entry closed a
@@ -209,8 +209,8 @@
 // ordered, or its connection was cut. A slow upstream is no excuse for a request that
 // the exit of its entry cut off, but before that the entry may abandon an attempt whose
 // upstream is silent. Earlier attempts don't count, as the last one may have replaced
-// them. If no run was in progress at the end, the last attempt may have been waiting
-// for a connection to any upstream of the service that was cut.
+// them. If no run was in progress at the end, the last attempt may have been waiting for
+// an upstream of the service whose connections were cut.
 func (x *FaultLog) couldNotComplete(r Result, runs []worker.Run, s *Shutdown) bool {
 	from := r.StartedAt
 	if last, ok := lastAttemptRun(runs); ok {
