--- a/scenario/addresses_test.go
+++ b/scenario/addresses_test.go
@@ -8,7 +8,7 @@
 )
 
 // Two runs of the scenarios at once met at a port: "bind: address already in use".
-func TestTestProcessesShareNoAddress(t *testing.T) {
+func TestConcurrentRunsShareNoAddress(t *testing.T) {
 	is := is.New(t)
 	const pid, processes, ports = 4_194_000, 300, 700
 	owners := map[netip.AddrPort]int{}
--- a/scenario/slopes_test.go
+++ b/scenario/slopes_test.go
@@ -59,10 +59,10 @@
 	run(f)
 }
 
-// BenchmarkControl is what control costs an entry at rest, against how many
+// BenchmarkIdleEntry is what control costs an entry at rest, against how many
 // entries and engines there are. The periods are those of the scenarios: ten
 // heartbeats and polls a second, five listings.
-func BenchmarkControl(b *testing.B) {
+func BenchmarkIdleEntry(b *testing.B) {
 	for _, size := range [][2]int{{2, 2}, {7, 2}, {7, 14}, {7, 42}, {14, 14}, {28, 14}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
 			options := map[string]string{"entries": strconv.Itoa(size[0]), "engines": strconv.Itoa(size[1]), "strict": "false"}
@@ -73,9 +73,9 @@
 	}
 }
 
-// BenchmarkTargetControl is the same with the periods of the target. What an
+// BenchmarkIdleEntryTargetTiming is the same with the periods of the target. What an
 // entry sends then does not depend on how many entries there are.
-func BenchmarkTargetControl(b *testing.B) {
+func BenchmarkIdleEntryTargetTiming(b *testing.B) {
 	for _, size := range [][2]int{{7, 1}, {7, 11}, {7, 42}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
 			options := map[string]string{
@@ -278,10 +278,10 @@
 	return 0
 }
 
-// BenchmarkInForce is how long a change takes to be in force at 7 entries,
+// BenchmarkDocumentPropagation is how long a change takes to be in force at 7 entries,
 // with the platform up, and with only one of them able to reach it; and the
 // platform calls a second meanwhile.
-func BenchmarkInForce(b *testing.B) {
+func BenchmarkDocumentPropagation(b *testing.B) {
 	for _, way := range []string{"all-reach", "one-reaches"} {
 		b.Run(way, func(b *testing.B) {
 			for range b.N {
