--- a/scenario/addresses_test.go
+++ b/scenario/addresses_test.go
@@ -13,9 +13,9 @@
 	const pid, processes, ports = 4_194_000, 300, 700
 	owners := map[netip.AddrPort]int{}
 	for p := pid; p < pid+processes; p++ {
-		host := hostOf(p, 1, 1)
+		host := loopbackHost(p, 1, 1)
 		for n := range uint32(ports) {
-			address := netip.AddrPortFrom(host, portOf(p, n))
+			address := netip.AddrPortFrom(host, portFor(p, n))
 			owner, taken := owners[address]
 			is.True(!taken || owner == p) // each address has one process
 			owners[address] = p
--- a/scenario/slopes_test.go
+++ b/scenario/benchmark_test.go
@@ -18,19 +18,19 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// carried counts the bytes that relays carry, by the address that connected.
-var carried [256]atomic.Int64
+// relayedBytesByHost counts the bytes that relays carry, by the address that connected.
+var relayedBytesByHost [256]atomic.Int64
 
-// usage is what one process has used so far.
-type usage struct {
+// resourceUsage is what one process has used so far.
+type resourceUsage struct {
 	cpu time.Duration
 	// resident is memory in bytes.
 	resident int64
 }
 
-func usageOf(b *testing.B, p *process) usage {
+func readUsage(b *testing.B, p *process) resourceUsage {
 	b.Helper()
-	pid := p.running.Process.Pid
+	pid := p.cmd.Process.Pid
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
@@ -40,7 +40,7 @@
 	user, _ := strconv.Atoi(fields[userField])
 	system, _ := strconv.Atoi(fields[systemField])
 	pages, _ := strconv.Atoi(fields[residentField])
-	return usage{
+	return resourceUsage{
 		cpu:      time.Duration(user+system) * time.Second / ticksPerSecond,
 		resident: int64(pages * os.Getpagesize()),
 	}
@@ -52,8 +52,8 @@
 	for name, value := range options {
 		f.options[name] = value
 	}
-	defer f.stop()
-	if err := f.start(); err != nil {
+	defer f.stopAll()
+	if err := f.startAll(); err != nil {
 		b.Fatal(err)
 	}
 	run(f)
@@ -67,7 +67,7 @@
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
 			options := map[string]string{"entries": strconv.Itoa(size[0]), "engines": strconv.Itoa(size[1]), "strict": "false"}
 			for range b.N {
-				withBenchFleet(b, options, func(f *fleet) { measureControl(b, f) })
+				withBenchFleet(b, options, func(f *fleet) { measureIdleEntries(b, f) })
 			}
 		})
 	}
@@ -83,51 +83,51 @@
 				"timing": "target", "lease": "90s", "watch": "20s", "silence": "5s",
 			}
 			for range b.N {
-				withBenchFleet(b, options, func(f *fleet) { measureControlFor(b, f, 30*time.Second) })
+				withBenchFleet(b, options, func(f *fleet) { measureIdleEntriesFor(b, f, 30*time.Second) })
 			}
 		})
 	}
 }
 
-func measureControl(b *testing.B, f *fleet) { measureControlFor(b, f, 8*time.Second) }
+func measureIdleEntries(b *testing.B, f *fleet) { measureIdleEntriesFor(b, f, 8*time.Second) }
 
-func measureControlFor(b *testing.B, f *fleet, period time.Duration) {
-	var before []usage
-	start := bytesCarried()
+func measureIdleEntriesFor(b *testing.B, f *fleet, period time.Duration) {
+	var before []resourceUsage
+	bytesBefore := totalRelayedBytes()
 	entries := f.entryProcesses()
 	for _, p := range entries {
-		before = append(before, usageOf(b, p))
+		before = append(before, readUsage(b, p))
 	}
 	time.Sleep(period)
 	var cpu time.Duration
 	var resident int64
 	for i, p := range entries {
-		now := usageOf(b, p)
-		cpu += now.cpu - before[i].cpu
-		resident += now.resident
+		after := readUsage(b, p)
+		cpu += after.cpu - before[i].cpu
+		resident += after.resident
 	}
 	n := float64(len(entries))
 	b.ReportMetric(100*cpu.Seconds()/period.Seconds()/n, "%core/entry")
 	b.ReportMetric(float64(resident)/n/(1<<20), "MB-resident/entry")
-	b.ReportMetric(float64(bytesCarried()-start)/period.Seconds()/n, "bytes/s/entry")
+	b.ReportMetric(float64(totalRelayedBytes()-bytesBefore)/period.Seconds()/n, "bytes/s/entry")
 }
 
-func bytesCarried() int64 {
+func totalRelayedBytes() int64 {
 	var sum int64
-	for i := range carried {
-		sum += carried[i].Load()
+	for i := range relayedBytesByHost {
+		sum += relayedBytesByHost[i].Load()
 	}
 	return sum
 }
 
-func countBytes(from netip.Addr, n int) {
-	four := from.As4()
-	carried[four[3]].Add(int64(n))
+func countRelayedBytes(from netip.Addr, n int) {
+	octets := from.As4()
+	relayedBytesByHost[octets[3]].Add(int64(n))
 }
 
 func (f *fleet) entryProcesses() []*process {
 	var out []*process
-	for _, name := range f.order {
+	for _, name := range f.startOrder {
 		if strings.HasPrefix(name, "entry-") {
 			out = append(out, f.processes[name])
 		}
@@ -157,23 +157,23 @@
 
 func measureRelay(b *testing.B, f *fleet, rate, tokens, prompt int) {
 	const seconds = 6
-	p := f.entryProcesses()[0]
-	idle := usageOf(b, p)
+	entry := f.entryProcesses()[0]
+	idle := readUsage(b, entry)
 	time.Sleep(2 * time.Second)
-	before := usageOf(b, p)
-	control := (before.cpu - idle.cpu) / 2
-	c := exec.Command(filepath.Join(binaries, "sapphireramp"), "load", "--direct", "--entry", p.front.String(), "--key", organisationKey,
+	before := readUsage(b, entry)
+	idleCPU := (before.cpu - idle.cpu) / 2
+	loadCommand := exec.Command(filepath.Join(binaries, "sapphireramp"), "load", "--direct", "--entry", entry.address.String(), "--key", organisationKey,
 		"--model", "model", "--rate", strconv.Itoa(rate), "--duration", fmt.Sprintf("%ds", seconds),
 		"--shortest", strconv.Itoa(prompt), "--longest", strconv.Itoa(prompt), "--max-tokens", strconv.Itoa(tokens))
 	peak := int64(0)
 	done := make(chan error, 1)
 	var out bytes.Buffer
-	c.Stdout = &out
-	if err := c.Start(); err != nil {
+	loadCommand.Stdout = &out
+	if err := loadCommand.Start(); err != nil {
 		b.Fatal(err)
 	}
 	start := time.Now()
-	go func() { done <- c.Wait() }()
+	go func() { done <- loadCommand.Wait() }()
 	for running := true; running; {
 		select {
 		case err := <-done:
@@ -182,19 +182,19 @@
 			}
 			running = false
 		case <-time.After(100 * time.Millisecond):
-			peak = max(peak, usageOf(b, p).resident)
+			peak = max(peak, readUsage(b, entry).resident)
 		}
 	}
-	used := usageOf(b, p).cpu - before.cpu - time.Duration(float64(control)*time.Since(start).Seconds())
-	answered := answeredIn(out.String())
+	usedCPU := readUsage(b, entry).cpu - before.cpu - time.Duration(float64(idleCPU)*time.Since(start).Seconds())
+	answered := sumAnswered(out.String())
 	b.ReportMetric(float64(answered), "answered")
-	b.ReportMetric(float64(used.Microseconds())/float64(answered), "us-cpu/request")
-	b.ReportMetric(float64(used.Microseconds())/float64(answered*tokens), "us-cpu/token")
+	b.ReportMetric(float64(usedCPU.Microseconds())/float64(answered), "us-cpu/request")
+	b.ReportMetric(float64(usedCPU.Microseconds())/float64(answered*tokens), "us-cpu/token")
 	b.ReportMetric(float64(peak)/(1<<20), "MB-peak")
 	b.ReportMetric(float64(before.resident)/(1<<20), "MB-before")
 }
 
-func answeredIn(table string) int {
+func sumAnswered(table string) int {
 	n := 0
 	for line := range strings.Lines(table) {
 		fields := strings.Fields(line)
@@ -212,27 +212,27 @@
 	for range b.N {
 		withBenchFleet(b, map[string]string{"entries": "2", "engines": "2", "strict": "false"}, func(f *fleet) {
 			p := f.entryProcesses()[0]
-			before := usageOf(b, p)
+			before := readUsage(b, p)
 			for revision := 2; revision <= 6; revision++ {
-				document := strings.Replace(f.document(revision, "large"), "Limits:", largePart(4300, 600)+"Limits:", 1)
-				if err := f.put("/control/config", document); err != nil {
+				document := strings.Replace(f.configDocument(revision, "large"), "Limits:", largeDocumentSection(4300, 600)+"Limits:", 1)
+				if err := f.putToPlatform("/control/config", document); err != nil {
 					b.Fatal(err)
 				}
-				awaitRevision(b, f, revision)
+				awaitRevisionInForce(b, f, revision)
 			}
 			time.Sleep(2 * time.Second)
-			after := usageOf(b, p)
+			after := readUsage(b, p)
 			b.ReportMetric(float64(before.resident)/(1<<20), "MB-before")
 			b.ReportMetric(float64(after.resident)/(1<<20), "MB-after")
-			b.ReportMetric(float64(peakOf(b, p))/(1<<20), "MB-peak")
+			b.ReportMetric(float64(readPeakResident(b, p))/(1<<20), "MB-peak")
 			b.ReportMetric(float64((after.cpu-before.cpu).Milliseconds())/5, "ms-cpu/change")
 		})
 	}
 }
 
-// largePart continues a document of the fleet with engines, and organisations
+// largeDocumentSection continues a document of the fleet with engines, and organisations
 // behind a comment line that keeps the text's size.
-func largePart(organisations, engines int) string {
+func largeDocumentSection(organisations, engines int) string {
 	var out strings.Builder
 	for i := range organisations {
 		name := fmt.Sprintf("organisation-%d", i)
@@ -244,28 +244,28 @@
 	return out.String()
 }
 
-func awaitRevision(b *testing.B, f *fleet, revision int) time.Duration {
+func awaitRevisionInForce(b *testing.B, f *fleet, revision int) time.Duration {
 	b.Helper()
-	start := time.Now()
+	began := time.Now()
 	for _, p := range f.entryProcesses() {
 		for {
 			var status api.Status
-			err := getJSON("http://"+p.back.String()+api.PathStatus, &status)
+			err := getJSON("http://"+p.listenAddress.String()+api.PathStatus, &status)
 			if err == nil && status.Revision == uint64(revision) {
 				break
 			}
-			if time.Since(start) > 30*time.Second {
+			if time.Since(began) > 30*time.Second {
 				b.Fatalf("revision %d is not in force at %s", revision, p.name)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	return time.Since(start)
+	return time.Since(began)
 }
 
-func peakOf(b *testing.B, p *process) int64 {
+func readPeakResident(b *testing.B, p *process) int64 {
 	b.Helper()
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.running.Process.Pid))
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -286,19 +286,19 @@
 		b.Run(way, func(b *testing.B) {
 			for range b.N {
 				withBenchFleet(b, map[string]string{"entries": "7", "engines": "1", "watch": "20s", "strict": "false"}, func(f *fleet) {
-					measureInForce(b, f, way)
+					measurePropagation(b, f, way)
 				})
 			}
 		})
 	}
 }
 
-func measureInForce(b *testing.B, f *fleet, way string) {
+func measurePropagation(b *testing.B, f *fleet, reachability string) {
 	const changes = 10
-	if way == "one-reaches" {
+	if reachability == "one-reaches" {
 		for i, p := range f.entryProcesses() {
 			if i > 0 {
-				f.processes["platform"].relays[0].Set(p.front.Addr(), relay.Stall)
+				f.processes["platform"].relays[0].Set(p.address.Addr(), relay.Stall)
 			}
 		}
 	}
@@ -306,11 +306,11 @@
 	start := time.Now()
 	var worst, sum time.Duration
 	for revision := 2; revision < 2+changes; revision++ {
-		if err := f.put("/control/config", f.document(revision, "")); err != nil {
+		if err := f.putToPlatform("/control/config", f.configDocument(revision, "")); err != nil {
 			b.Fatal(err)
 		}
-		took := awaitRevision(b, f, revision)
-		worst, sum = max(worst, took), sum+took
+		elapsed := awaitRevisionInForce(b, f, revision)
+		worst, sum = max(worst, elapsed), sum+elapsed
 		time.Sleep(300 * time.Millisecond)
 	}
 	b.ReportMetric(float64(sum.Milliseconds())/changes, "ms-mean")
@@ -320,7 +320,7 @@
 
 func platformCalls(b *testing.B, f *fleet) int {
 	b.Helper()
-	text, err := httpGet("http://" + f.processes["platform"].back.String() + "/control/calls")
+	text, err := httpGet("http://" + f.processes["platform"].listenAddress.String() + "/control/calls")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/scenario/freeze_test.go
+++ b/scenario/freeze_test.go
@@ -15,11 +15,11 @@
 
 // freeze stops a process and returns once none of its threads runs any more.
 func (p *process) freeze() error {
-	if err := p.running.Process.Signal(syscall.SIGSTOP); err != nil {
+	if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return fmt.Errorf("stop %s: %w", p.name, err)
 	}
 	for {
-		err := unix.Waitid(unix.P_PID, p.running.Process.Pid, nil, unix.WSTOPPED, nil)
+		err := unix.Waitid(unix.P_PID, p.cmd.Process.Pid, nil, unix.WSTOPPED, nil)
 		if err == nil {
 			return nil
 		}
@@ -35,24 +35,24 @@
 // which "unknown" says truly, while the scenario waited for one run.
 func TestFrozenProcessServesNothing(t *testing.T) {
 	is := is.New(t)
-	f := &fleet{dir: t.TempDir(), binaries: binaries, centres: 1, processes: map[string]*process{}, options: defaultOptions()}
-	f.add("service-1", 3, 1, func(p *process) []string {
-		return []string{"standin", "service", "--address", p.back.String(), "--name", "dispatch"}
+	f := &fleet{dir: t.TempDir(), binaries: binaries, dataCentres: 1, processes: map[string]*process{}, options: defaultOptions()}
+	f.addProcess("service-1", 3, 1, func(p *process) []string {
+		return []string{"standin", "service", "--address", p.listenAddress.String(), "--name", "dispatch"}
 	})
-	is.NoErr(f.run("service-1"))
-	t.Cleanup(f.stop)
+	is.NoErr(f.startProcess("service-1"))
+	t.Cleanup(f.stopAll)
 	p := f.processes["service-1"]
 	client := &http.Client{}
 	for range 100 {
-		is.True(answers(client, p.back, time.Second)) // thawed
+		is.True(canServe(client, p.listenAddress, time.Second)) // thawed
 		is.NoErr(p.freeze())
-		is.True(!answers(client, p.back, 10*time.Millisecond)) // frozen
-		is.NoErr(p.running.Process.Signal(syscall.SIGCONT))
+		is.True(!canServe(client, p.listenAddress, 10*time.Millisecond)) // frozen
+		is.NoErr(p.cmd.Process.Signal(syscall.SIGCONT))
 	}
 }
 
-// answers reports whether a service answers within the limit.
-func answers(client *http.Client, address netip.AddrPort, limit time.Duration) bool {
+// canServe reports whether a service answers within the limit.
+func canServe(client *http.Client, address netip.AddrPort, limit time.Duration) bool {
 	client.Timeout = limit
 	response, err := client.Get("http://" + address.String() + "/control/executions")
 	if err != nil {
--- a/scenario/http_test.go
+++ b/scenario/http_test.go
@@ -56,12 +56,12 @@
 }
 
 // consoleAddress is where the scenario's console listens.
-var consoleAddress = netip.AddrPortFrom(hostOf(os.Getpid(), 8, 1), 9999).String()
+var consoleAddress = netip.AddrPortFrom(loopbackHost(os.Getpid(), 8, 1), 9999).String()
 
 // cmdConsole starts a console in the background.
 func cmdConsole(ts *testscript.TestScript, _ bool, _ []string) {
-	f := fleetOf(ts)
-	settings := fmt.Sprintf("Address: %s\nPlatform: %s\nSealSeed: %s\n", consoleAddress, f.processes["platform"].back, hex.EncodeToString(sealKey.Seed()))
+	f := fleetFrom(ts)
+	settings := fmt.Sprintf("Address: %s\nPlatform: %s\nSealSeed: %s\n", consoleAddress, f.processes["platform"].listenAddress, hex.EncodeToString(sealKey.Seed()))
 	path := filepath.Join(f.dir, "console.yaml")
 	ts.Check(os.WriteFile(path, []byte(settings), 0o600))
 	cmdBackground(ts, false, []string{"console", "console", "--settings", path})
@@ -71,7 +71,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	ts.Fatalf("console does not answer: %s", f.jobs["console"].out.String())
+	ts.Fatalf("console does not answer: %s", f.jobs["console"].output.String())
 }
 
 var (
@@ -79,8 +79,8 @@
 	formText  = regexp.MustCompile(`(?s)<textarea[^>]*>(.*)</textarea>`)
 )
 
-// formOf reads a page's form as a browser would send it back.
-func formOf(page string) url.Values {
+// parseForm reads a page's form as a browser would send it back.
+func parseForm(page string) url.Values {
 	form := url.Values{}
 	for _, m := range formInput.FindAllStringSubmatch(page, -1) {
 		if m[1] != "checkbox" || m[4] != "" {
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -53,8 +53,8 @@
 			f := &fleet{dir: e.WorkDir, binaries: binaries, processes: map[string]*process{}, options: defaultOptions(), jobs: map[string]*job{}, posts: map[string]chan string{}, forms: map[string]url.Values{}}
 			e.Values[fleetKey] = f
 			e.Defer(func() {
-				f.stop()
-				if broken := f.violations(); broken != "" {
+				f.stopAll()
+				if broken := f.invariantViolation(); broken != "" {
 					e.T().Fatal(broken)
 				}
 			})
@@ -65,16 +65,16 @@
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"fleet": cmdFleet, "signal": cmdSignal, "restart": cmdRestart, "exited": cmdExited, "cut": cmdCut, "mend": cmdMend,
 			"platform": cmdPlatform, "instance": cmdInstance, "publish": cmdPublish, "until": cmdUntil, "get": cmdGet, "post": cmdPost,
-			"pause": cmdPause, "background": cmdBackground, "join": cmdJoin, "post-background": cmdPostBackground, "post-join": cmdPostJoin, "post-slowly": cmdPostSlowly,
+			"pause": cmdSleep, "background": cmdBackground, "join": cmdJoin, "post-background": cmdPostBackground, "post-join": cmdPostJoin, "post-slowly": cmdPostSlowly,
 			"victim": cmdVictim, "unplug": cmdUnplug, "plug": cmdPlug, "ticket": cmdTicket, "publish-raw": cmdPublishRaw, "operator": cmdOperator, "console": cmdConsole, "executions": cmdExecutions, "same-document": cmdSameDocument, "superseded": cmdSuperseded,
 		},
 	})
 }
 
-func fleetOf(ts *testscript.TestScript) *fleet { return ts.Value(fleetKey).(*fleet) }
+func fleetFrom(ts *testscript.TestScript) *fleet { return ts.Value(fleetKey).(*fleet) }
 
-func processOf(ts *testscript.TestScript, name string) *process {
-	p, ok := fleetOf(ts).processes[name]
+func processNamed(ts *testscript.TestScript, name string) *process {
+	p, ok := fleetFrom(ts).processes[name]
 	if !ok {
 		ts.Fatalf("no process %s", name)
 	}
@@ -83,7 +83,7 @@
 
 // cmdFleet starts a fleet: fleet [option=value ...].
 func cmdFleet(ts *testscript.TestScript, _ bool, args []string) {
-	f := fleetOf(ts)
+	f := fleetFrom(ts)
 	for _, a := range args {
 		name, value, _ := strings.Cut(a, "=")
 		if _, known := f.options[name]; !known {
@@ -91,13 +91,13 @@
 		}
 		f.options[name] = value
 	}
-	err := f.start()
+	err := f.startAll()
 	var entries []string
-	for _, name := range f.order {
+	for _, name := range f.startOrder {
 		p := f.processes[name]
-		ts.Setenv(strings.ToUpper(strings.ReplaceAll(name, "-", "")), p.front.String())
-		if p.peerFront.IsValid() {
-			entries = append(entries, p.front.String())
+		ts.Setenv(strings.ToUpper(strings.ReplaceAll(name, "-", "")), p.address.String())
+		if p.peerAddress.IsValid() {
+			entries = append(entries, p.address.String())
 		}
 	}
 	ts.Setenv("ENTRIES", strings.Join(entries, ","))
@@ -109,16 +109,16 @@
 // cmdSignal sends a signal to processes: signal KILL NAME...
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args[1:] {
-		p := processOf(ts, name)
+		p := processNamed(ts, name)
 		switch args[0] {
 		case "STOP":
 			ts.Check(p.freeze())
 		case "KILL":
-			ts.Check(p.running.Process.Kill())
+			ts.Check(p.cmd.Process.Kill())
 			<-p.exited
 			p.exited <- nil
 		default:
-			ts.Check(p.running.Process.Signal(signals[args[0]]))
+			ts.Check(p.cmd.Process.Signal(signals[args[0]]))
 		}
 	}
 }
@@ -126,13 +126,13 @@
 // cmdRestart starts a process that has ended: restart NAME...
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		ts.Check(fleetOf(ts).run(name))
+		ts.Check(fleetFrom(ts).startProcess(name))
 	}
 }
 
 // cmdExited waits for a process to end by itself: exited DURATION NAME.
 func cmdExited(ts *testscript.TestScript, neg bool, args []string) {
-	p := processOf(ts, args[1])
+	p := processNamed(ts, args[1])
 	select {
 	case err := <-p.exited:
 		p.exited <- err
@@ -157,35 +157,35 @@
 // cut refuse|stall|answers FROM TO...
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
 	for _, to := range args[2:] {
-		setCable(ts, args[1], to, args[0])
+		setLink(ts, args[1], to, args[0])
 	}
 }
 
 // cmdMend undoes cmdCut: mend FROM TO...
 func cmdMend(ts *testscript.TestScript, _ bool, args []string) {
 	for _, to := range args[1:] {
-		setCable(ts, args[0], to, "")
+		setLink(ts, args[0], to, "")
 	}
 }
 
-func setCable(ts *testscript.TestScript, from, to, way string) {
+func setLink(ts *testscript.TestScript, from, to, mode string) {
 	address := netip.MustParseAddr("127.0.0.1")
 	if from != "caller" {
-		address = processOf(ts, from).front.Addr()
+		address = processNamed(ts, from).address.Addr()
 	}
-	for _, r := range processOf(ts, to).relays {
-		r.Set(address, way)
+	for _, r := range processNamed(ts, to).relays {
+		r.Set(address, mode)
 	}
 }
 
 // cmdPlatform sets what the platform shows: platform up|down|stale|back.
 func cmdPlatform(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(fleetOf(ts).put("/control/mode/"+args[0], ""))
+	ts.Check(fleetFrom(ts).putToPlatform("/control/mode/"+args[0], ""))
 }
 
 // cmdInstance sets an instance's state: instance NAME live|leaving|gone.
 func cmdInstance(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(fleetOf(ts).put("/control/instances/"+args[0]+"/"+args[1], ""))
+	ts.Check(fleetFrom(ts).putToPlatform("/control/instances/"+args[0]+"/"+args[1], ""))
 }
 
 // cmdPublish publishes a document: publish REVISION [COMMENT [OLD NEW]], the
@@ -198,28 +198,28 @@
 	if len(args) > 1 {
 		comment = args[1]
 	}
-	document := fleetOf(ts).document(revision, comment)
+	document := fleetFrom(ts).configDocument(revision, comment)
 	if len(args) > 3 {
 		document = strings.ReplaceAll(document, args[2], args[3])
 	}
-	ts.Check(fleetOf(ts).publish(document, "/control/config"))
+	ts.Check(fleetFrom(ts).publishDocument(document, "/control/config"))
 }
 
 // cmdPublishRaw publishes a document without a seal: publish-raw REVISION.
 func cmdPublishRaw(ts *testscript.TestScript, _ bool, args []string) {
 	revision, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	ts.Check(fleetOf(ts).put("/control/config", fleetOf(ts).document(revision, "raw")))
+	ts.Check(fleetFrom(ts).putToPlatform("/control/config", fleetFrom(ts).configDocument(revision, "raw")))
 }
 
 // cmdOperator edits the document in force in the console's form and publishes
 // what it sealed: operator load|publish NAME [FIELD=VALUE].
 func cmdOperator(ts *testscript.TestScript, _ bool, args []string) {
-	f := fleetOf(ts)
+	f := fleetFrom(ts)
 	if args[0] == "load" {
 		page, err := httpGet("http://" + consoleAddress + "/")
 		ts.Check(err)
-		f.forms[args[1]] = formOf(page)
+		f.forms[args[1]] = parseForm(page)
 		return
 	}
 	form := f.forms[args[1]]
@@ -229,7 +229,7 @@
 	}
 	document, err := sealForm(form)
 	ts.Check(err)
-	ts.Check(f.put("/control/config", document))
+	ts.Check(f.putToPlatform("/control/config", document))
 }
 
 // cmdUntil runs a command until its output matches: until DURATION REGEXP
@@ -239,7 +239,7 @@
 	want := regexp.MustCompile(args[1])
 	command := args[2:]
 	for {
-		out := runQuietly(ts, command)
+		out := commandOutput(ts, command)
 		if want.MatchString(out) != neg {
 			return
 		}
@@ -250,12 +250,12 @@
 	}
 }
 
-func runQuietly(ts *testscript.TestScript, command []string) string {
+func commandOutput(ts *testscript.TestScript, command []string) string {
 	if command[0] == "entry-log" {
-		return fleetOf(ts).logOf(command[1])
+		return fleetFrom(ts).readLog(command[1])
 	}
 	if command[0] == "get" {
-		out, err := fetch(ts, command[1], command[2])
+		out, err := getFromProcess(ts, command[1], command[2])
 		if err != nil {
 			return err.Error()
 		}
@@ -266,13 +266,13 @@
 	return string(out)
 }
 
-func fetch(ts *testscript.TestScript, name, path string) (string, error) {
-	return httpGet("http://" + processOf(ts, name).back.String() + path)
+func getFromProcess(ts *testscript.TestScript, name, path string) (string, error) {
+	return httpGet("http://" + processNamed(ts, name).listenAddress.String() + path)
 }
 
 // cmdGet prints what a process answers: get NAME PATH.
 func cmdGet(ts *testscript.TestScript, neg bool, args []string) {
-	out, err := fetch(ts, args[0], args[1])
+	out, err := getFromProcess(ts, args[0], args[1])
 	if (err != nil) != neg {
 		ts.Fatalf("get: %v", err)
 	}
@@ -286,37 +286,37 @@
 	if len(args) > 2 {
 		body = args[2]
 	}
-	out, err := httpPost("http://"+processOf(ts, args[0]).back.String()+args[1], body, args[min(len(args), 3):])
+	out, err := httpPost("http://"+processNamed(ts, args[0]).listenAddress.String()+args[1], body, args[min(len(args), 3):])
 	ts.Check(err)
 	_, _ = fmt.Fprint(ts.Stdout(), out)
 }
 
-func cmdPause(ts *testscript.TestScript, _ bool, args []string) {
+func cmdSleep(ts *testscript.TestScript, _ bool, args []string) {
 	time.Sleep(duration(ts, args[0]))
 }
 
 // cmdBackground runs the product in the background: background NAME ARGS...
 func cmdBackground(ts *testscript.TestScript, _ bool, args []string) {
-	f := fleetOf(ts)
+	f := fleetFrom(ts)
 	c := exec.Command(filepath.Join(binaries, "sapphireramp"), args[1:]...)
 	out := &strings.Builder{}
 	c.Stdout, c.Stderr = out, out
 	ts.Check(c.Start())
 	done := make(chan error, 1)
 	go func() { done <- c.Wait() }()
-	f.jobs[args[0]] = &job{out: out, done: done, started: time.Now(), command: c}
+	f.jobs[args[0]] = &job{output: out, done: done, started: time.Now(), cmd: c}
 }
 
 // cmdJoin waits for a background command to end with success, or with ! in
 // failure, and prints what it printed: join DURATION NAME.
 func cmdJoin(ts *testscript.TestScript, neg bool, args []string) {
-	j := fleetOf(ts).jobs[args[1]]
+	j := fleetFrom(ts).jobs[args[1]]
 	select {
 	case err := <-j.done:
-		_, _ = fmt.Fprint(ts.Stdout(), j.out.String())
+		_, _ = fmt.Fprint(ts.Stdout(), j.output.String())
 		ts.Logf("%s took %s: %v", args[1], time.Since(j.started).Round(time.Millisecond), err)
 		if (err != nil) != neg {
-			ts.Fatalf("%s: %v: %s", args[1], err, j.out.String())
+			ts.Fatalf("%s: %v: %s", args[1], err, j.output.String())
 		}
 	case <-time.After(duration(ts, args[0])):
 		ts.Fatalf("%s is not done after %s", args[1], args[0])
@@ -335,15 +335,15 @@
 
 // cmdExecutions checks how many calls all services ran: executions N.
 func cmdExecutions(ts *testscript.TestScript, _ bool, args []string) {
-	f := fleetOf(ts)
-	ran := 0
-	for i := 1; i <= f.number("services"); i++ {
+	f := fleetFrom(ts)
+	executions := 0
+	for i := 1; i <= f.intOption("services"); i++ {
 		var list []struct{ RequestID, Call, Body string }
-		ts.Check(getJSON("http://"+f.processes[fmt.Sprintf("service-%d", i)].back.String()+"/control/executions", &list))
-		ran += len(list)
+		ts.Check(getJSON("http://"+f.processes[fmt.Sprintf("service-%d", i)].listenAddress.String()+"/control/executions", &list))
+		executions += len(list)
 	}
-	if fmt.Sprint(ran) != args[0] {
-		ts.Fatalf("%d executions, want %s", ran, args[0])
+	if fmt.Sprint(executions) != args[0] {
+		ts.Fatalf("%d executions, want %s", executions, args[0])
 	}
 }
 
@@ -353,7 +353,7 @@
 	inForce := ""
 	for _, name := range args {
 		var status api.Status
-		ts.Check(getJSON("http://"+processOf(ts, name).back.String()+api.PathStatus, &status))
+		ts.Check(getJSON("http://"+processNamed(ts, name).listenAddress.String()+api.PathStatus, &status))
 		digests[status.Digest] = true
 		inForce += fmt.Sprintf(" %s=%d", name, status.Revision)
 	}
@@ -365,15 +365,15 @@
 // cmdVictim waits for an engine that holds memory, or for a service that was
 // called, and sets VICTIM to it: victim [service].
 func cmdVictim(ts *testscript.TestScript, _ bool, args []string) {
-	f := fleetOf(ts)
-	kind, busy := "engine", holdsMemory
+	f := fleetFrom(ts)
+	kind, isBusy := "engine", hasHolds
 	if len(args) > 0 {
-		kind, busy = "service", wasCalled
+		kind, isBusy = "service", hasExecutions
 	}
 	for range 100 {
-		for i := 1; i <= f.number(kind+"s"); i++ {
+		for i := 1; i <= f.intOption(kind+"s"); i++ {
 			name := fmt.Sprintf("%s-%d", kind, i)
-			if busy(f.processes[name].back) {
+			if isBusy(f.processes[name].listenAddress) {
 				ts.Setenv("VICTIM", name)
 				return
 			}
@@ -383,13 +383,13 @@
 	ts.Fatalf("no %s is busy", kind)
 }
 
-func holdsMemory(engine netip.AddrPort) bool {
-	var ran struct{ UsedTokens int }
-	err := getJSON("http://"+engine.String()+"/control/ran", &ran)
-	return err == nil && ran.UsedTokens > 0
+func hasHolds(engine netip.AddrPort) bool {
+	var report struct{ UsedTokens int }
+	err := getJSON("http://"+engine.String()+"/control/ran", &report)
+	return err == nil && report.UsedTokens > 0
 }
 
-func wasCalled(service netip.AddrPort) bool {
+func hasExecutions(service netip.AddrPort) bool {
 	var executions []struct{ Call string }
 	err := getJSON("http://"+service.String()+"/control/executions", &executions)
 	return err == nil && len(executions) > 0
@@ -398,7 +398,7 @@
 // cmdUnplug closes the addresses of processes; cmdPlug opens them again.
 func cmdUnplug(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		p := processOf(ts, name)
+		p := processNamed(ts, name)
 		for _, r := range p.relays {
 			r.Close()
 		}
@@ -408,7 +408,7 @@
 
 func cmdPlug(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		ts.Check(processOf(ts, name).addRelays())
+		ts.Check(processNamed(ts, name).addRelays())
 	}
 }
 
@@ -419,7 +419,7 @@
 	for time.Now().Before(deadline) {
 		for _, name := range args[1:] {
 			var status api.Status
-			ts.Check(getJSON("http://"+processOf(ts, name).back.String()+api.PathStatus, &status))
+			ts.Check(getJSON("http://"+processNamed(ts, name).listenAddress.String()+api.PathStatus, &status))
 			if len(status.Superseded) > 0 {
 				return
 			}
@@ -432,9 +432,9 @@
 // cmdPostBackground is post in the background: post-background JOB NAME PATH
 // [BODY [HEADER=VALUE ...]].
 func cmdPostBackground(ts *testscript.TestScript, _ bool, args []string) {
-	url := "http://" + processOf(ts, args[1]).back.String() + args[2]
+	url := "http://" + processNamed(ts, args[1]).listenAddress.String() + args[2]
 	answer := make(chan string, 1)
-	fleetOf(ts).posts[args[0]] = answer
+	fleetFrom(ts).posts[args[0]] = answer
 	go func() {
 		out, err := httpPost(url, args[3], args[4:])
 		if err != nil {
@@ -448,7 +448,7 @@
 // DURATION JOB.
 func cmdPostJoin(ts *testscript.TestScript, _ bool, args []string) {
 	select {
-	case out := <-fleetOf(ts).posts[args[1]]:
+	case out := <-fleetFrom(ts).posts[args[1]]:
 		_, _ = fmt.Fprint(ts.Stdout(), out)
 	case <-time.After(duration(ts, args[0])):
 		ts.Fatalf("%s was not answered", args[1])
@@ -461,7 +461,7 @@
 	body, end := io.Pipe()
 	defer func() { _ = end.Close() }()
 	go func() { _, _ = io.WriteString(end, `{"model":`) }()
-	out, err := httpPostFrom("http://"+processOf(ts, args[0]).back.String()+args[1], body, args[2:])
+	out, err := httpPostFrom("http://"+processNamed(ts, args[0]).listenAddress.String()+args[1], body, args[2:])
 	ts.Check(err)
 	_, _ = fmt.Fprint(ts.Stdout(), out)
 }
