--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,13 +20,13 @@
 )
 
 var (
-	firstSeed = flag.Int("soak.seed", 1, "the first seed")
-	seeds     = flag.Int("soak.seeds", 2, "how many seeds to run, four at a time")
-	seconds   = flag.Int("soak.seconds", 6, "seconds of faults in each run")
+	firstSeed    = flag.Int("soak.seed", 1, "the first seed")
+	seedCount    = flag.Int("soak.seeds", 2, "how many seeds to run, four at a time")
+	faultSeconds = flag.Int("soak.seconds", 6, "seconds of faults in each run")
 )
 
-// loopback is where the connections of entries come from, as relays see them.
-var loopback = netip.MustParseAddr("127.0.0.1")
+// loopbackSource is where the connections of entries come from, as relays see them.
+var loopbackSource = netip.MustParseAddr("127.0.0.1")
 
 // regressions are seeds that failed once, with their causes.
 var regressions = map[int]string{}
@@ -34,48 +34,48 @@
 // fault begins one fault and returns what ends it.
 type fault func(f *fleet, r *rand.Rand) func()
 
-func draw[T any](r *rand.Rand, from ...T) T { return from[r.IntN(len(from))] }
+func pick[T any](r *rand.Rand, choices ...T) T { return choices[r.IntN(len(choices))] }
 
 var faults = map[string]fault{
 	"entry killed": func(f *fleet, r *rand.Rand) func() {
-		e := f.free(r)
+		e := f.pickUndisrupted(r)
 		if e == nil {
 			return func() {}
 		}
-		f.troubles.RecordKill(e.host)
+		f.disruptions.RecordKill(e.host)
 		e.signal(syscall.SIGKILL)
-		return func() { e.restart(); e.signalled.Store(false) }
+		return func() { e.restart(); e.disrupted.Store(false) }
 	},
 	"entry stopped": func(f *fleet, r *rand.Rand) func() {
-		e := f.free(r)
+		e := f.pickUndisrupted(r)
 		if e == nil {
 			return func() {}
 		}
 		down := make(chan struct{})
 		f.background.Go(func() {
-			e.stop()
+			e.shutDown()
 			<-down
 			e.start()
-			e.signalled.Store(false)
+			e.disrupted.Store(false)
 		})
 		return func() { close(down) }
 	},
 	"entries stopped in series": func(f *fleet, r *rand.Rand) func() {
-		f.stopInSeries(r)
+		f.stopEntriesInSeries(r)
 		return func() {}
 	},
 	"entry paused": func(f *fleet, r *rand.Rand) func() {
-		e := f.free(r)
+		e := f.pickUndisrupted(r)
 		if e == nil {
 			return func() {}
 		}
-		joined := f.troubles.RecordPartition()
+		joined := f.disruptions.RecordPartition()
 		e.signal(syscall.SIGSTOP)
-		return func() { e.signal(syscall.SIGCONT); e.signalled.Store(false); joined() }
+		return func() { e.signal(syscall.SIGCONT); e.disrupted.Store(false); joined() }
 	},
 	"burst": func(f *fleet, r *rand.Rand) func() {
-		x := f.traffic(fmt.Sprintf("burst%d-%d", f.seed, len(f.callers)), 15+r.IntN(25))
-		f.callers = append(f.callers, x)
+		x := f.startTraffic(fmt.Sprintf("burst%d-%d", f.seed, len(f.traffics)), 15+r.IntN(25))
+		f.traffics = append(f.traffics, x)
 		stop := make(chan struct{})
 		f.background.Go(func() {
 			<-stop
@@ -84,43 +84,43 @@
 		return func() { close(stop) }
 	},
 	"settings changed": func(f *fleet, r *rand.Rand) func() {
-		e := draw(r, f.entries...)
+		e := pick(r, f.entries...)
 		e.writeSettings(r.IntN(50))
 		e.signal(syscall.SIGHUP)
 		return func() {}
 	},
 	"way to the store": func(f *fleet, r *rand.Rand) func() {
-		back := f.troubles.RecordStoreOutage()
-		f.storeWay.Set(loopback, draw(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late))
-		return func() { f.storeWay.Set(loopback, ""); back() }
+		back := f.disruptions.RecordStoreOutage()
+		f.storeRelay.Set(loopbackSource, pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late))
+		return func() { f.storeRelay.Set(loopbackSource, ""); back() }
 	},
 	"way to an upstream": func(f *fleet, r *rand.Rand) func() {
-		id := draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		how, mended := draw(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
+		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
+		how, mended := pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
 		if how != relay.Late { // which cuts nothing before it is mended
-			mended = f.troubles.RecordCut(id)
+			mended = f.disruptions.RecordCut(id)
 		}
-		f.ways[id].Set(loopback, how)
+		f.upstreamRelays[id].Set(loopbackSource, how)
 		return func() {
-			defer f.troubles.RecordCut(id)() // what hung is reset
-			f.ways[id].Set(loopback, "")
+			defer f.disruptions.RecordCut(id)() // what hung is reset
+			f.upstreamRelays[id].Set(loopbackSource, "")
 			mended()
 		}
 	},
 	"connections reset": func(f *fleet, r *rand.Rand) func() {
-		id := draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		defer f.troubles.RecordCut(id)()
-		f.ways[id].Reset(func(netip.Addr) bool { return true })
+		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
+		defer f.disruptions.RecordCut(id)()
+		f.upstreamRelays[id].Reset(func(netip.Addr) bool { return true })
 		return func() {}
 	},
 	"upstream fails": func(f *fleet, r *rand.Rand) func() {
-		w := f.workers[draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
-		w.SetFault(draw(r, worker.Faults...))
+		w := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
+		w.SetFault(pick(r, worker.Faults...))
 		return func() { w.SetFault(worker.Sound) }
 	},
 	"store fails": func(f *fleet, r *rand.Rand) func() {
-		back := f.troubles.RecordStoreOutage()
-		f.store.SetMode(draw(r, store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections, store.Slow))
+		back := f.disruptions.RecordStoreOutage()
+		f.store.SetMode(pick(r, store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections, store.Slow))
 		return func() { f.store.SetMode(store.Available); back() }
 	},
 	"history dropped": func(f *fleet, _ *rand.Rand) func() {
@@ -128,16 +128,16 @@
 		return func() {}
 	},
 	"configuration": func(f *fleet, _ *rand.Rand) func() {
-		f.configure("key-1")
+		f.putConfiguration("key-1")
 		return func() {}
 	},
 	"upstream starts anew": func(f *fleet, r *rand.Rand) func() {
-		f.restartWorker(draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3"))
+		f.restartUpstream(pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3"))
 		return func() {}
 	},
 	"request that crashes upstreams": func(f *fleet, r *rand.Rand) func() {
-		x := f.repeater(1+r.IntN(3), time.Duration(50+r.IntN(750))*time.Millisecond)
-		f.repeaters = append(f.repeaters, x)
+		x := f.startCrashTraffic(1+r.IntN(3), time.Duration(50+r.IntN(750))*time.Millisecond)
+		f.crashTraffics = append(f.crashTraffics, x)
 		stop := make(chan struct{})
 		f.background.Go(func() {
 			<-stop
@@ -146,12 +146,12 @@
 		return func() { close(stop) }
 	},
 	"upstream says that it leaves": func(f *fleet, r *rand.Rand) func() {
-		id := draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		f.workers[id].Leave()
-		return func() { f.restartWorker(id) }
+		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
+		f.upstreams[id].Leave()
+		return func() { f.restartUpstream(id) }
 	},
 	"upstream pauses": func(f *fleet, r *rand.Rand) func() {
-		w := f.workers[draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
+		w := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
 		w.SetFault(worker.Pausing)
 		time.Sleep(time.Duration(50+r.IntN(450)) * time.Millisecond)
 		w.SetFault(worker.Sound) // and is as good as any, but for those that it told
@@ -159,73 +159,73 @@
 	},
 	"outage of upstreams": func(f *fleet, r *rand.Rand) func() {
 		for range 2 + r.IntN(4) {
-			f.crash(draw(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3", "i-lm-5"))
+			f.crashUpstream(pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3", "i-lm-5"))
 			time.Sleep(time.Duration(r.IntN(300)) * time.Millisecond)
 		}
 		return func() {}
 	},
 	"upstream leaves": func(f *fleet, _ *rand.Rand) func() {
-		f.list("i-lm-5", "draining")
-		return func() { f.list("i-lm-5", "ready") }
+		f.putUpstream("i-lm-5", "draining")
+		return func() { f.putUpstream("i-lm-5", "ready") }
 	},
 }
 
-// free draws an entry that no fault signals, and marks it as signalled; nil where
+// pickUndisrupted draws an entry that no fault signals, and marks it as signalled; nil where
 // that would leave less than half of the entries alone.
-func (f *fleet) free(r *rand.Rand) *entry {
-	var free []*entry
+func (f *fleet) pickUndisrupted(r *rand.Rand) *entry {
+	var candidates []*entry
 	for _, e := range f.entries {
-		if !e.signalled.Load() {
-			free = append(free, e)
+		if !e.disrupted.Load() {
+			candidates = append(candidates, e)
 		}
 	}
-	if len(free) <= len(f.entries)/2 {
+	if len(candidates) <= len(f.entries)/2 {
 		return nil
 	}
-	e := draw(r, free...)
-	e.signalled.Store(true)
+	e := pick(r, candidates...)
+	e.disrupted.Store(true)
 	return e
 }
 
-// stopInSeries sends entries SIGTERM one after the other, so that their stops
+// stopEntriesInSeries sends entries SIGTERM one after the other, so that their stops
 // overlap, and starts each again when it has ended.
-func (f *fleet) stopInSeries(r *rand.Rand) {
-	after := time.Duration(0)
+func (f *fleet) stopEntriesInSeries(r *rand.Rand) {
+	nextDelay := time.Duration(0)
 	for range 2 + r.IntN(2) {
-		e, gap := f.free(r), after
-		after += time.Duration(100+r.IntN(1500)) * time.Millisecond
+		e, delay := f.pickUndisrupted(r), nextDelay
+		nextDelay += time.Duration(100+r.IntN(1500)) * time.Millisecond
 		if e == nil {
 			return
 		}
 		f.background.Go(func() {
-			time.Sleep(gap)
-			e.stop()
+			time.Sleep(delay)
+			e.shutDown()
 			e.start()
-			e.signalled.Store(false)
+			e.disrupted.Store(false)
 		})
 	}
 }
 
-// stop sends the entry SIGTERM and waits until its process has ended.
-func (e *entry) stop() {
-	s := e.fleet.troubles.RecordShutdown(e.host, grace)
+// shutDown sends the entry SIGTERM and waits until its process has ended.
+func (e *entry) shutDown() {
+	stop := e.fleet.disruptions.RecordShutdown(e.host, gracePeriod)
 	e.signal(syscall.SIGTERM)
-	e.awaitEnd()
-	s.RecordExit()
+	e.requireExit()
+	stop.RecordExit()
 }
 
-// awaitEnd waits until the entry's process has ended by itself.
-func (e *entry) awaitEnd() {
-	if !e.wait(10 * time.Second) {
+// requireExit waits until the entry's process has ended by itself.
+func (e *entry) requireExit() {
+	if !e.awaitExitWithin(10 * time.Second) {
 		e.fleet.t.Errorf("seed %d: entry-%d did not end within 10 s", e.fleet.seed, e.index)
 		e.signal(syscall.SIGKILL)
-		e.wait(time.Second)
+		e.awaitExitWithin(time.Second)
 	}
 }
 
 // restart starts the entry again once its process has ended.
 func (e *entry) restart() {
-	e.awaitEnd()
+	e.requireExit()
 	e.start()
 }
 
@@ -238,91 +238,91 @@
 // stop. So answers take up to as long as callers wait, some callers stay, every run
 // has a series of stops, and [caller.Traffic.Judge] knows what a stop may cut off.
 func TestSoak(t *testing.T) {
-	limit := make(chan struct{}, 4)
-	for n := range *seeds {
+	running := make(chan struct{}, 4)
+	for n := range *seedCount {
 		seed := *firstSeed + n
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
-			limit <- struct{}{}
-			defer func() { <-limit }()
-			run(t, seed)
+			running <- struct{}{}
+			defer func() { <-running }()
+			runSeed(t, seed)
 		})
 	}
 	for seed, cause := range regressions {
 		t.Run(fmt.Sprintf("regression-%d", seed), func(t *testing.T) {
 			t.Log(cause)
-			run(t, seed)
+			runSeed(t, seed)
 		})
 	}
 }
 
-// order is the names of the faults; a map has none that a seed could draw from.
-var order = []string{
+// faultNames is the names of the faults; a map has none that a seed could draw from.
+var faultNames = []string{
 	"entry killed", "entry stopped", "entry paused", "settings changed", "way to the store", "way to an upstream",
 	"connections reset", "upstream fails", "store fails", "history dropped", "configuration", "upstream leaves", "upstream starts anew",
 	"entries stopped in series", "burst", "request that crashes upstreams", "outage of upstreams",
 	"upstream says that it leaves", "upstream pauses",
 }
 
-// recoverTime is how long after the faults what was avoided is tried again.
-const recoverTime = 5 * time.Second
+// recoveryTime is how long after the faults what was avoided is tried again.
+const recoveryTime = 5 * time.Second
 
-func run(t *testing.T, seed int) {
+func runSeed(t *testing.T, seed int) {
 	r := rand.New(rand.NewPCG(uint64(seed), 7))
 	f := newFleet(t, seed, 6)
 	f.awaitReady(10 * time.Second)
-	busy := f.traffic(fmt.Sprintf("busy%d", seed), 32)
-	f.callers = append(f.callers, busy)
-	var ends []func()
-	began := time.Now()
-	series := began.Add(time.Duration(r.IntN(*seconds*1000/2)) * time.Millisecond)
-	for time.Since(began) < time.Duration(*seconds)*time.Second {
-		name := draw(r, order...)
-		if !series.IsZero() && !time.Now().Before(series) { // every run has one
-			name, series = "entries stopped in series", time.Time{}
+	busy := f.startTraffic(fmt.Sprintf("busy%d", seed), 32)
+	f.traffics = append(f.traffics, busy)
+	var endFaults []func()
+	started := time.Now()
+	seriesDue := started.Add(time.Duration(r.IntN(*faultSeconds*1000/2)) * time.Millisecond)
+	for time.Since(started) < time.Duration(*faultSeconds)*time.Second {
+		name := pick(r, faultNames...)
+		if !seriesDue.IsZero() && !time.Now().Before(seriesDue) { // every run has one
+			name, seriesDue = "entries stopped in series", time.Time{}
 		}
-		t.Logf("seed %d: %s: %s", seed, time.Since(began).Round(time.Millisecond), name)
-		ends = append(ends, faults[name](f, r))
-		if len(ends) > 2 {
-			ends[0]()
-			ends = ends[1:]
+		t.Logf("seed %d: %s: %s", seed, time.Since(started).Round(time.Millisecond), name)
+		endFaults = append(endFaults, faults[name](f, r))
+		if len(endFaults) > 2 {
+			endFaults[0]()
+			endFaults = endFaults[1:]
 		}
 		time.Sleep(time.Duration(100+r.IntN(900)) * time.Millisecond)
 	}
-	for _, end := range ends {
+	for _, end := range endFaults {
 		end()
 	}
-	over := time.Now()
+	faultsEnded := time.Now()
 	busy.Stop()
 	f.background.Wait()
-	f.crashed.Await()
-	for _, x := range f.callers {
-		served, asked := f.judge(x)
+	f.down.Await()
+	for _, x := range f.traffics {
+		served, asked := f.checkPromises(x)
 		t.Logf("seed %d: %d of %d served under faults", seed, served, asked)
 	}
-	for _, b := range caller.BackpressureViolations(f.evidence(), append(f.callers, f.repeaters...)...) {
+	for _, b := range caller.BackpressureViolations(f.evidence(), append(f.traffics, f.crashTraffics...)...) {
 		t.Errorf("seed %d: %s", seed, b)
 	}
-	for _, x := range f.repeaters {
+	for _, x := range f.crashTraffics {
 		for _, b := range x.RepeatViolations(f.evidence()) {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 	}
 	f.awaitReady(5 * time.Second)
-	time.Sleep(max(time.Second, time.Until(over.Add(recoverTime))))
-	calm := f.traffic("calm", 8)
+	time.Sleep(max(time.Second, time.Until(faultsEnded.Add(recoveryTime))))
+	calm := f.startTraffic("calm", 8)
 	time.Sleep(2 * time.Second)
 	calm.Stop()
-	served, asked := f.judge(calm)
+	served, asked := f.checkPromises(calm)
 	if served < asked || asked == 0 {
 		t.Errorf("seed %d: after the faults %d of %d are served", seed, served, asked)
 	}
-	f.atRest()
-	f.operatorPages()
+	f.checkNothingLeft()
+	f.checkOperatorPages()
 }
 
-// operatorPages checks that metrics and status are served by every process.
-func (f *fleet) operatorPages() {
+// checkOperatorPages checks that metrics and status are served by every process.
+func (f *fleet) checkOperatorPages() {
 	for _, e := range f.entries {
 		status, err := exec.Command(binary, "status", "--entry", fmt.Sprintf("%s:%d", e.host, metricsPort)).CombinedOutput()
 		if err != nil || !strings.Contains(string(status), `"Ready": true`) {
@@ -343,13 +343,13 @@
 	}
 }
 
-// atRest checks that nothing is left at the upstreams.
-func (f *fleet) atRest() {
+// checkNothingLeft checks that nothing is left at the upstreams.
+func (f *fleet) checkNothingLeft() {
 	f.t.Helper()
-	until := time.Now().Add(5 * time.Second)
-	for id, w := range f.workers {
+	deadline := time.Now().Add(5 * time.Second)
+	for id, w := range f.upstreams {
 		for w.Working() > 0 || len(w.Held()) > 0 {
-			if time.Now().After(until) {
+			if time.Now().After(deadline) {
 				f.t.Errorf("seed %d: %s is left with %d requests and %d reservations", f.seed, id, w.Working(), len(w.Held()))
 				break
 			}
