--- a/scenario/addresses_test.go
+++ b/scenario/addresses_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Two runs of the scenarios at once met at a port: "bind: address already in use".
+// Guards against two test processes on one machine that choose the same address
+// and fail with "bind: address already in use".
 func TestConcurrentRunsShareNoAddress(t *testing.T) {
 	is := is.New(t)
 	const pid, processes, ports = 4_194_000, 300, 700
@@ -17,7 +18,7 @@
 		for n := range uint32(ports) {
 			address := netip.AddrPortFrom(host, portFor(p, n))
 			owner, taken := owners[address]
-			is.True(!taken || owner == p) // each address has one process
+			is.True(!taken || owner == p) // no two processes share an address
 			owners[address] = p
 		}
 	}
--- a/scenario/benchmark_test.go
+++ b/scenario/benchmark_test.go
@@ -18,16 +18,19 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// relayedBytesByHost counts the bytes that relays carry, by the address that connected.
+// relayedBytesByHost counts the bytes that relays carry, by the last byte of the
+// IP address that connected.
 var relayedBytesByHost [256]atomic.Int64
 
-// resourceUsage is what one process has used so far.
+// resourceUsage is the processor time and memory of one process.
 type resourceUsage struct {
+	// cpu is user and system time since the start of the process.
 	cpu time.Duration
-	// resident is memory in bytes.
+	// resident is the resident memory in bytes.
 	resident int64
 }
 
+// readUsage reads the resource usage of a process from /proc.
 func readUsage(b *testing.B, p *process) resourceUsage {
 	b.Helper()
 	pid := p.cmd.Process.Pid
@@ -46,6 +49,7 @@
 	}
 }
 
+// withBenchFleet calls run with a started fleet and stops the fleet afterwards.
 func withBenchFleet(b *testing.B, options map[string]string, run func(*fleet)) {
 	b.Helper()
 	f := &fleet{dir: b.TempDir(), binaries: binaries, processes: map[string]*process{}, options: defaultOptions(), jobs: map[string]*job{}}
@@ -59,9 +63,10 @@
 	run(f)
 }
 
-// BenchmarkIdleEntry is what control costs an entry at rest, against how many
-// entries and engines there are. The periods are those of the scenarios: ten
-// heartbeats and polls a second, five listings.
+// BenchmarkIdleEntry measures what an entry without requests uses, by the number
+// of entries and engines: processor time, memory, and bytes relayed for
+// heartbeats, load reports and listings of holds. The periods are those of the scripts: ten
+// heartbeats and load reports a second and five listings.
 func BenchmarkIdleEntry(b *testing.B) {
 	for _, size := range [][2]int{{2, 2}, {7, 2}, {7, 14}, {7, 42}, {14, 14}, {28, 14}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
@@ -73,8 +78,9 @@
 	}
 }
 
-// BenchmarkIdleEntryTargetTiming is the same with the periods of the target. What an
-// entry sends then does not depend on how many entries there are.
+// BenchmarkIdleEntryTargetTiming measures what an entry without requests uses
+// with the timing profile "target". Its three neighbours bound the heartbeats that
+// an entry sends, whatever the number of entries.
 func BenchmarkIdleEntryTargetTiming(b *testing.B) {
 	for _, size := range [][2]int{{7, 1}, {7, 11}, {7, 42}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
@@ -89,8 +95,11 @@
 	}
 }
 
+// measureIdleEntries measures the entries of a fleet over 8 s.
 func measureIdleEntries(b *testing.B, f *fleet) { measureIdleEntriesFor(b, f, 8*time.Second) }
 
+// measureIdleEntriesFor reports the mean use of an entry over a period: percent of
+// a core, resident megabytes, and relayed bytes per second.
 func measureIdleEntriesFor(b *testing.B, f *fleet, period time.Duration) {
 	var before []resourceUsage
 	bytesBefore := totalRelayedBytes()
@@ -112,6 +121,7 @@
 	b.ReportMetric(float64(totalRelayedBytes()-bytesBefore)/period.Seconds()/n, "bytes/s/entry")
 }
 
+// totalRelayedBytes returns the bytes that all relays have carried.
 func totalRelayedBytes() int64 {
 	var sum int64
 	for i := range relayedBytesByHost {
@@ -120,11 +130,13 @@
 	return sum
 }
 
+// countRelayedBytes adds n bytes to the count of the address that connected.
 func countRelayedBytes(from netip.Addr, n int) {
 	octets := from.As4()
 	relayedBytesByHost[octets[3]].Add(int64(n))
 }
 
+// entryProcesses returns the entries of the fleet in the order of their start.
 func (f *fleet) entryProcesses() []*process {
 	var out []*process
 	for _, name := range f.startOrder {
@@ -135,8 +147,8 @@
 	return out
 }
 
-// BenchmarkRelay is what relaying costs an entry: processor time for a token
-// and for a prompt, and memory for a stream in flight.
+// BenchmarkRelay measures what an entry uses to relay streams from engines to
+// callers: processor time per request and per token, and peak memory.
 func BenchmarkRelay(b *testing.B) {
 	for _, load := range []struct {
 		name   string
@@ -155,6 +167,9 @@
 	}
 }
 
+// measureRelay sends rate requests a second to the only entry for 6 s and reports
+// what it used beyond an idle entry. Prompt and tokens are the prompt and answer
+// lengths in tokens.
 func measureRelay(b *testing.B, f *fleet, rate, tokens, prompt int) {
 	const seconds = 6
 	entry := f.entryProcesses()[0]
@@ -194,6 +209,8 @@
 	b.ReportMetric(float64(before.resident)/(1<<20), "MB-before")
 }
 
+// sumAnswered adds up the second column of the load command's table, the number
+// of answered requests in each class.
 func sumAnswered(table string) int {
 	n := 0
 	for line := range strings.Lines(table) {
@@ -206,8 +223,9 @@
 	return n
 }
 
-// BenchmarkLargeDocument is the memory of an entry that takes over a document
-// of the target's size, at its peak and afterwards.
+// BenchmarkLargeDocument measures an entry that puts into force five documents
+// of the target's size, that of 4300 organisations and 600 engines: its memory
+// before, at its peak and afterwards, and the processor time per document.
 func BenchmarkLargeDocument(b *testing.B) {
 	for range b.N {
 		withBenchFleet(b, map[string]string{"entries": "2", "engines": "2", "strict": "false"}, func(f *fleet) {
@@ -230,8 +248,9 @@
 	}
 }
 
-// largeDocumentSection continues a document of the fleet with engines, and organisations
-// behind a comment line that keeps the text's size.
+// largeDocumentSection returns text to insert into a document after its
+// organisations: more organisations, and engines as comment lines, which give the
+// document its full size without engines that do not exist.
 func largeDocumentSection(organisations, engines int) string {
 	var out strings.Builder
 	for i := range organisations {
@@ -244,6 +263,8 @@
 	return out.String()
 }
 
+// awaitRevisionInForce waits up to 30 s until a revision is in force at every
+// entry and returns how long that took.
 func awaitRevisionInForce(b *testing.B, f *fleet, revision int) time.Duration {
 	b.Helper()
 	began := time.Now()
@@ -255,7 +276,7 @@
 				break
 			}
 			if time.Since(began) > 30*time.Second {
-				b.Fatalf("revision %d is not in force at %s", revision, p.name)
+				b.Fatalf("revision %d is not in force at %s within 30 s", revision, p.name)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -263,6 +284,8 @@
 	return time.Since(began)
 }
 
+// readPeakResident returns the peak resident memory of a process in bytes, or 0 if
+// /proc does not show it.
 func readPeakResident(b *testing.B, p *process) int64 {
 	b.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -278,9 +301,9 @@
 	return 0
 }
 
-// BenchmarkDocumentPropagation is how long a change takes to be in force at 7 entries,
-// with the platform up, and with only one of them able to reach it; and the
-// platform calls a second meanwhile.
+// BenchmarkDocumentPropagation measures how long a published document takes to be
+// in force at all of 7 entries, and the platform calls per second meanwhile: once
+// while all entries reach the platform, and once while only one of them does.
 func BenchmarkDocumentPropagation(b *testing.B) {
 	for _, way := range []string{"all-reach", "one-reaches"} {
 		b.Run(way, func(b *testing.B) {
@@ -293,6 +316,8 @@
 	}
 }
 
+// measurePropagation publishes ten documents and reports the mean and the longest
+// time until a document was in force at every entry.
 func measurePropagation(b *testing.B, f *fleet, reachability string) {
 	const changes = 10
 	if reachability == "one-reaches" {
@@ -318,6 +343,7 @@
 	b.ReportMetric(float64(platformCalls(b, f)-calls)/time.Since(start).Seconds(), "platform-calls/s")
 }
 
+// platformCalls returns the number of calls that the platform has received.
 func platformCalls(b *testing.B, f *fleet) int {
 	b.Helper()
 	text, err := httpGet("http://" + f.processes["platform"].listenAddress.String() + "/control/calls")
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -1,6 +1,19 @@
-// Package scenario proves the system under failure: scripts in _fixtures
-// run the product and its stand-ins as separate processes, and kill, freeze
-// and cut off what they please.
+// Package scenario tests the system under failure. Scripts in
+// _fixtures/scenarios run the product and its stand-ins as separate processes,
+// and kill them, freeze them and cut the network links between them.
+//
+// The first word of a script's name says which guarantee the script tests:
+//
+//   - finish: a request ends within its time limit and leaves nothing in flight.
+//   - memory: engine memory that nobody uses any more is freed.
+//   - answer: a caller gets the answer to its own request, each token once.
+//   - notrun: an outcome of not_run is reported only for a request that did not run.
+//   - once: a call that may run at most once never runs twice.
+//   - leaving: an instance that is leaving gets no new requests.
+//   - stop: a process that is shutting down completes the requests it has.
+//   - config: all entries converge on the newest configuration document.
+//
+// Scripts with another first word test several guarantees or one feature.
 package scenario
 
 import (
@@ -25,67 +38,91 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// fleet is the processes of one scenario.
+// fleet holds the processes of one scenario and what the script has started.
 type fleet struct {
-	dir       string
-	binaries  string
+	// dir holds settings and log files.
+	dir string
+	// binaries is the directory of the programs under test.
+	binaries string
+	// processes are keyed by name, such as entry-1.
 	processes map[string]*process
-	// startOrder is the names in order of start.
-	startOrder  []string
-	instances   []api.Instance
-	options     map[string]string
+	// startOrder lists the names of the processes in the order of their start.
+	startOrder []string
+	// instances is the instance list that the platform publishes.
+	instances []api.Instance
+	// options are the fleet's options by name; see defaultOptions.
+	options map[string]string
+	// dataCentres is the number of data centres, at least 1 once processes are added.
 	dataCentres int
-	jobs        map[string]*job
-	// posts holds the answers to posts in the background.
+	// jobs holds commands in the background, by the name the script gave them.
+	jobs map[string]*job
+	// posts delivers the responses to POST requests in the background, by job name.
 	posts map[string]chan string
-	// forms holds what operators are editing in the console.
+	// forms holds the console form that each operator is editing, by operator name.
 	forms map[string]url.Values
 }
 
-// job is a command in the background.
+// job is a command that runs in the background.
 type job struct {
-	output  *strings.Builder
+	// output collects standard output and standard error.
+	output *strings.Builder
+	// done receives the result of the command once it has exited.
 	done    chan error
 	started time.Time
 	cmd     *exec.Cmd
 }
 
+// process is one process of a fleet, behind relays that can break its connections.
 type process struct {
-	name          string
-	argv          []string
-	address       netip.AddrPort
+	name string
+	// argv is the program, a file in the fleet's binaries, and its arguments.
+	argv []string
+	// address is where a relay accepts the connections of other processes.
+	address netip.AddrPort
+	// listenAddress is where the process itself listens; the relay connects to it.
 	listenAddress netip.AddrPort
-	// peerAddress and peerBack are of entries only.
+	// peerAddress and peerListenAddress are the same for connections between
+	// entries. They are invalid for other processes.
 	peerAddress, peerListenAddress netip.AddrPort
-	relays                         []*relay.Relay
-	cmd                            *exec.Cmd
-	exited                         chan error
-	starts                         int
+	// relays are empty while the process is unplugged.
+	relays []*relay.Relay
+	// cmd is the process started last; nil before the first start.
+	cmd *exec.Cmd
+	// exited delivers the result of cmd once the process has ended. A receiver
+	// sends it back if the result may be needed again.
+	exited chan error
+	// starts counts the starts of the process.
+	starts int
 }
 
-// portsUsed hands out ports outside the range that the system draws from. They
-// are not tried first: a listener closed here may live on for a moment in a
-// process that is just being started.
+// portsUsed counts the ports handed out by newAddress.
 var portsUsed atomic.Uint32
 
+// newAddress returns an address with a port that was not handed out before. It
+// does not test whether the port is free by listening on it: a process that is
+// being started may inherit the listener and keep it open for a moment.
 func newAddress(ip netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(ip, portFor(os.Getpid(), portsUsed.Add(1)))
 }
 
-// portFor is the nth port that a test process hands out.
+// portFor returns the nth port of a test process. All ports are below the
+// system's ephemeral range, so that outgoing connections do not occupy them.
 func portFor(processID int, n uint32) uint16 {
 	const firstPort, portCount = 10_000, 20_000
 	return uint16(firstPort + (uint32(processID)*37+n)%portCount)
 }
 
-// loopbackHost is an address of the loopback network that test processes of near IDs don't share.
+// loopbackHost returns an address of the loopback network. Test processes with
+// neighbouring process IDs get different addresses.
 func loopbackHost(processID int, kind, index byte) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(1 + processID%250), kind, index})
 }
 
+// organisationKey is the bearer key of the only organisation.
 const organisationKey = "scenario-key"
 
-// options are the settings of a fleet that a scenario may name.
+// defaultOptions returns the options that a script may set with the fleet
+// command, with their defaults.
 func defaultOptions() map[string]string {
 	return map[string]string{
 		"entries": "3", "engines": "3", "services": "1", "centres": "1",
@@ -95,7 +132,7 @@
 	}
 }
 
-// startAll brings up a fleet and waits until its entries know each other.
+// startAll starts all processes and waits until the fleet is ready to serve.
 func (f *fleet) startAll() error {
 	if err := f.prepare(); err != nil {
 		return err
@@ -114,12 +151,14 @@
 	return f.awaitReady()
 }
 
+// intOption returns an option's value as a number, 0 where it is not one.
 func (f *fleet) intOption(option string) int {
 	n, _ := strconv.Atoi(f.options[option])
 	return n
 }
 
-// prepare lays out addresses, starts the platform and publishes the list.
+// prepare assigns the addresses of all processes, starts the platform and
+// publishes the instance list.
 func (f *fleet) prepare() error {
 	f.dataCentres = max(1, f.intOption("centres"))
 	f.addProcess("platform", 9, 1, nil)
@@ -143,6 +182,7 @@
 	return f.publishInstances()
 }
 
+// engineCommand returns the command line of a stand-in engine.
 func (f *fleet) engineCommand(p *process) []string {
 	o := f.options
 	args := []string{"standin", "engine", "--address", p.listenAddress.String(), "--name", p.name, "--memory", o["memory"],
@@ -156,7 +196,9 @@
 	return args
 }
 
-// addProcess lays out one process. Its address tells it apart from all others.
+// addProcess adds a process, not started yet, and lists it as an instance unless
+// it is the platform. Each process gets an IP address of its own, by which relays
+// recognise whose connection they carry.
 func (f *fleet) addProcess(name string, kind, index int, argv func(*process) []string) *process {
 	ip := loopbackHost(os.Getpid(), byte(kind), byte(index))
 	p := &process{name: name, address: newAddress(ip), listenAddress: newAddress(ip)}
@@ -175,6 +217,7 @@
 	return p
 }
 
+// addEntry adds an entry, which also has a peer address and a settings file.
 func (f *fleet) addEntry(name string, index int) {
 	p := f.addProcess(name, 1, index, nil)
 	p.peerAddress, p.peerListenAddress = newAddress(p.address.Addr()), newAddress(p.address.Addr())
@@ -186,14 +229,16 @@
 	}
 }
 
-// timingProfiles are the periods that a scenario may choose: fast ones, so that it
-// need not wait, and those that docs/CAPACITY.md takes into account.
+// timingProfiles are the values of the option "timing", each with the log level
+// and the periods that it sets at entries. Scripts use "fast" to wait less;
+// "target" has the periods on which docs/CAPACITY.md is based.
 var timingProfiles = map[string]struct{ level, periods string }{
 	"fast":   {"debug", "Heartbeat: 100ms, Suspect: 800ms, Poll: 100ms, List: 200ms"},
 	"target": {"info", "Heartbeat: 2s, Neighbours: 3, Suspect: 6s, Poll: 1s, List: 10s"},
 }
 
-// writeSettings writes the settings of an entry; peers are all the others.
+// writeSettings writes the settings file of an entry. Its peers are all other
+// entries of the fleet.
 func (f *fleet) writeSettings(p *process) error {
 	var peers []string
 	for _, name := range f.startOrder {
@@ -225,7 +270,8 @@
 	return os.WriteFile(filepath.Join(f.dir, p.name+".yaml"), []byte(text), 0o644)
 }
 
-// startProcess starts a process, and its relays if it has none yet.
+// startProcess starts a process, and its relays if it has none, and waits until
+// it listens. Each start writes a log file of its own.
 func (f *fleet) startProcess(name string) error {
 	p := f.processes[name]
 	if p.peerAddress.IsValid() {
@@ -254,6 +300,7 @@
 	return p.awaitListening()
 }
 
+// addRelays starts the relays that accept connections to the process.
 func (p *process) addRelays() error {
 	pairs := [][2]netip.AddrPort{{p.address, p.listenAddress}}
 	if p.peerAddress.IsValid() {
@@ -270,6 +317,7 @@
 	return nil
 }
 
+// awaitListening waits up to 4 s until the process accepts connections.
 func (p *process) awaitListening() error {
 	for range 200 {
 		c, err := net.Dial("tcp", p.listenAddress.String())
@@ -278,29 +326,31 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("%s does not listen", p.name)
+	return fmt.Errorf("%s does not accept connections within 4 s", p.name)
 }
 
-// invariantViolation names the entries that ended because an invariant was broken.
+// invariantViolation returns the name of the first process that exited because
+// it violated an invariant, with the end of its log; empty if none did.
 func (f *fleet) invariantViolation() string {
-	const exitViolated = 70
+	const exitViolated = 70 // exit status of an entry run with --strict
 	for _, name := range f.startOrder {
 		p := f.processes[name]
 		if p.cmd != nil && p.cmd.ProcessState.ExitCode() == exitViolated {
 			log := f.readLog(name)
-			return name + " broke an invariant: " + log[max(0, len(log)-2000):]
+			return name + " exited because it violated an invariant: " + log[max(0, len(log)-2000):]
 		}
 	}
 	return ""
 }
 
-// readLog is what the running process of that name has logged.
+// readLog returns the log of the last start of the named process.
 func (f *fleet) readLog(name string) string {
 	data, _ := os.ReadFile(filepath.Join(f.dir, fmt.Sprintf("%s.%d.log", name, f.processes[name].starts-1)))
 	return string(data)
 }
 
-// stopAll ends everything that the fleet started, by process.
+// stopAll kills the processes and background commands of the fleet and closes
+// its relays.
 func (f *fleet) stopAll() {
 	for _, j := range f.jobs {
 		_ = j.cmd.Process.Kill()
@@ -316,6 +366,7 @@
 	}
 }
 
+// putToPlatform sends a PUT request to the stand-in platform, past its relay.
 func (f *fleet) putToPlatform(path string, body string) error {
 	url := "http://" + f.processes["platform"].listenAddress.String() + path
 	r, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
@@ -328,12 +379,13 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= 300 {
-		return fmt.Errorf("platform: status %d", response.StatusCode)
+		return fmt.Errorf("PUT to the platform: status %d", response.StatusCode)
 	}
 	return nil
 }
 
-// publishDocument puts a document, sealed where the fleet wants seals.
+// publishDocument publishes a configuration document through the platform,
+// sealed if the option "seal" is set.
 func (f *fleet) publishDocument(document, path string) error {
 	if f.options["seal"] == "true" {
 		document = string(sealer.Seal([]byte(document), sealKey))
@@ -341,10 +393,11 @@
 	return f.putToPlatform(path, document)
 }
 
-// sealKey is the key of the scenarios' console.
+// sealKey is the key with which the console seals documents.
 var sealKey = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// sealKeysSetting is the line of settings that accepts sealKey.
+// sealKeysSetting returns the value of the setting SealKeys: sealKey if the
+// option "seal" is set, else none, which turns off the check of seals.
 func (f *fleet) sealKeysSetting() string {
 	if f.options["seal"] != "true" {
 		return "[]"
@@ -352,6 +405,7 @@
 	return "[" + sealer.FormatPublicKey(sealKey) + "]"
 }
 
+// publishInstances publishes the instance list through the platform.
 func (f *fleet) publishInstances() error {
 	data, err := json.Marshal(api.InstanceList{Instances: f.instances})
 	if err != nil {
@@ -360,8 +414,8 @@
 	return f.putToPlatform("/control/instances", string(data))
 }
 
-// configDocument is the configuration of the fleet; comment makes documents of one
-// revision differ.
+// configDocument returns a configuration document for the fleet. The comment
+// makes documents of the same revision differ.
 func (f *fleet) configDocument(revision int, comment string) string {
 	var b strings.Builder
 	o := f.options
@@ -386,11 +440,11 @@
 	return b.String()
 }
 
-// defaultNeighbours is how many others an entry hears of by itself.
+// defaultNeighbours is the default of Timing.Neighbours: the number of entries
+// to which an entry sends heartbeats.
 const defaultNeighbours = 6
 
-// awaitReady waits until every entry gives its neighbours as addresses and
-// every engine was heard by its keeper.
+// awaitReady waits up to 30 s until the fleet is ready to serve.
 func (f *fleet) awaitReady() error {
 	const readyTimeout = 30 * time.Second
 	deadline := time.Now().Add(readyTimeout)
@@ -403,6 +457,8 @@
 	return fmt.Errorf("fleet is not ready after %s", readyTimeout)
 }
 
+// isReady reports whether every entry names itself and its neighbours to callers
+// and every engine's keeper has listed the engine's holds.
 func (f *fleet) isReady() bool {
 	reachedEngines := map[string]bool{}
 	for _, name := range f.startOrder {
@@ -427,6 +483,8 @@
 	return len(reachedEngines) == f.intOption("engines")
 }
 
+// getJSON decodes the body of a GET request's response into target. Any status
+// but 200 is an error.
 func getJSON(url string, target any) error {
 	client := &http.Client{Timeout: time.Second}
 	response, err := client.Get(url)
--- a/scenario/freeze_test.go
+++ b/scenario/freeze_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// freeze stops a process and returns once none of its threads runs any more.
+// freeze sends a process SIGSTOP and returns once all of its threads have stopped.
 func (p *process) freeze() error {
 	if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-		return fmt.Errorf("stop %s: %w", p.name, err)
+		return fmt.Errorf("send SIGSTOP to %s: %w", p.name, err)
 	}
 	for {
 		err := unix.Waitid(unix.P_PID, p.cmd.Process.Pid, nil, unix.WSTOPPED, nil)
@@ -24,15 +24,16 @@
 			return nil
 		}
 		if !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("wait until %s is stopped: %w", p.name, err)
+			return fmt.Errorf("wait until %s has stopped: %w", p.name, err)
 		}
 	}
 }
 
-// The ticket's entry was sent SIGSTOP and the call posted at once: threads
-// that had not stopped yet took the call to where its connection to the
-// service was had. It slept there beyond its time limit and nothing was run,
-// which "unknown" says truly, while the scenario waited for one run.
+// Guards against a freeze that returns before all threads have stopped. SIGSTOP
+// is asynchronous: in the script once-frozen-entry, threads that still ran
+// accepted the call and got as far as its connection to the service. The call
+// then slept past its time limit and never ran. The outcome "unknown" was
+// correct, but the script waited for one execution.
 func TestFrozenProcessServesNothing(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{dir: t.TempDir(), binaries: binaries, dataCentres: 1, processes: map[string]*process{}, options: defaultOptions()}
@@ -44,14 +45,14 @@
 	p := f.processes["service-1"]
 	client := &http.Client{}
 	for range 100 {
-		is.True(canServe(client, p.listenAddress, time.Second)) // thawed
+		is.True(canServe(client, p.listenAddress, time.Second)) // running
 		is.NoErr(p.freeze())
 		is.True(!canServe(client, p.listenAddress, 10*time.Millisecond)) // frozen
 		is.NoErr(p.cmd.Process.Signal(syscall.SIGCONT))
 	}
 }
 
-// canServe reports whether a service answers within the limit.
+// canServe reports whether the service at an address answers within the limit.
 func canServe(client *http.Client, address netip.AddrPort, limit time.Duration) bool {
 	client.Timeout = limit
 	response, err := client.Get("http://" + address.String() + "/control/executions")
--- a/scenario/http_test.go
+++ b/scenario/http_test.go
@@ -17,6 +17,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
+// httpGet returns the body of the response to a GET request. Any status but 200
+// is an error.
 func httpGet(url string) (string, error) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	response, err := client.Get(url)
@@ -31,10 +33,13 @@
 	return string(data), err
 }
 
+// httpPost sends a body and returns the status and body of the response.
+// Headers have the form NAME=VALUE.
 func httpPost(url, body string, headers []string) (string, error) {
 	return httpPostFrom(url, strings.NewReader(body), headers)
 }
 
+// httpPostFrom is httpPost with a body that is read while it is sent.
 func httpPostFrom(url string, body io.Reader, headers []string) (string, error) {
 	r, err := http.NewRequest(http.MethodPost, url, body)
 	if err != nil {
@@ -55,10 +60,11 @@
 	return fmt.Sprintf("status=%d\n%s", response.StatusCode, data), err
 }
 
-// consoleAddress is where the scenario's console listens.
+// consoleAddress is the host and port on which the console listens.
 var consoleAddress = netip.AddrPortFrom(loopbackHost(os.Getpid(), 8, 1), 9999).String()
 
-// cmdConsole starts a console in the background.
+// cmdConsole starts a console in the background and waits up to 2 s until it
+// answers: console.
 func cmdConsole(ts *testscript.TestScript, _ bool, _ []string) {
 	f := fleetFrom(ts)
 	settings := fmt.Sprintf("Address: %s\nPlatform: %s\nSealSeed: %s\n", consoleAddress, f.processes["platform"].listenAddress, hex.EncodeToString(sealKey.Seed()))
@@ -71,15 +77,17 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	ts.Fatalf("console does not answer: %s", f.jobs["console"].output.String())
+	ts.Fatalf("console does not answer within 2 s: %s", f.jobs["console"].output.String())
 }
 
+// formInput matches an input element of the console's form: its type, name,
+// value and checked attribute. formText matches the document that the console shows.
 var (
 	formInput = regexp.MustCompile(`<input type="(hidden|text|checkbox)"[^>]*name="([^"]+)" value="([^"]*)"( checked)?`)
 	formText  = regexp.MustCompile(`(?s)<textarea[^>]*>(.*)</textarea>`)
 )
 
-// parseForm reads a page's form as a browser would send it back.
+// parseForm returns the form of a page with the values that a browser would submit.
 func parseForm(page string) url.Values {
 	form := url.Values{}
 	for _, m := range formInput.FindAllStringSubmatch(page, -1) {
@@ -90,7 +98,7 @@
 	return form
 }
 
-// sealForm has the console seal a form and returns the document.
+// sealForm submits a form to the console and returns the sealed document.
 func sealForm(form url.Values) (string, error) {
 	response, err := http.PostForm("http://"+consoleAddress+"/seal", form)
 	if err != nil {
@@ -103,7 +111,7 @@
 	}
 	m := formText.FindStringSubmatch(string(page))
 	if m == nil {
-		return "", fmt.Errorf("not sealed: %s", page)
+		return "", fmt.Errorf("console returned no sealed document: %s", page)
 	}
 	return html.UnescapeString(m[1]), nil
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -20,15 +20,19 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
+// fleetKey is the key of a script's fleet in the values of its environment.
 const fleetKey = "fleet"
 
-// binaries is where TestMain built the product and its stand-ins.
+// binaries is the directory in which TestMain builds the product and its stand-ins.
 var binaries string
 
+// TestMain builds the programs under test and runs the tests.
 func TestMain(m *testing.M) {
 	os.Exit(runMain(m))
 }
 
+// runMain returns the exit status. It is separate from TestMain because os.Exit
+// skips deferred calls.
 func runMain(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "scenario")
 	if err != nil {
@@ -46,6 +50,8 @@
 	return m.Run()
 }
 
+// TestScenarios runs every script in _fixtures/scenarios against a fleet of its
+// own. A script also fails if an entry exited because it violated an invariant.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: filepath.Join("..", "_fixtures", "scenarios"),
@@ -71,23 +77,28 @@
 	})
 }
 
+// fleetFrom returns the fleet of the script that runs.
 func fleetFrom(ts *testscript.TestScript) *fleet { return ts.Value(fleetKey).(*fleet) }
 
+// processNamed returns a process of the fleet; the script fails if there is none
+// of that name.
 func processNamed(ts *testscript.TestScript, name string) *process {
 	p, ok := fleetFrom(ts).processes[name]
 	if !ok {
-		ts.Fatalf("no process %s", name)
+		ts.Fatalf("the fleet has no process %s", name)
 	}
 	return p
 }
 
-// cmdFleet starts a fleet: fleet [option=value ...].
+// cmdFleet starts the fleet: fleet [OPTION=VALUE ...]. It sets a variable with the
+// address of each process, such as ENTRY1, and ENTRIES, the addresses of all
+// entries separated by commas.
 func cmdFleet(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
 	for _, a := range args {
 		name, value, _ := strings.Cut(a, "=")
 		if _, known := f.options[name]; !known {
-			ts.Fatalf("no option %s", name)
+			ts.Fatalf("fleet has no option %s", name)
 		}
 		f.options[name] = value
 	}
@@ -104,9 +115,11 @@
 	ts.Check(err)
 }
 
+// signals are those that cmdSignal sends without waiting for their effect.
 var signals = map[string]syscall.Signal{"CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM}
 
-// cmdSignal sends a signal to processes: signal KILL NAME...
+// cmdSignal sends a signal to processes: signal STOP|CONT|TERM|KILL NAME... After
+// STOP it waits until the process has stopped, after KILL until it has ended.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args[1:] {
 		p := processNamed(ts, name)
@@ -123,51 +136,56 @@
 	}
 }
 
-// cmdRestart starts a process that has ended: restart NAME...
+// cmdRestart starts processes that have ended: restart NAME...
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		ts.Check(fleetFrom(ts).startProcess(name))
 	}
 }
 
-// cmdExited waits for a process to end by itself: exited DURATION NAME.
+// cmdExited waits until a process has exited with status 0: exited DURATION NAME.
+// Negated, it checks that the process is still running after the duration.
 func cmdExited(ts *testscript.TestScript, neg bool, args []string) {
 	p := processNamed(ts, args[1])
 	select {
 	case err := <-p.exited:
 		p.exited <- err
 		if neg {
-			ts.Fatalf("%s ended: %v", args[1], err)
+			ts.Fatalf("%s exited, but was to keep running: %v", args[1], err)
 		}
 		ts.Check(err)
 	case <-time.After(duration(ts, args[0])):
 		if !neg {
-			ts.Fatalf("%s did not end", args[1])
+			ts.Fatalf("%s did not exit in time", args[1])
 		}
 	}
 }
 
+// duration parses an argument such as 500ms.
 func duration(ts *testscript.TestScript, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	ts.Check(err)
 	return d
 }
 
-// cmdCut cuts the cable from one process, or caller, to others:
-// cut refuse|stall|answers FROM TO...
+// cmdCut cuts the network link from one process to others:
+// cut refuse|stall|answers FROM TO... FROM may be caller, which stands for all
+// callers. The modes are those of package relay.
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
 	for _, to := range args[2:] {
 		setLink(ts, args[1], to, args[0])
 	}
 }
 
-// cmdMend undoes cmdCut: mend FROM TO...
+// cmdMend restores the network link from one process to others: mend FROM TO...
 func cmdMend(ts *testscript.TestScript, _ bool, args []string) {
 	for _, to := range args[1:] {
 		setLink(ts, args[0], to, "")
 	}
 }
 
+// setLink sets the mode of the link between two processes; an empty mode restores
+// the link.
 func setLink(ts *testscript.TestScript, from, to, mode string) {
 	address := netip.MustParseAddr("127.0.0.1")
 	if from != "caller" {
@@ -178,18 +196,20 @@
 	}
 }
 
-// cmdPlatform sets what the platform shows: platform up|down|stale|back.
+// cmdPlatform sets how the stand-in platform answers: platform up|down|stale|back.
+// The modes are those of package standin/platform.
 func cmdPlatform(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(fleetFrom(ts).putToPlatform("/control/mode/"+args[0], ""))
 }
 
-// cmdInstance sets an instance's state: instance NAME live|leaving|gone.
+// cmdInstance sets an instance's state in the instance list:
+// instance NAME live|leaving|gone.
 func cmdInstance(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(fleetFrom(ts).putToPlatform("/control/instances/"+args[0]+"/"+args[1], ""))
 }
 
-// cmdPublish publishes a document: publish REVISION [COMMENT [OLD NEW]], the
-// last two replacing text in it.
+// cmdPublish publishes a configuration document: publish REVISION [COMMENT [OLD NEW]].
+// It replaces every OLD in the document by NEW.
 func cmdPublish(ts *testscript.TestScript, _ bool, args []string) {
 	var revision int
 	_, err := fmt.Sscan(args[0], &revision)
@@ -205,15 +225,18 @@
 	ts.Check(fleetFrom(ts).publishDocument(document, "/control/config"))
 }
 
-// cmdPublishRaw publishes a document without a seal: publish-raw REVISION.
+// cmdPublishRaw publishes a configuration document without a seal:
+// publish-raw REVISION.
 func cmdPublishRaw(ts *testscript.TestScript, _ bool, args []string) {
 	revision, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	ts.Check(fleetFrom(ts).putToPlatform("/control/config", fleetFrom(ts).configDocument(revision, "raw")))
 }
 
-// cmdOperator edits the document in force in the console's form and publishes
-// what it sealed: operator load|publish NAME [FIELD=VALUE].
+// cmdOperator does what an operator does at the console:
+// operator load NAME loads the form with the document in force;
+// operator publish NAME [FIELD=VALUE ...] changes fields of the form, has the
+// console seal the document and publishes it.
 func cmdOperator(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
 	if args[0] == "load" {
@@ -232,8 +255,9 @@
 	ts.Check(f.putToPlatform("/control/config", document))
 }
 
-// cmdUntil runs a command until its output matches: until DURATION REGEXP
-// COMMAND...
+// cmdUntil repeats a command until its output matches:
+// until DURATION REGEXP COMMAND... Negated, until it does not match. The command
+// is get, entry-log NAME, which prints the log of a process, or a program.
 func cmdUntil(ts *testscript.TestScript, neg bool, args []string) {
 	deadline := time.Now().Add(duration(ts, args[0]))
 	want := regexp.MustCompile(args[1])
@@ -244,12 +268,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%q did not come: last output:\n%s", args[1], out)
+			ts.Fatalf("timed out waiting for output that matches, or with ! does not match, %q; last output:\n%s", args[1], out)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
+// commandOutput runs a command of cmdUntil and returns its output, also where it fails.
 func commandOutput(ts *testscript.TestScript, command []string) string {
 	if command[0] == "entry-log" {
 		return fleetFrom(ts).readLog(command[1])
@@ -266,21 +291,22 @@
 	return string(out)
 }
 
+// getFromProcess sends a GET request to a process, past its relay.
 func getFromProcess(ts *testscript.TestScript, name, path string) (string, error) {
 	return httpGet("http://" + processNamed(ts, name).listenAddress.String() + path)
 }
 
-// cmdGet prints what a process answers: get NAME PATH.
+// cmdGet prints the body of a process's response to a GET request: get NAME PATH.
 func cmdGet(ts *testscript.TestScript, neg bool, args []string) {
 	out, err := getFromProcess(ts, args[0], args[1])
 	if (err != nil) != neg {
-		ts.Fatalf("get: %v", err)
+		ts.Fatalf("get: unexpected result: %v", err)
 	}
 	_, _ = fmt.Fprint(ts.Stdout(), out)
 }
 
-// cmdPost posts a body to a process directly: post NAME PATH [BODY
-// [HEADER=VALUE ...]]. It prints the status and the answer.
+// cmdPost sends a POST request to a process, past its relay, and prints the status
+// and body of the response: post NAME PATH [BODY [HEADER=VALUE ...]].
 func cmdPost(ts *testscript.TestScript, _ bool, args []string) {
 	body := ""
 	if len(args) > 2 {
@@ -291,11 +317,13 @@
 	_, _ = fmt.Fprint(ts.Stdout(), out)
 }
 
+// cmdSleep waits: pause DURATION.
 func cmdSleep(ts *testscript.TestScript, _ bool, args []string) {
 	time.Sleep(duration(ts, args[0]))
 }
 
-// cmdBackground runs the product in the background: background NAME ARGS...
+// cmdBackground runs a command of the product in the background:
+// background JOB ARGS...
 func cmdBackground(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
 	c := exec.Command(filepath.Join(binaries, "sapphireramp"), args[1:]...)
@@ -307,8 +335,8 @@
 	f.jobs[args[0]] = &job{output: out, done: done, started: time.Now(), cmd: c}
 }
 
-// cmdJoin waits for a background command to end with success, or with ! in
-// failure, and prints what it printed: join DURATION NAME.
+// cmdJoin waits until a background command has succeeded, or failed if negated,
+// and prints its output: join DURATION JOB.
 func cmdJoin(ts *testscript.TestScript, neg bool, args []string) {
 	j := fleetFrom(ts).jobs[args[1]]
 	select {
@@ -319,21 +347,23 @@
 			ts.Fatalf("%s: %v: %s", args[1], err, j.output.String())
 		}
 	case <-time.After(duration(ts, args[0])):
-		ts.Fatalf("%s is not done after %s", args[1], args[0])
+		ts.Fatalf("background command %s is still running after %s", args[1], args[0])
 	}
 }
 
-// cmdTicket sets TICKET from what a post to /v1/tickets printed.
+// cmdTicket sets the variable TICKET to the ticket in a saved response to
+// POST /v1/tickets: ticket FILE.
 func cmdTicket(ts *testscript.TestScript, _ bool, args []string) {
 	text := ts.ReadFile(args[0])
 	found := regexp.MustCompile(`"Ticket":"([^"]+)"`).FindStringSubmatch(text)
 	if found == nil {
-		ts.Fatalf("no ticket in %s", text)
+		ts.Fatalf("response has no ticket: %s", text)
 	}
 	ts.Setenv("TICKET", found[1])
 }
 
-// cmdExecutions checks how many calls all services ran: executions N.
+// cmdExecutions checks the number of calls that all services have run together:
+// executions N.
 func cmdExecutions(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
 	executions := 0
@@ -343,11 +373,12 @@
 		executions += len(list)
 	}
 	if fmt.Sprint(executions) != args[0] {
-		ts.Fatalf("%d executions, want %s", executions, args[0])
+		ts.Fatalf("services ran %d calls, want %s", executions, args[0])
 	}
 }
 
-// cmdSameDocument checks that entries have one document in force.
+// cmdSameDocument checks that entries have the same configuration document in
+// force: same-document NAME...
 func cmdSameDocument(ts *testscript.TestScript, _ bool, args []string) {
 	digests := map[string]bool{}
 	inForce := ""
@@ -358,12 +389,12 @@
 		inForce += fmt.Sprintf(" %s=%d", name, status.Revision)
 	}
 	if len(digests) != 1 {
-		ts.Fatalf("%d documents in force, by entry and revision:%s", len(digests), inForce)
+		ts.Fatalf("%d different documents are in force, by entry and revision:%s", len(digests), inForce)
 	}
 }
 
-// cmdVictim waits for an engine that holds memory, or for a service that was
-// called, and sets VICTIM to it: victim [service].
+// cmdVictim waits up to 2 s for an engine with memory in use, or for a service that
+// has run a call, and sets the variable VICTIM to its name: victim [service].
 func cmdVictim(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
 	kind, isBusy := "engine", hasHolds
@@ -380,22 +411,25 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	ts.Fatalf("no %s is busy", kind)
+	ts.Fatalf("no %s was in use within 2 s", kind)
 }
 
+// hasHolds reports whether memory of an engine is in use.
 func hasHolds(engine netip.AddrPort) bool {
 	var report struct{ UsedTokens int }
 	err := getJSON("http://"+engine.String()+"/control/ran", &report)
 	return err == nil && report.UsedTokens > 0
 }
 
+// hasExecutions reports whether a service has run a call.
 func hasExecutions(service netip.AddrPort) bool {
 	var executions []struct{ Call string }
 	err := getJSON("http://"+service.String()+"/control/executions", &executions)
 	return err == nil && len(executions) > 0
 }
 
-// cmdUnplug closes the addresses of processes; cmdPlug opens them again.
+// cmdUnplug closes the relays of processes, so that new connections are refused:
+// unplug NAME...
 func cmdUnplug(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		p := processNamed(ts, name)
@@ -406,14 +440,15 @@
 	}
 }
 
+// cmdPlug starts the relays of processes again: plug NAME...
 func cmdPlug(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		ts.Check(processNamed(ts, name).addRelays())
 	}
 }
 
-// cmdSuperseded waits until some entry tells of a document that lost a tie:
-// superseded DURATION NAME...
+// cmdSuperseded waits until one of the entries reports in its status a document that
+// lost to another of the same revision: superseded DURATION NAME...
 func cmdSuperseded(ts *testscript.TestScript, _ bool, args []string) {
 	deadline := time.Now().Add(duration(ts, args[0]))
 	for time.Now().Before(deadline) {
@@ -426,11 +461,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ts.Fatalf("no entry tells of a superseded document")
+	ts.Fatalf("no entry reported a superseded document in time")
 }
 
-// cmdPostBackground is post in the background: post-background JOB NAME PATH
-// [BODY [HEADER=VALUE ...]].
+// cmdPostBackground sends a POST request in the background:
+// post-background JOB NAME PATH BODY [HEADER=VALUE ...].
 func cmdPostBackground(ts *testscript.TestScript, _ bool, args []string) {
 	url := "http://" + processNamed(ts, args[1]).listenAddress.String() + args[2]
 	answer := make(chan string, 1)
@@ -444,19 +479,19 @@
 	}()
 }
 
-// cmdPostJoin prints what a post in the background was answered: post-join
-// DURATION JOB.
+// cmdPostJoin waits for the response to a POST request in the background and prints
+// its status and body: post-join DURATION JOB.
 func cmdPostJoin(ts *testscript.TestScript, _ bool, args []string) {
 	select {
 	case out := <-fleetFrom(ts).posts[args[1]]:
 		_, _ = fmt.Fprint(ts.Stdout(), out)
 	case <-time.After(duration(ts, args[0])):
-		ts.Fatalf("%s was not answered", args[1])
+		ts.Fatalf("POST request %s got no response in time", args[1])
 	}
 }
 
-// cmdPostSlowly posts a body that never ends and prints the answer:
-// post-slowly NAME PATH [HEADER=VALUE ...].
+// cmdPostSlowly sends a POST request whose body begins and never ends, and prints
+// the status and body of the response: post-slowly NAME PATH [HEADER=VALUE ...].
 func cmdPostSlowly(ts *testscript.TestScript, _ bool, args []string) {
 	body, end := io.Pipe()
 	defer func() { _ = end.Close() }()
