--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -1,8 +1,8 @@
-// Package soak runs the real program as separate processes on one machine and
-// injects faults from outside them: relays before the store and the upstreams
-// delay, reset, cut and silence connections; signals stop, pause, kill and
-// restart processes; upstreams and the store fail in their own ways. Callers
-// hold every answer against the promises.
+// Package soak runs the program as several processes on one machine and injects
+// random faults from outside them. Relays in front of the store and the upstreams
+// delay, reset, cut and stall connections; signals shut down, pause and kill
+// entries; the stand-ins for upstreams and the store return faulty responses.
+// Callers check every response against the guarantees that the product gives.
 package soak
 
 import (
@@ -28,22 +28,26 @@
 	"github.com/sapphireramp/sapphireramp/standin/worker"
 )
 
-// Ports of an entry; the addresses are the run's own.
 const (
+	// Ports of an entry. Every entry listens on the same ports, each at an IP
+	// address of its own.
 	callerPort, readyPort, directoryPort, peerPort, loadUpdatePort, metricsPort = 8227, 8220, 8224, 8229, 7340, 9464
 	storePort, upstreamPort                                                     = 8223, 8080
-	// tokensPerEvent is the stride of the engines.
+	// tokensPerEvent is the number of tokens in one event of a stream: the stride
+	// of the engines in the configuration.
 	tokensPerEvent = 51
-	gracePeriod    = 8 * time.Second
+	// gracePeriod is the time that an entry has from SIGTERM to its exit.
+	gracePeriod = 8 * time.Second
 )
 
-// answerPlan is how long answers last.
+// answerPlan sets by request ID how long each answer takes, with 40 ms between
+// the events of a stream.
 var answerPlan = worker.DrawnPlan(40 * time.Millisecond)
 
-// binary is the program under test, built once.
+// binary is the path of the program under test, which TestMain builds.
 var binary string
 
-// TestMain builds the program.
+// TestMain builds the program under test and runs the tests.
 func TestMain(m *testing.M) {
 	directory, err := os.MkdirTemp("", "sapphireramp-soak")
 	if err != nil {
@@ -59,52 +63,70 @@
 	os.Exit(code)
 }
 
-// entry is one entry's process.
+// entry is one entry, which runs as a process of its own.
 type entry struct {
-	fleet        *fleet
-	index        int
+	fleet *fleet
+	// index is the entry's number in its name, from 0.
+	index int
+	// host is the IP address on which the entry listens.
 	host         netip.Addr
 	settingsPath string
-	mutex        sync.Mutex
-	cmd          *exec.Cmd
-	exited       chan struct{}
-	// disrupted is true while a fault has the process stopped, killed or paused.
+	// mutex guards cmd and exited.
+	mutex sync.Mutex
+	// cmd is the process started last.
+	cmd *exec.Cmd
+	// exited is closed once cmd has exited.
+	exited chan struct{}
+	// disrupted is true while a fault has the process shut down, killed or paused.
 	disrupted atomic.Bool
 }
 
-// fleet is the whole system of one run, on loopback addresses of its own.
+// fleet is the system under test in one run: entries, upstreams and the store, on
+// loopback addresses that the seed determines.
 type fleet struct {
-	t              *testing.T
-	seed           int
-	directory      string
-	store          *store.Store
-	storeRelay     *relay.Relay
-	upstreams      map[string]*worker.Worker
+	t    *testing.T
+	seed int
+	// directory holds settings and log files.
+	directory string
+	store     *store.Store
+	// storeRelay carries the entries' connections to the store.
+	storeRelay *relay.Relay
+	// upstreams are keyed by instance ID, as are the next three maps.
+	upstreams map[string]*worker.Worker
+	// upstreamRelays carry the entries' connections to each upstream.
 	upstreamRelays map[string]*relay.Relay
-	serviceOf      map[string]string
-	// startedAt is when workers started anew, in Unix milliseconds.
-	startedAt     map[string]int64
-	entries       []*entry
-	servers       []*http.Server
+	// serviceOf is the service to which each upstream belongs.
+	serviceOf map[string]string
+	// startedAt is the time of each upstream's last start, in Unix milliseconds.
+	startedAt map[string]int64
+	entries   []*entry
+	// servers serve the store and the upstreams.
+	servers []*http.Server
+	// configVersion is the version of the configuration written last.
 	configVersion int
-	// disruptions are what happens to entries and upstreams.
+	// disruptions records every fault and its time, to decide which requests
+	// may fail.
 	disruptions caller.FaultLog
-	// background is what goes on beside the faults: series of stops.
+	// background tracks goroutines of faults: shutdowns and the end of traffic.
 	background sync.WaitGroup
-	// down are the upstreams that are not back yet; lock guards born.
-	down  worker.Down
+	// down holds the upstreams that have crashed and are not restarted yet.
+	down worker.Down
+	// mutex guards startedAt.
 	mutex sync.Mutex
-	// crashTraffics asked for what crashes upstreams.
+	// crashTraffics are the callers whose requests crash upstreams.
 	crashTraffics []*caller.Traffic
-	// traffics are all that asked while there were faults.
+	// traffics are the callers that sent other requests during the faults.
 	traffics []*caller.Traffic
 }
 
-// address is a loopback address of this run.
+// address returns a loopback address of this run. Kinds are 0 for the store and
+// its relay, 1 for upstreams, 2 for their relays and 3 for entries.
 func (f *fleet) address(kind, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(1 + f.seed%250), byte(kind), byte(1 + n)})
 }
 
+// newFleet starts the store, six upstreams of two services and the entries. The
+// test's cleanup stops them.
 func newFleet(t *testing.T, seed, entryCount int) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -128,6 +150,7 @@
 	return f
 }
 
+// serve starts an HTTP server at an address.
 func (f *fleet) serve(address netip.AddrPort, h http.Handler) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -138,6 +161,7 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
+// newRelay starts a relay that listens at front and connects to back.
 func (f *fleet) newRelay(front, back netip.AddrPort) *relay.Relay {
 	r, err := relay.New(front, back)
 	if err != nil {
@@ -146,6 +170,7 @@
 	return r
 }
 
+// addUpstream starts the nth upstream behind a relay and registers it in the store.
 func (f *fleet) addUpstream(n int, service string) {
 	id := fmt.Sprintf("i-%s-%d", service, n)
 	w := worker.New(id, 15*time.Millisecond, 0, 40*time.Millisecond)
@@ -157,6 +182,7 @@
 	f.putUpstream(id, "ready")
 }
 
+// putUpstream writes an upstream's state, ready or draining, to the store.
 func (f *fleet) putUpstream(id, state string) {
 	n := id[strings.LastIndex(id, "-")+1:]
 	u := store.NewUpstreamRecord(f.serviceOf[id], netip.AddrPortFrom(f.address(2, int(n[0]-'0')), upstreamPort))
@@ -166,11 +192,12 @@
 	f.store.Put("servers/"+id, u)
 }
 
-// isCalmName reports whether a traffic or a request is that after the faults.
+// isCalmName reports whether a traffic's name or a request's ID belongs to the calm
+// traffic, which is sent after all faults have ended.
 func isCalmName(name string) bool { return strings.HasPrefix(name, "calm") }
 
-// withShortCalmAnswers returns a plan whose answers to calm traffic are short, so that the end
-// of a run is too.
+// withShortCalmAnswers returns a plan that gives short answers to calm traffic, so
+// that the end of a run does not wait for long ones.
 func withShortCalmAnswers(base *worker.Plan) *worker.Plan {
 	return &worker.Plan{
 		Events: func(id string) int {
@@ -188,14 +215,16 @@
 	}
 }
 
-// restartUpstream starts a worker again under its id.
+// restartUpstream restarts an upstream under its ID. Its requests in flight are
+// never answered.
 func (f *fleet) restartUpstream(id string) {
 	f.upstreams[id].Restart()
 	f.disruptions.RecordRestart(id)
 	f.registerStart(id)
 }
 
-// registerStart lists a worker that starts.
+// registerStart registers a started upstream as ready in the store, with the
+// current time as that of its start.
 func (f *fleet) registerStart(id string) {
 	f.mutex.Lock()
 	f.startedAt[id] = time.Now().UnixMilli()
@@ -203,11 +232,12 @@
 	f.putUpstream(id, "ready")
 }
 
-// crashDowntime is how long a worker that crashed is down.
+// crashDowntime is the time from an upstream's crash to its restart.
 const crashDowntime = 2 * time.Second
 
-// crashUpstream ends a worker's process: its connections end, nobody listens, and after a while it is started
-// again under its id.
+// crashUpstream crashes an upstream: its connections are closed and new ones are
+// refused until it restarts under its ID after crashDowntime. It does nothing if
+// the upstream is down.
 func (f *fleet) crashUpstream(id string) {
 	if !f.down.Begin(id) {
 		return
@@ -227,6 +257,7 @@
 	}()
 }
 
+// putConfiguration writes the configuration to the store under a new version.
 func (f *fleet) putConfiguration(apiKeys ...string) {
 	f.configVersion++
 	route := func(name, kind, service string, attempts int, settings string) json.RawMessage {
@@ -249,7 +280,8 @@
 	})
 }
 
-// writeSettings writes the entry's settings file, whole at once.
+// writeSettings replaces the entry's settings file atomically. The bound on
+// retries of all entries, which holds at any load, is 100 plus retrySlack.
 func (e *entry) writeSettings(retrySlack int) {
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", e.host, port) }
 	lines := []string{
@@ -270,7 +302,7 @@
 	}
 }
 
-// start starts the entry's process.
+// start starts the entry's process. Its output is appended to the entry's log file.
 func (e *entry) start() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -294,8 +326,7 @@
 	}(e.exited)
 }
 
-// signal sends the entry's process a signal; it ends only processes that this
-// run started, by their ids.
+// signal sends a signal to the entry's process, if one was started.
 func (e *entry) signal(s syscall.Signal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -304,7 +335,8 @@
 	}
 }
 
-// awaitExitWithin waits until the entry's process has ended.
+// awaitExitWithin waits for the entry's process to exit and reports whether it did
+// within the limit.
 func (e *entry) awaitExitWithin(limit time.Duration) bool {
 	e.mutex.Lock()
 	exited := e.exited
@@ -317,6 +349,8 @@
 	}
 }
 
+// cleanUp kills the entries, closes the stand-ins, and copies the logs of a failed
+// run to a directory that outlives the test.
 func (f *fleet) cleanUp() {
 	for _, e := range f.entries {
 		e.signal(syscall.SIGKILL)
@@ -337,11 +371,12 @@
 	logsPath := filepath.Join(os.TempDir(), fmt.Sprintf("sapphireramp-soak-%d", f.seed))
 	_ = os.RemoveAll(logsPath)
 	if err := os.CopyFS(logsPath, os.DirFS(f.directory)); err == nil {
-		f.t.Logf("seed %d: logs are kept in %s", f.seed, logsPath)
+		f.t.Logf("seed %d: logs of the failed run are kept in %s", f.seed, logsPath)
 	}
 }
 
-// awaitReady waits until every entry is ready.
+// awaitReady waits until every entry reports that it is ready, and fails the test
+// if one does not within the limit.
 func (f *fleet) awaitReady(limit time.Duration) {
 	f.t.Helper()
 	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -364,7 +399,8 @@
 	}
 }
 
-// newCaller returns a caller that knows all directories.
+// newCaller returns a caller that asks any entry's directory for addresses. n sets
+// its random sequence.
 func (f *fleet) newCaller(n int) *caller.Caller {
 	var directories []netip.AddrPort
 	for _, e := range f.entries {
@@ -374,11 +410,11 @@
 	return caller.New(directories, uint64(f.seed*100+n), dialer.DialContext)
 }
 
-// startTraffic starts callers that ask steadily until they are told to stop.
+// startTraffic starts callers that send requests until the traffic is stopped.
 func (f *fleet) startTraffic(name string, callerCount int) *caller.Traffic {
 	return caller.NewTraffic(name, callerCount, func(n int) *caller.Caller {
 		c := f.newCaller(n)
-		if !isCalmName(name) { // calm callers are to reach every entry
+		if !isCalmName(name) { // a habit keeps callers at one entry, and calm traffic has to reach every entry
 			c.SetAddressReuse(n)
 		}
 		c.BodyOf = caller.MixedBody
@@ -387,13 +423,15 @@
 	})
 }
 
-// startCrashTraffic starts callers that ask for what crashes upstreams.
+// startCrashTraffic starts callers that repeat a request that crashes upstreams, with
+// an interval between repetitions.
 func (f *fleet) startCrashTraffic(callerCount int, interval time.Duration) *caller.Traffic {
 	name := fmt.Sprintf("repeat%d-%d", f.seed, len(f.crashTraffics))
 	return caller.NewRepeatingTraffic(name, callerCount, caller.CrashPath, interval, func(n int) *caller.Caller { return f.newCaller(50 + n) })
 }
 
-// evidence is what answers are held against.
+// evidence returns what happened at the upstreams and the faults that were
+// injected, against which the results of requests are checked.
 func (f *fleet) evidence() caller.Observations {
 	return caller.Observations{
 		Runs:       func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.upstreams), id) },
@@ -402,7 +440,9 @@
 	}
 }
 
-// checkPromises fails the test for every broken promise to callers that were stopped.
+// checkPromises checks the results of a stopped traffic and fails the test for
+// every violated guarantee. It returns how many requests were served and how many
+// were sent.
 func (f *fleet) checkPromises(traffic *caller.Traffic) (served, asked int) {
 	served, asked, violations := traffic.Evaluate(f.evidence())
 	for _, violation := range violations {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,22 +20,25 @@
 )
 
 var (
-	firstSeed    = flag.Int("soak.seed", 1, "the first seed")
-	seedCount    = flag.Int("soak.seeds", 2, "how many seeds to run, four at a time")
-	faultSeconds = flag.Int("soak.seconds", 6, "seconds of faults in each run")
+	firstSeed    = flag.Int("soak.seed", 1, "first seed to run")
+	seedCount    = flag.Int("soak.seeds", 2, "number of seeds to run, at most four at a time")
+	faultSeconds = flag.Int("soak.seconds", 6, "seconds for which each run injects faults")
 )
 
-// loopbackSource is where the connections of entries come from, as relays see them.
+// loopbackSource is the address from which entries connect to relays.
 var loopbackSource = netip.MustParseAddr("127.0.0.1")
 
-// regressions are seeds that failed once, with their causes.
+// regressions maps seeds that once failed to the cause of the failure. TestSoak
+// runs them in addition to the seeds of the flags.
 var regressions = map[int]string{}
 
-// fault begins one fault and returns what ends it.
+// fault injects one fault and returns a function that ends it.
 type fault func(f *fleet, r *rand.Rand) func()
 
+// pick returns a random one of the choices.
 func pick[T any](r *rand.Rand, choices ...T) T { return choices[r.IntN(len(choices))] }
 
+// faults holds the faults by name; faultNames lists the names.
 var faults = map[string]fault{
 	"entry killed": func(f *fleet, r *rand.Rand) func() {
 		e := f.pickUndisrupted(r)
@@ -97,12 +100,12 @@
 	"way to an upstream": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
 		how, mended := pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
-		if how != relay.Late { // which cuts nothing before it is mended
+		if how != relay.Late { // a slow link breaks no connection until the fault ends
 			mended = f.disruptions.RecordCut(id)
 		}
 		f.upstreamRelays[id].Set(loopbackSource, how)
 		return func() {
-			defer f.disruptions.RecordCut(id)() // what hung is reset
+			defer f.disruptions.RecordCut(id)() // ending the fault resets the connections that were held up
 			f.upstreamRelays[id].Set(loopbackSource, "")
 			mended()
 		}
@@ -154,7 +157,7 @@
 		w := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
 		w.SetFault(worker.Pausing)
 		time.Sleep(time.Duration(50+r.IntN(450)) * time.Millisecond)
-		w.SetFault(worker.Sound) // and is as good as any, but for those that it told
+		w.SetFault(worker.Sound) // accepts requests again; only entries that got a backoff wait
 		return func() {}
 	},
 	"outage of upstreams": func(f *fleet, r *rand.Rand) func() {
@@ -170,8 +173,9 @@
 	},
 }
 
-// pickUndisrupted draws an entry that no fault signals, and marks it as signalled; nil where
-// that would leave less than half of the entries alone.
+// pickUndisrupted returns a random entry that no fault disrupts and marks it as
+// disrupted. It returns nil if at most half of the entries are undisrupted, so that
+// at least half of them always stay so.
 func (f *fleet) pickUndisrupted(r *rand.Rand) *entry {
 	var candidates []*entry
 	for _, e := range f.entries {
@@ -187,8 +191,8 @@
 	return e
 }
 
-// stopEntriesInSeries sends entries SIGTERM one after the other, so that their stops
-// overlap, and starts each again when it has ended.
+// stopEntriesInSeries shuts down two or three entries, each 0.1 to 1.6 s after the
+// one before, so that their shutdowns overlap, and restarts each once it has exited.
 func (f *fleet) stopEntriesInSeries(r *rand.Rand) {
 	nextDelay := time.Duration(0)
 	for range 2 + r.IntN(2) {
@@ -206,7 +210,7 @@
 	}
 }
 
-// shutDown sends the entry SIGTERM and waits until its process has ended.
+// shutDown sends the entry SIGTERM and waits until its process has exited.
 func (e *entry) shutDown() {
 	stop := e.fleet.disruptions.RecordShutdown(e.host, gracePeriod)
 	e.signal(syscall.SIGTERM)
@@ -214,29 +218,32 @@
 	stop.RecordExit()
 }
 
-// requireExit waits until the entry's process has ended by itself.
+// requireExit waits until the entry's process has exited. If that takes more than
+// 10 s, it fails the test and kills the process.
 func (e *entry) requireExit() {
 	if !e.awaitExitWithin(10 * time.Second) {
-		e.fleet.t.Errorf("seed %d: entry-%d did not end within 10 s", e.fleet.seed, e.index)
+		e.fleet.t.Errorf("seed %d: entry-%d did not exit within 10 s", e.fleet.seed, e.index)
 		e.signal(syscall.SIGKILL)
 		e.awaitExitWithin(time.Second)
 	}
 }
 
-// restart starts the entry again once its process has ended.
+// restart starts the entry again once its process has exited.
 func (e *entry) restart() {
 	e.requireExit()
 	e.start()
 }
 
-// TestSoak runs drawn faults, in series and overlapping, against processes.
-// Afterwards everything is served again, and nothing is left at upstreams.
+// TestSoak injects random, overlapping faults while callers send requests. After
+// the faults every request has to be served, and no request or reserved memory may
+// be left at the upstreams.
 //
-// Callers saw answers cut in the middle by entries that stopped, and these runs
-// did not: every answer took under 0.4 s, callers left an entry within a second of
-// its SIGTERM, which came to few entries at a time, and no answer that broke off was held against the
-// stop. So answers take up to as long as callers wait, some callers stay, every run
-// has a series of stops, and [caller.Traffic.Judge] knows what a stop may cut off.
+// The runs also have to catch answers that are cut off by an entry's shutdown.
+// Four things hid that failure: answers under 0.4 s, callers that left an entry
+// within a second of its SIGTERM, shutdowns of few entries at a time, and a check that
+// blamed no cut answer on a shutdown. So answers take up to as long as callers wait,
+// some callers keep their entry, every run shuts down several entries in series, and
+// [caller.Traffic.Judge] tells which answers a shutdown may cut off.
 func TestSoak(t *testing.T) {
 	running := make(chan struct{}, 4)
 	for n := range *seedCount {
@@ -256,7 +263,8 @@
 	}
 }
 
-// faultNames is the names of the faults; a map has none that a seed could draw from.
+// faultNames lists the keys of faults in a fixed order, so that a seed picks the same
+// faults in every run.
 var faultNames = []string{
 	"entry killed", "entry stopped", "entry paused", "settings changed", "way to the store", "way to an upstream",
 	"connections reset", "upstream fails", "store fails", "history dropped", "configuration", "upstream leaves", "upstream starts anew",
@@ -264,9 +272,12 @@
 	"upstream says that it leaves", "upstream pauses",
 }
 
-// recoveryTime is how long after the faults what was avoided is tried again.
+// recoveryTime is the time after the faults within which entries try again the
+// upstreams that they avoid.
 const recoveryTime = 5 * time.Second
 
+// runSeed starts a fleet, injects the faults that the seed picks, and checks the
+// results.
 func runSeed(t *testing.T, seed int) {
 	r := rand.New(rand.NewPCG(uint64(seed), 7))
 	f := newFleet(t, seed, 6)
@@ -278,7 +289,7 @@
 	seriesDue := started.Add(time.Duration(r.IntN(*faultSeconds*1000/2)) * time.Millisecond)
 	for time.Since(started) < time.Duration(*faultSeconds)*time.Second {
 		name := pick(r, faultNames...)
-		if !seriesDue.IsZero() && !time.Now().Before(seriesDue) { // every run has one
+		if !seriesDue.IsZero() && !time.Now().Before(seriesDue) { // every run shuts down entries in series at least once
 			name, seriesDue = "entries stopped in series", time.Time{}
 		}
 		t.Logf("seed %d: %s: %s", seed, time.Since(started).Round(time.Millisecond), name)
@@ -315,13 +326,13 @@
 	calm.Stop()
 	served, asked := f.checkPromises(calm)
 	if served < asked || asked == 0 {
-		t.Errorf("seed %d: after the faults %d of %d are served", seed, served, asked)
+		t.Errorf("seed %d: after the faults %d of %d requests were served, want all of at least 1", seed, served, asked)
 	}
 	f.checkNothingLeft()
 	f.checkOperatorPages()
 }
 
-// checkOperatorPages checks that metrics and status are served by every process.
+// checkOperatorPages checks that every entry serves its status and its metrics.
 func (f *fleet) checkOperatorPages() {
 	for _, e := range f.entries {
 		status, err := exec.Command(binary, "status", "--entry", fmt.Sprintf("%s:%d", e.host, metricsPort)).CombinedOutput()
@@ -343,14 +354,15 @@
 	}
 }
 
-// checkNothingLeft checks that nothing is left at the upstreams.
+// checkNothingLeft checks that within 5 s no upstream has a request in flight or
+// reserved memory.
 func (f *fleet) checkNothingLeft() {
 	f.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for id, w := range f.upstreams {
 		for w.Working() > 0 || len(w.Held()) > 0 {
 			if time.Now().After(deadline) {
-				f.t.Errorf("seed %d: %s is left with %d requests and %d reservations", f.seed, id, w.Working(), len(w.Held()))
+				f.t.Errorf("seed %d: upstream %s still has %d requests and %d reservations after 5 s", f.seed, id, w.Working(), len(w.Held()))
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
