--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -349,8 +349,8 @@
 	return string(data)
 }
 
-// stopAll kills the processes and background commands of the fleet and closes
-// its relays.
+// stopAll kills the processes and background commands that the fleet started, each
+// by its own process handle, and closes the relays.
 func (f *fleet) stopAll() {
 	for _, j := range f.jobs {
 		_ = j.cmd.Process.Kill()
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -104,8 +104,8 @@
 	servers []*http.Server
 	// configVersion is the version of the configuration written last.
 	configVersion int
-	// disruptions records every fault and its time, to decide which requests
-	// may fail.
+	// disruptions records the faults of entries, upstreams and the store with their
+	// times, by which the check decides which requests may fail.
 	disruptions caller.FaultLog
 	// background tracks goroutines of faults: shutdowns and the end of traffic.
 	background sync.WaitGroup
@@ -326,7 +326,8 @@
 	}(e.exited)
 }
 
-// signal sends a signal to the entry's process, if one was started.
+// signal sends a signal to the entry's process, if one was started. It uses the
+// process ID, so that it reaches only processes that this run started.
 func (e *entry) signal(s syscall.Signal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -72,17 +72,17 @@
 		if e == nil {
 			return func() {}
 		}
-		joined := f.disruptions.RecordPartition()
+		endPause := f.disruptions.RecordPartition()
 		e.signal(syscall.SIGSTOP)
-		return func() { e.signal(syscall.SIGCONT); e.disrupted.Store(false); joined() }
+		return func() { e.signal(syscall.SIGCONT); e.disrupted.Store(false); endPause() }
 	},
 	"burst": func(f *fleet, r *rand.Rand) func() {
-		x := f.startTraffic(fmt.Sprintf("burst%d-%d", f.seed, len(f.traffics)), 15+r.IntN(25))
-		f.traffics = append(f.traffics, x)
+		traffic := f.startTraffic(fmt.Sprintf("burst%d-%d", f.seed, len(f.traffics)), 15+r.IntN(25))
+		f.traffics = append(f.traffics, traffic)
 		stop := make(chan struct{})
 		f.background.Go(func() {
 			<-stop
-			x.Stop()
+			traffic.Stop()
 		})
 		return func() { close(stop) }
 	},
@@ -93,21 +93,21 @@
 		return func() {}
 	},
 	"way to the store": func(f *fleet, r *rand.Rand) func() {
-		back := f.disruptions.RecordStoreOutage()
+		endOutage := f.disruptions.RecordStoreOutage()
 		f.storeRelay.Set(loopbackSource, pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late))
-		return func() { f.storeRelay.Set(loopbackSource, ""); back() }
+		return func() { f.storeRelay.Set(loopbackSource, ""); endOutage() }
 	},
 	"way to an upstream": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		how, mended := pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
-		if how != relay.Late { // a slow link breaks no connection until the fault ends
-			mended = f.disruptions.RecordCut(id)
+		linkMode, endCut := pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
+		if linkMode != relay.Late { // a slow link breaks no connection until the fault ends
+			endCut = f.disruptions.RecordCut(id)
 		}
-		f.upstreamRelays[id].Set(loopbackSource, how)
+		f.upstreamRelays[id].Set(loopbackSource, linkMode)
 		return func() {
 			defer f.disruptions.RecordCut(id)() // ending the fault resets the connections that were held up
 			f.upstreamRelays[id].Set(loopbackSource, "")
-			mended()
+			endCut()
 		}
 	},
 	"connections reset": func(f *fleet, r *rand.Rand) func() {
@@ -117,14 +117,14 @@
 		return func() {}
 	},
 	"upstream fails": func(f *fleet, r *rand.Rand) func() {
-		w := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
-		w.SetFault(pick(r, worker.Faults...))
-		return func() { w.SetFault(worker.Sound) }
+		upstream := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
+		upstream.SetFault(pick(r, worker.Faults...))
+		return func() { upstream.SetFault(worker.Sound) }
 	},
 	"store fails": func(f *fleet, r *rand.Rand) func() {
-		back := f.disruptions.RecordStoreOutage()
+		endOutage := f.disruptions.RecordStoreOutage()
 		f.store.SetMode(pick(r, store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections, store.Slow))
-		return func() { f.store.SetMode(store.Available); back() }
+		return func() { f.store.SetMode(store.Available); endOutage() }
 	},
 	"history dropped": func(f *fleet, _ *rand.Rand) func() {
 		f.store.Compact()
@@ -139,12 +139,12 @@
 		return func() {}
 	},
 	"request that crashes upstreams": func(f *fleet, r *rand.Rand) func() {
-		x := f.startCrashTraffic(1+r.IntN(3), time.Duration(50+r.IntN(750))*time.Millisecond)
-		f.crashTraffics = append(f.crashTraffics, x)
+		traffic := f.startCrashTraffic(1+r.IntN(3), time.Duration(50+r.IntN(750))*time.Millisecond)
+		f.crashTraffics = append(f.crashTraffics, traffic)
 		stop := make(chan struct{})
 		f.background.Go(func() {
 			<-stop
-			x.Stop()
+			traffic.Stop()
 		})
 		return func() { close(stop) }
 	},
@@ -154,10 +154,10 @@
 		return func() { f.restartUpstream(id) }
 	},
 	"upstream pauses": func(f *fleet, r *rand.Rand) func() {
-		w := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
-		w.SetFault(worker.Pausing)
+		upstream := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
+		upstream.SetFault(worker.Pausing)
 		time.Sleep(time.Duration(50+r.IntN(450)) * time.Millisecond)
-		w.SetFault(worker.Sound) // accepts requests again; only entries that got a backoff wait
+		upstream.SetFault(worker.Sound) // accepts requests again; only entries that got a backoff wait
 		return func() {}
 	},
 	"outage of upstreams": func(f *fleet, r *rand.Rand) func() {
@@ -193,6 +193,7 @@
 
 // stopEntriesInSeries shuts down two or three entries, each 0.1 to 1.6 s after the
 // one before, so that their shutdowns overlap, and restarts each once it has exited.
+// It shuts down fewer if too many entries are disrupted already.
 func (f *fleet) stopEntriesInSeries(r *rand.Rand) {
 	nextDelay := time.Duration(0)
 	for range 2 + r.IntN(2) {
