--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -43,7 +43,7 @@
 	engineConfig := engine.Config{
 		Name: "engine", Incarnation: uint64(time.Now().UnixMilli()), Model: "model", Version: "1", Role: "Mixed",
 		MemoryTokens: 400_000, PrefillRate: 200_000, TokenTime: 5 * time.Millisecond,
-		ReportLag: 300 * time.Millisecond, LoadTime: 500 * time.Millisecond, CachePrefixes: 64,
+		ReportLag: 300 * time.Millisecond, WeightLoadTime: 500 * time.Millisecond, MaxCachedPrefixes: 64,
 	}
 	crossed, adapters, issuers := false, "", ""
 	engineCommand := flaggy.NewSubcommand("engine")
@@ -57,7 +57,7 @@
 	engineCommand.Int(&engineConfig.PrefillRate, "", "prefill-rate", "prompt tokens a second")
 	engineCommand.Duration(&engineConfig.TokenTime, "", "token-time", "time of one answer token")
 	engineCommand.Duration(&engineConfig.ReportLag, "", "report-lag", "age of the load report")
-	engineCommand.Duration(&engineConfig.LoadTime, "", "load-time", "time that an order takes")
+	engineCommand.Duration(&engineConfig.WeightLoadTime, "", "load-time", "time that an order takes")
 	engineCommand.Bool(&engineConfig.ChecksFences, "", "checks-fences", "refuse an old fencing number")
 	engineCommand.Bool(&engineConfig.ChecksOrders, "", "checks-orders", "check who orders")
 	engineCommand.String(&issuers, "", "issuers", "who may order, separated by commas")
--- a/forwarder/backpressure_test.go
+++ b/forwarder/backpressure_test.go
@@ -15,13 +15,13 @@
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
-			w.Leave()
+			w.SetLeaving()
 		}
 		for n := range 10 {
 			f.ask(request{path: "/safe/x", id: fmt.Sprint("r", n)})
 		}
 		for _, w := range f.plain {
-			f.is.Equal(len(w.Runs()), 1) // the one whose response said that it leaves
+			f.is.Equal(len(w.Executions()), 1) // the one whose response said that it leaves
 		}
 		refused := f.ask(request{path: "/safe/x", id: "last"})
 		f.is.Equal(refused.status, 503) // without waiting: no upstream is left
@@ -37,26 +37,26 @@
 func TestLeavingEngineGetsNoStreams(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		stream := func(id string) answer { return f.ask(request{path: "/stream/x", id: id, usage: "2000,200"}) }
-		f.engines[0].Leave()
-		f.engines[1].Leave()
-		f.engines[2].SetFault(worker.Full)
+		f.engines[0].SetLeaving()
+		f.engines[1].SetLeaving()
+		f.engines[2].SetFault(worker.FaultFull)
 		for n := range 2 {
 			id := fmt.Sprint("told", n)
 			f.is.Equal(stream(id).body, wholeStream(id, 1))
 		}
-		f.is.Equal(len(f.engines[0].Runs()), 1)
-		f.is.Equal(len(f.engines[1].Runs()), 1)
+		f.is.Equal(len(f.engines[0].Executions()), 1)
+		f.is.Equal(len(f.engines[1].Executions()), 1)
 		f.is.Equal(stream("nowhere").status, 503)
 		// An upstream that disappears from the list and reappears is the same incarnation.
 		f.dispatcher.Update(f.table, f.instances[:2])
 		f.dispatcher.Update(f.table, f.instances)
 		f.is.Equal(stream("listed").status, 503)
-		f.engines[2].SetFault(worker.Sound)
+		f.engines[2].SetFault(worker.FaultNone)
 		for n := range 12 {
 			id := fmt.Sprint("r", n)
 			f.is.Equal(stream(id).body, wholeStream(id, 1))
 		}
-		f.is.Equal(len(f.engines[0].Runs())+len(f.engines[1].Runs()), 2)
+		f.is.Equal(len(f.engines[0].Executions())+len(f.engines[1].Executions()), 2)
 	})
 }
 
@@ -64,12 +64,12 @@
 func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		for _, w := range f.plain {
-			w.SetFault(worker.Pausing)
+			w.SetFault(worker.FaultBackoff)
 		}
 		first := f.ask(request{path: "/safe/x", id: "first"})
 		f.is.Equal(first.status, 503)
 		for _, w := range f.plain {
-			w.SetFault(worker.Sound)
+			w.SetFault(worker.FaultNone)
 		}
 		time.Sleep(time.Second)
 		refused := f.ask(request{path: "/safe/x", id: "second"})
@@ -77,7 +77,7 @@
 		f.is.Equal(refused.duration, time.Duration(0))
 		f.is.Equal(refused.header.Get("Retry-After"), "2.000") // when the first backoff ends
 		f.is.Equal(countRuns(f.plain, "second"), 0)
-		time.Sleep(worker.PauseTime - time.Second)
+		time.Sleep(worker.BackoffTime - time.Second)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "third"}).status, 200)
 	})
 }
@@ -85,14 +85,14 @@
 // A backoff of some upstreams does not delay requests that others can serve.
 func TestBackoffAppliesToOneUpstreamOnly(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		f.engines[0].SetFault(worker.Pausing)
-		f.engines[1].SetFault(worker.Pausing)
+		f.engines[0].SetFault(worker.FaultBackoff)
+		f.engines[1].SetFault(worker.FaultBackoff)
 		began := time.Now()
-		for n := 0; time.Since(began) < worker.PauseTime-time.Second; n++ {
+		for n := 0; time.Since(began) < worker.BackoffTime-time.Second; n++ {
 			f.is.Equal(f.ask(request{path: "/stream/x", id: fmt.Sprint("r", n), usage: "2000,200"}).status, 200)
 		}
 		for _, w := range f.engines[:2] {
-			f.is.True(w.Refused() <= 1)
+			f.is.True(w.RefusedCount() <= 1)
 		}
 	})
 }
@@ -103,11 +103,11 @@
 	withForwarder(t, func(f *fixture) {
 		time.Sleep(10 * time.Second)
 		for _, w := range f.plain {
-			w.SetFault(worker.Pausing)
+			w.SetFault(worker.FaultBackoff)
 		}
 		f.ask(request{path: "/safe/x", id: "first"})
 		for i, w := range f.plain {
-			w.SetFault(worker.Sound)
+			w.SetFault(worker.FaultNone)
 			f.instances[i].Started = time.Now().Add(-5 * time.Second)
 		}
 		f.dispatcher.Update(f.table, f.instances)
--- a/forwarder/crash_test.go
+++ b/forwarder/crash_test.go
@@ -17,7 +17,7 @@
 // killWorkingEngines kills the processes of all engines that are running a request.
 func (f *fixture) killWorkingEngines() {
 	for i, w := range f.engines {
-		if w.Working() == 0 {
+		if w.InProgress() == 0 {
 			continue
 		}
 		w.Restart()
@@ -36,7 +36,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
 				for _, w := range f.engines {
-					w.Follow(&worker.Plan{Events: func(string) int { return 100 }})
+					w.SetPlan(&worker.AnswerPlan{EventCount: func(string) int { return 100 }})
 				}
 				time.AfterFunc(c.ran, f.killWorkingEngines)
 				a := f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
@@ -51,7 +51,7 @@
 // A response that breaks off while the upstream lives on does not count as a crash.
 func TestBrokenResponseOfLiveUpstreamIsNoCrash(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Torn)
+		setFaults(f.engines, worker.FaultBrokenOff)
 		f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200", body: "b"})
 		time.Sleep(time.Second)
 		f.is.Equal(f.quarantine.CrashCount(fingerprintOf("/fixed/x", "b")), 0)
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -195,14 +195,14 @@
 func wholeStream(id string, from int) string {
 	text := ""
 	for n := from; n <= 10; n++ {
-		text += worker.Event(id, n)
+		text += worker.StreamEvent(id, n)
 	}
 	return text
 }
 
 // countRuns returns how many times workers have run the request with an id.
 func countRuns(workers []*worker.Worker, id string) int {
-	return worker.TimesRun(slices.Values(workers), id)
+	return worker.ExecutionCount(slices.Values(workers), id)
 }
 
 // setFaults sets the same fault in all workers.
@@ -219,14 +219,14 @@
 		a := f.ask(request{path: "/once/a%2Fb//c?x=1&y=%20", id: "r1", body: "order"})
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 200)
-		f.is.Equal(a.body, worker.Body("r1"))
+		f.is.Equal(a.body, worker.AnswerBody("r1"))
 		f.is.Equal(countRuns(f.plain, "r1"), 1)
 		for _, w := range f.plain {
-			for _, r := range w.Runs() {
+			for _, r := range w.Executions() {
 				f.is.Equal(r.Path, "/once/a%2Fb//c?x=1&y=%20")
 				f.is.Equal(r.Body, "order")
-				f.is.Equal(r.Tenant, "crew")
-				f.is.True(r.Left > 1900*time.Millisecond && r.Left <= 2*time.Second)
+				f.is.Equal(r.Organisation, "crew")
+				f.is.True(r.Remaining > 1900*time.Millisecond && r.Remaining <= 2*time.Second)
 			}
 		}
 	})
@@ -243,8 +243,8 @@
 			c.usage = "5000,100"
 			f.is.Equal(f.ask(c).status, 200)
 			for _, w := range f.engines {
-				for _, r := range w.Runs() {
-					if r.ID == c.id {
+				for _, r := range w.Executions() {
+					if r.RequestID == c.id {
 						order = append(order, r.Priority)
 					}
 				}
@@ -332,7 +332,7 @@
 // A request that may run at most once never runs twice, whatever fault the upstream has, and is
 // reported as not run only if it did not run.
 func TestAtMostOnceUnderEveryFault(t *testing.T) {
-	for _, fault := range worker.Faults {
+	for _, fault := range worker.AllFaults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
 				setFaults(f.plain, fault)
@@ -344,7 +344,7 @@
 					f.is.True(a.header.Get("Retry-After") != "")
 				}
 				if a.err == nil && a.status == 200 {
-					f.is.Equal(a.body, worker.Body("r1"))
+					f.is.Equal(a.body, worker.AnswerBody("r1"))
 					f.is.Equal(a.header.Get("X-Attempt-Id"), "r1")
 				}
 				f.is.True(a.duration <= 2100*time.Millisecond) // the route's timeout and slack
@@ -355,7 +355,7 @@
 
 // An idempotent request succeeds although one of two upstreams has any of the faults.
 func TestIdempotentSurvivesOneFaultyUpstream(t *testing.T) {
-	for _, fault := range worker.Faults {
+	for _, fault := range worker.AllFaults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
 				f.plain[0].SetFault(fault)
@@ -364,7 +364,7 @@
 					a := f.ask(request{path: "/safe/x", id: id})
 					f.is.NoErr(a.err)
 					f.is.Equal(a.status, 200)
-					f.is.Equal(a.body, worker.Body(id))
+					f.is.Equal(a.body, worker.AnswerBody(id))
 					f.is.True(countRuns(f.plain, id) <= 2)
 				}
 			})
@@ -376,7 +376,7 @@
 // try.
 func TestUpstreamFailureIsRelayed(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.plain, worker.Failing)
+		setFaults(f.plain, worker.FaultServerError)
 		a := f.ask(request{path: "/safe/x", id: "r1"})
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 500)
@@ -388,7 +388,7 @@
 // A resumable stream reaches the caller complete and in order, without duplicates, although the
 // engine that began it fails in the middle.
 func TestStreamResumesAtAnotherEngine(t *testing.T) {
-	for _, fault := range worker.Faults {
+	for _, fault := range worker.AllFaults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
 				f.engines[0].SetFault(fault)
@@ -415,7 +415,7 @@
 // A stream that may not be resumed is aborted when its engine fails, so that it never looks
 // complete.
 func TestNonResumableStreamIsAborted(t *testing.T) {
-	for _, fault := range []worker.Fault{worker.Torn, worker.Short} {
+	for _, fault := range []worker.Fault{worker.FaultBrokenOff, worker.FaultEndsEarly} {
 		withForwarder(t, func(f *fixture) {
 			setFaults(f.engines, fault)
 			a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
@@ -430,7 +430,7 @@
 // than the watchdog. A soak run (mix, seed 391397223682) lost a request that way.
 func TestSilenceDoesNotEndLastAttempt(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Mute)
+		setFaults(f.engines, worker.FaultNoAnswer)
 		a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 504)
@@ -446,7 +446,7 @@
 // 10) lost a request that way during a shutdown.
 func TestSilenceDoesNotEndAttemptWithoutAlternative(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Slow)
+		setFaults(f.engines, worker.FaultSlow)
 		f.dispatcher.Update(f.table, f.instances[:4]) // two engines
 		block := func(id string) {
 			_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
@@ -458,7 +458,7 @@
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100"}) }()
 		time.Sleep(50 * time.Millisecond)
 		for i, e := range f.engines {
-			if len(e.Runs()) > 0 {
+			if len(e.Executions()) > 0 {
 				block(fmt.Sprintf("i-%d", 2+i))
 			}
 		}
@@ -472,7 +472,7 @@
 // The caller has the final response by the deadline.
 func TestDeadlineIsKept(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.plain, worker.Mute)
+		setFaults(f.plain, worker.FaultNoAnswer)
 		a := f.ask(request{path: "/once/x", id: "r1", timeout: 700 * time.Millisecond})
 		f.is.Equal(a.status, 504)
 		f.is.True(a.duration >= 700*time.Millisecond && a.duration < 800*time.Millisecond)
@@ -482,14 +482,14 @@
 // Upstreams stop working on a request soon after its caller has disconnected.
 func TestUpstreamWorkEndsWhenCallerLeaves(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Mute)
+		setFaults(f.engines, worker.FaultNoAnswer)
 		ctx, leave := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer leave()
 		a := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100", ctx: ctx})
 		f.is.True(a.err != nil)
 		time.Sleep(100 * time.Millisecond)
 		for _, e := range f.engines {
-			f.is.Equal(e.Working(), 0)
+			f.is.Equal(e.InProgress(), 0)
 		}
 	})
 }
@@ -503,7 +503,7 @@
 		time.Sleep(200 * time.Millisecond) // the response takes 500 ms
 		held := 0
 		for _, e := range f.engines {
-			for _, tokens := range e.Held() {
+			for _, tokens := range e.ReservedTokens() {
 				held += tokens
 			}
 		}
@@ -512,7 +512,7 @@
 		f.is.Equal(a.body, wholeStream("s1", 1))
 		time.Sleep(time.Second)
 		for _, e := range f.engines {
-			f.is.Equal(len(e.Held()), 0)
+			f.is.Equal(len(e.ReservedTokens()), 0)
 		}
 	})
 }
@@ -521,13 +521,13 @@
 // the other engines is released.
 func TestReservationIsAllOrNothing(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Full)
+		setFaults(f.engines, worker.FaultFull)
 		a := f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"})
 		f.is.Equal(a.status, 503)
 		f.is.Equal(countRuns(f.engines, "s1"), 0)
 		time.Sleep(time.Second)
 		for _, e := range f.engines {
-			f.is.Equal(len(e.Held()), 0)
+			f.is.Equal(len(e.ReservedTokens()), 0)
 		}
 	})
 }
@@ -540,7 +540,7 @@
 		f.is.Equal(f.ask(long).status, 200)
 		var first, helper int
 		for i, e := range f.engines {
-			if runs := e.Runs(); len(runs) > 0 && runs[0].Helpers != "" {
+			if runs := e.Executions(); len(runs) > 0 && runs[0].Helpers != "" {
 				first = i
 				ticket, _, _ := strings.Cut(runs[0].Helpers, "/")
 				for j := range f.engines {
@@ -551,7 +551,7 @@
 			}
 		}
 		f.is.True(first != helper)
-		f.engines[helper].SetFault(worker.Full)
+		f.engines[helper].SetFault(worker.FaultFull)
 		long.id = "s2"
 		a := f.ask(long)
 		f.is.Equal(a.status, 200)
@@ -568,7 +568,7 @@
 func TestUnusedMemoryIsReleased(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		withForwarder(t, func(f *fixture) {
-			setFaults(f.engines, worker.Mute)
+			setFaults(f.engines, worker.FaultNoAnswer)
 			done := make(chan answer)
 			go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"}) }()
 			held := map[string]int{}
@@ -576,11 +576,11 @@
 			for range 160 {
 				time.Sleep(100 * time.Millisecond)
 				for _, e := range f.engines {
-					for ticket := range e.Held() {
+					for ticket := range e.ReservedTokens() {
 						held[ticket]++
 						longest = max(longest, held[ticket])
 						if used {
-							e.Use(ticket)
+							e.MarkTicketUsed(ticket)
 						}
 					}
 				}
@@ -590,7 +590,7 @@
 			f.is.Equal(longest < 90, !used)
 			time.Sleep(time.Second)
 			for _, e := range f.engines {
-				f.is.Equal(len(e.Held()), 0)
+				f.is.Equal(len(e.ReservedTokens()), 0)
 			}
 		})
 	}
--- a/forwarder/restart_test.go
+++ b/forwarder/restart_test.go
@@ -20,7 +20,7 @@
 // runningEngine returns the index of the engine that runs a request.
 func (f *fixture) runningEngine(id string) int {
 	f.is.Helper()
-	i := slices.IndexFunc(f.engines, func(w *worker.Worker) bool { return worker.TimesRun(slices.Values([]*worker.Worker{w}), id) > 0 })
+	i := slices.IndexFunc(f.engines, func(w *worker.Worker) bool { return worker.ExecutionCount(slices.Values([]*worker.Worker{w}), id) > 0 })
 	f.is.True(i >= 0)
 	return i
 }
@@ -69,12 +69,12 @@
 // restarts, since it may have run.
 func TestAtMostOnceRequestEndsOnUpstreamRestart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.plain, worker.Mute)
+		setFaults(f.plain, worker.FaultNoAnswer)
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/once/x", id: "r1"}) }()
 		time.Sleep(200 * time.Millisecond)
 		for i, w := range f.plain {
-			if len(w.Runs()) > 0 {
+			if len(w.Executions()) > 0 {
 				w.Restart()
 				f.instances[i].Started = time.Now()
 			}
@@ -91,13 +91,13 @@
 // are released.
 func TestGroupStartsOverAfterHelperRestart(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Slow)
+		setFaults(f.engines, worker.FaultSlow)
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"}) }()
 		time.Sleep(200 * time.Millisecond)
-		helper := slices.IndexFunc(f.engines, func(w *worker.Worker) bool { return len(w.Held()) > 0 })
+		helper := slices.IndexFunc(f.engines, func(w *worker.Worker) bool { return len(w.ReservedTokens()) > 0 })
 		f.is.True(helper >= 0)
-		setFaults(f.engines, worker.Sound)
+		setFaults(f.engines, worker.FaultNone)
 		f.restartEngine(helper)
 		a := <-done
 		f.is.Equal(a.status, 200)
@@ -105,7 +105,7 @@
 		f.is.True(a.duration < 1500*time.Millisecond)
 		time.Sleep(time.Second)
 		for _, e := range f.engines {
-			f.is.Equal(len(e.Held()), 0)
+			f.is.Equal(len(e.ReservedTokens()), 0)
 		}
 	})
 }
@@ -132,7 +132,7 @@
 // soak test.
 func TestRequestToNewIncarnationIsAnswered(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.plain, worker.Slow)
+		setFaults(f.plain, worker.FaultSlow)
 		time.Sleep(10 * time.Second)
 		time.AfterFunc(200*time.Millisecond, func() {
 			for i := range f.instances {
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -194,7 +194,7 @@
 // although the engine may only be slow.
 func TestSilentEngineIsKeptIfNoOtherEndsInTime(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.engines, worker.Slow)
+		setFaults(f.engines, worker.FaultSlow)
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
 		time.Sleep(100 * time.Millisecond)
@@ -211,11 +211,11 @@
 // exit, although another upstream responds in 20 ms and seconds were left.
 func TestSilentRequestIsRetriedAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		setFaults(f.plain, worker.Mute)
+		setFaults(f.plain, worker.FaultNoAnswer)
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/safe/x", id: "r1", timeout: 2 * time.Second}) }()
 		time.Sleep(10 * time.Millisecond)
-		setFaults(f.plain, worker.Sound)
+		setFaults(f.plain, worker.FaultNone)
 		f.startStopping(1900*time.Millisecond, 1)
 		a := <-done
 		f.is.NoErr(a.err)
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -74,7 +74,7 @@
 	// startedAt holds the start of each worker's incarnation in Unix milliseconds, by instance ID.
 	startedAt map[string]int64
 	// downWorkers holds the workers that crashed and have not restarted yet.
-	downWorkers worker.Down
+	downWorkers worker.DownSet
 	// repeaters are the traffic that repeats a request which crashes upstreams.
 	repeaters []*caller.Traffic
 	// lastWorker is the number of the worker added last, trafficCount the number of traffics started; they
@@ -82,7 +82,7 @@
 	lastWorker   int
 	trafficCount int
 	// responsePlan sets how long responses take; if nil, all take the same short time.
-	responsePlan *worker.Plan
+	responsePlan *worker.AnswerPlan
 	// idSalt is appended to the names in request IDs. The response plan derives lengths from request IDs, so
 	// another salt gives other lengths.
 	idSalt string
@@ -102,7 +102,7 @@
 func newFleet(t *testing.T, entries int) *fleet { return newFleetWithPlan(t, entries, nil) }
 
 // newFleetWithPlan starts a fleet whose responses follow a plan, if it is not nil.
-func newFleetWithPlan(t *testing.T, entries int, plan *worker.Plan) *fleet {
+func newFleetWithPlan(t *testing.T, entries int, plan *worker.AnswerPlan) *fleet {
 	t.Helper()
 	f := &fleet{t: t, responsePlan: plan, downEntries: map[int]bool{}, net: network.New(), store: store.New(), workers: map[string]*worker.Worker{}, workerHosts: map[string]netip.Addr{}, startedAt: map[string]int64{}}
 	f.serve(netip.AddrPortFrom(storeHost, 80), f.store)
@@ -144,7 +144,7 @@
 	id := fmt.Sprintf("i-%s-%d", service, f.lastWorker)
 	host := netip.AddrFrom4([4]byte{10, 100, byte(f.lastWorker >> 8), byte(f.lastWorker)})
 	w := worker.New(id, workTime, events, eventGap)
-	w.Follow(f.responsePlan)
+	w.SetPlan(f.responsePlan)
 	f.workers[id], f.workerHosts[id] = w, host
 	w.OnCrash(func() { f.crashWorker(id, service) })
 	f.startWorker(id, service)
@@ -163,14 +163,14 @@
 // crashWorker simulates a crash of a worker: its connections break and new ones are refused. After
 // crashDowntime it restarts under the same instance ID.
 func (f *fleet) crashWorker(id, service string) {
-	if !f.downWorkers.Begin(id) {
+	if !f.downWorkers.MarkDown(id) {
 		return
 	}
 	endOutage := f.disruptionLog.RecordCut(id)
 	f.workers[id].Restart()
 	f.net.KillHost(f.workerHosts[id])
 	go func() {
-		defer f.downWorkers.End(id)
+		defer f.downWorkers.MarkUp(id)
 		time.Sleep(crashDowntime)
 		f.disruptionLog.RecordRestart(id)
 		f.startWorker(id, service)
@@ -282,7 +282,7 @@
 // shutDown ends all entries, workers and the store, and waits until their
 // goroutines have ended.
 func (f *fleet) shutDown() {
-	f.downWorkers.Await()
+	f.downWorkers.WaitAllUp()
 	for _, e := range f.entries {
 		f.killEntry(e)
 	}
@@ -311,7 +311,7 @@
 	if f.responsePlan != nil {
 		c.SetAddressReuse(int(seed))
 		c.BodyOf = caller.MixedBody
-		c.TokenUsageOf = func(id string) (most, hint int) { return f.responsePlan.Usage(id, tokensPerEvent) }
+		c.TokenUsageOf = func(id string) (most, hint int) { return f.responsePlan.TokenUsage(id, tokensPerEvent) }
 	}
 	return c
 }
@@ -320,10 +320,10 @@
 func (f *fleet) evidence() caller.Observations {
 	events := func(string) int { return streamEvents }
 	if f.responsePlan != nil {
-		events = f.responsePlan.Events
+		events = f.responsePlan.EventCount
 	}
-	runs := func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.workers), id) }
-	refusals := func(id string) []worker.Run { return worker.RefusalsOf(maps.Values(f.workers), id) }
+	runs := func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.workers), id) }
+	refusals := func(id string) []worker.Execution { return worker.RefusalsOf(maps.Values(f.workers), id) }
 	return caller.Observations{Runs: runs, Refusals: refusals, EventCount: events, Faults: &f.disruptionLog}
 }
 
@@ -338,4 +338,4 @@
 }
 
 // runCount returns how many times a request ran, over all workers.
-func (f *fleet) runCount(id string) int { return worker.TimesRun(maps.Values(f.workers), id) }
+func (f *fleet) runCount(id string) int { return worker.ExecutionCount(maps.Values(f.workers), id) }
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -141,9 +141,9 @@
 		f.putWorker("i-app-1", "app", "draining")
 		f.store.Delete("servers/i-lm-2")
 		time.Sleep(2 * time.Second)
-		runsBefore := len(f.workers["i-app-1"].Runs()) + len(f.workers["i-lm-2"].Runs())
+		runsBefore := len(f.workers["i-app-1"].Executions()) + len(f.workers["i-lm-2"].Executions())
 		time.Sleep(5 * time.Second)
-		is.Equal(len(f.workers["i-app-1"].Runs())+len(f.workers["i-lm-2"].Runs()), runsBefore)
+		is.Equal(len(f.workers["i-app-1"].Executions())+len(f.workers["i-lm-2"].Executions()), runsBefore)
 		served, sent := x.stopAndCheck()
 		is.Equal(served, sent)
 	})
@@ -177,7 +177,7 @@
 // requests are retried at another: more than three quarters of all requests are
 // served, and no result violates a guarantee.
 func TestFaultyUpstreams(t *testing.T) {
-	for _, fault := range worker.Faults {
+	for _, fault := range worker.AllFaults {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			withFleet(t, 3, func(is *is.I, f *fleet) {
 				f.workers["i-app-1"].SetFault(fault)
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -42,8 +42,8 @@
 var disruptions = []disruption{
 	{"upstream fault", func(f *fleet, t *rapid.T) func() {
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
-		w.SetFault(rapid.SampledFrom(worker.Faults).Draw(t, "fault"))
-		return func() { w.SetFault(worker.Sound) }
+		w.SetFault(rapid.SampledFrom(worker.AllFaults).Draw(t, "fault"))
+		return func() { w.SetFault(worker.FaultNone) }
 	}},
 	{"store", func(f *fleet, t *rapid.T) func() {
 		storeReturned := f.disruptionLog.RecordStoreOutage()
@@ -113,14 +113,14 @@
 	}},
 	{"upstream says that it leaves", func(f *fleet, t *rapid.T) func() {
 		id := rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")
-		f.workers[id].Leave()
+		f.workers[id].SetLeaving()
 		return func() { f.restartWorker(id, strings.Split(id, "-")[1]) }
 	}},
 	{"upstream pauses", func(f *fleet, t *rapid.T) func() {
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
-		w.SetFault(worker.Pausing)
+		w.SetFault(worker.FaultBackoff)
 		time.Sleep(time.Duration(rapid.IntRange(50, 500).Draw(t, "time")) * time.Millisecond)
-		w.SetFault(worker.Sound) // accepts requests again, except from entries that it asked for a backoff
+		w.SetFault(worker.FaultNone) // accepts requests again, except from entries that it asked for a backoff
 		return func() {}
 	}},
 	{"outage of upstreams", func(f *fleet, t *rapid.T) func() {
@@ -216,7 +216,7 @@
 		}
 	}()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleetWithPlan(t, 6, worker.DrawnPlan(eventGap))
+		f := newFleetWithPlan(t, 6, worker.RandomPlan(eventGap))
 		defer f.shutDown()
 		f.idSalt = fmt.Sprintf("s%d", rapid.IntRange(0, 9999).Draw(r, "salt"))
 		x := f.startTraffic(12)
@@ -249,8 +249,8 @@
 		}
 		time.Sleep(5 * time.Second)
 		for id, w := range f.workers {
-			if w.Working() > 0 || len(w.Held()) > 0 {
-				t.Errorf("upstream %s still has %d requests and %d reservations", id, w.Working(), len(w.Held()))
+			if w.InProgress() > 0 || len(w.ReservedTokens()) > 0 {
+				t.Errorf("upstream %s still has %d requests and %d reservations", id, w.InProgress(), len(w.ReservedTokens()))
 			}
 		}
 	})
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -60,8 +60,8 @@
 // and completes: a caller that has part of the response can't be sent an error status any more.
 func TestStoppingEntryResumesBrokenStream(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
-		f.setFaults(worker.Torn)
-		time.AfterFunc(1100*time.Millisecond, func() { f.setFaults(worker.Sound) })
+		f.setFaults(worker.FaultBrokenOff)
+		time.AfterFunc(1100*time.Millisecond, func() { f.setFaults(worker.FaultNone) })
 		var planned []plannedRequest
 		for at := -700 * time.Millisecond; at < 0; at += 100 * time.Millisecond {
 			planned = append(planned, plannedRequest{path: "/stream/brief/x", usage: longAnswerUsage, sendAt: at})
@@ -80,7 +80,7 @@
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x", "/stream/x", "/fixed/x"} {
 		t.Run(path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(is *is.I, f *fleet) {
-				f.setFaults(worker.Mute)
+				f.setFaults(worker.FaultNoAnswer)
 				q := plannedRequest{path: path, usage: longAnswerUsage, sendAt: -100 * time.Millisecond}
 				unread := plannedRequest{path: path, usage: longAnswerUsage, sendAt: -200 * time.Millisecond, bodyTime: 7 * time.Second}
 				for _, r := range f.sendDuringShutdown(f.entries[0], []plannedRequest{q, unread}) {
@@ -198,8 +198,8 @@
 	} {
 		t.Run(c.path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(_ *is.I, f *fleet) {
-				f.setFaults(worker.Mute)
-				time.AfterFunc(time.Second+c.soundAt, func() { f.setFaults(worker.Sound) })
+				f.setFaults(worker.FaultNoAnswer)
+				time.AfterFunc(time.Second+c.soundAt, func() { f.setFaults(worker.FaultNone) })
 				var planned []plannedRequest
 				for _, q := range (plannedRequest{path: c.path, usage: longAnswerUsage}).repeatUntilExit(c.from) {
 					if q.sendAt < c.until {
--- a/scenario/benchmark_test.go
+++ b/scenario/benchmark_test.go
@@ -323,7 +323,7 @@
 	if reachability == "one-reaches" {
 		for i, p := range f.entryProcesses() {
 			if i > 0 {
-				f.processes["platform"].relays[0].Set(p.address.Addr(), relay.Stall)
+				f.processes["platform"].relays[0].SetMode(p.address.Addr(), relay.ModeStall)
 			}
 		}
 	}
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -311,7 +311,7 @@
 		if err != nil {
 			return err
 		}
-		r.Count = countRelayedBytes
+		r.OnBytes = countRelayedBytes
 		p.relays = append(p.relays, r)
 	}
 	return nil
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -192,7 +192,7 @@
 		address = processNamed(ts, from).address.Addr()
 	}
 	for _, r := range processNamed(ts, to).relays {
-		r.Set(address, mode)
+		r.SetMode(address, mode)
 	}
 }
 
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -73,9 +73,9 @@
 // checkWhole checks that an answer belongs to its request and contains each token once.
 func (s *soak) checkWhole(n int, r api.CompletionRequest, result client.Result) {
 	var want strings.Builder
-	tag := engine.Tag(r)
+	tag := engine.AnswerTag(r)
 	for i := range r.MaxTokens {
-		want.WriteString(engine.Token(tag, i))
+		want.WriteString(engine.AnswerToken(tag, i))
 	}
 	if result.Text != want.String() {
 		s.t.Errorf("request %d: got %q", n, result.Text)
@@ -170,9 +170,9 @@
 	case 6:
 		s.cutFor(entry.host, host(3, 1), f.Duration)
 	case 7, 8, 9:
-		s.platform.SetMode([]string{platform.Down, platform.Stale, platform.Back}[f.Kind-7])
+		s.platform.SetMode([]string{platform.ModeDown, platform.ModeStale, platform.ModePrevious}[f.Kind-7])
 		time.Sleep(f.Duration)
-		s.platform.SetMode(platform.Up)
+		s.platform.SetMode(platform.ModeUp)
 	case 10:
 		s.endAndRestart(func() bool { return !target.dead }, func() { s.leaveEngine(target) }, f.Duration, func() { s.startEngine(target) })
 	}
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -76,7 +76,7 @@
 func wholeAnswer(r api.CompletionRequest) string {
 	var all strings.Builder
 	for i := range r.MaxTokens {
-		all.WriteString(engine.Token(engine.Tag(r), i))
+		all.WriteString(engine.AnswerToken(engine.AnswerTag(r), i))
 	}
 	return all.String()
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -42,7 +42,7 @@
 
 // answerPlan sets by request ID how long each answer takes, with 40 ms between
 // the events of a stream.
-var answerPlan = worker.DrawnPlan(40 * time.Millisecond)
+var answerPlan = worker.RandomPlan(40 * time.Millisecond)
 
 // binary is the path of the program under test, which TestMain builds.
 var binary string
@@ -110,7 +110,7 @@
 	// background tracks goroutines of faults: shutdowns and the end of traffic.
 	background sync.WaitGroup
 	// down holds the upstreams that have crashed and are not restarted yet.
-	down worker.Down
+	down worker.DownSet
 	// mutex guards startedAt.
 	mutex sync.Mutex
 	// crashTraffics are the callers whose requests crash upstreams.
@@ -174,7 +174,7 @@
 func (f *fleet) addUpstream(n int, service string) {
 	id := fmt.Sprintf("i-%s-%d", service, n)
 	w := worker.New(id, 15*time.Millisecond, 0, 40*time.Millisecond)
-	w.Follow(withShortCalmAnswers(answerPlan))
+	w.SetPlan(withShortCalmAnswers(answerPlan))
 	w.OnCrash(func() { f.crashUpstream(id) })
 	back, front := netip.AddrPortFrom(f.address(1, n), upstreamPort), netip.AddrPortFrom(f.address(2, n), upstreamPort)
 	f.serve(back, w)
@@ -198,19 +198,19 @@
 
 // withShortCalmAnswers returns a plan that gives short answers to calm traffic, so
 // that the end of a run does not wait for long ones.
-func withShortCalmAnswers(base *worker.Plan) *worker.Plan {
-	return &worker.Plan{
-		Events: func(id string) int {
+func withShortCalmAnswers(base *worker.AnswerPlan) *worker.AnswerPlan {
+	return &worker.AnswerPlan{
+		EventCount: func(id string) int {
 			if isCalmName(id) {
 				return 8
 			}
-			return base.Events(id)
+			return base.EventCount(id)
 		},
-		Work: func(id, path string) time.Duration {
+		CallDuration: func(id, path string) time.Duration {
 			if isCalmName(id) {
 				return 15 * time.Millisecond
 			}
-			return base.Work(id, path)
+			return base.CallDuration(id, path)
 		},
 	}
 }
@@ -239,16 +239,16 @@
 // refused until it restarts under its ID after crashDowntime. It does nothing if
 // the upstream is down.
 func (f *fleet) crashUpstream(id string) {
-	if !f.down.Begin(id) {
+	if !f.down.MarkDown(id) {
 		return
 	}
 	endCut := f.disruptions.RecordCut(id)
 	f.upstreams[id].Restart()
-	f.upstreamRelays[id].Down()
+	f.upstreamRelays[id].Stop()
 	go func() {
-		defer f.down.End(id)
+		defer f.down.MarkUp(id)
 		time.Sleep(crashDowntime)
-		if err := f.upstreamRelays[id].Up(); err != nil {
+		if err := f.upstreamRelays[id].Resume(); err != nil {
 			f.t.Errorf("seed %d: %s: %v", f.seed, id, err)
 		}
 		f.disruptions.RecordRestart(id)
@@ -419,7 +419,9 @@
 			c.SetAddressReuse(n)
 		}
 		c.BodyOf = caller.MixedBody
-		c.TokenUsageOf = func(id string) (most, hint int) { return withShortCalmAnswers(answerPlan).Usage(id, tokensPerEvent) }
+		c.TokenUsageOf = func(id string) (most, hint int) {
+			return withShortCalmAnswers(answerPlan).TokenUsage(id, tokensPerEvent)
+		}
 		return c
 	})
 }
@@ -435,9 +437,9 @@
 // injected, against which the results of requests are checked.
 func (f *fleet) evidence() caller.Observations {
 	return caller.Observations{
-		Runs:       func(id string) []worker.Run { return worker.RunsOf(maps.Values(f.upstreams), id) },
-		Refusals:   func(id string) []worker.Run { return worker.RefusalsOf(maps.Values(f.upstreams), id) },
-		EventCount: withShortCalmAnswers(answerPlan).Events, Faults: &f.disruptions,
+		Runs:       func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.upstreams), id) },
+		Refusals:   func(id string) []worker.Execution { return worker.RefusalsOf(maps.Values(f.upstreams), id) },
+		EventCount: withShortCalmAnswers(answerPlan).EventCount, Faults: &f.disruptions,
 	}
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -94,32 +94,32 @@
 	},
 	"way to the store": func(f *fleet, r *rand.Rand) func() {
 		endOutage := f.disruptions.RecordStoreOutage()
-		f.storeRelay.Set(loopbackSource, pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late))
-		return func() { f.storeRelay.Set(loopbackSource, ""); endOutage() }
+		f.storeRelay.SetMode(loopbackSource, pick(r, relay.ModeRefuse, relay.ModeStall, relay.ModeDropAnswers, relay.ModeDelay))
+		return func() { f.storeRelay.SetMode(loopbackSource, ""); endOutage() }
 	},
 	"way to an upstream": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		linkMode, endCut := pick(r, relay.Refuse, relay.Stall, relay.Answers, relay.Late), func() {}
-		if linkMode != relay.Late { // a slow link breaks no connection until the fault ends
+		linkMode, endCut := pick(r, relay.ModeRefuse, relay.ModeStall, relay.ModeDropAnswers, relay.ModeDelay), func() {}
+		if linkMode != relay.ModeDelay { // a slow link breaks no connection until the fault ends
 			endCut = f.disruptions.RecordCut(id)
 		}
-		f.upstreamRelays[id].Set(loopbackSource, linkMode)
+		f.upstreamRelays[id].SetMode(loopbackSource, linkMode)
 		return func() {
 			defer f.disruptions.RecordCut(id)() // ending the fault resets the connections that were held up
-			f.upstreamRelays[id].Set(loopbackSource, "")
+			f.upstreamRelays[id].SetMode(loopbackSource, "")
 			endCut()
 		}
 	},
 	"connections reset": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
 		defer f.disruptions.RecordCut(id)()
-		f.upstreamRelays[id].Reset(func(netip.Addr) bool { return true })
+		f.upstreamRelays[id].CloseConnections(func(netip.Addr) bool { return true })
 		return func() {}
 	},
 	"upstream fails": func(f *fleet, r *rand.Rand) func() {
 		upstream := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
-		upstream.SetFault(pick(r, worker.Faults...))
-		return func() { upstream.SetFault(worker.Sound) }
+		upstream.SetFault(pick(r, worker.AllFaults...))
+		return func() { upstream.SetFault(worker.FaultNone) }
 	},
 	"store fails": func(f *fleet, r *rand.Rand) func() {
 		endOutage := f.disruptions.RecordStoreOutage()
@@ -150,14 +150,14 @@
 	},
 	"upstream says that it leaves": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		f.upstreams[id].Leave()
+		f.upstreams[id].SetLeaving()
 		return func() { f.restartUpstream(id) }
 	},
 	"upstream pauses": func(f *fleet, r *rand.Rand) func() {
 		upstream := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
-		upstream.SetFault(worker.Pausing)
+		upstream.SetFault(worker.FaultBackoff)
 		time.Sleep(time.Duration(50+r.IntN(450)) * time.Millisecond)
-		upstream.SetFault(worker.Sound) // accepts requests again; only entries that got a backoff wait
+		upstream.SetFault(worker.FaultNone) // accepts requests again; only entries that got a backoff wait
 		return func() {}
 	},
 	"outage of upstreams": func(f *fleet, r *rand.Rand) func() {
@@ -307,7 +307,7 @@
 	faultsEnded := time.Now()
 	busy.Stop()
 	f.background.Wait()
-	f.down.Await()
+	f.down.WaitAllUp()
 	for _, x := range f.traffics {
 		served, asked := f.checkPromises(x)
 		t.Logf("seed %d: %d of %d served under faults", seed, served, asked)
@@ -361,9 +361,9 @@
 	f.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for id, w := range f.upstreams {
-		for w.Working() > 0 || len(w.Held()) > 0 {
+		for w.InProgress() > 0 || len(w.ReservedTokens()) > 0 {
 			if time.Now().After(deadline) {
-				f.t.Errorf("seed %d: upstream %s still has %d requests and %d reservations after 5 s", f.seed, id, w.Working(), len(w.Held()))
+				f.t.Errorf("seed %d: upstream %s still has %d requests and %d reservations after 5 s", f.seed, id, w.InProgress(), len(w.ReservedTokens()))
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -21,7 +21,7 @@
 // arrival is a request that reached an upstream, which ran or refused it.
 type arrival struct {
 	result Result
-	run    worker.Run
+	run    worker.Execution
 }
 
 // BackpressureViolations describes the requests of stopped traffics that an entry sent
@@ -46,29 +46,29 @@
 	arrivals = append(arrivals, refusals...)
 	for _, a := range arrivals {
 		for _, r := range results {
-			if !r.UpstreamLeaving || r.Upstream != a.run.Upstream || r.Entry != a.result.Entry || !a.result.StartedAt.After(r.EndedAt().Add(leavingReactionTime)) {
+			if !r.UpstreamLeaving || r.Upstream != a.run.WorkerID || r.Entry != a.result.Entry || !a.result.StartedAt.After(r.EndedAt().Add(leavingReactionTime)) {
 				continue
 			}
-			if leavingRun, ok := passedOnRun(observed, r); ok && leavingRun.Process == a.run.Process && !observed.Faults.wasDisturbed(r.Entry, r.StartedAt, a.result.EndedAt()) {
+			if leavingRun, ok := passedOnRun(observed, r); ok && leavingRun.Incarnation == a.run.Incarnation && !observed.Faults.wasDisturbed(r.Entry, r.StartedAt, a.result.EndedAt()) {
 				violations = append(violations, fmt.Sprintf("%s %s: reached upstream %s %s after the entry forwarded an answer in which it announced that it is leaving", a.result.Path, a.result.ID, r.Upstream, a.run.Began.Sub(r.EndedAt())))
 				break
 			}
 		}
 	}
 	for _, refusal := range refusals {
-		if refusal.run.Fault != worker.Pausing {
+		if refusal.run.Fault != worker.FaultBackoff {
 			continue
 		}
 		var late []string
 		for _, a := range arrivals {
 			delay := a.run.Began.Sub(refusal.run.Began)
-			if a.result.Entry == refusal.result.Entry && a.run.Upstream == refusal.run.Upstream && a.run.Process == refusal.run.Process && delay > backoffReactionTime && delay < worker.PauseTime {
+			if a.result.Entry == refusal.result.Entry && a.run.WorkerID == refusal.run.WorkerID && a.run.Incarnation == refusal.run.Incarnation && delay > backoffReactionTime && delay < worker.BackoffTime {
 				late = append(late, a.result.ID)
 			}
 		}
-		until := refusal.run.Began.Add(worker.PauseTime)
-		if len(late) > maxDuringBackoff && !observed.Faults.wasDisturbed(refusal.result.Entry, refusal.result.StartedAt, until) && !observed.Faults.wasCut(refusal.run.Upstream, refusal.run.Began, until) {
-			violations = append(violations, fmt.Sprintf("%d requests reached upstream %s during a backoff that it asked of entry %s: %v", len(late), refusal.run.Upstream, refusal.result.Entry, late))
+		until := refusal.run.Began.Add(worker.BackoffTime)
+		if len(late) > maxDuringBackoff && !observed.Faults.wasDisturbed(refusal.result.Entry, refusal.result.StartedAt, until) && !observed.Faults.wasCut(refusal.run.WorkerID, refusal.run.Began, until) {
+			violations = append(violations, fmt.Sprintf("%d requests reached upstream %s during a backoff that it asked of entry %s: %v", len(late), refusal.run.WorkerID, refusal.result.Entry, late))
 		}
 	}
 	return violations
@@ -76,11 +76,11 @@
 
 // passedOnRun returns the run or refusal of a request at the upstream whose answer its
 // entry forwarded, and whether there is one.
-func passedOnRun(observed Observations, r Result) (worker.Run, bool) {
+func passedOnRun(observed Observations, r Result) (worker.Execution, bool) {
 	for _, run := range append(observed.Runs(r.ID), observed.Refusals(r.ID)...) {
-		if run.Upstream == r.Upstream {
+		if run.WorkerID == r.Upstream {
 			return run, true
 		}
 	}
-	return worker.Run{}, false
+	return worker.Execution{}, false
 }
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -298,11 +298,11 @@
 // given number of events.
 func completeBody(r Result, events int) string {
 	if isPlainCall(r.Path) {
-		return worker.Body(r.ID)
+		return worker.AnswerBody(r.ID)
 	}
 	text := ""
 	for n := 1; n <= events; n++ {
-		text += worker.Event(r.ID, n)
+		text += worker.StreamEvent(r.ID, n)
 	}
 	return text
 }
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -151,7 +151,7 @@
 //   - Its last attempt could not complete, see [FaultLog.couldNotComplete].
 //   - Its last attempt was refused by an upstream without capacity, see
 //     [endedAtFullUpstream].
-func (x *FaultLog) lossesByShutdown(r Result, runs, refusals []worker.Run) []string {
+func (x *FaultLog) lossesByShutdown(r Result, runs, refusals []worker.Execution) []string {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	var out []string
@@ -170,13 +170,13 @@
 
 // isCleanRefusal reports whether a request was refused with status 503 and a
 // Retry-After header, and ran at no upstream.
-func isCleanRefusal(r Result, runs []worker.Run) bool {
+func isCleanRefusal(r Result, runs []worker.Execution) bool {
 	return r.Err == nil && r.Status == http.StatusServiceUnavailable && r.RetryAfter != "" && len(runs) == 0
 }
 
 // isExcused reports whether a request that was sent has one of the excuses listed at
 // lossesByShutdown.
-func (x *FaultLog) isExcused(r Result, runs, refusals []worker.Run, s *Shutdown) bool {
+func (x *FaultLog) isExcused(r Result, runs, refusals []worker.Execution, s *Shutdown) bool {
 	switch {
 	case r.Duration >= r.TimeLimit-timeoutSlack:
 		return true
@@ -196,7 +196,7 @@
 // endedAtFullUpstream reports whether the last attempt of a request was refused by an
 // upstream without capacity after an earlier attempt ran. The entry can't forward this
 // refusal, as the caller would take the request for not run.
-func endedAtFullUpstream(r Result, runs, refusals []worker.Run) bool {
+func endedAtFullUpstream(r Result, runs, refusals []worker.Execution) bool {
 	if r.Err != nil || len(refusals) == 0 || len(runs) == 0 {
 		return false
 	}
@@ -211,13 +211,13 @@
 // upstream is silent. Earlier attempts don't count, as the last one may have replaced
 // them. If no run was in progress at the end, the last attempt may have been waiting for
 // an upstream of the service whose connections were cut.
-func (x *FaultLog) couldNotComplete(r Result, runs []worker.Run, s *Shutdown) bool {
+func (x *FaultLog) couldNotComplete(r Result, runs []worker.Execution, s *Shutdown) bool {
 	from := r.StartedAt
 	if last, ok := lastAttemptRun(runs); ok {
 		// A process that exits long before SIGKILL has no unfinished requests.
 		wasKilled := s.exitedAt.IsZero() || s.exitedAt.After(s.killAt.Add(-forcedExitSlack))
 		endedWithEntry := wasKilled && (s.exitedAt.IsZero() || r.EndedAt().After(s.exitedAt.Add(-sameEndSlack)))
-		if preventsCompleteAnswer(last.Fault, isPlainCall(r.Path)) || last.Fault == worker.Slow && !endedWithEntry || x.hasCut(attemptStart(last, r), r.EndedAt(), last.Upstream, !endedWithEntry) {
+		if preventsCompleteAnswer(last.Fault, isPlainCall(r.Path)) || last.Fault == worker.FaultSlow && !endedWithEntry || x.hasCut(attemptStart(last, r), r.EndedAt(), last.WorkerID, !endedWithEntry) {
 			return true
 		}
 		if last.Ended.IsZero() || last.Ended.After(r.EndedAt().Add(-sameEndSlack)) {
@@ -231,7 +231,7 @@
 // mayBeGivenUp reports whether the entry may have abandoned the last run because the
 // upstream was silent. It then retries at another upstream, which may be down, as the
 // entry only detects that by trying.
-func mayBeGivenUp(r Result, last worker.Run) bool {
+func mayBeGivenUp(r Result, last worker.Execution) bool {
 	return isPlainCall(r.Path) && isRepeatable(r.Path) && last.Ended.Sub(last.Began) >= plainCallSilence
 }
 
@@ -250,7 +250,7 @@
 // lastAttemptRun returns the run of the last attempt, if there is a run: the latest run
 // that is not stray. A stray run began after its entry had abandoned the attempt and
 // retried at another upstream; it ends at once while the run before it goes on.
-func lastAttemptRun(runs []worker.Run) (worker.Run, bool) {
+func lastAttemptRun(runs []worker.Execution) (worker.Execution, bool) {
 	for i := len(runs) - 1; i >= 0; i-- {
 		r := runs[i]
 		stray := i > 0 && !r.Ended.IsZero() && r.Ended.Sub(r.Began) < strayRunTime && (runs[i-1].Ended.IsZero() || runs[i-1].Ended.After(r.Ended))
@@ -258,13 +258,13 @@
 			return r, true
 		}
 	}
-	return worker.Run{}, false
+	return worker.Execution{}, false
 }
 
 // attemptStart returns a time at which the attempt of a run was in progress: the start
 // of the run or, if a slow connection delivered the attempt after the end of the
 // request, the start of the request.
-func attemptStart(run worker.Run, r Result) time.Time {
+func attemptStart(run worker.Execution, r Result) time.Time {
 	if run.Began.After(r.EndedAt()) {
 		return r.StartedAt
 	}
@@ -275,11 +275,11 @@
 // answer to a plain call, or else to a prompt.
 func preventsCompleteAnswer(f worker.Fault, plainCall bool) bool {
 	switch f {
-	case worker.Failing, worker.Lost, worker.Mute, worker.Torn, worker.Foreign, worker.Unsigned:
+	case worker.FaultServerError, worker.FaultConnectionLost, worker.FaultNoAnswer, worker.FaultBrokenOff, worker.FaultForeignID, worker.FaultUnsigned:
 		return true
-	case worker.Short:
+	case worker.FaultEndsEarly:
 		return !plainCall
-	case worker.Unframed: // on some networks not distinguishable from a lost connection
+	case worker.FaultUnframed: // on some networks not distinguishable from a lost connection
 		return plainCall
 	}
 	return false
@@ -321,10 +321,10 @@
 }
 
 // describeRuns returns the runs as text, with times relative to SIGTERM.
-func (x *FaultLog) describeRuns(s *Shutdown, runs []worker.Run) string {
+func (x *FaultLog) describeRuns(s *Shutdown, runs []worker.Execution) string {
 	text := ""
 	for _, r := range runs {
-		text += fmt.Sprintf("[%s fault %d, %s to %s]", r.Upstream, r.Fault, sinceShutdown(s, r.Began), sinceShutdown(s, r.Ended))
+		text += fmt.Sprintf("[%s fault %d, %s to %s]", r.WorkerID, r.Fault, sinceShutdown(s, r.Began), sinceShutdown(s, r.Ended))
 	}
 	return text
 }
--- a/standin/caller/repeat.go
+++ b/standin/caller/repeat.go
@@ -33,16 +33,16 @@
 // had crashed. Requests through entries that may have been out of contact with the
 // others, because these entries or all of them were disturbed, don't count.
 func (x *Traffic) RepeatViolations(observed Observations) (violations []string) {
-	var runs []worker.Run
+	var runs []worker.Execution
 	resultOf := map[string]Result{}
 	for _, r := range x.results {
 		resultOf[r.ID] = r
 		runs = append(runs, observed.Runs(r.ID)...)
 	}
-	slices.SortFunc(runs, func(a, b worker.Run) int { return a.Ended.Compare(b.Ended) })
-	var crashes []worker.Run // one per crashed incarnation
+	slices.SortFunc(runs, func(a, b worker.Execution) int { return a.Ended.Compare(b.Ended) })
+	var crashes []worker.Execution // one per crashed incarnation
 	for _, r := range runs {
-		isCounted := slices.ContainsFunc(crashes, func(o worker.Run) bool { return o.Upstream == r.Upstream && o.Process == r.Process })
+		isCounted := slices.ContainsFunc(crashes, func(o worker.Execution) bool { return o.WorkerID == r.WorkerID && o.Incarnation == r.Incarnation })
 		if r.Crashed && !isCounted {
 			crashes = append(crashes, r)
 		}
@@ -53,7 +53,7 @@
 	quarantinedAt := crashes[quarantineCrashes-1].Ended
 	lateIDs := map[string]bool{}
 	for _, run := range runs {
-		r := resultOf[run.ID]
+		r := resultOf[run.RequestID]
 		if r.StartedAt.After(quarantinedAt.Add(convergenceTime)) && observed.Faults.wasInContact(r) {
 			lateIDs[r.ID] = true
 		}
@@ -71,7 +71,7 @@
 // falseQuarantine returns a violation if a request that crashes no upstream was
 // refused as quarantined.
 func (r Result) falseQuarantine() []string {
-	if worker.Crashes(r.Path) || !strings.Contains(r.Body, quarantinedReason) {
+	if worker.IsCrashPath(r.Path) || !strings.Contains(r.Body, quarantinedReason) {
 		return nil
 	}
 	return []string{fmt.Sprintf("%s %s: crashes no upstream, but was refused as quarantined", r.Path, r.ID)}
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -93,10 +93,10 @@
 // injected. The results of a [Traffic] are checked against it.
 type Observations struct {
 	// Runs returns the runs of a request at all upstreams, the earliest first.
-	Runs func(id string) []worker.Run
+	Runs func(id string) []worker.Execution
 	// Refusals returns the refusals of a request by upstreams that had no capacity or
 	// asked for a backoff, the earliest first.
-	Refusals func(id string) []worker.Run
+	Refusals func(id string) []worker.Execution
 	// EventCount returns the number of events in the complete stream that answers a
 	// request.
 	EventCount func(id string) int
--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -31,17 +31,17 @@
 	ChecksOrders bool
 	// Issuers may order the engine, where it checks.
 	Issuers []string
-	// LoadTime is how long an order that loads weights takes.
-	LoadTime time.Duration
+	// WeightLoadTime is how long an order that loads weights takes.
+	WeightLoadTime time.Duration
 	// ReportLag is the age of the load report.
 	ReportLag time.Duration
-	// CachePrefixes bounds the prefix cache, in prefixes of PrefixBytes.
-	CachePrefixes int
+	// MaxCachedPrefixes bounds the prefix cache, in prefixes of PrefixBytes.
+	MaxCachedPrefixes int
 }
 
-// PrefixBytes is the length of the prompt's start that the cache knows a
+// CachedPrefixBytes is the length of the prompt's start that the cache knows a
 // prompt by.
-const PrefixBytes = 256
+const CachedPrefixBytes = 256
 
 // eventBuffer is how many chunks wait for a slow reader before decoding does.
 const eventBuffer = 256
@@ -117,14 +117,14 @@
 
 // RefusedError is a refusal before anything was started.
 type RefusedError struct {
-	Status int
-	Reason string
+	StatusCode int
+	Reason     string
 }
 
 func (e RefusedError) Error() string { return e.Reason }
 
-// Used is the memory held, in tokens.
-func (b *Batcher) Used() int {
+// UsedTokens is the memory held, in tokens.
+func (b *Batcher) UsedTokens() int {
 	used := 0
 	for _, h := range b.holds {
 		used += h.Tokens
@@ -132,16 +132,16 @@
 	return used
 }
 
-// Hold takes memory for an owner.
-func (b *Batcher) Hold(now time.Time, h api.EngineHold) error {
+// AddHold takes memory for an owner.
+func (b *Batcher) AddHold(now time.Time, h api.EngineHold) error {
 	if h.ID == "" || h.Tokens < 0 {
 		return RefusedError{400, "hold: id and tokens are needed"}
 	}
 	if _, ok := b.holds[h.ID]; ok {
 		return RefusedError{409, "hold: id in use"}
 	}
-	if b.Used()+h.Tokens > b.config.MemoryTokens {
-		return RefusedError{503, fmt.Sprintf("memory: %d of %d tokens held, %d more asked", b.Used(), b.config.MemoryTokens, h.Tokens)}
+	if b.UsedTokens()+h.Tokens > b.config.MemoryTokens {
+		return RefusedError{503, fmt.Sprintf("memory: %d of %d tokens held, %d more asked", b.UsedTokens(), b.config.MemoryTokens, h.Tokens)}
 	}
 	made := &hold{EngineHold: h, touched: now}
 	if h.Kind == api.HoldGroup {
@@ -163,8 +163,8 @@
 	return out
 }
 
-// Renew resets the age of holds and returns the ids that are not held.
-func (b *Batcher) Renew(now time.Time, ids []string) []string {
+// RenewHolds resets the age of holds and returns the ids that are not held.
+func (b *Batcher) RenewHolds(now time.Time, ids []string) []string {
 	var gone []string
 	for _, id := range ids {
 		h, ok := b.holds[id]
@@ -177,8 +177,8 @@
 	return gone
 }
 
-// Free gives up a hold that is at least olderThan old, and ends its stream.
-func (b *Batcher) Free(now time.Time, id string, olderThan time.Duration) bool {
+// FreeHold gives up a hold that is at least olderThan old, and ends its stream.
+func (b *Batcher) FreeHold(now time.Time, id string, olderThan time.Duration) bool {
 	h, ok := b.holds[id]
 	if !ok || now.Sub(h.touched) < olderThan {
 		return false
@@ -213,14 +213,14 @@
 	if len(st.group) > 0 {
 		need = 0
 	}
-	err := b.Hold(now, api.EngineHold{ID: st.attemptID, Owner: st.owner, Incarnation: st.incarnation, Kind: api.HoldStream, Tokens: need})
+	err := b.AddHold(now, api.EngineHold{ID: st.attemptID, Owner: st.owner, Incarnation: st.incarnation, Kind: api.HoldStream, Tokens: need})
 	if err != nil {
 		return nil, err
 	}
 	s := &stream{
 		id: st.attemptID, requestID: st.requestID, request: st.request, priority: st.priority,
 		arrived: now, prefill: float64(prompt + st.resumeFrom), prompt: prompt, next: st.resumeFrom,
-		tag:    Tag(st.request),
+		tag:    AnswerTag(st.request),
 		events: make(chan api.CompletionChunk, eventBuffer), done: make(chan struct{}),
 	}
 	b.takeShare(s, st.group)
@@ -247,18 +247,18 @@
 }
 
 func (b *Batcher) useCache(s *stream) {
-	if b.config.CachePrefixes == 0 || len(s.request.Prompt) < PrefixBytes {
+	if b.config.MaxCachedPrefixes == 0 || len(s.request.Prompt) < CachedPrefixBytes {
 		return
 	}
-	prefix := s.request.Prompt[:PrefixBytes]
+	prefix := s.request.Prompt[:CachedPrefixBytes]
 	if at := slices.Index(b.cache, prefix); at >= 0 {
-		s.prefill -= float64(api.EstimatePromptTokens(PrefixBytes))
+		s.prefill -= float64(api.EstimatePromptTokens(CachedPrefixBytes))
 		b.cache = slices.Delete(b.cache, at, at+1)
 	} else {
 		b.event(prefix, false)
 	}
 	b.cache = append(b.cache, prefix)
-	if len(b.cache) > b.config.CachePrefixes {
+	if len(b.cache) > b.config.MaxCachedPrefixes {
 		b.event(b.cache[0], true)
 		b.cache = b.cache[1:]
 	}
@@ -269,12 +269,12 @@
 	h.Write([]byte(prefix))
 	b.events = append(b.events, api.EngineCacheEvent{
 		Sequence: uint64(len(b.events) + 1), Prefix: fmt.Sprintf("%016x", h.Sum64()),
-		Tokens: api.EstimatePromptTokens(PrefixBytes), Dropped: dropped,
+		Tokens: api.EstimatePromptTokens(CachedPrefixBytes), Dropped: dropped,
 	})
 }
 
-// Step lets the engine work until now.
-func (b *Batcher) Step(now time.Time) {
+// Advance lets the engine work until now.
+func (b *Batcher) Advance(now time.Time) {
 	b.finishOrder(now)
 	budget := now.Sub(b.last).Seconds() * float64(b.config.PrefillRate)
 	b.last = now
@@ -321,7 +321,7 @@
 	for now.Sub(s.lastToken) >= b.config.TokenTime && len(s.events) < cap(s.events) {
 		s.lastToken = s.lastToken.Add(b.config.TokenTime)
 		if s.next < s.request.MaxTokens {
-			s.events <- s.chunk(Token(s.tag, s.next), 1, "", nil)
+			s.events <- s.chunk(AnswerToken(s.tag, s.next), 1, "", nil)
 			s.next++
 			continue
 		}
@@ -341,22 +341,22 @@
 	}
 }
 
-// Tag is what marks the answer to a request.
-func Tag(r api.CompletionRequest) string {
+// AnswerTag is what marks the answer to a request.
+func AnswerTag(r api.CompletionRequest) string {
 	h := fnv.New32a()
 	h.Write([]byte(r.Model))
 	h.Write([]byte(r.Prompt))
 	return fmt.Sprintf("%08x", h.Sum32())
 }
 
-// Token is the made-up answer token at an offset: a function of the request,
+// AnswerToken is the made-up answer token at an offset: a function of the request,
 // so that an answer resumed on another engine can be told whole.
-func Token(tag string, offset int) string {
+func AnswerToken(tag string, offset int) string {
 	return fmt.Sprintf("%s.%d ", tag, offset)
 }
 
 func (b *Batcher) record(now time.Time) {
-	b.load.UsedTokens, b.load.QueuedTokens, b.load.Streams = b.Used(), 0, len(b.streams)
+	b.load.UsedTokens, b.load.QueuedTokens, b.load.Streams = b.UsedTokens(), 0, len(b.streams)
 	for _, s := range b.byPriority() {
 		b.load.QueuedTokens += int(s.prefill)
 	}
@@ -366,8 +366,8 @@
 	}
 }
 
-// Report is the load report, which lags; identity and leaving do not.
-func (b *Batcher) Report() api.EngineLoad {
+// LoadReport is the load report, which lags; identity and leaving do not.
+func (b *Batcher) LoadReport() api.EngineLoad {
 	if len(b.reports) == 0 {
 		return b.load
 	}
@@ -376,19 +376,19 @@
 	return out
 }
 
-// Leave makes the engine say that it is leaving.
-func (b *Batcher) Leave(now time.Time) {
+// SetLeaving makes the engine say that it is leaving.
+func (b *Batcher) SetLeaving(now time.Time) {
 	if !b.load.Leaving {
 		b.leavingAt = now
 	}
 	b.load.Leaving = true
 }
 
-// Idle reports whether nothing runs.
-func (b *Batcher) Idle() bool { return len(b.streams) == 0 }
+// IsIdle reports whether nothing runs.
+func (b *Batcher) IsIdle() bool { return len(b.streams) == 0 }
 
-// Order takes an order to change what is served.
-func (b *Batcher) Order(now time.Time, o api.EngineOrder) error {
+// HandleOrder takes an order to change what is served.
+func (b *Batcher) HandleOrder(now time.Time, o api.EngineOrder) error {
 	if b.config.ChecksOrders && !slices.Contains(b.config.Issuers, o.Issuer) {
 		return RefusedError{403, "order: issuer is not allowed"}
 	}
@@ -399,7 +399,7 @@
 		return RefusedError{503, "order: streams in progress"}
 	}
 	b.load.Fence = max(b.load.Fence, o.Fence)
-	b.pending, b.loading = &o, now.Add(b.config.LoadTime)
+	b.pending, b.loading = &o, now.Add(b.config.WeightLoadTime)
 	b.finishOrder(now)
 	return nil
 }
--- a/standin/engine/direct.go
+++ b/standin/engine/direct.go
@@ -6,32 +6,32 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Prompt is an attempt given to a Batcher directly, without HTTP.
-type Prompt struct {
+// DirectAttempt is an attempt given to a Batcher directly, without HTTP.
+type DirectAttempt struct {
 	AttemptID string
 	Request   api.CompletionRequest
 	Priority  int
-	// Group is the hold ids of a group.
-	Group []string
+	// GroupHoldIDs is the hold ids of a group.
+	GroupHoldIDs []string
 }
 
-// Running is an attempt that was given to a Batcher directly.
-type Running struct{ s *stream }
+// RunningAttempt is an attempt that was given to a Batcher directly.
+type RunningAttempt struct{ s *stream }
 
-// Give starts an attempt. Nothing is started when it returns an error.
-func (b *Batcher) Give(now time.Time, p Prompt) (*Running, error) {
+// StartDirect starts an attempt. Nothing is started when it returns an error.
+func (b *Batcher) StartDirect(now time.Time, p DirectAttempt) (*RunningAttempt, error) {
 	s, err := b.Start(now, start{
-		requestID: p.AttemptID, attemptID: p.AttemptID, owner: "direct", priority: p.Priority, group: p.Group, request: p.Request,
+		requestID: p.AttemptID, attemptID: p.AttemptID, owner: "direct", priority: p.Priority, group: p.GroupHoldIDs, request: p.Request,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &Running{s: s}, nil
+	return &RunningAttempt{s: s}, nil
 }
 
-// Tokens takes the tokens that were made since the last call, and reports
+// ReceiveTokens takes the tokens that were made since the last call, and reports
 // whether the answer has ended.
-func (r *Running) Tokens() (made int, ended bool) {
+func (r *RunningAttempt) ReceiveTokens() (made int, ended bool) {
 	for {
 		select {
 		case c, more := <-r.s.events:
@@ -45,12 +45,12 @@
 	}
 }
 
-// Slow divides the engine's speed, as a gray failure does: it answers all
+// SlowDown divides the engine's speed, as a gray failure does: it answers all
 // questions and works slowly.
-func (b *Batcher) Slow(factor int) {
+func (b *Batcher) SlowDown(factor int) {
 	b.config.PrefillRate = max(1, b.config.PrefillRate/factor)
 	b.config.TokenTime *= time.Duration(factor)
 }
 
-// Lag sets the age of the load report.
-func (b *Batcher) Lag(lag time.Duration) { b.config.ReportLag = lag }
+// SetReportLag sets the age of the load report.
+func (b *Batcher) SetReportLag(lag time.Duration) { b.config.ReportLag = lag }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -53,7 +53,7 @@
 			return
 		case now := <-tick.C:
 			s.with(func(b *Batcher) {
-				b.Step(now)
+				b.Advance(now)
 				s.collect(now, b)
 			})
 		}
@@ -75,11 +75,11 @@
 
 // Drain makes the engine leave and waits until nothing runs.
 func (s *Server) Drain(ctx context.Context) {
-	s.with(func(b *Batcher) { b.Leave(time.Now()) })
+	s.with(func(b *Batcher) { b.SetLeaving(time.Now()) })
 	idle := false
 	for !idle && ctx.Err() == nil {
 		time.Sleep(stepTime)
-		s.with(func(b *Batcher) { idle = b.Idle() })
+		s.with(func(b *Batcher) { idle = b.IsIdle() })
 	}
 }
 
@@ -105,7 +105,7 @@
 	status := http.StatusBadRequest
 	var refused RefusedError
 	if errors.As(err, &refused) {
-		status = refused.Status
+		status = refused.StatusCode
 	}
 	w.Header().Set(api.HeaderStarted, "false")
 	w.WriteHeader(status)
@@ -144,7 +144,7 @@
 		refuse(w, err)
 		return
 	}
-	defer s.with(func(b *Batcher) { b.Free(time.Now(), stream.id, 0) })
+	defer s.with(func(b *Batcher) { b.FreeHold(time.Now(), stream.id, 0) })
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
@@ -202,7 +202,7 @@
 
 func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
 	var load api.EngineLoad
-	s.with(func(b *Batcher) { load = b.Report() })
+	s.with(func(b *Batcher) { load = b.LoadReport() })
 	reply(w, load)
 }
 
@@ -216,7 +216,7 @@
 	var h api.EngineHold
 	err := json.NewDecoder(r.Body).Decode(&h)
 	if err == nil {
-		s.with(func(b *Batcher) { err = b.Hold(time.Now(), h) })
+		s.with(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
 	}
 	if err != nil {
 		refuse(w, err)
@@ -231,14 +231,14 @@
 		refuse(w, err)
 		return
 	}
-	s.with(func(b *Batcher) { gone.IDs = b.Renew(time.Now(), renewal.IDs) })
+	s.with(func(b *Batcher) { gone.IDs = b.RenewHolds(time.Now(), renewal.IDs) })
 	reply(w, gone)
 }
 
 func (s *Server) freeHold(w http.ResponseWriter, r *http.Request) {
 	olderThan, _ := api.ParseSeconds(r.URL.Query().Get("older_than"))
 	freed := false
-	s.with(func(b *Batcher) { freed = b.Free(time.Now(), r.PathValue("id"), olderThan) })
+	s.with(func(b *Batcher) { freed = b.FreeHold(time.Now(), r.PathValue("id"), olderThan) })
 	if !freed {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -250,7 +250,7 @@
 	var o api.EngineOrder
 	err := json.NewDecoder(r.Body).Decode(&o)
 	if err == nil {
-		s.with(func(b *Batcher) { err = b.Order(time.Now(), o) })
+		s.with(func(b *Batcher) { err = b.HandleOrder(time.Now(), o) })
 	}
 	if err != nil {
 		refuse(w, err)
@@ -282,10 +282,10 @@
 	incarnation, _ := strconv.ParseUint(r.Header.Get(api.HeaderOwnerIncarnation), 10, 64)
 	h := api.EngineHold{
 		ID: r.Header.Get(api.HeaderAttemptID), Owner: r.Header.Get(api.HeaderOwner),
-		Incarnation: incarnation, Kind: kind, Tokens: api.EstimatePromptTokens(PrefixBytes),
+		Incarnation: incarnation, Kind: kind, Tokens: api.EstimatePromptTokens(CachedPrefixBytes),
 	}
 	var err error
-	s.with(func(b *Batcher) { err = b.Hold(time.Now(), h) })
+	s.with(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
 	if err != nil {
 		refuse(w, err)
 		return
@@ -294,7 +294,7 @@
 }
 
 func (s *Server) leave(w http.ResponseWriter, _ *http.Request) {
-	s.with(func(b *Batcher) { b.Leave(time.Now()) })
+	s.with(func(b *Batcher) { b.SetLeaving(time.Now()) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -312,7 +312,7 @@
 			out.Requests[id] = n
 		}
 		out.AfterLeaving, out.LateAfterLeaving = b.afterLeaving, b.lateAfterLeaving
-		out.UsedTokens = b.Used()
+		out.UsedTokens = b.UsedTokens()
 	})
 	reply(w, out)
 }
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -143,7 +143,7 @@
 	// keeperEntry is the index of the entry that runs the keeper.
 	keeperEntry int
 	// running has the requests that the engine prefills or answers.
-	running map[*request]*engine.Running
+	running map[*request]*engine.RunningAttempt
 	// isDead is true if the engine neither works nor answers.
 	isDead bool
 	// listedAt is the time of the last listing of holds.
@@ -186,7 +186,7 @@
 // addEngine adds the i-th engine, whose keeper runs on the member that owns it.
 func (f *fleet) addEngine(i int, members []assigner.Member) {
 	d := f.deployment
-	e := &simEngine{name: fmt.Sprintf("engine-%d", i), dataCentre: f.dataCentreOf(i), running: map[*request]*engine.Running{}}
+	e := &simEngine{name: fmt.Sprintf("engine-%d", i), dataCentre: f.dataCentreOf(i), running: map[*request]*engine.RunningAttempt{}}
 	lag := pollPeriod
 	if f.options.Fault == LaggedLoad {
 		lag = laggedLoadAge
@@ -217,7 +217,7 @@
 	case DeadEngine:
 		f.schedule(warmUp, func() { e.isDead = true })
 	case SlowEngine:
-		f.schedule(warmUp, func() { e.batcher.Slow(slowdownFactor) })
+		f.schedule(warmUp, func() { e.batcher.SlowDown(slowdownFactor) })
 	}
 }
 
@@ -282,9 +282,9 @@
 		if s.isDead {
 			continue
 		}
-		s.batcher.Step(f.now)
+		s.batcher.Advance(f.now)
 		for r, running := range s.running {
-			made, ended := running.Tokens()
+			made, ended := running.ReceiveTokens()
 			r.generatedTokens += made
 			if made > 0 && r.firstTokenAt.IsZero() {
 				f.recordFirstToken(r)
@@ -305,11 +305,11 @@
 			continue
 		}
 		if f.now.Sub(s.listedAt) < listPeriod {
-			s.keeper.RecordLoad(f.now, s.batcher.Report())
+			s.keeper.RecordLoad(f.now, s.batcher.LoadReport())
 			continue
 		}
 		s.listedAt = f.now
-		s.keeper.RecordReport(f.now, s.batcher.Report(), s.batcher.Holds(f.now))
+		s.keeper.RecordReport(f.now, s.batcher.LoadReport(), s.batcher.Holds(f.now))
 	}
 }
 
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -218,7 +218,7 @@
 	for _, shard := range r.groupShards {
 		ids = append(ids, shard.HoldID)
 	}
-	running, err := s.batcher.Give(f.now, engine.Prompt{AttemptID: r.attemptID, Request: f.completionRequest(r), Priority: f.priority(r), Group: ids})
+	running, err := s.batcher.StartDirect(f.now, engine.DirectAttempt{AttemptID: r.attemptID, Request: f.completionRequest(r), Priority: f.priority(r), GroupHoldIDs: ids})
 	if err != nil {
 		f.schedule(f.deployment.Latency, func() { f.retryPlacement(r, s) })
 		return
@@ -293,7 +293,7 @@
 	r.outcome = late
 	if s := r.engine; s != nil {
 		delete(s.running, r)
-		s.batcher.Free(f.now, r.attemptID, 0)
+		s.batcher.FreeHold(f.now, r.attemptID, 0)
 	}
 	f.releaseLoad(r)
 	f.freeGroup(r)
@@ -335,12 +335,12 @@
 // holdShards reserves all shards and returns true, or else reserves none.
 func (f *fleet) holdShards(shards []reserver.Shard) bool {
 	for i, shard := range shards {
-		err := f.engineByName[shard.Engine].batcher.Hold(f.now, api.EngineHold{ID: shard.HoldID, Kind: api.HoldGroup, Tokens: shard.Tokens})
+		err := f.engineByName[shard.Engine].batcher.AddHold(f.now, api.EngineHold{ID: shard.HoldID, Kind: api.HoldGroup, Tokens: shard.Tokens})
 		if err == nil {
 			continue
 		}
 		for _, held := range shards[:i] {
-			f.engineByName[held.Engine].batcher.Free(f.now, held.HoldID, 0)
+			f.engineByName[held.Engine].batcher.FreeHold(f.now, held.HoldID, 0)
 		}
 		return false
 	}
@@ -350,7 +350,7 @@
 // freeGroup releases the shards of a request, if it has any.
 func (f *fleet) freeGroup(r *request) {
 	for _, shard := range r.groupShards {
-		f.engineByName[shard.Engine].batcher.Free(f.now, shard.HoldID, 0)
+		f.engineByName[shard.Engine].batcher.FreeHold(f.now, shard.HoldID, 0)
 	}
 	r.groupShards = nil
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -19,14 +19,14 @@
 
 // Modes of the platform, set by tests.
 const (
-	// Up: answers with what was published last.
-	Up = "up"
-	// Down: answers nothing but errors.
-	Down = "down"
-	// Stale: answers with what it had when it went stale.
-	Stale = "stale"
-	// Back: answers with what was published before the last.
-	Back = "back"
+	// ModeUp: answers with what was published last.
+	ModeUp = "up"
+	// ModeDown: answers nothing but errors.
+	ModeDown = "down"
+	// ModeStale: answers with what it had when it went stale.
+	ModeStale = "stale"
+	// ModePrevious: answers with what was published before the last.
+	ModePrevious = "back"
 )
 
 // Server is the platform. Its values are set over HTTP by tests and by the
@@ -57,7 +57,7 @@
 
 // New returns a platform that publishes nothing yet.
 func New(listLag time.Duration) *Server {
-	return &Server{ListLag: listLag, mode: Up, changed: make(chan struct{})}
+	return &Server{ListLag: listLag, mode: ModeUp, changed: make(chan struct{})}
 }
 
 // Handler returns the platform's HTTP interface.
@@ -160,9 +160,9 @@
 
 func (s *Server) shown(h *history, lag time.Duration) []byte {
 	switch s.mode {
-	case Stale:
+	case ModeStale:
 		return h.frozen
-	case Back:
+	case ModePrevious:
 		if n := len(h.values); n > 1 {
 			return h.values[n-2].data
 		}
@@ -185,7 +185,7 @@
 	defer deadline.Stop()
 	for {
 		s.lock.Lock()
-		data, down, changed := s.shown(h, lag), s.mode == Down, s.changed
+		data, down, changed := s.shown(h, lag), s.mode == ModeDown, s.changed
 		s.lock.Unlock()
 		if down || data == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -12,26 +12,26 @@
 
 // Ways to cut the cable between two processes.
 const (
-	// Refuse resets connections and refuses new ones.
-	Refuse = "refuse"
-	// Stall carries nothing either way, and says nothing.
-	Stall = "stall"
-	// Answers carries what the caller sends and none of the answers.
-	Answers = "answers"
-	// Late carries everything, each read after LateTime.
-	Late = "late"
+	// ModeRefuse resets connections and refuses new ones.
+	ModeRefuse = "refuse"
+	// ModeStall carries nothing either way, and says nothing.
+	ModeStall = "stall"
+	// ModeDropAnswers carries what the caller sends and none of the answers.
+	ModeDropAnswers = "answers"
+	// ModeDelay carries everything, each read after LateTime.
+	ModeDelay = "late"
 )
 
-// LateTime is by how much a late cable delays each read.
-const LateTime = 150 * time.Millisecond
+// DelayTime is by how much a late cable delays each read.
+const DelayTime = 150 * time.Millisecond
 
 // Relay stands before one process. It tells who connects by the address that
 // the connection comes from, and treats each as the cable to it is set.
 type Relay struct {
 	front, back netip.AddrPort
-	// Count, where not nil, is told of all bytes carried; it is set before the
+	// OnBytes, where not nil, is told of all bytes carried; it is set before the
 	// first connection.
-	Count func(from netip.Addr, n int)
+	OnBytes func(from netip.Addr, n int)
 
 	lock     sync.Mutex
 	listener net.Listener
@@ -51,20 +51,20 @@
 }
 
 // Close ends the relay and all its connections.
-func (r *Relay) Close() { r.Down() }
+func (r *Relay) Close() { r.Stop() }
 
-// Down ends all connections, and nobody listens any more until Up, as where the process has
+// Stop ends all connections, and nobody listens any more until Up, as where the process has
 // ended.
-func (r *Relay) Down() {
+func (r *Relay) Stop() {
 	r.lock.Lock()
 	listener := r.listener
 	r.lock.Unlock()
 	_ = listener.Close()
-	r.Reset(func(netip.Addr) bool { return true })
+	r.CloseConnections(func(netip.Addr) bool { return true })
 }
 
-// Up listens again.
-func (r *Relay) Up() error {
+// Resume listens again.
+func (r *Relay) Resume() error {
 	l, err := net.Listen("tcp", r.front.String())
 	if err != nil {
 		return fmt.Errorf("listen again: %w", err)
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Reset closes the connections of the callers that which names.
-func (r *Relay) Reset(which func(netip.Addr) bool) {
+// CloseConnections closes the connections of the callers that which names.
+func (r *Relay) CloseConnections(which func(netip.Addr) bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for c, from := range r.open {
@@ -87,15 +87,15 @@
 	}
 }
 
-// Set cuts or, with an empty way, mends the cable to an address. Mending
+// SetMode cuts or, with an empty way, mends the cable to an address. Mending
 // resets what was stalled, as a real break outlasts any connection.
-func (r *Relay) Set(from netip.Addr, way string) {
+func (r *Relay) SetMode(from netip.Addr, way string) {
 	r.lock.Lock()
 	before := r.cuts[from]
 	r.cuts[from] = way
 	r.lock.Unlock()
-	if way == Refuse || way == "" && before != "" {
-		r.Reset(func(a netip.Addr) bool { return a == from })
+	if way == ModeRefuse || way == "" && before != "" {
+		r.CloseConnections(func(a netip.Addr) bool { return a == from })
 	}
 }
 
@@ -118,7 +118,7 @@
 func (r *Relay) carry(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	from := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	if r.way(from) == Refuse {
+	if r.way(from) == ModeRefuse {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return
 	}
@@ -137,8 +137,8 @@
 		r.lock.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go r.pipe(c, back, from, func(way string) bool { return way == Stall }, done)
-	go r.pipe(back, c, from, func(way string) bool { return way == Stall || way == Answers }, done)
+	go r.pipe(c, back, from, func(way string) bool { return way == ModeStall }, done)
+	go r.pipe(back, c, from, func(way string) bool { return way == ModeStall || way == ModeDropAnswers }, done)
 	<-done
 }
 
@@ -148,15 +148,15 @@
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
-		if r.way(source) == Late {
-			time.Sleep(LateTime)
+		if r.way(source) == ModeDelay {
+			time.Sleep(DelayTime)
 		}
 		for stalled(r.way(source)) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if n > 0 {
-			if r.Count != nil {
-				r.Count(source, n)
+			if r.OnBytes != nil {
+				r.OnBytes(source, n)
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
--- a/standin/worker/down.go
+++ b/standin/worker/down.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Down is the workers that have ended and are not started again yet.
-type Down struct {
+// DownSet is the workers that have ended and are not started again yet.
+type DownSet struct {
 	lock sync.Mutex
 	ids  map[string]bool
 	// pending counts them.
 	pending sync.WaitGroup
 }
 
-// Begin notes that a worker has ended, and reports whether it was up.
-func (d *Down) Begin(id string) bool {
+// MarkDown notes that a worker has ended, and reports whether it was up.
+func (d *DownSet) MarkDown(id string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if d.ids[id] {
@@ -25,13 +25,13 @@
 	return true
 }
 
-// End notes that it is up again.
-func (d *Down) End(id string) {
+// MarkUp notes that it is up again.
+func (d *DownSet) MarkUp(id string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	delete(d.ids, id)
 	d.pending.Done()
 }
 
-// Await waits until all are up.
-func (d *Down) Await() { d.pending.Wait() }
+// WaitAllUp waits until all are up.
+func (d *DownSet) WaitAllUp() { d.pending.Wait() }
--- a/standin/worker/order.go
+++ b/standin/worker/order.go
@@ -19,7 +19,7 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	switch {
-	case w.fault == Full:
+	case w.fault == FaultFull:
 		out.WriteHeader(http.StatusConflict)
 	case o.Operation == "reserve":
 		w.orders[o.ID] = o.Tokens
@@ -30,8 +30,8 @@
 	}
 }
 
-// Use marks a ticket as used by a request.
-func (w *Worker) Use(ticket string) {
+// MarkTicketUsed marks a ticket as used by a request.
+func (w *Worker) MarkTicketUsed(ticket string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.used[ticket] = true
--- a/standin/worker/plan.go
+++ b/standin/worker/plan.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Plan is how long the answers to requests last, by their ids.
-type Plan struct {
-	// Events is how many events a stream has.
-	Events func(id string) int
-	// Work is how long a plain call is worked on.
-	Work func(id, path string) time.Duration
+// AnswerPlan is how long the answers to requests last, by their ids.
+type AnswerPlan struct {
+	// EventCount is how many events a stream has.
+	EventCount func(id string) int
+	// CallDuration is how long a plain call is worked on.
+	CallDuration func(id, path string) time.Duration
 }
 
 // Lengths are drawn from ids, so that a second run of a request lasts as long as
 // the first, and callers know what they ask for.
 const (
-	// ShortestAnswer and LongestAnswer bound streams; callers wait 7 s.
-	ShortestAnswer = 300 * time.Millisecond
-	LongestAnswer  = 6900 * time.Millisecond
+	// MinAnswerDuration and LongestAnswer bound streams; callers wait 7 s.
+	MinAnswerDuration = 300 * time.Millisecond
+	MaxStreamDuration = 6900 * time.Millisecond
 	// usualAnswer bounds three streams in five.
 	usualAnswer = 1500 * time.Millisecond
 	// quickCall is how long seven plain calls in eight take.
@@ -31,15 +31,15 @@
 	longestSafeCall = 3 * time.Second
 )
 
-// DrawnPlan draws lengths, with a pause between events.
-func DrawnPlan(pause time.Duration) *Plan {
-	return &Plan{Events: func(id string) int { return int(drawnAnswer(id) / pause) }, Work: drawnWork}
+// RandomPlan draws lengths, with a pause between events.
+func RandomPlan(pause time.Duration) *AnswerPlan {
+	return &AnswerPlan{EventCount: func(id string) int { return int(drawnAnswer(id) / pause) }, CallDuration: drawnWork}
 }
 
-// Usage returns the most tokens that a caller allows for the answer, up to half more than it
+// TokenUsage returns the most tokens that a caller allows for the answer, up to half more than it
 // has, and the caller's estimate, which may be too low or too high.
-func (p *Plan) Usage(id string, tokensOfEvent int) (most, hint int) {
-	r, tokens := randomOf(id+" usage"), float64(p.Events(id)*tokensOfEvent)
+func (p *AnswerPlan) TokenUsage(id string, tokensOfEvent int) (most, hint int) {
+	r, tokens := randomOf(id+" usage"), float64(p.EventCount(id)*tokensOfEvent)
 	return int(tokens * (1 + r.Float64()/2)), int(tokens * (0.6 + 0.8*r.Float64()))
 }
 
@@ -56,9 +56,9 @@
 func drawnAnswer(id string) time.Duration {
 	r := randomOf(id)
 	if r.IntN(5) < 3 {
-		return between(r, ShortestAnswer, usualAnswer)
+		return between(r, MinAnswerDuration, usualAnswer)
 	}
-	return between(r, usualAnswer, LongestAnswer)
+	return between(r, usualAnswer, MaxStreamDuration)
 }
 
 func drawnWork(id, path string) time.Duration {
@@ -67,7 +67,7 @@
 		return quickCall
 	}
 	if strings.HasPrefix(path, "/safe/") {
-		return between(r, ShortestAnswer, longestSafeCall)
+		return between(r, MinAnswerDuration, longestSafeCall)
 	}
-	return between(r, ShortestAnswer, longestCall)
+	return between(r, MinAnswerDuration, longestCall)
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -21,58 +21,58 @@
 
 // The faults.
 const (
-	// Sound answers.
-	Sound Fault = iota
-	// Full answers 503 and states that it did not run the request.
-	Full
-	// Failing runs the request and answers 500.
-	Failing
-	// Lost runs the request and breaks the connection instead of answering.
-	Lost
-	// Mute runs the request and says nothing.
-	Mute
-	// Torn breaks off in the middle of the answer, streams within an event.
-	Torn
-	// Short ends a stream as if it were whole, in the middle of an event.
-	Short
-	// Foreign answers with another request's id.
-	Foreign
-	// Extra sends a second answer after the first.
-	Extra
-	// Unsigned answers without the signature.
-	Unsigned
-	// Unframed ends its answer with the connection.
-	Unframed
-	// Slow takes SlowWork before it answers.
-	Slow
-	// Pausing answers 503, states that it did not run the request, and wants none for PauseTime.
-	Pausing
+	// FaultNone answers.
+	FaultNone Fault = iota
+	// FaultFull answers 503 and states that it did not run the request.
+	FaultFull
+	// FaultServerError runs the request and answers 500.
+	FaultServerError
+	// FaultConnectionLost runs the request and breaks the connection instead of answering.
+	FaultConnectionLost
+	// FaultNoAnswer runs the request and says nothing.
+	FaultNoAnswer
+	// FaultBrokenOff breaks off in the middle of the answer, streams within an event.
+	FaultBrokenOff
+	// FaultEndsEarly ends a stream as if it were whole, in the middle of an event.
+	FaultEndsEarly
+	// FaultForeignID answers with another request's id.
+	FaultForeignID
+	// FaultExtraAnswer sends a second answer after the first.
+	FaultExtraAnswer
+	// FaultUnsigned answers without the signature.
+	FaultUnsigned
+	// FaultUnframed ends its answer with the connection.
+	FaultUnframed
+	// FaultSlow takes SlowWork before it answers.
+	FaultSlow
+	// FaultBackoff answers 503, states that it did not run the request, and wants none for PauseTime.
+	FaultBackoff
 )
 
-// PauseTime is for how long a worker that is Pausing wants no requests from an entry that it
+// BackoffTime is for how long a worker that is Pausing wants no requests from an entry that it
 // has told so.
-const PauseTime = 3 * time.Second
-
-// SlowWork is how long a worker that is Slow takes.
-const SlowWork = 1900 * time.Millisecond
-
-// Faults lists all faults.
-var Faults = []Fault{Sound, Full, Failing, Lost, Mute, Torn, Short, Foreign, Extra, Unsigned, Unframed, Slow, Pausing}
-
-// Run is one request that a worker began to work on.
-type Run struct {
-	ID        string
-	Tenant    string
-	Path      string
-	LastEvent string
-	Helpers   string
-	Priority  string
-	Body      string
-	Left      time.Duration
-	// Upstream is the worker's id, Fault how it answered. Process counts the worker's starts.
-	Upstream string
-	Fault    Fault
-	Process  int
+const BackoffTime = 3 * time.Second
+
+// SlowWorkTime is how long a worker that is Slow takes.
+const SlowWorkTime = 1900 * time.Millisecond
+
+// AllFaults lists all faults.
+var AllFaults = []Fault{FaultNone, FaultFull, FaultServerError, FaultConnectionLost, FaultNoAnswer, FaultBrokenOff, FaultEndsEarly, FaultForeignID, FaultExtraAnswer, FaultUnsigned, FaultUnframed, FaultSlow, FaultBackoff}
+
+// Execution is one request that a worker began to work on.
+type Execution struct {
+	RequestID    string
+	Organisation string
+	Path         string
+	LastEventID  string
+	Helpers      string
+	Priority     string
+	Body         string
+	Remaining    time.Duration
+	// WorkerID is the worker's id, Fault how it answered. Process counts the worker's starts.
+	WorkerID    string
+	Fault       Fault
+	Incarnation int
 	// Crashed is true where the run ended its worker's process.
 	Crashed bool
 	// Began and Ended are when the worker took the run and let it go; Ended is
@@ -88,13 +88,13 @@
 	events      int
 	pause, work time.Duration
 	// plan, where not nil, takes the place of events and, for plain calls, work.
-	plan *Plan
+	plan *AnswerPlan
 
 	lock  sync.Mutex
 	fault Fault
-	runs  []Run
+	runs  []Execution
 	// refused are requests that the worker was too full for; they are no runs.
-	refused []Run
+	refused []Execution
 	now     *incarnation
 	// process counts the starts.
 	process int
@@ -124,9 +124,9 @@
 	return &Worker{id: id, work: work, events: events, pause: pause, now: newIncarnation(), orders: map[string]int{}, used: map[string]bool{}}
 }
 
-// Follow has each request's answer last as a plan says. It is called before
+// SetPlan has each request's answer last as a plan says. It is called before
 // the first request.
-func (w *Worker) Follow(p *Plan) { w.plan = p }
+func (w *Worker) SetPlan(p *AnswerPlan) { w.plan = p }
 
 // crashAfter is how long a process runs a request that crashes it.
 const crashAfter = 60 * time.Millisecond
@@ -134,8 +134,8 @@
 // crashPart is what the paths contain of requests that crash what runs them.
 const crashPart = "/crash"
 
-// Crashes reports whether a request to a path crashes whatever runs it.
-func Crashes(path string) bool { return strings.Contains(path, crashPart) }
+// IsCrashPath reports whether a request to a path crashes whatever runs it.
+func IsCrashPath(path string) bool { return strings.Contains(path, crashPart) }
 
 // OnCrash has a function called when a request crashes the worker. It ends the
 // worker's connections, keeps its address from answering for a while, and calls Restart.
@@ -148,30 +148,30 @@
 	w.fault = f
 }
 
-// Leave has the worker say in all its answers that it leaves, until it is started again. It goes
+// SetLeaving has the worker say in all its answers that it leaves, until it is started again. It goes
 // on serving.
-func (w *Worker) Leave() {
+func (w *Worker) SetLeaving() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.now.leaving = true
 }
 
-// Runs returns all that ran.
-func (w *Worker) Runs() []Run {
+// Executions returns all that ran.
+func (w *Worker) Executions() []Execution {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return append([]Run(nil), w.runs...)
+	return append([]Execution(nil), w.runs...)
 }
 
-// Refused is how many requests the worker has turned away.
-func (w *Worker) Refused() int {
+// RefusedCount is how many requests the worker has turned away.
+func (w *Worker) RefusedCount() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return len(w.refused)
 }
 
-// Working is how many requests are being worked on.
-func (w *Worker) Working() int {
+// InProgress is how many requests are being worked on.
+func (w *Worker) InProgress() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.now.working
@@ -189,46 +189,46 @@
 	clear(w.orders)
 }
 
-// RunsOf returns the runs of a request at all of the workers, the earliest first.
-func RunsOf(workers iter.Seq[*Worker], id string) []Run {
-	return runsOf(workers, id, func(w *Worker) []Run { return w.runs })
+// ExecutionsOf returns the runs of a request at all of the workers, the earliest first.
+func ExecutionsOf(workers iter.Seq[*Worker], id string) []Execution {
+	return runsOf(workers, id, func(w *Worker) []Execution { return w.runs })
 }
 
 // RefusalsOf returns when workers were too full for a request, the earliest first.
-func RefusalsOf(workers iter.Seq[*Worker], id string) []Run {
-	return runsOf(workers, id, func(w *Worker) []Run { return w.refused })
+func RefusalsOf(workers iter.Seq[*Worker], id string) []Execution {
+	return runsOf(workers, id, func(w *Worker) []Execution { return w.refused })
 }
 
-func runsOf(workers iter.Seq[*Worker], id string, of func(*Worker) []Run) []Run {
-	var found []Run
+func runsOf(workers iter.Seq[*Worker], id string, of func(*Worker) []Execution) []Execution {
+	var found []Execution
 	for w := range workers {
 		w.lock.Lock()
 		for _, r := range of(w) {
-			if r.ID == id {
+			if r.RequestID == id {
 				found = append(found, r)
 			}
 		}
 		w.lock.Unlock()
 	}
-	slices.SortFunc(found, func(a, b Run) int { return a.Began.Compare(b.Began) })
+	slices.SortFunc(found, func(a, b Execution) int { return a.Began.Compare(b.Began) })
 	return found
 }
 
-// TimesRun is how often a request ran at all of the workers.
-func TimesRun(workers iter.Seq[*Worker], id string) int { return len(RunsOf(workers, id)) }
+// ExecutionCount is how often a request ran at all of the workers.
+func ExecutionCount(workers iter.Seq[*Worker], id string) int { return len(ExecutionsOf(workers, id)) }
 
-// Held returns the memory set aside, by ticket.
-func (w *Worker) Held() map[string]int {
+// ReservedTokens returns the memory set aside, by ticket.
+func (w *Worker) ReservedTokens() map[string]int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return maps.Clone(w.orders)
 }
 
-// Body is the answer to a plain request.
-func Body(id string) string { return "answer to " + id }
+// AnswerBody is the answer to a plain request.
+func AnswerBody(id string) string { return "answer to " + id }
 
-// Event is one event of the answer to a stream.
-func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
+// StreamEvent is one event of the answer to a stream.
+func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
 // ServeHTTP answers one request.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
@@ -252,16 +252,16 @@
 	}
 	w.lock.Lock()
 	fault := w.fault
-	refuses, leaving := fault == Full || fault == Pausing, w.now.leaving
+	refuses, leaving := fault == FaultFull || fault == FaultBackoff, w.now.leaving
 	if refuses {
-		w.refused = append(w.refused, Run{ID: id, Upstream: w.id, Fault: fault, Began: time.Now(), Ended: time.Now(), Process: w.process})
+		w.refused = append(w.refused, Execution{RequestID: id, WorkerID: w.id, Fault: fault, Began: time.Now(), Ended: time.Now(), Incarnation: w.process})
 	}
 	w.lock.Unlock()
 	if leaving {
 		out.Header().Set("Server-Leaving", "1")
 	}
-	if fault == Pausing {
-		out.Header().Set("Retry-After", strconv.FormatFloat(PauseTime.Seconds(), 'f', -1, 64))
+	if fault == FaultBackoff {
+		out.Header().Set("Retry-After", strconv.FormatFloat(BackoffTime.Seconds(), 'f', -1, 64))
 	}
 	if refuses {
 		out.Header().Set("X-Not-Executed", "1")
@@ -271,29 +271,29 @@
 	now, run := w.begin(r, id, string(body), fault)
 	defer w.end(now, run)
 	out.Header().Set("X-Attempt-Id", id)
-	if fault == Foreign {
+	if fault == FaultForeignID {
 		out.Header().Set("X-Attempt-Id", "another")
 	}
-	if fault != Unsigned {
+	if fault != FaultUnsigned {
 		out.Header().Set("X-Engine-Stamp", w.id)
 	}
-	if w.crash != nil && Crashes(r.URL.Path) {
+	if w.crash != nil && IsCrashPath(r.URL.Path) {
 		w.beCrashed(r, now, run)
 		return
 	}
 	work := w.workFor(r, id)
-	if fault == Slow {
-		work += SlowWork - w.work
+	if fault == FaultSlow {
+		work += SlowWorkTime - w.work
 	}
 	if !now.sleep(r, work) {
 		return
 	}
 	switch fault {
-	case Failing:
+	case FaultServerError:
 		out.WriteHeader(http.StatusInternalServerError)
-	case Lost:
+	case FaultConnectionLost:
 		panic(http.ErrAbortHandler)
-	case Mute:
+	case FaultNoAnswer:
 		<-r.Context().Done()
 	default:
 		w.answer(out, r, now, fault, id)
@@ -319,7 +319,7 @@
 // workFor is how long a sound worker works before it answers.
 func (w *Worker) workFor(r *http.Request, id string) time.Duration {
 	if w.plan != nil && r.Header.Get("X-Token-Usage") == "" {
-		return w.plan.Work(id, r.URL.Path)
+		return w.plan.CallDuration(id, r.URL.Path)
 	}
 	return w.work
 }
@@ -327,7 +327,7 @@
 // eventsFor is how many events the answer to a stream has.
 func (w *Worker) eventsFor(id string) int {
 	if w.plan != nil {
-		return w.plan.Events(id)
+		return w.plan.EventCount(id)
 	}
 	return w.events
 }
@@ -338,10 +338,10 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.now.working++
-	w.runs = append(w.runs, Run{
-		ID: id, Tenant: r.Header.Get("X-Tenant"), Path: r.RequestURI, LastEvent: r.Header.Get("Last-Event-Id"),
-		Helpers: r.Header.Get("X-Helpers"), Priority: r.Header.Get("X-Request-Priority"), Body: body, Left: time.Duration(left) * time.Millisecond,
-		Upstream: w.id, Fault: fault, Process: w.process, Began: time.Now(),
+	w.runs = append(w.runs, Execution{
+		RequestID: id, Organisation: r.Header.Get("X-Tenant"), Path: r.RequestURI, LastEventID: r.Header.Get("Last-Event-Id"),
+		Helpers: r.Header.Get("X-Helpers"), Priority: r.Header.Get("X-Request-Priority"), Body: body, Remaining: time.Duration(left) * time.Millisecond,
+		WorkerID: w.id, Fault: fault, Incarnation: w.process, Began: time.Now(),
 	})
 	return w.now, len(w.runs) - 1
 }
@@ -371,15 +371,15 @@
 		w.stream(out, r, now, fault, id)
 		return
 	}
-	body := Body(id)
+	body := AnswerBody(id)
 	switch fault {
-	case Torn:
+	case FaultBrokenOff:
 		out.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = io.WriteString(out, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
-	case Extra:
+	case FaultExtraAnswer:
 		raw(out, fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
-	case Unframed:
+	case FaultUnframed:
 		raw(out, "\r\n"+body)
 	default:
 		_, _ = io.WriteString(out, body)
@@ -406,11 +406,11 @@
 	flusher := http.NewResponseController(out)
 	events, began := w.eventsFor(id), time.Now()
 	for n := first + 1; n <= events; n++ {
-		event := Event(id, n)
-		if half := first + (events-first+1)/2; n == half && (fault == Torn || fault == Short) {
+		event := StreamEvent(id, n)
+		if half := first + (events-first+1)/2; n == half && (fault == FaultBrokenOff || fault == FaultEndsEarly) {
 			_, _ = io.WriteString(out, event[:len(event)/2])
 			_ = flusher.Flush()
-			if fault == Torn {
+			if fault == FaultBrokenOff {
 				panic(http.ErrAbortHandler)
 			}
 			return
