--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -43,8 +43,8 @@
 // prompt by.
 const CachedPrefixBytes = 256
 
-// eventBuffer is how many chunks wait for a slow reader before decoding does.
-const eventBuffer = 256
+// chunkBuffer is how many chunks wait for a slow reader before decoding does.
+const chunkBuffer = 256
 
 // leavingGrace is the time within which new work may still reach an engine
 // that has begun to leave.
@@ -52,62 +52,62 @@
 
 // stream is one attempt on the engine.
 type stream struct {
-	id        string
+	attemptID string
 	requestID string
 	request   api.CompletionRequest
 	priority  int
 	arrived   time.Time
-	// prefill is prompt tokens left for this engine to do.
-	prefill float64
-	prompt  int
-	// next is the offset of the next answer token.
-	next int
-	// lastToken is when a token was last made.
-	lastToken time.Time
-	// tag marks the answer as that of this prompt.
-	tag    string
-	events chan api.CompletionChunk
-	// done is closed when the stream ends before its answer does.
-	done chan struct{}
+	// prefillLeft is prompt tokens left for this engine to do.
+	prefillLeft  float64
+	promptTokens int
+	// nextOffset is the offset of the next answer token.
+	nextOffset int
+	// lastTokenAt is when a token was last made.
+	lastTokenAt time.Time
+	// answerTag marks the answer as that of this prompt.
+	answerTag string
+	chunks    chan api.CompletionChunk
+	// aborted is closed when the stream ends before its answer does.
+	aborted chan struct{}
 }
 
 type hold struct {
 	api.EngineHold
-	touched time.Time
-	// share is the part of a group's prefill that this engine does.
-	share *stream
+	renewedAt time.Time
+	// shard is the part of a group's prefill that this engine does.
+	shard *stream
 }
 
 // Batcher is the engine's scheduler: continuous batching with a budget for
 // prefill. It is not safe for concurrent use.
 type Batcher struct {
-	config  Config
-	load    api.EngineLoad
-	holds   map[string]*hold
-	streams map[string]*stream
-	last    time.Time
-	reports []report
-	loading time.Time
-	pending *api.EngineOrder
-	cache   []string
-	events  []api.EngineCacheEvent
-	// ran counts the streams started, by request.
-	ran map[string]int
-	// afterLeaving counts streams started after the engine was leaving, and
+	config         Config
+	load           api.EngineLoad
+	holds          map[string]*hold
+	streams        map[string]*stream
+	advancedAt     time.Time
+	loadHistory    []loadSnapshot
+	loadingEnds    time.Time
+	pendingOrder   *api.EngineOrder
+	cachedPrefixes []string
+	cacheEvents    []api.EngineCacheEvent
+	// startsByRequest counts the streams started, by request.
+	startsByRequest map[string]int
+	// startsAfterLeaving counts streams started after the engine was leaving, and
 	// lateAfterLeaving those more than leavingGrace after.
-	afterLeaving     int
-	lateAfterLeaving int
-	leavingAt        time.Time
+	startsAfterLeaving int
+	startsAfterGrace   int
+	leavingAt          time.Time
 }
 
-type report struct {
+type loadSnapshot struct {
 	at   time.Time
 	load api.EngineLoad
 }
 
 // NewBatcher returns an idle engine.
 func NewBatcher(now time.Time, c Config) *Batcher {
-	b := &Batcher{config: c, holds: map[string]*hold{}, streams: map[string]*stream{}, ran: map[string]int{}, last: now}
+	b := &Batcher{config: c, holds: map[string]*hold{}, streams: map[string]*stream{}, startsByRequest: map[string]int{}, advancedAt: now}
 	b.load = api.EngineLoad{
 		Name: c.Name, Incarnation: c.Incarnation, Model: c.Model, Version: c.Version,
 		Adapters: c.Adapters, Role: c.Role, MemoryTokens: c.MemoryTokens,
@@ -143,11 +143,11 @@
 	if b.UsedTokens()+h.Tokens > b.config.MemoryTokens {
 		return RefusedError{503, fmt.Sprintf("memory: %d of %d tokens held, %d more asked", b.UsedTokens(), b.config.MemoryTokens, h.Tokens)}
 	}
-	made := &hold{EngineHold: h, touched: now}
+	added := &hold{EngineHold: h, renewedAt: now}
 	if h.Kind == api.HoldGroup {
-		made.share = &stream{id: h.ID, arrived: now, prefill: float64(h.Tokens)}
+		added.shard = &stream{attemptID: h.ID, arrived: now, prefillLeft: float64(h.Tokens)}
 	}
-	b.holds[h.ID] = made
+	b.holds[h.ID] = added
 	return nil
 }
 
@@ -155,9 +155,9 @@
 func (b *Batcher) Holds(now time.Time) []api.EngineHold {
 	out := make([]api.EngineHold, 0, len(b.holds))
 	for _, h := range b.holds {
-		line := h.EngineHold
-		line.AgeSeconds = now.Sub(h.touched).Seconds()
-		out = append(out, line)
+		listed := h.EngineHold
+		listed.AgeSeconds = now.Sub(h.renewedAt).Seconds()
+		out = append(out, listed)
 	}
 	slices.SortFunc(out, func(x, y api.EngineHold) int { return cmp.Compare(x.ID, y.ID) })
 	return out
@@ -165,34 +165,34 @@
 
 // RenewHolds resets the age of holds and returns the ids that are not held.
 func (b *Batcher) RenewHolds(now time.Time, ids []string) []string {
-	var gone []string
+	var missing []string
 	for _, id := range ids {
 		h, ok := b.holds[id]
 		if !ok {
-			gone = append(gone, id)
+			missing = append(missing, id)
 			continue
 		}
-		h.touched = now
+		h.renewedAt = now
 	}
-	return gone
+	return missing
 }
 
 // FreeHold gives up a hold that is at least olderThan old, and ends its stream.
 func (b *Batcher) FreeHold(now time.Time, id string, olderThan time.Duration) bool {
 	h, ok := b.holds[id]
-	if !ok || now.Sub(h.touched) < olderThan {
+	if !ok || now.Sub(h.renewedAt) < olderThan {
 		return false
 	}
 	delete(b.holds, id)
 	if s, running := b.streams[id]; running {
-		close(s.done)
+		close(s.aborted)
 		delete(b.streams, id)
 	}
 	return true
 }
 
-// start is what a stream is started with.
-type start struct {
+// startParams is what a stream is started with.
+type startParams struct {
 	requestID, attemptID, owner string
 	incarnation                 uint64
 	priority, resumeFrom        int
@@ -201,142 +201,142 @@
 }
 
 // Start begins a stream. Nothing is started when it returns an error.
-func (b *Batcher) Start(now time.Time, st start) (*stream, error) {
-	if b.pending != nil {
+func (b *Batcher) Start(now time.Time, st startParams) (*stream, error) {
+	if b.pendingOrder != nil {
 		return nil, RefusedError{503, "loading"}
 	}
 	if st.request.Model != b.load.Model {
 		return nil, RefusedError{404, "model is not loaded"}
 	}
 	prompt := api.EstimatePromptTokens(len(st.request.Prompt))
-	need := prompt + st.request.MaxTokens
+	tokens := prompt + st.request.MaxTokens
 	if len(st.group) > 0 {
-		need = 0
+		tokens = 0
 	}
-	err := b.AddHold(now, api.EngineHold{ID: st.attemptID, Owner: st.owner, Incarnation: st.incarnation, Kind: api.HoldStream, Tokens: need})
+	err := b.AddHold(now, api.EngineHold{ID: st.attemptID, Owner: st.owner, Incarnation: st.incarnation, Kind: api.HoldStream, Tokens: tokens})
 	if err != nil {
 		return nil, err
 	}
 	s := &stream{
-		id: st.attemptID, requestID: st.requestID, request: st.request, priority: st.priority,
-		arrived: now, prefill: float64(prompt + st.resumeFrom), prompt: prompt, next: st.resumeFrom,
-		tag:    AnswerTag(st.request),
-		events: make(chan api.CompletionChunk, eventBuffer), done: make(chan struct{}),
-	}
-	b.takeShare(s, st.group)
-	b.useCache(s)
-	b.streams[s.id] = s
-	b.ran[s.requestID]++
+		attemptID: st.attemptID, requestID: st.requestID, request: st.request, priority: st.priority,
+		arrived: now, prefillLeft: float64(prompt + st.resumeFrom), promptTokens: prompt, nextOffset: st.resumeFrom,
+		answerTag: AnswerTag(st.request),
+		chunks:    make(chan api.CompletionChunk, chunkBuffer), aborted: make(chan struct{}),
+	}
+	b.adoptShard(s, st.group)
+	b.useCachedPrefix(s)
+	b.streams[s.attemptID] = s
+	b.startsByRequest[s.requestID]++
 	if b.load.Leaving {
-		b.afterLeaving++
+		b.startsAfterLeaving++
 	}
 	if b.load.Leaving && now.Sub(b.leavingAt) > leavingGrace {
-		b.lateAfterLeaving++
+		b.startsAfterGrace++
 	}
 	return s, nil
 }
 
-// takeShare leaves the stream of a group only this engine's part of the
+// adoptShard leaves the stream of a group only this engine's part of the
 // prefill; the others do theirs under their own holds.
-func (b *Batcher) takeShare(s *stream, group []string) {
+func (b *Batcher) adoptShard(s *stream, group []string) {
 	for _, id := range group {
-		if h, ok := b.holds[id]; ok && h.share != nil {
-			s.prefill, h.share = h.share.prefill, nil
+		if h, ok := b.holds[id]; ok && h.shard != nil {
+			s.prefillLeft, h.shard = h.shard.prefillLeft, nil
 		}
 	}
 }
 
-func (b *Batcher) useCache(s *stream) {
+func (b *Batcher) useCachedPrefix(s *stream) {
 	if b.config.MaxCachedPrefixes == 0 || len(s.request.Prompt) < CachedPrefixBytes {
 		return
 	}
 	prefix := s.request.Prompt[:CachedPrefixBytes]
-	if at := slices.Index(b.cache, prefix); at >= 0 {
-		s.prefill -= float64(api.EstimatePromptTokens(CachedPrefixBytes))
-		b.cache = slices.Delete(b.cache, at, at+1)
+	if index := slices.Index(b.cachedPrefixes, prefix); index >= 0 {
+		s.prefillLeft -= float64(api.EstimatePromptTokens(CachedPrefixBytes))
+		b.cachedPrefixes = slices.Delete(b.cachedPrefixes, index, index+1)
 	} else {
-		b.event(prefix, false)
+		b.recordCacheEvent(prefix, false)
 	}
-	b.cache = append(b.cache, prefix)
-	if len(b.cache) > b.config.MaxCachedPrefixes {
-		b.event(b.cache[0], true)
-		b.cache = b.cache[1:]
+	b.cachedPrefixes = append(b.cachedPrefixes, prefix)
+	if len(b.cachedPrefixes) > b.config.MaxCachedPrefixes {
+		b.recordCacheEvent(b.cachedPrefixes[0], true)
+		b.cachedPrefixes = b.cachedPrefixes[1:]
 	}
 }
 
-func (b *Batcher) event(prefix string, dropped bool) {
+func (b *Batcher) recordCacheEvent(prefix string, dropped bool) {
 	h := fnv.New64a()
 	h.Write([]byte(prefix))
-	b.events = append(b.events, api.EngineCacheEvent{
-		Sequence: uint64(len(b.events) + 1), Prefix: fmt.Sprintf("%016x", h.Sum64()),
+	b.cacheEvents = append(b.cacheEvents, api.EngineCacheEvent{
+		Sequence: uint64(len(b.cacheEvents) + 1), Prefix: fmt.Sprintf("%016x", h.Sum64()),
 		Tokens: api.EstimatePromptTokens(CachedPrefixBytes), Dropped: dropped,
 	})
 }
 
 // Advance lets the engine work until now.
 func (b *Batcher) Advance(now time.Time) {
-	b.finishOrder(now)
-	budget := now.Sub(b.last).Seconds() * float64(b.config.PrefillRate)
-	b.last = now
-	for _, s := range b.byPriority() {
-		if s.prefill > 0 {
-			budget = s.takePrefill(budget, now)
+	b.finishLoading(now)
+	budget := now.Sub(b.advancedAt).Seconds() * float64(b.config.PrefillRate)
+	b.advancedAt = now
+	for _, s := range b.streamsByPriority() {
+		if s.prefillLeft > 0 {
+			budget = s.prefill(budget, now)
 			continue
 		}
-		if s.events != nil {
+		if s.chunks != nil {
 			b.decode(now, s)
 		}
 	}
-	b.record(now)
+	b.recordLoad(now)
 }
 
-func (s *stream) takePrefill(budget float64, now time.Time) float64 {
-	work := min(budget, s.prefill)
-	s.prefill -= work
-	if s.prefill < 0.5 {
-		s.prefill = 0
-		s.lastToken = now
+func (s *stream) prefill(budget float64, now time.Time) float64 {
+	done := min(budget, s.prefillLeft)
+	s.prefillLeft -= done
+	if s.prefillLeft < 0.5 {
+		s.prefillLeft = 0
+		s.lastTokenAt = now
 	}
-	return budget - work
+	return budget - done
 }
 
-func (b *Batcher) byPriority() []*stream {
+func (b *Batcher) streamsByPriority() []*stream {
 	out := make([]*stream, 0, len(b.streams))
 	for _, s := range b.streams {
 		out = append(out, s)
 	}
 	for _, h := range b.holds {
-		if h.share != nil && h.share.prefill > 0 {
-			out = append(out, h.share)
+		if h.shard != nil && h.shard.prefillLeft > 0 {
+			out = append(out, h.shard)
 		}
 	}
 	slices.SortFunc(out, func(x, y *stream) int {
-		return cmp.Or(cmp.Compare(y.priority, x.priority), x.arrived.Compare(y.arrived), cmp.Compare(x.id, y.id))
+		return cmp.Or(cmp.Compare(y.priority, x.priority), x.arrived.Compare(y.arrived), cmp.Compare(x.attemptID, y.attemptID))
 	})
 	return out
 }
 
 // decode makes the tokens that are due.
 func (b *Batcher) decode(now time.Time, s *stream) {
-	for now.Sub(s.lastToken) >= b.config.TokenTime && len(s.events) < cap(s.events) {
-		s.lastToken = s.lastToken.Add(b.config.TokenTime)
-		if s.next < s.request.MaxTokens {
-			s.events <- s.chunk(AnswerToken(s.tag, s.next), 1, "", nil)
-			s.next++
+	for now.Sub(s.lastTokenAt) >= b.config.TokenTime && len(s.chunks) < cap(s.chunks) {
+		s.lastTokenAt = s.lastTokenAt.Add(b.config.TokenTime)
+		if s.nextOffset < s.request.MaxTokens {
+			s.chunks <- s.newChunk(AnswerToken(s.answerTag, s.nextOffset), 1, "", nil)
+			s.nextOffset++
 			continue
 		}
-		usage := &api.CompletionUsage{PromptTokens: s.prompt, CompletionTokens: s.next}
-		s.events <- s.chunk("", 0, "stop", usage)
-		close(s.events)
-		delete(b.streams, s.id)
-		delete(b.holds, s.id)
+		usage := &api.CompletionUsage{PromptTokens: s.promptTokens, CompletionTokens: s.nextOffset}
+		s.chunks <- s.newChunk("", 0, "stop", usage)
+		close(s.chunks)
+		delete(b.streams, s.attemptID)
+		delete(b.holds, s.attemptID)
 		return
 	}
 }
 
-func (s *stream) chunk(text string, tokens int, finish string, usage *api.CompletionUsage) api.CompletionChunk {
+func (s *stream) newChunk(text string, tokens int, finish string, usage *api.CompletionUsage) api.CompletionChunk {
 	return api.CompletionChunk{
-		ID: s.requestID, AttemptID: s.id, Offset: s.next, Usage: usage,
+		ID: s.requestID, AttemptID: s.attemptID, Offset: s.nextOffset, Usage: usage,
 		Choices: []api.CompletionChoice{{Text: text, Tokens: tokens, FinishReason: finish}},
 	}
 }
@@ -355,23 +355,23 @@
 	return fmt.Sprintf("%s.%d ", tag, offset)
 }
 
-func (b *Batcher) record(now time.Time) {
+func (b *Batcher) recordLoad(now time.Time) {
 	b.load.UsedTokens, b.load.QueuedTokens, b.load.Streams = b.UsedTokens(), 0, len(b.streams)
-	for _, s := range b.byPriority() {
-		b.load.QueuedTokens += int(s.prefill)
+	for _, s := range b.streamsByPriority() {
+		b.load.QueuedTokens += int(s.prefillLeft)
 	}
-	b.reports = append(b.reports, report{at: now, load: b.load})
-	for len(b.reports) > 1 && now.Sub(b.reports[1].at) >= b.config.ReportLag {
-		b.reports = b.reports[1:]
+	b.loadHistory = append(b.loadHistory, loadSnapshot{at: now, load: b.load})
+	for len(b.loadHistory) > 1 && now.Sub(b.loadHistory[1].at) >= b.config.ReportLag {
+		b.loadHistory = b.loadHistory[1:]
 	}
 }
 
 // LoadReport is the load report, which lags; identity and leaving do not.
 func (b *Batcher) LoadReport() api.EngineLoad {
-	if len(b.reports) == 0 {
+	if len(b.loadHistory) == 0 {
 		return b.load
 	}
-	out := b.reports[0].load
+	out := b.loadHistory[0].load
 	out.Leaving = b.load.Leaving
 	return out
 }
@@ -399,16 +399,16 @@
 		return RefusedError{503, "order: streams in progress"}
 	}
 	b.load.Fence = max(b.load.Fence, o.Fence)
-	b.pending, b.loading = &o, now.Add(b.config.WeightLoadTime)
-	b.finishOrder(now)
+	b.pendingOrder, b.loadingEnds = &o, now.Add(b.config.WeightLoadTime)
+	b.finishLoading(now)
 	return nil
 }
 
-func (b *Batcher) finishOrder(now time.Time) {
-	if b.pending == nil || now.Before(b.loading) {
+func (b *Batcher) finishLoading(now time.Time) {
+	if b.pendingOrder == nil || now.Before(b.loadingEnds) {
 		return
 	}
-	b.load.Model, b.load.Version = b.pending.Model, b.pending.Version
-	b.load.Adapters, b.load.Role = b.pending.Adapters, b.pending.Role
-	b.pending = nil
+	b.load.Model, b.load.Version = b.pendingOrder.Model, b.pendingOrder.Version
+	b.load.Adapters, b.load.Role = b.pendingOrder.Adapters, b.pendingOrder.Role
+	b.pendingOrder = nil
 }
--- a/standin/engine/direct.go
+++ b/standin/engine/direct.go
@@ -16,31 +16,31 @@
 }
 
 // RunningAttempt is an attempt that was given to a Batcher directly.
-type RunningAttempt struct{ s *stream }
+type RunningAttempt struct{ stream *stream }
 
 // StartDirect starts an attempt. Nothing is started when it returns an error.
 func (b *Batcher) StartDirect(now time.Time, p DirectAttempt) (*RunningAttempt, error) {
-	s, err := b.Start(now, start{
+	s, err := b.Start(now, startParams{
 		requestID: p.AttemptID, attemptID: p.AttemptID, owner: "direct", priority: p.Priority, group: p.GroupHoldIDs, request: p.Request,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &RunningAttempt{s: s}, nil
+	return &RunningAttempt{stream: s}, nil
 }
 
 // ReceiveTokens takes the tokens that were made since the last call, and reports
 // whether the answer has ended.
-func (r *RunningAttempt) ReceiveTokens() (made int, ended bool) {
+func (r *RunningAttempt) ReceiveTokens() (received int, ended bool) {
 	for {
 		select {
-		case c, more := <-r.s.events:
-			if !more {
-				return made, true
+		case c, open := <-r.stream.chunks:
+			if !open {
+				return received, true
 			}
-			made += c.Choices[0].Tokens
+			received += c.Choices[0].Tokens
 		default:
-			return made, false
+			return received, false
 		}
 	}
 }
@@ -53,4 +53,4 @@
 }
 
 // SetReportLag sets the age of the load report.
-func (b *Batcher) SetReportLag(lag time.Duration) { b.config.ReportLag = lag }
+func (b *Batcher) SetReportLag(reportLag time.Duration) { b.config.ReportLag = reportLag }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -14,60 +14,60 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// stepTime is how often the engine works.
-const stepTime = 2 * time.Millisecond
+// advanceInterval is how often the engine works.
+const advanceInterval = 2 * time.Millisecond
 
 // cacheEventDelay is how late cache events are published; every
-// cacheEventGap-th one never is.
+// lostCacheEventInterval-th one never is.
 const (
-	cacheEventDelay = 500 * time.Millisecond
-	cacheEventGap   = 7
+	cacheEventDelay        = 500 * time.Millisecond
+	lostCacheEventInterval = 7
 )
 
 // Server serves a Batcher over HTTP.
 type Server struct {
 	lock    sync.Mutex
 	batcher *Batcher
-	// crossed makes every stream carry chunks that are not its own.
-	crossed bool
-	events  []timedEvent
+	// sendsStrayChunks makes every stream carry chunks that are not its own.
+	sendsStrayChunks bool
+	cacheEvents      []timedCacheEvent
 }
 
-type timedEvent struct {
+type timedCacheEvent struct {
 	at    time.Time
 	event api.EngineCacheEvent
 }
 
 // NewServer returns a server for a new engine.
-func NewServer(c Config, crossed bool) *Server {
-	return &Server{batcher: NewBatcher(time.Now(), c), crossed: crossed}
+func NewServer(c Config, sendsStrayChunks bool) *Server {
+	return &Server{batcher: NewBatcher(time.Now(), c), sendsStrayChunks: sendsStrayChunks}
 }
 
 // Run lets the engine work until the context ends.
 func (s *Server) Run(ctx context.Context) {
-	tick := time.NewTicker(stepTime)
+	tick := time.NewTicker(advanceInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			s.with(func(b *Batcher) {
+			s.withBatcher(func(b *Batcher) {
 				b.Advance(now)
-				s.collect(now, b)
+				s.collectCacheEvents(now, b)
 			})
 		}
 	}
 }
 
-func (s *Server) collect(now time.Time, b *Batcher) {
-	for _, e := range b.events {
-		s.events = append(s.events, timedEvent{at: now, event: e})
+func (s *Server) collectCacheEvents(now time.Time, b *Batcher) {
+	for _, e := range b.cacheEvents {
+		s.cacheEvents = append(s.cacheEvents, timedCacheEvent{at: now, event: e})
 	}
-	b.events = b.events[:0]
+	b.cacheEvents = b.cacheEvents[:0]
 }
 
-func (s *Server) with(f func(*Batcher)) {
+func (s *Server) withBatcher(f func(*Batcher)) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	f(s.batcher)
@@ -75,33 +75,33 @@
 
 // Drain makes the engine leave and waits until nothing runs.
 func (s *Server) Drain(ctx context.Context) {
-	s.with(func(b *Batcher) { b.SetLeaving(time.Now()) })
+	s.withBatcher(func(b *Batcher) { b.SetLeaving(time.Now()) })
 	idle := false
 	for !idle && ctx.Err() == nil {
-		time.Sleep(stepTime)
-		s.with(func(b *Batcher) { idle = b.IsIdle() })
+		time.Sleep(advanceInterval)
+		s.withBatcher(func(b *Batcher) { idle = b.IsIdle() })
 	}
 }
 
 // Handler returns the engine's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+api.PathCompletions, s.completions)
-	mux.HandleFunc("GET "+api.PathLoad, s.report)
-	mux.HandleFunc("GET "+api.PathHolds, s.listHolds)
-	mux.HandleFunc("POST "+api.PathHolds, s.makeHold)
-	mux.HandleFunc("POST "+api.PathHolds+"/renew", s.renewHolds)
-	mux.HandleFunc("DELETE "+api.PathHolds+"/{id}", s.freeHold)
-	mux.HandleFunc("DELETE "+api.PathStreams+"{id}", s.freeHold)
-	mux.HandleFunc("POST "+api.PathOrders, s.order)
-	mux.HandleFunc("GET "+api.PathCacheEvents, s.cacheEvents)
-	mux.HandleFunc("POST "+api.PathKVTransfer+"{prefix}/{direction}", s.kv)
-	mux.HandleFunc("POST /control/leave", s.leave)
-	mux.HandleFunc("GET /control/ran", s.ran)
+	mux.HandleFunc("POST "+api.PathCompletions, s.serveCompletion)
+	mux.HandleFunc("GET "+api.PathLoad, s.serveLoad)
+	mux.HandleFunc("GET "+api.PathHolds, s.serveHolds)
+	mux.HandleFunc("POST "+api.PathHolds, s.serveAddHold)
+	mux.HandleFunc("POST "+api.PathHolds+"/renew", s.serveRenewHolds)
+	mux.HandleFunc("DELETE "+api.PathHolds+"/{id}", s.serveFreeHold)
+	mux.HandleFunc("DELETE "+api.PathStreams+"{id}", s.serveFreeHold)
+	mux.HandleFunc("POST "+api.PathOrders, s.serveOrder)
+	mux.HandleFunc("GET "+api.PathCacheEvents, s.serveCacheEvents)
+	mux.HandleFunc("POST "+api.PathKVTransfer+"{prefix}/{direction}", s.serveKVTransfer)
+	mux.HandleFunc("POST /control/leave", s.serveLeave)
+	mux.HandleFunc("GET /control/ran", s.serveStartCounts)
 	return mux
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeRefusal(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var refused RefusedError
 	if errors.As(err, &refused) {
@@ -112,13 +112,13 @@
 	_, _ = fmt.Fprintln(w, err)
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func readStart(r *http.Request) (start, error) {
-	st := start{
+func readStartParams(r *http.Request) (startParams, error) {
+	st := startParams{
 		requestID: r.Header.Get(api.HeaderRequestID),
 		attemptID: r.Header.Get(api.HeaderAttemptID),
 		owner:     r.Header.Get(api.HeaderOwner),
@@ -132,113 +132,113 @@
 	return st, json.NewDecoder(r.Body).Decode(&st.request)
 }
 
-func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
-	st, err := readStart(r)
+func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
+	st, err := readStartParams(r)
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	var stream *stream
-	s.with(func(b *Batcher) { stream, err = b.Start(time.Now(), st) })
+	s.withBatcher(func(b *Batcher) { stream, err = b.Start(time.Now(), st) })
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
-	defer s.with(func(b *Batcher) { b.FreeHold(time.Now(), stream.id, 0) })
+	defer s.withBatcher(func(b *Batcher) { b.FreeHold(time.Now(), stream.attemptID, 0) })
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
-	s.pump(w, r, stream)
+	s.streamChunks(w, r, stream)
 }
 
-func (s *Server) pump(w http.ResponseWriter, r *http.Request, stream *stream) {
+func (s *Server) streamChunks(w http.ResponseWriter, r *http.Request, stream *stream) {
 	for {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-stream.done:
+		case <-stream.aborted:
 			return
-		case chunk, more := <-stream.events:
-			if !more {
-				send(w, api.DoneMarker)
+		case chunk, open := <-stream.chunks:
+			if !open {
+				sendEvent(w, api.DoneMarker)
 				return
 			}
-			if s.crossed {
-				s.sendCrossed(w, chunk)
+			if s.sendsStrayChunks {
+				s.sendStrayChunks(w, chunk)
 			}
 			sendChunk(w, chunk)
 		}
 	}
 }
 
-// sendCrossed sends what a faulty engine might: a chunk of another request,
+// sendStrayChunks sends what a faulty engine might: a chunk of another request,
 // one of another attempt, and one sent before.
-func (s *Server) sendCrossed(w http.ResponseWriter, chunk api.CompletionChunk) {
+func (s *Server) sendStrayChunks(w http.ResponseWriter, chunk api.CompletionChunk) {
 	foreign := chunk
 	foreign.ID = "00000000-0000-4000-8000-000000000000"
 	foreign.Choices = []api.CompletionChoice{{Text: "FOREIGN ", Tokens: 1}}
 	sendChunk(w, foreign)
-	late := chunk
-	late.AttemptID = "00000000-0000-4000-8000-000000000001"
-	late.Choices = []api.CompletionChoice{{Text: "LATE ", Tokens: 1}}
-	sendChunk(w, late)
+	staleAttempt := chunk
+	staleAttempt.AttemptID = "00000000-0000-4000-8000-000000000001"
+	staleAttempt.Choices = []api.CompletionChoice{{Text: "LATE ", Tokens: 1}}
+	sendChunk(w, staleAttempt)
 	if chunk.Offset > 0 && chunk.Choices[0].FinishReason == "" {
-		again := chunk
-		again.Offset--
-		again.Choices = []api.CompletionChoice{{Text: "AGAIN ", Tokens: 1}}
-		sendChunk(w, again)
+		repeated := chunk
+		repeated.Offset--
+		repeated.Choices = []api.CompletionChoice{{Text: "AGAIN ", Tokens: 1}}
+		sendChunk(w, repeated)
 	}
 }
 
 func sendChunk(w http.ResponseWriter, chunk api.CompletionChunk) {
 	data, _ := json.Marshal(chunk)
-	send(w, string(data))
+	sendEvent(w, string(data))
 }
 
-func send(w http.ResponseWriter, data string) {
+func sendEvent(w http.ResponseWriter, data string) {
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 	_ = http.NewResponseController(w).Flush()
 }
 
-func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	var load api.EngineLoad
-	s.with(func(b *Batcher) { load = b.LoadReport() })
-	reply(w, load)
+	s.withBatcher(func(b *Batcher) { load = b.LoadReport() })
+	writeJSON(w, load)
 }
 
-func (s *Server) listHolds(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveHolds(w http.ResponseWriter, _ *http.Request) {
 	var holds api.EngineHolds
-	s.with(func(b *Batcher) { holds.Holds = b.Holds(time.Now()) })
-	reply(w, holds)
+	s.withBatcher(func(b *Batcher) { holds.Holds = b.Holds(time.Now()) })
+	writeJSON(w, holds)
 }
 
-func (s *Server) makeHold(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveAddHold(w http.ResponseWriter, r *http.Request) {
 	var h api.EngineHold
 	err := json.NewDecoder(r.Body).Decode(&h)
 	if err == nil {
-		s.with(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
+		s.withBatcher(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
 	}
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusCreated)
 }
 
-func (s *Server) renewHolds(w http.ResponseWriter, r *http.Request) {
-	var renewal, gone api.EngineHoldRenewal
+func (s *Server) serveRenewHolds(w http.ResponseWriter, r *http.Request) {
+	var renewal, missing api.EngineHoldRenewal
 	if err := json.NewDecoder(r.Body).Decode(&renewal); err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
-	s.with(func(b *Batcher) { gone.IDs = b.RenewHolds(time.Now(), renewal.IDs) })
-	reply(w, gone)
+	s.withBatcher(func(b *Batcher) { missing.IDs = b.RenewHolds(time.Now(), renewal.IDs) })
+	writeJSON(w, missing)
 }
 
-func (s *Server) freeHold(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveFreeHold(w http.ResponseWriter, r *http.Request) {
 	olderThan, _ := api.ParseSeconds(r.URL.Query().Get("older_than"))
 	freed := false
-	s.with(func(b *Batcher) { freed = b.FreeHold(time.Now(), r.PathValue("id"), olderThan) })
+	s.withBatcher(func(b *Batcher) { freed = b.FreeHold(time.Now(), r.PathValue("id"), olderThan) })
 	if !freed {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -246,34 +246,34 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) order(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o api.EngineOrder
 	err := json.NewDecoder(r.Body).Decode(&o)
 	if err == nil {
-		s.with(func(b *Batcher) { err = b.HandleOrder(time.Now(), o) })
+		s.withBatcher(func(b *Batcher) { err = b.HandleOrder(time.Now(), o) })
 	}
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (s *Server) cacheEvents(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveCacheEvents(w http.ResponseWriter, _ *http.Request) {
 	out := []api.EngineCacheEvent{}
 	now := time.Now()
-	s.with(func(*Batcher) {
-		for _, e := range s.events {
-			if now.Sub(e.at) >= cacheEventDelay && e.event.Sequence%cacheEventGap != 0 {
+	s.withBatcher(func(*Batcher) {
+		for _, e := range s.cacheEvents {
+			if now.Sub(e.at) >= cacheEventDelay && e.event.Sequence%lostCacheEventInterval != 0 {
 				out = append(out, e.event)
 			}
 		}
 	})
-	reply(w, out)
+	writeJSON(w, out)
 }
 
-// kv exports or imports the cache of a prefix; each holds memory meanwhile.
-func (s *Server) kv(w http.ResponseWriter, r *http.Request) {
+// serveKVTransfer exports or imports the cache of a prefix; each holds memory meanwhile.
+func (s *Server) serveKVTransfer(w http.ResponseWriter, r *http.Request) {
 	kind := map[string]string{"export": api.HoldExport, "import": api.HoldImport}[r.PathValue("direction")]
 	if kind == "" {
 		w.WriteHeader(http.StatusNotFound)
@@ -285,34 +285,34 @@
 		Incarnation: incarnation, Kind: kind, Tokens: api.EstimatePromptTokens(CachedPrefixBytes),
 	}
 	var err error
-	s.with(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
+	s.withBatcher(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusCreated)
 }
 
-func (s *Server) leave(w http.ResponseWriter, _ *http.Request) {
-	s.with(func(b *Batcher) { b.SetLeaving(time.Now()) })
+func (s *Server) serveLeave(w http.ResponseWriter, _ *http.Request) {
+	s.withBatcher(func(b *Batcher) { b.SetLeaving(time.Now()) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ran tells tests what the engine did.
-func (s *Server) ran(w http.ResponseWriter, _ *http.Request) {
+// serveStartCounts tells tests what the engine did.
+func (s *Server) serveStartCounts(w http.ResponseWriter, _ *http.Request) {
 	var out struct {
 		Requests         map[string]int
 		AfterLeaving     int
 		LateAfterLeaving int
 		UsedTokens       int
 	}
-	s.with(func(b *Batcher) {
+	s.withBatcher(func(b *Batcher) {
 		out.Requests = map[string]int{}
-		for id, n := range b.ran {
+		for id, n := range b.startsByRequest {
 			out.Requests[id] = n
 		}
-		out.AfterLeaving, out.LateAfterLeaving = b.afterLeaving, b.lateAfterLeaving
+		out.AfterLeaving, out.LateAfterLeaving = b.startsAfterLeaving, b.startsAfterGrace
 		out.UsedTokens = b.UsedTokens()
 	})
-	reply(w, out)
+	writeJSON(w, out)
 }
