--- a/standin/worker/down.go
+++ b/standin/worker/down.go
@@ -4,24 +4,24 @@
 
 // DownSet is the workers that have ended and are not started again yet.
 type DownSet struct {
-	lock sync.Mutex
-	ids  map[string]bool
-	// pending counts them.
-	pending sync.WaitGroup
+	lock    sync.Mutex
+	downIDs map[string]bool
+	// restarts counts them.
+	restarts sync.WaitGroup
 }
 
 // MarkDown notes that a worker has ended, and reports whether it was up.
 func (d *DownSet) MarkDown(id string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.ids[id] {
+	if d.downIDs[id] {
 		return false
 	}
-	if d.ids == nil {
-		d.ids = map[string]bool{}
+	if d.downIDs == nil {
+		d.downIDs = map[string]bool{}
 	}
-	d.ids[id] = true
-	d.pending.Add(1)
+	d.downIDs[id] = true
+	d.restarts.Add(1)
 	return true
 }
 
@@ -29,9 +29,9 @@
 func (d *DownSet) MarkUp(id string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	delete(d.ids, id)
-	d.pending.Done()
+	delete(d.downIDs, id)
+	d.restarts.Done()
 }
 
 // WaitAllUp waits until all are up.
-func (d *DownSet) WaitAllUp() { d.pending.Wait() }
+func (d *DownSet) WaitAllUp() { d.restarts.Wait() }
--- a/standin/worker/order.go
+++ b/standin/worker/order.go
@@ -5,28 +5,28 @@
 	"net/http"
 )
 
-// order sets memory aside or gives it back.
-func (w *Worker) order(out http.ResponseWriter, body []byte) {
-	var o struct {
+// serveOrder sets memory aside or gives it back.
+func (w *Worker) serveOrder(response http.ResponseWriter, body []byte) {
+	var order struct {
 		Operation string `json:"operation"`
 		ID        string `json:"id"`
 		Tokens    int    `json:"token-count"`
 	}
-	if err := json.Unmarshal(body, &o); err != nil {
-		out.WriteHeader(http.StatusBadRequest)
+	if err := json.Unmarshal(body, &order); err != nil {
+		response.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	switch {
 	case w.fault == FaultFull:
-		out.WriteHeader(http.StatusConflict)
-	case o.Operation == "reserve":
-		w.orders[o.ID] = o.Tokens
-	case o.Operation == "release":
-		delete(w.orders, o.ID)
+		response.WriteHeader(http.StatusConflict)
+	case order.Operation == "reserve":
+		w.reservations[order.ID] = order.Tokens
+	case order.Operation == "release":
+		delete(w.reservations, order.ID)
 	default:
-		out.WriteHeader(http.StatusBadRequest)
+		response.WriteHeader(http.StatusBadRequest)
 	}
 }
 
@@ -34,11 +34,11 @@
 func (w *Worker) MarkTicketUsed(ticket string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.used[ticket] = true
+	w.usedTickets[ticket] = true
 }
 
-// report says what memory is set aside.
-func (w *Worker) report(out http.ResponseWriter) {
+// serveReport says what memory is set aside.
+func (w *Worker) serveReport(response http.ResponseWriter) {
 	type ticket struct {
 		ID     string `json:"id"`
 		Tokens int    `json:"token-count"`
@@ -47,15 +47,15 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	tickets := []ticket{}
-	for id, tokens := range w.orders {
+	for id, tokens := range w.reservations {
 		state := "held"
-		if w.used[id] {
+		if w.usedTickets[id] {
 			state = "used"
 		}
 		tickets = append(tickets, ticket{ID: id, Tokens: tokens, State: state})
 	}
-	out.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(out).Encode(struct {
+	response.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(response).Encode(struct {
 		Tickets []ticket `json:"tickets"`
 	}{tickets})
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -85,61 +85,61 @@
 	id string
 	// Events and Pause are those of its streams; Work is the time before an
 	// answer.
-	events      int
-	pause, work time.Duration
+	eventCount         int
+	eventGap, workTime time.Duration
 	// plan, where not nil, takes the place of events and, for plain calls, work.
 	plan *AnswerPlan
 
-	lock  sync.Mutex
-	fault Fault
-	runs  []Execution
-	// refused are requests that the worker was too full for; they are no runs.
-	refused []Execution
-	now     *incarnation
-	// process counts the starts.
-	process int
-	// orders is the memory set aside by ticket, used the tickets that a request uses.
-	orders map[string]int
-	used   map[string]bool
-	// crash is called when a request ends the process that runs it; nil where none does.
-	crash func()
+	lock       sync.Mutex
+	fault      Fault
+	executions []Execution
+	// refusals are requests that the worker was too full for; they are no runs.
+	refusals []Execution
+	current  *incarnation
+	// restarts counts the starts.
+	restarts int
+	// reservations is the memory set aside by ticket, used the tickets that a request uses.
+	reservations map[string]int
+	usedTickets  map[string]bool
+	// onCrash is called when a request ends the process that runs it; nil where none does.
+	onCrash func()
 }
 
 // incarnation is one run of the worker's process.
 type incarnation struct {
-	working int
+	inProgress int
 	// crashed is true once a request has ended the process.
 	crashed bool
 	// leaving processes say so in all their answers.
 	leaving bool
-	// over is closed when the process has ended.
-	over chan struct{}
+	// ended is closed when the process has ended.
+	ended chan struct{}
 }
 
-func newIncarnation() *incarnation { return &incarnation{over: make(chan struct{})} }
+func newIncarnation() *incarnation { return &incarnation{ended: make(chan struct{})} }
 
 // New returns a sound worker with an instance id, that answers after work and
 // makes events with pauses.
-func New(id string, work time.Duration, events int, pause time.Duration) *Worker {
-	return &Worker{id: id, work: work, events: events, pause: pause, now: newIncarnation(), orders: map[string]int{}, used: map[string]bool{}}
+func New(id string, workTime time.Duration, eventCount int, eventGap time.Duration) *Worker {
+	return &Worker{id: id, workTime: workTime, eventCount: eventCount, eventGap: eventGap, current: newIncarnation(), reservations: map[string]int{}, usedTickets: map[string]bool{}}
 }
 
 // SetPlan has each request's answer last as a plan says. It is called before
 // the first request.
 func (w *Worker) SetPlan(p *AnswerPlan) { w.plan = p }
 
-// crashAfter is how long a process runs a request that crashes it.
-const crashAfter = 60 * time.Millisecond
+// crashDelay is how long a process runs a request that crashes it.
+const crashDelay = 60 * time.Millisecond
 
-// crashPart is what the paths contain of requests that crash what runs them.
-const crashPart = "/crash"
+// crashPathSegment is what the paths contain of requests that crash what runs them.
+const crashPathSegment = "/crash"
 
 // IsCrashPath reports whether a request to a path crashes whatever runs it.
-func IsCrashPath(path string) bool { return strings.Contains(path, crashPart) }
+func IsCrashPath(path string) bool { return strings.Contains(path, crashPathSegment) }
 
 // OnCrash has a function called when a request crashes the worker. It ends the
 // worker's connections, keeps its address from answering for a while, and calls Restart.
-func (w *Worker) OnCrash(crash func()) { w.crash = crash }
+func (w *Worker) OnCrash(onCrash func()) { w.onCrash = onCrash }
 
 // SetFault changes how the worker answers.
 func (w *Worker) SetFault(f Fault) {
@@ -153,28 +153,28 @@
 func (w *Worker) SetLeaving() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.now.leaving = true
+	w.current.leaving = true
 }
 
 // Executions returns all that ran.
 func (w *Worker) Executions() []Execution {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return append([]Execution(nil), w.runs...)
+	return append([]Execution(nil), w.executions...)
 }
 
 // RefusedCount is how many requests the worker has turned away.
 func (w *Worker) RefusedCount() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return len(w.refused)
+	return len(w.refusals)
 }
 
 // InProgress is how many requests are being worked on.
 func (w *Worker) InProgress() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.now.working
+	return w.current.inProgress
 }
 
 // Restart ends the worker's process and starts it again under its id, as behind a
@@ -183,27 +183,27 @@
 func (w *Worker) Restart() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	close(w.now.over)
-	w.now = newIncarnation()
-	w.process++
-	clear(w.orders)
+	close(w.current.ended)
+	w.current = newIncarnation()
+	w.restarts++
+	clear(w.reservations)
 }
 
 // ExecutionsOf returns the runs of a request at all of the workers, the earliest first.
 func ExecutionsOf(workers iter.Seq[*Worker], id string) []Execution {
-	return runsOf(workers, id, func(w *Worker) []Execution { return w.runs })
+	return recordsOf(workers, id, func(w *Worker) []Execution { return w.executions })
 }
 
 // RefusalsOf returns when workers were too full for a request, the earliest first.
 func RefusalsOf(workers iter.Seq[*Worker], id string) []Execution {
-	return runsOf(workers, id, func(w *Worker) []Execution { return w.refused })
+	return recordsOf(workers, id, func(w *Worker) []Execution { return w.refusals })
 }
 
-func runsOf(workers iter.Seq[*Worker], id string, of func(*Worker) []Execution) []Execution {
+func recordsOf(workers iter.Seq[*Worker], id string, records func(*Worker) []Execution) []Execution {
 	var found []Execution
 	for w := range workers {
 		w.lock.Lock()
-		for _, r := range of(w) {
+		for _, r := range records(w) {
 			if r.RequestID == id {
 				found = append(found, r)
 			}
@@ -221,7 +221,7 @@
 func (w *Worker) ReservedTokens() map[string]int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return maps.Clone(w.orders)
+	return maps.Clone(w.reservations)
 }
 
 // AnswerBody is the answer to a plain request.
@@ -231,194 +231,194 @@
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
 // ServeHTTP answers one request.
-func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *Worker) ServeHTTP(response http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	switch r.URL.Path {
 	case "/order":
-		w.order(out, body)
+		w.serveOrder(response, body)
 		return
 	case "/report":
-		w.report(out)
+		w.serveReport(response)
 		return
 	}
 	id := r.Header.Get("X-Attempt-Id")
 	if expect := r.Header.Get("X-Expect-Instance"); expect != "" && expect != w.id {
-		out.Header().Set("X-Instance-Id", w.id)
-		out.WriteHeader(http.StatusMisdirectedRequest)
+		response.Header().Set("X-Instance-Id", w.id)
+		response.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	w.lock.Lock()
 	fault := w.fault
-	refuses, leaving := fault == FaultFull || fault == FaultBackoff, w.now.leaving
+	refuses, leaving := fault == FaultFull || fault == FaultBackoff, w.current.leaving
 	if refuses {
-		w.refused = append(w.refused, Execution{RequestID: id, WorkerID: w.id, Fault: fault, Began: time.Now(), Ended: time.Now(), Incarnation: w.process})
+		w.refusals = append(w.refusals, Execution{RequestID: id, WorkerID: w.id, Fault: fault, Began: time.Now(), Ended: time.Now(), Incarnation: w.restarts})
 	}
 	w.lock.Unlock()
 	if leaving {
-		out.Header().Set("Server-Leaving", "1")
+		response.Header().Set("Server-Leaving", "1")
 	}
 	if fault == FaultBackoff {
-		out.Header().Set("Retry-After", strconv.FormatFloat(BackoffTime.Seconds(), 'f', -1, 64))
+		response.Header().Set("Retry-After", strconv.FormatFloat(BackoffTime.Seconds(), 'f', -1, 64))
 	}
 	if refuses {
-		out.Header().Set("X-Not-Executed", "1")
-		out.WriteHeader(http.StatusServiceUnavailable)
+		response.Header().Set("X-Not-Executed", "1")
+		response.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	now, run := w.begin(r, id, string(body), fault)
-	defer w.end(now, run)
-	out.Header().Set("X-Attempt-Id", id)
+	current, index := w.beginExecution(r, id, string(body), fault)
+	defer w.endExecution(current, index)
+	response.Header().Set("X-Attempt-Id", id)
 	if fault == FaultForeignID {
-		out.Header().Set("X-Attempt-Id", "another")
+		response.Header().Set("X-Attempt-Id", "another")
 	}
 	if fault != FaultUnsigned {
-		out.Header().Set("X-Engine-Stamp", w.id)
+		response.Header().Set("X-Engine-Stamp", w.id)
 	}
-	if w.crash != nil && IsCrashPath(r.URL.Path) {
-		w.beCrashed(r, now, run)
+	if w.onCrash != nil && IsCrashPath(r.URL.Path) {
+		w.serveCrash(r, current, index)
 		return
 	}
-	work := w.workFor(r, id)
+	workTime := w.workTimeOf(r, id)
 	if fault == FaultSlow {
-		work += SlowWorkTime - w.work
+		workTime += SlowWorkTime - w.workTime
 	}
-	if !now.sleep(r, work) {
+	if !current.wait(r, workTime) {
 		return
 	}
 	switch fault {
 	case FaultServerError:
-		out.WriteHeader(http.StatusInternalServerError)
+		response.WriteHeader(http.StatusInternalServerError)
 	case FaultConnectionLost:
 		panic(http.ErrAbortHandler)
 	case FaultNoAnswer:
 		<-r.Context().Done()
 	default:
-		w.answer(out, r, now, fault, id)
+		w.writeAnswer(response, r, current, fault, id)
 	}
 }
 
-// beCrashed runs a request that ends the process. Of two at a time the first does.
-func (w *Worker) beCrashed(r *http.Request, now *incarnation, run int) {
-	if !now.sleep(r, crashAfter) {
+// serveCrash runs a request that ends the process. Of two at a time the first does.
+func (w *Worker) serveCrash(r *http.Request, current *incarnation, index int) {
+	if !current.wait(r, crashDelay) {
 		return
 	}
 	w.lock.Lock()
-	first := !now.crashed
-	now.crashed, w.runs[run].Crashed = true, true
+	first := !current.crashed
+	current.crashed, w.executions[index].Crashed = true, true
 	w.lock.Unlock()
 	if first {
-		w.crash()
+		w.onCrash()
 	}
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// workFor is how long a sound worker works before it answers.
-func (w *Worker) workFor(r *http.Request, id string) time.Duration {
+// workTimeOf is how long a sound worker works before it answers.
+func (w *Worker) workTimeOf(r *http.Request, id string) time.Duration {
 	if w.plan != nil && r.Header.Get("X-Token-Usage") == "" {
 		return w.plan.CallDuration(id, r.URL.Path)
 	}
-	return w.work
+	return w.workTime
 }
 
-// eventsFor is how many events the answer to a stream has.
-func (w *Worker) eventsFor(id string) int {
+// eventCountOf is how many events the answer to a stream has.
+func (w *Worker) eventCountOf(id string) int {
 	if w.plan != nil {
 		return w.plan.EventCount(id)
 	}
-	return w.events
+	return w.eventCount
 }
 
-// begin notes a run, and returns its place among the runs.
-func (w *Worker) begin(r *http.Request, id, body string, fault Fault) (*incarnation, int) {
-	left, _ := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
+// beginExecution notes a run, and returns its place among the runs.
+func (w *Worker) beginExecution(r *http.Request, id, body string, fault Fault) (*incarnation, int) {
+	remaining, _ := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.now.working++
-	w.runs = append(w.runs, Execution{
+	w.current.inProgress++
+	w.executions = append(w.executions, Execution{
 		RequestID: id, Organisation: r.Header.Get("X-Tenant"), Path: r.RequestURI, LastEventID: r.Header.Get("Last-Event-Id"),
-		Helpers: r.Header.Get("X-Helpers"), Priority: r.Header.Get("X-Request-Priority"), Body: body, Remaining: time.Duration(left) * time.Millisecond,
-		WorkerID: w.id, Fault: fault, Incarnation: w.process, Began: time.Now(),
+		Helpers: r.Header.Get("X-Helpers"), Priority: r.Header.Get("X-Request-Priority"), Body: body, Remaining: time.Duration(remaining) * time.Millisecond,
+		WorkerID: w.id, Fault: fault, Incarnation: w.restarts, Began: time.Now(),
 	})
-	return w.now, len(w.runs) - 1
+	return w.current, len(w.executions) - 1
 }
 
-func (w *Worker) end(now *incarnation, run int) {
+func (w *Worker) endExecution(current *incarnation, index int) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	now.working--
-	w.runs[run].Ended = time.Now()
+	current.inProgress--
+	w.executions[index].Ended = time.Now()
 }
 
-// sleep waits, and reports whether caller and process are still there after it.
-func (i *incarnation) sleep(r *http.Request, d time.Duration) bool {
+// wait waits, and reports whether caller and process are still there after it.
+func (i *incarnation) wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
 	case <-r.Context().Done():
 		return false
-	case <-i.over:
+	case <-i.ended:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (w *Worker) answer(out http.ResponseWriter, r *http.Request, now *incarnation, fault Fault, id string) {
+func (w *Worker) writeAnswer(response http.ResponseWriter, r *http.Request, current *incarnation, fault Fault, id string) {
 	if r.Header.Get("X-Token-Usage") != "" {
-		w.stream(out, r, now, fault, id)
+		w.writeStream(response, r, current, fault, id)
 		return
 	}
 	body := AnswerBody(id)
 	switch fault {
 	case FaultBrokenOff:
-		out.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		_, _ = io.WriteString(out, body[:len(body)/2])
+		response.Header().Set("Content-Length", strconv.Itoa(len(body)))
+		_, _ = io.WriteString(response, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	case FaultExtraAnswer:
-		raw(out, fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
+		writeRawAnswer(response, fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
 	case FaultUnframed:
-		raw(out, "\r\n"+body)
+		writeRawAnswer(response, "\r\n"+body)
 	default:
-		_, _ = io.WriteString(out, body)
+		_, _ = io.WriteString(response, body)
 	}
 }
 
-// raw writes an answer as it stands, with the headers set, and closes the
+// writeRawAnswer writes an answer as it stands, with the headers set, and closes the
 // connection.
-func raw(out http.ResponseWriter, rest string) {
-	connection, buffer, err := http.NewResponseController(out).Hijack()
+func writeRawAnswer(response http.ResponseWriter, rest string) {
+	connection, buffer, err := http.NewResponseController(response).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = connection.Close() }()
 	_, _ = buffer.WriteString("HTTP/1.1 200 OK\r\n")
-	_ = out.Header().Write(buffer)
+	_ = response.Header().Write(buffer)
 	_, _ = buffer.WriteString(rest)
 	_ = buffer.Flush()
 }
 
-func (w *Worker) stream(out http.ResponseWriter, r *http.Request, now *incarnation, fault Fault, id string) {
-	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	out.Header().Set("Content-Type", "text/event-stream")
-	flusher := http.NewResponseController(out)
-	events, began := w.eventsFor(id), time.Now()
-	for n := first + 1; n <= events; n++ {
+func (w *Worker) writeStream(response http.ResponseWriter, r *http.Request, current *incarnation, fault Fault, id string) {
+	lastEventID, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	response.Header().Set("Content-Type", "text/event-stream")
+	flusher := http.NewResponseController(response)
+	events, began := w.eventCountOf(id), time.Now()
+	for n := lastEventID + 1; n <= events; n++ {
 		event := StreamEvent(id, n)
-		if half := first + (events-first+1)/2; n == half && (fault == FaultBrokenOff || fault == FaultEndsEarly) {
-			_, _ = io.WriteString(out, event[:len(event)/2])
+		if half := lastEventID + (events-lastEventID+1)/2; n == half && (fault == FaultBrokenOff || fault == FaultEndsEarly) {
+			_, _ = io.WriteString(response, event[:len(event)/2])
 			_ = flusher.Flush()
 			if fault == FaultBrokenOff {
 				panic(http.ErrAbortHandler)
 			}
 			return
 		}
-		_, _ = io.WriteString(out, event)
+		_, _ = io.WriteString(response, event)
 		_ = flusher.Flush()
 		// By the clock, so that a hundred events take no longer than their pauses.
-		if !now.sleep(r, time.Until(began.Add(time.Duration(n-first)*w.pause))) {
+		if !current.wait(r, time.Until(began.Add(time.Duration(n-lastEventID)*w.eventGap))) {
 			return
 		}
 	}
