--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -35,24 +35,24 @@
 	// ListLag is how old the instance list is that readers see.
 	ListLag time.Duration
 
-	lock    sync.Mutex
-	changed chan struct{}
-	mode    string
-	calls   int
-	config  history
-	list    history
+	lock      sync.Mutex
+	changed   chan struct{}
+	mode      string
+	reads     int
+	config    history
+	instances history
 }
 
 // history is the published values of one key, oldest first.
 type history struct {
-	values []published
-	// frozen is the value shown while the platform is stale.
-	frozen []byte
+	values []publishedValue
+	// stale is the value shown while the platform is stale.
+	stale []byte
 }
 
-type published struct {
-	at   time.Time
-	data []byte
+type publishedValue struct {
+	publishedAt time.Time
+	data        []byte
 }
 
 // New returns a platform that publishes nothing yet.
@@ -63,13 +63,13 @@
 // Handler returns the platform's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+api.PathConfig, func(w http.ResponseWriter, r *http.Request) { s.read(w, r, &s.config, 0) })
-	mux.HandleFunc("GET "+api.PathInstances, func(w http.ResponseWriter, r *http.Request) { s.read(w, r, &s.list, s.ListLag) })
-	mux.HandleFunc("PUT /control/config", func(w http.ResponseWriter, r *http.Request) { s.publish(w, r, &s.config) })
-	mux.HandleFunc("PUT /control/instances", func(w http.ResponseWriter, r *http.Request) { s.publish(w, r, &s.list) })
-	mux.HandleFunc("PUT /control/mode/{mode}", s.setMode)
-	mux.HandleFunc("PUT /control/instances/{name}/{state}", s.setState)
-	mux.HandleFunc("GET /control/calls", s.countCalls)
+	mux.HandleFunc("GET "+api.PathConfig, func(w http.ResponseWriter, r *http.Request) { s.serveRead(w, r, &s.config, 0) })
+	mux.HandleFunc("GET "+api.PathInstances, func(w http.ResponseWriter, r *http.Request) { s.serveRead(w, r, &s.instances, s.ListLag) })
+	mux.HandleFunc("PUT /control/config", func(w http.ResponseWriter, r *http.Request) { s.servePublish(w, r, &s.config) })
+	mux.HandleFunc("PUT /control/instances", func(w http.ResponseWriter, r *http.Request) { s.servePublish(w, r, &s.instances) })
+	mux.HandleFunc("PUT /control/mode/{mode}", s.serveSetMode)
+	mux.HandleFunc("PUT /control/instances/{name}/{state}", s.serveSetState)
+	mux.HandleFunc("GET /control/calls", s.serveReadCount)
 	return mux
 }
 
@@ -79,22 +79,22 @@
 	defer s.lock.Unlock()
 	target := &s.config
 	if list {
-		target = &s.list
+		target = &s.instances
 	}
-	s.put(target, data)
+	s.appendValue(target, data)
 }
 
-func (s *Server) put(h *history, data []byte) {
-	h.values = append(h.values, published{at: time.Now(), data: data})
-	s.wake()
+func (s *Server) appendValue(h *history, data []byte) {
+	h.values = append(h.values, publishedValue{publishedAt: time.Now(), data: data})
+	s.notifyReaders()
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Server) publish(w http.ResponseWriter, r *http.Request, h *history) {
+func (s *Server) servePublish(w http.ResponseWriter, r *http.Request, h *history) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, 1<<20+1))
 	if err != nil || len(data) > 1<<20 {
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
@@ -102,31 +102,31 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.put(h, data)
+	s.appendValue(h, data)
 }
 
 // SetMode changes what readers see.
 func (s *Server) SetMode(mode string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.config.frozen = s.config.value(0)
-	s.list.frozen = s.list.value(s.ListLag)
+	s.config.stale = s.config.valueWithLag(0)
+	s.instances.stale = s.instances.valueWithLag(s.ListLag)
 	s.mode = mode
-	s.wake()
+	s.notifyReaders()
 }
 
-func (s *Server) setMode(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveSetMode(w http.ResponseWriter, r *http.Request) {
 	s.SetMode(r.PathValue("mode"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// setState changes the state of one instance in the list, or removes it.
-func (s *Server) setState(w http.ResponseWriter, r *http.Request) {
+// serveSetState changes the state of one instance in the list, or removes it.
+func (s *Server) serveSetState(w http.ResponseWriter, r *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	var list api.InstanceList
-	if n := len(s.list.values); n > 0 {
-		_ = json.Unmarshal(s.list.values[n-1].data, &list)
+	if n := len(s.instances.values); n > 0 {
+		_ = json.Unmarshal(s.instances.values[n-1].data, &list)
 	}
 	kept := list.Instances[:0]
 	for _, i := range list.Instances {
@@ -139,35 +139,35 @@
 	}
 	list.Instances = kept
 	data, _ := json.Marshal(list)
-	s.put(&s.list, data)
+	s.appendValue(&s.instances, data)
 }
 
-func (s *Server) countCalls(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveReadCount(w http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	_, _ = fmt.Fprintln(w, s.calls)
+	_, _ = fmt.Fprintln(w, s.reads)
 }
 
-// value is the newest value at least lag old.
-func (h *history) value(lag time.Duration) []byte {
+// valueWithLag is the newest value at least lag old.
+func (h *history) valueWithLag(lag time.Duration) []byte {
 	for i := len(h.values) - 1; i >= 0; i-- {
-		if time.Since(h.values[i].at) >= lag || i == 0 {
+		if time.Since(h.values[i].publishedAt) >= lag || i == 0 {
 			return h.values[i].data
 		}
 	}
 	return nil
 }
 
-func (s *Server) shown(h *history, lag time.Duration) []byte {
+func (s *Server) visibleValue(h *history, lag time.Duration) []byte {
 	switch s.mode {
 	case ModeStale:
-		return h.frozen
+		return h.stale
 	case ModePrevious:
 		if n := len(h.values); n > 1 {
 			return h.values[n-2].data
 		}
 	}
-	return h.value(lag)
+	return h.valueWithLag(lag)
 }
 
 func etag(data []byte) string {
@@ -175,17 +175,17 @@
 	return `"` + hex.EncodeToString(sum[:]) + `"`
 }
 
-// read answers at once, or, where the reader has the value already and
+// serveRead answers at once, or, where the reader has the value already and
 // prefers to wait, once the value changes.
-func (s *Server) read(w http.ResponseWriter, r *http.Request, h *history, lag time.Duration) {
+func (s *Server) serveRead(w http.ResponseWriter, r *http.Request, h *history, lag time.Duration) {
 	s.lock.Lock()
-	s.calls++
+	s.reads++
 	s.lock.Unlock()
-	deadline := time.NewTimer(waitOf(r))
+	deadline := time.NewTimer(preferredWait(r))
 	defer deadline.Stop()
 	for {
 		s.lock.Lock()
-		data, down, changed := s.shown(h, lag), s.mode == ModeDown, s.changed
+		data, down, changed := s.visibleValue(h, lag), s.mode == ModeDown, s.changed
 		s.lock.Unlock()
 		if down || data == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -196,13 +196,13 @@
 			_, _ = w.Write(data)
 			return
 		}
-		lagging := (<-chan time.Time)(nil)
+		lagPoll := (<-chan time.Time)(nil)
 		if lag > 0 {
-			lagging = time.After(lag / 4)
+			lagPoll = time.After(lag / 4)
 		}
 		select {
 		case <-changed:
-		case <-lagging:
+		case <-lagPoll:
 		case <-r.Context().Done():
 			return
 		case <-deadline.C:
@@ -212,8 +212,8 @@
 	}
 }
 
-// waitOf reads the wait that a reader prefers, as in RFC 7240.
-func waitOf(r *http.Request) time.Duration {
+// preferredWait reads the wait that a reader prefers, as in RFC 7240.
+func preferredWait(r *http.Request) time.Duration {
 	text, found := strings.CutPrefix(r.Header.Get("Prefer"), "wait=")
 	if !found {
 		return 0
