--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -28,25 +28,25 @@
 // Relay stands before one process. It tells who connects by the address that
 // the connection comes from, and treats each as the cable to it is set.
 type Relay struct {
-	front, back netip.AddrPort
+	listenAddress, targetAddress netip.AddrPort
 	// OnBytes, where not nil, is told of all bytes carried; it is set before the
 	// first connection.
 	OnBytes func(from netip.Addr, n int)
 
-	lock     sync.Mutex
-	listener net.Listener
-	cuts     map[netip.Addr]string
-	open     map[net.Conn]netip.Addr
+	lock        sync.Mutex
+	listener    net.Listener
+	modes       map[netip.Addr]string
+	connections map[net.Conn]netip.Addr
 }
 
 // New returns a relay that listens at front and connects to back.
-func New(front, back netip.AddrPort) (*Relay, error) {
-	l, err := net.Listen("tcp", front.String())
+func New(listenAddress, targetAddress netip.AddrPort) (*Relay, error) {
+	l, err := net.Listen("tcp", listenAddress.String())
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, front: front, back: back, cuts: map[netip.Addr]string{}, open: map[net.Conn]netip.Addr{}}
-	go r.serve(l)
+	r := &Relay{listener: l, listenAddress: listenAddress, targetAddress: targetAddress, modes: map[netip.Addr]string{}, connections: map[net.Conn]netip.Addr{}}
+	go r.acceptConnections(l)
 	return r, nil
 }
 
@@ -65,23 +65,23 @@
 
 // Resume listens again.
 func (r *Relay) Resume() error {
-	l, err := net.Listen("tcp", r.front.String())
+	l, err := net.Listen("tcp", r.listenAddress.String())
 	if err != nil {
 		return fmt.Errorf("listen again: %w", err)
 	}
 	r.lock.Lock()
 	r.listener = l
 	r.lock.Unlock()
-	go r.serve(l)
+	go r.acceptConnections(l)
 	return nil
 }
 
 // CloseConnections closes the connections of the callers that which names.
-func (r *Relay) CloseConnections(which func(netip.Addr) bool) {
+func (r *Relay) CloseConnections(selected func(netip.Addr) bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for c, from := range r.open {
-		if which(from) {
+	for c, source := range r.connections {
+		if selected(source) {
 			_ = c.Close()
 		}
 	}
@@ -89,69 +89,69 @@
 
 // SetMode cuts or, with an empty way, mends the cable to an address. Mending
 // resets what was stalled, as a real break outlasts any connection.
-func (r *Relay) SetMode(from netip.Addr, way string) {
+func (r *Relay) SetMode(source netip.Addr, mode string) {
 	r.lock.Lock()
-	before := r.cuts[from]
-	r.cuts[from] = way
+	before := r.modes[source]
+	r.modes[source] = mode
 	r.lock.Unlock()
-	if way == ModeRefuse || way == "" && before != "" {
-		r.CloseConnections(func(a netip.Addr) bool { return a == from })
+	if mode == ModeRefuse || mode == "" && before != "" {
+		r.CloseConnections(func(a netip.Addr) bool { return a == source })
 	}
 }
 
-func (r *Relay) way(from netip.Addr) string {
+func (r *Relay) mode(source netip.Addr) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.cuts[from]
+	return r.modes[source]
 }
 
-func (r *Relay) serve(l net.Listener) {
+func (r *Relay) acceptConnections(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go r.relayConnection(c)
 	}
 }
 
-func (r *Relay) carry(c net.Conn) {
+func (r *Relay) relayConnection(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	from := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	if r.way(from) == ModeRefuse {
+	source := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+	if r.mode(source) == ModeRefuse {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	back, err := net.DialTimeout("tcp", r.back.String(), time.Second)
+	target, err := net.DialTimeout("tcp", r.targetAddress.String(), time.Second)
 	if err != nil {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	defer func() { _ = back.Close() }()
+	defer func() { _ = target.Close() }()
 	r.lock.Lock()
-	r.open[c] = from
+	r.connections[c] = source
 	r.lock.Unlock()
 	defer func() {
 		r.lock.Lock()
-		delete(r.open, c)
+		delete(r.connections, c)
 		r.lock.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go r.pipe(c, back, from, func(way string) bool { return way == ModeStall }, done)
-	go r.pipe(back, c, from, func(way string) bool { return way == ModeStall || way == ModeDropAnswers }, done)
+	go r.copyBytes(c, target, source, func(mode string) bool { return mode == ModeStall }, done)
+	go r.copyBytes(target, c, source, func(mode string) bool { return mode == ModeStall || mode == ModeDropAnswers }, done)
 	<-done
 }
 
-// pipe carries bytes until either end closes; while stalled it holds them.
-func (r *Relay) pipe(from, to net.Conn, source netip.Addr, stalled func(string) bool, done chan<- struct{}) {
+// copyBytes carries bytes until either end closes; while stalled it holds them.
+func (r *Relay) copyBytes(from, to net.Conn, source netip.Addr, isHeld func(string) bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
-		if r.way(source) == ModeDelay {
+		if r.mode(source) == ModeDelay {
 			time.Sleep(DelayTime)
 		}
-		for stalled(r.way(source)) {
+		for isHeld(r.mode(source)) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if n > 0 {
