--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -31,28 +31,28 @@
 // Handler returns the service's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+api.PathServices+"{service}/{call}", s.call)
-	mux.HandleFunc("GET /control/executions", s.list)
+	mux.HandleFunc("POST "+api.PathServices+"{service}/{call}", s.serveCall)
+	mux.HandleFunc("GET /control/executions", s.serveExecutions)
 	return mux
 }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil || r.PathValue("service") != s.Name {
 		w.Header().Set(api.HeaderStarted, "false")
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	e := Execution{RequestID: r.Header.Get(api.HeaderRequestID), Call: r.PathValue("call"), Body: string(body)}
+	execution := Execution{RequestID: r.Header.Get(api.HeaderRequestID), Call: r.PathValue("call"), Body: string(body)}
 	s.lock.Lock()
-	s.executions = append(s.executions, e)
+	s.executions = append(s.executions, execution)
 	s.lock.Unlock()
 	time.Sleep(s.Delay)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(struct {
 		Executed string `json:"executed"`
 		Call     string `json:"call"`
-	}{e.RequestID, e.Call})
+	}{execution.RequestID, execution.Call})
 }
 
 // Executions lists what was run.
@@ -62,7 +62,7 @@
 	return append([]Execution(nil), s.executions...)
 }
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveExecutions(w http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	w.Header().Set("Content-Type", "application/json")
