--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -19,23 +19,23 @@
 	"github.com/sapphireramp/sapphireramp/standin/service"
 )
 
-// program is one stand-in, ready to be served.
-type program struct {
+// standIn is one stand-in, ready to be served.
+type standIn struct {
 	handler http.Handler
-	// run works beside the server until the context ends.
-	run func(context.Context)
+	// runBackground works beside the server until the context ends.
+	runBackground func(context.Context)
 	// drain returns when the program may exit.
 	drain func(context.Context)
 }
 
 func main() {
-	if err := start(); err != nil {
+	if err := runCommand(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "standin:", err)
 		os.Exit(1)
 	}
 }
 
-func start() error {
+func runCommand() error {
 	flaggy.SetName("standin")
 	flaggy.SetDescription("stand-ins for engines, services and the platform")
 	address := "127.0.0.1:0"
@@ -45,7 +45,7 @@
 		MemoryTokens: 400_000, PrefillRate: 200_000, TokenTime: 5 * time.Millisecond,
 		ReportLag: 300 * time.Millisecond, WeightLoadTime: 500 * time.Millisecond, MaxCachedPrefixes: 64,
 	}
-	crossed, adapters, issuers := false, "", ""
+	sendsStrayChunks, adapters, issuers := false, "", ""
 	engineCommand := flaggy.NewSubcommand("engine")
 	engineCommand.String(&address, "a", "address", "IP:port to listen on")
 	engineCommand.String(&engineConfig.Name, "n", "name", "name")
@@ -61,7 +61,7 @@
 	engineCommand.Bool(&engineConfig.ChecksFences, "", "checks-fences", "refuse an old fencing number")
 	engineCommand.Bool(&engineConfig.ChecksOrders, "", "checks-orders", "check who orders")
 	engineCommand.String(&issuers, "", "issuers", "who may order, separated by commas")
-	engineCommand.Bool(&crossed, "", "crossed", "send chunks of other requests too")
+	engineCommand.Bool(&sendsStrayChunks, "", "crossed", "send chunks of other requests too")
 	flaggy.AttachSubcommand(engineCommand, 1)
 
 	serviceServer := &service.Server{Name: "service", Delay: 10 * time.Millisecond}
@@ -71,43 +71,43 @@
 	serviceCommand.Duration(&serviceServer.Delay, "", "delay", "time that a call takes")
 	flaggy.AttachSubcommand(serviceCommand, 1)
 
-	var lag time.Duration
+	var listLag time.Duration
 	configFile, listFile := "", ""
 	platformCommand := flaggy.NewSubcommand("platform")
 	platformCommand.String(&address, "a", "address", "IP:port to listen on")
 	platformCommand.String(&configFile, "", "config", "file with the first document")
 	platformCommand.String(&listFile, "", "instances", "file with the first instance list")
-	platformCommand.Duration(&lag, "", "list-lag", "age of the instance list")
+	platformCommand.Duration(&listLag, "", "list-lag", "age of the instance list")
 	flaggy.AttachSubcommand(platformCommand, 1)
 
-	measure := newMeasure()
-	flaggy.AttachSubcommand(measure.command, 1)
+	measure := newMeasureCommand()
+	flaggy.AttachSubcommand(measure.subcommand, 1)
 	flaggy.Parse()
 
 	switch {
 	case engineCommand.Used:
-		engineConfig.Adapters, engineConfig.Issuers = split(adapters), split(issuers)
-		s := engine.NewServer(engineConfig, crossed)
-		return serve(address, program{handler: s.Handler(), run: s.Run, drain: s.Drain})
+		engineConfig.Adapters, engineConfig.Issuers = splitList(adapters), splitList(issuers)
+		server := engine.NewServer(engineConfig, sendsStrayChunks)
+		return serve(address, standIn{handler: server.Handler(), runBackground: server.Run, drain: server.Drain})
 	case serviceCommand.Used:
-		return serve(address, program{handler: serviceServer.Handler()})
+		return serve(address, standIn{handler: serviceServer.Handler()})
 	case platformCommand.Used:
-		return servePlatform(address, lag, configFile, listFile)
-	case measure.command.Used:
+		return servePlatform(address, listLag, configFile, listFile)
+	case measure.subcommand.Used:
 		return measure.run()
 	}
 	return fmt.Errorf("command: one of engine, service, platform, measure is needed")
 }
 
-func split(text string) []string {
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
 	return strings.Split(text, ",")
 }
 
-func servePlatform(address string, lag time.Duration, configFile, listFile string) error {
-	s := platform.New(lag)
+func servePlatform(address string, listLag time.Duration, configFile, listFile string) error {
+	server := platform.New(listLag)
 	for file, list := range map[string]bool{configFile: false, listFile: true} {
 		if file == "" {
 			continue
@@ -116,19 +116,19 @@
 		if err != nil {
 			return fmt.Errorf("read what to publish: %w", err)
 		}
-		s.Publish(data, list)
+		server.Publish(data, list)
 	}
-	return serve(address, program{handler: s.Handler()})
+	return serve(address, standIn{handler: server.Handler()})
 }
 
 // serve runs the program until a signal, then drains it.
-func serve(address string, p program) error {
+func serve(address string, p standIn) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	work, end := context.WithCancel(context.Background())
-	defer end()
-	if p.run != nil {
-		go p.run(work)
+	backgroundContext, cancelBackground := context.WithCancel(context.Background())
+	defer cancelBackground()
+	if p.runBackground != nil {
+		go p.runBackground(backgroundContext)
 	}
 	server := &http.Server{Addr: address, Handler: p.handler}
 	failed := make(chan error, 1)
@@ -142,8 +142,8 @@
 		p.drain(context.Background())
 	}
 	// A watch in progress is cut: the stand-in owes it nothing.
-	short, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	shutdownContext, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	_ = server.Shutdown(short)
+	_ = server.Shutdown(shutdownContext)
 	return nil
 }
--- a/cmd/standin/measure.go
+++ b/cmd/standin/measure.go
@@ -12,9 +12,9 @@
 	"github.com/sapphireramp/sapphireramp/standin/measurer"
 )
 
-// measure is the command that prints the policy's figures.
-type measure struct {
-	command     *flaggy.Subcommand
+// measureCommand is the command that prints the policy's figures.
+type measureCommand struct {
+	subcommand  *flaggy.Subcommand
 	deployments string
 	policies    string
 	loads       string
@@ -24,20 +24,20 @@
 	burst       bool
 }
 
-func newMeasure() *measure {
-	m := &measure{command: flaggy.NewSubcommand("measure"), deployments: "condor,zeekant", loads: "0.8", seed: 1}
-	m.command.Description = "measure the routing policy in virtual time"
-	m.command.String(&m.deployments, "d", "deployments", "condor, zeekant, separated by commas")
-	m.command.String(&m.policies, "p", "policies", "names of policies, separated by commas; none means all")
-	m.command.String(&m.loads, "l", "loads", "parts of what the engines can prefill, separated by commas")
-	m.command.String(&m.fault, "f", "fault", "dead-engine, slow-engine, lagged-load, cut-centre, or none")
-	m.command.UInt64(&m.seed, "s", "seed", "seed of the requests")
-	m.command.Bool(&m.full, "", "full", "print all classes")
-	m.command.Bool(&m.burst, "", "burst", "measure recovery from a minute at twice what the engines can do")
+func newMeasureCommand() *measureCommand {
+	m := &measureCommand{subcommand: flaggy.NewSubcommand("measure"), deployments: "condor,zeekant", loads: "0.8", seed: 1}
+	m.subcommand.Description = "measure the routing policy in virtual time"
+	m.subcommand.String(&m.deployments, "d", "deployments", "condor, zeekant, separated by commas")
+	m.subcommand.String(&m.policies, "p", "policies", "names of policies, separated by commas; none means all")
+	m.subcommand.String(&m.loads, "l", "loads", "parts of what the engines can prefill, separated by commas")
+	m.subcommand.String(&m.fault, "f", "fault", "dead-engine, slow-engine, lagged-load, cut-centre, or none")
+	m.subcommand.UInt64(&m.seed, "s", "seed", "seed of the requests")
+	m.subcommand.Bool(&m.full, "", "full", "print all classes")
+	m.subcommand.Bool(&m.burst, "", "burst", "measure recovery from a minute at twice what the engines can do")
 	return m
 }
 
-func (m *measure) run() error {
+func (m *measureCommand) run() error {
 	for name := range strings.SplitSeq(m.deployments, ",") {
 		d, ok := measurer.Deployments[name]
 		if !ok {
@@ -48,24 +48,24 @@
 			if err != nil || load <= 0 || load > 10 {
 				return fmt.Errorf("--loads: %q: must be a number over 0 and at most 10", text)
 			}
-			m.compare(d, load)
+			m.comparePolicies(d, load)
 		}
 	}
 	return nil
 }
 
-// compare prints a line, or a table, for each policy.
-func (m *measure) compare(d measurer.Deployment, load float64) {
+// comparePolicies prints a line, or a table, for each policy.
+func (m *measureCommand) comparePolicies(d measurer.Deployment, load float64) {
 	fmt.Printf("deployment=%s load=%.2f fault=%q seed=%d\n", d.Name, load, m.fault, m.seed)
 	if m.burst {
-		m.recover(d)
+		m.measureRecovery(d)
 		return
 	}
 	if !m.full {
 		fmt.Printf("  %-30s %9s %9s %9s %9s %9s %8s %8s %8s %9s\n", "policy", "short_p95", "alone_p95", "slowdown", "long_p95", "1M_p95", "answered", "refused", "late", "goodput")
 	}
 	for _, p := range measurer.Policies {
-		if m.policies != "" && !contains(m.policies, p.Name) {
+		if m.policies != "" && !listContains(m.policies, p.Name) {
 			continue
 		}
 		o := p.Options
@@ -86,12 +86,12 @@
 	}
 }
 
-// recover prints how the policies come through a burst, with callers that send
+// measureRecovery prints how the policies come through a burst, with callers that send
 // again what failed.
-func (m *measure) recover(d measurer.Deployment) {
+func (m *measureCommand) measureRecovery(d measurer.Deployment) {
 	const base, peak, retries = 0.7, 2.0, 5
 	for _, p := range measurer.Policies {
-		if m.policies != "" && !contains(m.policies, p.Name) {
+		if m.policies != "" && !listContains(m.policies, p.Name) {
 			continue
 		}
 		o := p.Options
@@ -103,7 +103,7 @@
 	}
 }
 
-func contains(list, name string) bool {
+func listContains(list, name string) bool {
 	for item := range strings.SplitSeq(list, ",") {
 		if item == name {
 			return true
