--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -1,5 +1,6 @@
-// Package engine is a stand-in for a model engine, for tests and the demo. It
-// keeps the time and memory of a real one and makes up its answers.
+// Package engine emulates a model engine, for tests and the demo. It models the
+// latency and memory use of continuous batching and generates deterministic
+// answers without running a model.
 package engine
 
 import (
@@ -12,100 +13,138 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Config of a stand-in engine.
+// Config configures an emulated engine.
 type Config struct {
+	// Name and Incarnation identify the engine in its load reports.
 	Name        string
 	Incarnation uint64
-	Model       string
-	Version     string
-	Adapters    []string
-	Role        string
-	// MemoryTokens is a hard limit.
+	// Model, Version, Adapters and Role are what the engine serves until an
+	// order changes them.
+	Model    string
+	Version  string
+	Adapters []string
+	Role     string
+	// MemoryTokens is the size of the KV memory in tokens; a hold that does
+	// not fit is refused.
 	MemoryTokens int
-	// PrefillRate is prompt tokens a second; TokenTime the time of one step
-	// of decoding for all streams.
+	// PrefillRate is the number of prompt tokens prefilled a second, over all
+	// streams.
 	PrefillRate int
-	TokenTime   time.Duration
-	// ChecksFences and ChecksOrders are as in the document.
+	// TokenTime is the duration of one decoding step, in which every decoding
+	// stream gets one token.
+	TokenTime time.Duration
+	// ChecksFences makes the engine refuse an order whose fence is not higher
+	// than the highest accepted so far.
 	ChecksFences bool
+	// ChecksOrders makes the engine refuse orders of issuers not in Issuers.
 	ChecksOrders bool
-	// Issuers may order the engine, where it checks.
+	// Issuers lists the issuers whose orders are accepted; it is only used if
+	// ChecksOrders is true.
 	Issuers []string
-	// WeightLoadTime is how long an order that loads weights takes.
+	// WeightLoadTime is the time between accepting an order and serving what
+	// it asks for. Requests are refused in between.
 	WeightLoadTime time.Duration
-	// ReportLag is the age of the load report.
+	// ReportLag is the age of the load that LoadReport returns.
 	ReportLag time.Duration
-	// MaxCachedPrefixes bounds the prefix cache, in prefixes of PrefixBytes.
+	// MaxCachedPrefixes is the capacity of the prefix cache, in prefixes of
+	// CachedPrefixBytes; 0 disables the cache.
 	MaxCachedPrefixes int
 }
 
-// CachedPrefixBytes is the length of the prompt's start that the cache knows a
-// prompt by.
+// CachedPrefixBytes is the length of the prefixes in the prefix cache, in bytes
+// of the prompt. Shorter prompts are not cached.
 const CachedPrefixBytes = 256
 
-// chunkBuffer is how many chunks wait for a slow reader before decoding does.
+// chunkBuffer is the number of chunks buffered for a slow reader; a stream with
+// a full buffer is not decoded further.
 const chunkBuffer = 256
 
-// leavingGrace is the time within which new work may still reach an engine
-// that has begun to leave.
+// leavingGrace is the time after the start of leaving in which new streams are
+// still expected; those started later are counted in startsAfterGrace.
 const leavingGrace = 3 * time.Second
 
-// stream is one attempt on the engine.
+// stream is the execution of one attempt, or the prefill of one shard of a
+// group's prompt. A shard has no request and no channels.
 type stream struct {
 	attemptID string
 	requestID string
 	request   api.CompletionRequest
-	priority  int
-	arrived   time.Time
-	// prefillLeft is prompt tokens left for this engine to do.
-	prefillLeft  float64
+	// priority orders prefill; a higher one is prefilled first.
+	priority int
+	arrived  time.Time
+	// prefillLeft is the number of prompt tokens that this engine still has to
+	// prefill; the stream decodes once it is 0.
+	prefillLeft float64
+	// promptTokens is the estimated length of the whole prompt.
 	promptTokens int
 	// nextOffset is the offset of the next answer token.
 	nextOffset int
-	// lastTokenAt is when a token was last made.
+	// lastTokenAt is the end of the latest decoding step, or of prefill before
+	// the first step.
 	lastTokenAt time.Time
-	// answerTag marks the answer as that of this prompt.
+	// answerTag is the AnswerTag of request.
 	answerTag string
-	chunks    chan api.CompletionChunk
-	// aborted is closed when the stream ends before its answer does.
+	// chunks carries the answer and is closed at its end.
+	chunks chan api.CompletionChunk
+	// aborted is closed when the stream's memory is freed before its answer
+	// ends.
 	aborted chan struct{}
 }
 
+// hold is memory reserved on the engine.
 type hold struct {
 	api.EngineHold
+	// renewedAt is the time of the latest renewal, or of creation.
 	renewedAt time.Time
-	// shard is the part of a group's prefill that this engine does.
+	// shard is the prefill of the shard that a hold of kind api.HoldGroup
+	// reserves memory for; nil for other kinds and once a stream has adopted
+	// the shard.
 	shard *stream
 }
 
-// Batcher is the engine's scheduler: continuous batching with a budget for
-// prefill. It is not safe for concurrent use.
+// Batcher is the engine's scheduler: continuous batching with a budget of
+// prefill tokens for each call of Advance. It is not safe for concurrent use.
 type Batcher struct {
-	config         Config
-	load           api.EngineLoad
-	holds          map[string]*hold
-	streams        map[string]*stream
-	advancedAt     time.Time
-	loadHistory    []loadSnapshot
-	loadingEnds    time.Time
-	pendingOrder   *api.EngineOrder
+	config Config
+	// load is the current load, without ReportLag. Advance updates its counts
+	// of tokens and streams.
+	load api.EngineLoad
+	// holds is keyed by hold ID, which is the attempt ID for streams.
+	holds map[string]*hold
+	// streams is keyed by attempt ID and holds the streams in progress.
+	streams map[string]*stream
+	// advancedAt is the time up to which work has been emulated.
+	advancedAt time.Time
+	// loadHistory holds past loads, oldest first, back to the one that
+	// LoadReport returns.
+	loadHistory []loadSnapshot
+	// loadingEnds is when pendingOrder takes effect.
+	loadingEnds time.Time
+	// pendingOrder is the order being carried out, or nil.
+	pendingOrder *api.EngineOrder
+	// cachedPrefixes holds the cached prefixes, least recently used first.
 	cachedPrefixes []string
-	cacheEvents    []api.EngineCacheEvent
-	// startsByRequest counts the streams started, by request.
+	// cacheEvents holds the changes of the cache not yet collected by Server.
+	cacheEvents []api.EngineCacheEvent
+	// startsByRequest counts the streams started for each request ID.
 	startsByRequest map[string]int
-	// startsAfterLeaving counts streams started after the engine was leaving, and
-	// lateAfterLeaving those more than leavingGrace after.
+	// startsAfterLeaving counts the streams started after SetLeaving.
 	startsAfterLeaving int
-	startsAfterGrace   int
-	leavingAt          time.Time
+	// startsAfterGrace counts the streams started more than leavingGrace after
+	// SetLeaving.
+	startsAfterGrace int
+	// leavingAt is the time of the first call of SetLeaving.
+	leavingAt time.Time
 }
 
+// loadSnapshot is the load at one point in time.
 type loadSnapshot struct {
 	at   time.Time
 	load api.EngineLoad
 }
 
-// NewBatcher returns an idle engine.
+// NewBatcher returns a Batcher without streams or holds, whose work starts at
+// now.
 func NewBatcher(now time.Time, c Config) *Batcher {
 	b := &Batcher{config: c, holds: map[string]*hold{}, streams: map[string]*stream{}, startsByRequest: map[string]int{}, advancedAt: now}
 	b.load = api.EngineLoad{
@@ -115,15 +154,19 @@
 	return b
 }
 
-// RefusedError is a refusal before anything was started.
+// RefusedError reports that the engine refused a request or an order and started
+// nothing.
 type RefusedError struct {
+	// StatusCode is the HTTP status of the response.
 	StatusCode int
-	Reason     string
+	// Reason is the text of the error.
+	Reason string
 }
 
+// Error returns the reason of the refusal.
 func (e RefusedError) Error() string { return e.Reason }
 
-// UsedTokens is the memory held, in tokens.
+// UsedTokens returns the sum of all holds, in tokens of KV memory.
 func (b *Batcher) UsedTokens() int {
 	used := 0
 	for _, h := range b.holds {
@@ -132,16 +175,19 @@
 	return used
 }
 
-// AddHold takes memory for an owner.
+// AddHold reserves memory for the owner that h names. For a hold of kind
+// api.HoldGroup it also queues the prefill of a shard of h.Tokens tokens. It
+// returns a RefusedError when h is malformed, when its ID is in use, or when the
+// memory does not suffice.
 func (b *Batcher) AddHold(now time.Time, h api.EngineHold) error {
 	if h.ID == "" || h.Tokens < 0 {
-		return RefusedError{400, "hold: id and tokens are needed"}
+		return RefusedError{400, "hold: id must be set and tokens must not be negative"}
 	}
 	if _, ok := b.holds[h.ID]; ok {
-		return RefusedError{409, "hold: id in use"}
+		return RefusedError{409, "hold: id is already in use"}
 	}
 	if b.UsedTokens()+h.Tokens > b.config.MemoryTokens {
-		return RefusedError{503, fmt.Sprintf("memory: %d of %d tokens held, %d more asked", b.UsedTokens(), b.config.MemoryTokens, h.Tokens)}
+		return RefusedError{503, fmt.Sprintf("memory: %d of %d tokens are held, %d more were requested", b.UsedTokens(), b.config.MemoryTokens, h.Tokens)}
 	}
 	added := &hold{EngineHold: h, renewedAt: now}
 	if h.Kind == api.HoldGroup {
@@ -151,7 +197,7 @@
 	return nil
 }
 
-// Holds lists what is held.
+// Holds returns all holds with their ages, sorted by ID.
 func (b *Batcher) Holds(now time.Time) []api.EngineHold {
 	out := make([]api.EngineHold, 0, len(b.holds))
 	for _, h := range b.holds {
@@ -163,7 +209,8 @@
 	return out
 }
 
-// RenewHolds resets the age of holds and returns the ids that are not held.
+// RenewHolds resets the age of the holds with the given IDs and returns the IDs
+// that have no hold.
 func (b *Batcher) RenewHolds(now time.Time, ids []string) []string {
 	var missing []string
 	for _, id := range ids {
@@ -177,7 +224,8 @@
 	return missing
 }
 
-// FreeHold gives up a hold that is at least olderThan old, and ends its stream.
+// FreeHold removes a hold and aborts its stream, if any. It returns false and
+// changes nothing when the hold does not exist or is younger than olderThan.
 func (b *Batcher) FreeHold(now time.Time, id string, olderThan time.Duration) bool {
 	h, ok := b.holds[id]
 	if !ok || now.Sub(h.renewedAt) < olderThan {
@@ -191,22 +239,30 @@
 	return true
 }
 
-// startParams is what a stream is started with.
+// startParams holds the parameters of an attempt: for an HTTP request, the values
+// of its headers and its body.
 type startParams struct {
 	requestID, attemptID, owner string
-	incarnation                 uint64
-	priority, resumeFrom        int
-	group                       []string
-	request                     api.CompletionRequest
+	// incarnation is that of the owner, not of the engine.
+	incarnation uint64
+	// resumeFrom is the number of answer tokens that the caller already has.
+	priority, resumeFrom int
+	// group lists the IDs of all holds of the group that holds the prompt;
+	// empty if one engine holds all of it.
+	group   []string
+	request api.CompletionRequest
 }
 
-// Start begins a stream. Nothing is started when it returns an error.
+// Start starts a stream for an attempt and reserves memory for its prompt and
+// the longest answer; the stream of a group uses the memory of the group's
+// holds. It returns a RefusedError, and starts nothing, when the engine loads
+// weights, serves another model or has too little memory.
 func (b *Batcher) Start(now time.Time, st startParams) (*stream, error) {
 	if b.pendingOrder != nil {
 		return nil, RefusedError{503, "loading"}
 	}
 	if st.request.Model != b.load.Model {
-		return nil, RefusedError{404, "model is not loaded"}
+		return nil, RefusedError{404, "the requested model is not loaded"}
 	}
 	prompt := api.EstimatePromptTokens(len(st.request.Prompt))
 	tokens := prompt + st.request.MaxTokens
@@ -236,8 +292,9 @@
 	return s, nil
 }
 
-// adoptShard leaves the stream of a group only this engine's part of the
-// prefill; the others do theirs under their own holds.
+// adoptShard makes the stream of a group prefill only the shard held on this
+// engine, and continue where the shard's hold has got to. The other engines of
+// the group prefill their shards under their own holds.
 func (b *Batcher) adoptShard(s *stream, group []string) {
 	for _, id := range group {
 		if h, ok := b.holds[id]; ok && h.shard != nil {
@@ -246,6 +303,10 @@
 	}
 }
 
+// useCachedPrefix spares the stream the prefill of its prompt's first
+// CachedPrefixBytes if they are cached, and makes them the most recently used
+// prefix, which may evict the least recently used one. Changes of the set of
+// cached prefixes are recorded as cache events.
 func (b *Batcher) useCachedPrefix(s *stream) {
 	if b.config.MaxCachedPrefixes == 0 || len(s.request.Prompt) < CachedPrefixBytes {
 		return
@@ -264,6 +325,8 @@
 	}
 }
 
+// recordCacheEvent appends an event for a prefix added to the cache or dropped
+// from it. The event names the prefix by its FNV-1a hash.
 func (b *Batcher) recordCacheEvent(prefix string, dropped bool) {
 	h := fnv.New64a()
 	h.Write([]byte(prefix))
@@ -273,7 +336,9 @@
 	})
 }
 
-// Advance lets the engine work until now.
+// Advance emulates the engine's work since the previous call, up to now. Prefill
+// is limited to PrefillRate over all streams, highest priority first; decoding
+// takes none of this budget.
 func (b *Batcher) Advance(now time.Time) {
 	b.finishLoading(now)
 	budget := now.Sub(b.advancedAt).Seconds() * float64(b.config.PrefillRate)
@@ -290,6 +355,8 @@
 	b.recordLoad(now)
 }
 
+// prefill prefills at most budget prompt tokens and returns the budget that is
+// left.
 func (s *stream) prefill(budget float64, now time.Time) float64 {
 	done := min(budget, s.prefillLeft)
 	s.prefillLeft -= done
@@ -300,6 +367,8 @@
 	return budget - done
 }
 
+// streamsByPriority returns the streams and the shards still to be prefilled,
+// highest priority first, and the earliest first among equals.
 func (b *Batcher) streamsByPriority() []*stream {
 	out := make([]*stream, 0, len(b.streams))
 	for _, s := range b.streams {
@@ -316,7 +385,9 @@
 	return out
 }
 
-// decode makes the tokens that are due.
+// decode sends the answer tokens that are due by now, one each TokenTime, as far
+// as the buffer has room. After the last token it sends the usage, closes the
+// stream and frees its memory.
 func (b *Batcher) decode(now time.Time, s *stream) {
 	for now.Sub(s.lastTokenAt) >= b.config.TokenTime && len(s.chunks) < cap(s.chunks) {
 		s.lastTokenAt = s.lastTokenAt.Add(b.config.TokenTime)
@@ -334,6 +405,7 @@
 	}
 }
 
+// newChunk returns a chunk at the stream's next offset.
 func (s *stream) newChunk(text string, tokens int, finish string, usage *api.CompletionUsage) api.CompletionChunk {
 	return api.CompletionChunk{
 		ID: s.requestID, AttemptID: s.attemptID, Offset: s.nextOffset, Usage: usage,
@@ -341,7 +413,8 @@
 	}
 }
 
-// AnswerTag is what marks the answer to a request.
+// AnswerTag returns the string that all tokens of the answer to r contain: a
+// hash of its model and prompt, by which tests recognise foreign answers.
 func AnswerTag(r api.CompletionRequest) string {
 	h := fnv.New32a()
 	h.Write([]byte(r.Model))
@@ -349,12 +422,15 @@
 	return fmt.Sprintf("%08x", h.Sum32())
 }
 
-// AnswerToken is the made-up answer token at an offset: a function of the request,
-// so that an answer resumed on another engine can be told whole.
+// AnswerToken returns the answer token at an offset, where tag is the AnswerTag of
+// the request. It depends on nothing else, so that tests can check that an answer
+// resumed on another engine is complete.
 func AnswerToken(tag string, offset int) string {
 	return fmt.Sprintf("%s.%d ", tag, offset)
 }
 
+// recordLoad updates the load, appends it to the history and drops what
+// LoadReport no longer needs.
 func (b *Batcher) recordLoad(now time.Time) {
 	b.load.UsedTokens, b.load.QueuedTokens, b.load.Streams = b.UsedTokens(), 0, len(b.streams)
 	for _, s := range b.streamsByPriority() {
@@ -366,7 +442,8 @@
 	}
 }
 
-// LoadReport is the load report, which lags; identity and leaving do not.
+// LoadReport returns the load as of ReportLag ago, but the current value of
+// Leaving. Name and Incarnation never change.
 func (b *Batcher) LoadReport() api.EngineLoad {
 	if len(b.loadHistory) == 0 {
 		return b.load
@@ -376,7 +453,8 @@
 	return out
 }
 
-// SetLeaving makes the engine say that it is leaving.
+// SetLeaving marks the engine as leaving in its load reports. The engine still
+// accepts requests.
 func (b *Batcher) SetLeaving(now time.Time) {
 	if !b.load.Leaving {
 		b.leavingAt = now
@@ -384,19 +462,22 @@
 	b.load.Leaving = true
 }
 
-// IsIdle reports whether nothing runs.
+// IsIdle reports whether no stream is in progress. Shards of groups don't count.
 func (b *Batcher) IsIdle() bool { return len(b.streams) == 0 }
 
-// HandleOrder takes an order to change what is served.
+// HandleOrder starts to carry out an order to change the model, version, adapters
+// and role served; it takes effect after WeightLoadTime. It returns a RefusedError
+// when the issuer is not allowed, when the fence is not higher than the current
+// one, or when streams are in progress.
 func (b *Batcher) HandleOrder(now time.Time, o api.EngineOrder) error {
 	if b.config.ChecksOrders && !slices.Contains(b.config.Issuers, o.Issuer) {
 		return RefusedError{403, "order: issuer is not allowed"}
 	}
 	if b.config.ChecksFences && o.Fence <= b.load.Fence {
-		return RefusedError{409, fmt.Sprintf("order: fence %d is not over %d", o.Fence, b.load.Fence)}
+		return RefusedError{409, fmt.Sprintf("order: fence %d is not higher than the current fence %d", o.Fence, b.load.Fence)}
 	}
 	if len(b.streams) > 0 {
-		return RefusedError{503, "order: streams in progress"}
+		return RefusedError{503, "order: refused while streams are in progress"}
 	}
 	b.load.Fence = max(b.load.Fence, o.Fence)
 	b.pendingOrder, b.loadingEnds = &o, now.Add(b.config.WeightLoadTime)
@@ -404,6 +485,7 @@
 	return nil
 }
 
+// finishLoading puts the pending order into effect once its loading has ended.
 func (b *Batcher) finishLoading(now time.Time) {
 	if b.pendingOrder == nil || now.Before(b.loadingEnds) {
 		return
--- a/standin/engine/direct.go
+++ b/standin/engine/direct.go
@@ -6,19 +6,25 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// DirectAttempt is an attempt given to a Batcher directly, without HTTP.
+// DirectAttempt holds the parameters of an attempt that a simulation starts on a
+// Batcher without HTTP.
 type DirectAttempt struct {
+	// AttemptID serves as the request ID too.
 	AttemptID string
 	Request   api.CompletionRequest
-	Priority  int
-	// GroupHoldIDs is the hold ids of a group.
+	// Priority orders prefill; a higher one is prefilled first.
+	Priority int
+	// GroupHoldIDs lists the IDs of all holds of the group that holds the
+	// prompt; empty if one engine holds all of it.
 	GroupHoldIDs []string
 }
 
-// RunningAttempt is an attempt that was given to a Batcher directly.
+// RunningAttempt is an attempt started by StartDirect, from which its answer is
+// read.
 type RunningAttempt struct{ stream *stream }
 
-// StartDirect starts an attempt. Nothing is started when it returns an error.
+// StartDirect starts an attempt without HTTP. It returns a RefusedError, and
+// starts nothing, under the same conditions as Start.
 func (b *Batcher) StartDirect(now time.Time, p DirectAttempt) (*RunningAttempt, error) {
 	s, err := b.Start(now, startParams{
 		requestID: p.AttemptID, attemptID: p.AttemptID, owner: "direct", priority: p.Priority, group: p.GroupHoldIDs, request: p.Request,
@@ -29,8 +35,8 @@
 	return &RunningAttempt{stream: s}, nil
 }
 
-// ReceiveTokens takes the tokens that were made since the last call, and reports
-// whether the answer has ended.
+// ReceiveTokens returns the number of answer tokens generated since the previous
+// call, and whether the answer has ended. It doesn't block.
 func (r *RunningAttempt) ReceiveTokens() (received int, ended bool) {
 	for {
 		select {
@@ -45,12 +51,12 @@
 	}
 }
 
-// SlowDown divides the engine's speed, as a gray failure does: it answers all
-// questions and works slowly.
+// SlowDown divides the speed of prefill and decoding by factor. It emulates a
+// grey failure: the engine still answers every request, but slowly.
 func (b *Batcher) SlowDown(factor int) {
 	b.config.PrefillRate = max(1, b.config.PrefillRate/factor)
 	b.config.TokenTime *= time.Duration(factor)
 }
 
-// SetReportLag sets the age of the load report.
+// SetReportLag sets the age of the load that LoadReport returns.
 func (b *Batcher) SetReportLag(reportLag time.Duration) { b.config.ReportLag = reportLag }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -14,36 +14,44 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// advanceInterval is how often the engine works.
+// advanceInterval is the time between two calls of Batcher.Advance.
 const advanceInterval = 2 * time.Millisecond
 
-// cacheEventDelay is how late cache events are published; every
-// lostCacheEventInterval-th one never is.
+// The publication of cache events is delayed and loses some of them.
 const (
-	cacheEventDelay        = 500 * time.Millisecond
+	// cacheEventDelay is the time from a change of the cache to the
+	// publication of its event.
+	cacheEventDelay = 500 * time.Millisecond
+	// lostCacheEventInterval is the interval at which events are lost: those
+	// whose sequence number it divides are never published.
 	lostCacheEventInterval = 7
 )
 
-// Server serves a Batcher over HTTP.
+// Server serves the HTTP interface of an emulated engine.
 type Server struct {
+	// lock guards batcher and cacheEvents.
 	lock    sync.Mutex
 	batcher *Batcher
-	// sendsStrayChunks makes every stream carry chunks that are not its own.
+	// sendsStrayChunks makes sendStrayChunks add chunks to every stream.
 	sendsStrayChunks bool
-	cacheEvents      []timedCacheEvent
+	// cacheEvents holds all cache events since the start, oldest first.
+	cacheEvents []timedCacheEvent
 }
 
+// timedCacheEvent is a cache event and the time at which it was collected.
 type timedCacheEvent struct {
 	at    time.Time
 	event api.EngineCacheEvent
 }
 
-// NewServer returns a server for a new engine.
+// NewServer returns a Server for a new engine configured by c. If
+// sendsStrayChunks is true, every stream also carries chunks that entries must
+// drop: of another request, of another attempt, and sent before.
 func NewServer(c Config, sendsStrayChunks bool) *Server {
 	return &Server{batcher: NewBatcher(time.Now(), c), sendsStrayChunks: sendsStrayChunks}
 }
 
-// Run lets the engine work until the context ends.
+// Run emulates the engine's work in real time until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	tick := time.NewTicker(advanceInterval)
 	defer tick.Stop()
@@ -60,6 +68,8 @@
 	}
 }
 
+// collectCacheEvents moves the Batcher's new cache events to the server. The
+// caller holds the lock.
 func (s *Server) collectCacheEvents(now time.Time, b *Batcher) {
 	for _, e := range b.cacheEvents {
 		s.cacheEvents = append(s.cacheEvents, timedCacheEvent{at: now, event: e})
@@ -67,13 +77,15 @@
 	b.cacheEvents = b.cacheEvents[:0]
 }
 
+// withBatcher calls f with the Batcher while it holds the lock.
 func (s *Server) withBatcher(f func(*Batcher)) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	f(s.batcher)
 }
 
-// Drain makes the engine leave and waits until nothing runs.
+// Drain marks the engine as leaving and waits until no stream is in progress or
+// the context ends.
 func (s *Server) Drain(ctx context.Context) {
 	s.withBatcher(func(b *Batcher) { b.SetLeaving(time.Now()) })
 	idle := false
@@ -101,6 +113,8 @@
 	return mux
 }
 
+// writeRefusal responds with the status of a RefusedError, or 400 for any other
+// error, and states that nothing was started.
 func writeRefusal(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var refused RefusedError
@@ -112,11 +126,14 @@
 	_, _ = fmt.Fprintln(w, err)
 }
 
+// writeJSON responds with v encoded as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// readStartParams reads the parameters of an attempt from the headers and the
+// body of r. Numbers that can't be parsed count as 0.
 func readStartParams(r *http.Request) (startParams, error) {
 	st := startParams{
 		requestID: r.Header.Get(api.HeaderRequestID),
@@ -151,6 +168,9 @@
 	s.streamChunks(w, r, stream)
 }
 
+// streamChunks sends the chunks of a stream as server-sent events until the
+// answer ends, the stream is aborted or the client disconnects. Only a complete
+// answer is followed by api.DoneMarker.
 func (s *Server) streamChunks(w http.ResponseWriter, r *http.Request, stream *stream) {
 	for {
 		select {
@@ -171,8 +191,9 @@
 	}
 }
 
-// sendStrayChunks sends what a faulty engine might: a chunk of another request,
-// one of another attempt, and one sent before.
+// sendStrayChunks sends three chunks that a faulty engine might send: one of
+// another request, one of another attempt, and one at an offset sent before. It
+// leaves out the third at offset 0 and beside the final chunk.
 func (s *Server) sendStrayChunks(w http.ResponseWriter, chunk api.CompletionChunk) {
 	foreign := chunk
 	foreign.ID = "00000000-0000-4000-8000-000000000000"
@@ -195,6 +216,7 @@
 	sendEvent(w, string(data))
 }
 
+// sendEvent sends a server-sent event and flushes it.
 func sendEvent(w http.ResponseWriter, data string) {
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 	_ = http.NewResponseController(w).Flush()
@@ -272,7 +294,9 @@
 	writeJSON(w, out)
 }
 
-// serveKVTransfer exports or imports the cache of a prefix; each holds memory meanwhile.
+// serveKVTransfer starts an export or import of a cached prefix. No data moves:
+// it only reserves the memory of one prefix, under the ID of the attempt, until
+// the client frees the hold.
 func (s *Server) serveKVTransfer(w http.ResponseWriter, r *http.Request) {
 	kind := map[string]string{"export": api.HoldExport, "import": api.HoldImport}[r.PathValue("direction")]
 	if kind == "" {
@@ -298,7 +322,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveStartCounts tells tests what the engine did.
+// serveStartCounts responds with counts for tests: starts by request ID, starts
+// after leaving began and after the grace period, and the tokens held.
 func (s *Server) serveStartCounts(w http.ResponseWriter, _ *http.Request) {
 	var out struct {
 		Requests         map[string]int
