--- a/standin/worker/down.go
+++ b/standin/worker/down.go
@@ -2,15 +2,19 @@
 
 import "sync"
 
-// DownSet is the workers that have ended and are not started again yet.
+// DownSet is the set of the workers whose process has ended and has not been
+// started again. Its zero value is an empty set, ready to use; it is safe for
+// concurrent use.
 type DownSet struct {
+	// lock guards downIDs.
 	lock    sync.Mutex
 	downIDs map[string]bool
-	// restarts counts them.
+	// restarts counts the workers in the set.
 	restarts sync.WaitGroup
 }
 
-// MarkDown notes that a worker has ended, and reports whether it was up.
+// MarkDown adds a worker by its instance ID and returns true. It returns false if
+// the worker is in the set already.
 func (d *DownSet) MarkDown(id string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -25,7 +29,7 @@
 	return true
 }
 
-// MarkUp notes that it is up again.
+// MarkUp removes a worker that MarkDown has added.
 func (d *DownSet) MarkUp(id string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -33,5 +37,5 @@
 	d.restarts.Done()
 }
 
-// WaitAllUp waits until all are up.
+// WaitAllUp waits until the set is empty.
 func (d *DownSet) WaitAllUp() { d.restarts.Wait() }
--- a/standin/worker/order.go
+++ b/standin/worker/order.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// serveOrder sets memory aside or gives it back.
+// serveOrder reserves memory under a ticket or releases it. A worker with
+// FaultFull refuses both.
 func (w *Worker) serveOrder(response http.ResponseWriter, body []byte) {
 	var order struct {
 		Operation string `json:"operation"`
@@ -30,14 +31,16 @@
 	}
 }
 
-// MarkTicketUsed marks a ticket as used by a request.
+// MarkTicketUsed makes reports show the memory reserved under a ticket as used by
+// a request, rather than held for one.
 func (w *Worker) MarkTicketUsed(ticket string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.usedTickets[ticket] = true
 }
 
-// serveReport says what memory is set aside.
+// serveReport responds with the tickets under which memory is reserved, the tokens
+// of each and whether it is held or used.
 func (w *Worker) serveReport(response http.ResponseWriter) {
 	type ticket struct {
 		ID     string `json:"id"`
--- a/standin/worker/plan.go
+++ b/standin/worker/plan.go
@@ -7,52 +7,64 @@
 	"time"
 )
 
-// AnswerPlan is how long the answers to requests last, by their ids.
+// AnswerPlan determines the length of each answer from the request's ID.
 type AnswerPlan struct {
-	// EventCount is how many events a stream has.
+	// EventCount returns the number of events of a stream.
 	EventCount func(id string) int
-	// CallDuration is how long a plain call is worked on.
+	// CallDuration returns the time until a plain call is answered. It may be
+	// nil if there are only streams.
 	CallDuration func(id, path string) time.Duration
 }
 
-// Lengths are drawn from ids, so that a second run of a request lasts as long as
-// the first, and callers know what they ask for.
+// Durations of RandomPlan. They are derived from the request's ID, so that every
+// execution of a request takes the same time and callers can compute it.
 const (
-	// MinAnswerDuration and LongestAnswer bound streams; callers wait 7 s.
+	// MinAnswerDuration is the shortest duration of streams and of slow plain
+	// calls.
 	MinAnswerDuration = 300 * time.Millisecond
+	// MaxStreamDuration is the longest duration of streams; callers wait 7 s.
 	MaxStreamDuration = 6900 * time.Millisecond
-	// usualStreamDuration bounds three streams in five.
+	// usualStreamDuration is the longest duration of three streams in five, and
+	// the shortest of the others.
 	usualStreamDuration = 1500 * time.Millisecond
-	// quickCallDuration is how long seven plain calls in eight take.
+	// quickCallDuration is the duration of seven plain calls in eight.
 	quickCallDuration = 15 * time.Millisecond
-	// maxCallDuration and longestSafeCall bound the eighth. Callers wait 7 s and 4 s;
-	// what is safe to repeat may be given up after 0.6 s and run again.
-	maxCallDuration     = 6600 * time.Millisecond
+	// maxCallDuration is the longest duration of the plain calls that are
+	// neither quick nor safe to repeat; their callers wait 7 s.
+	maxCallDuration = 6600 * time.Millisecond
+	// maxSafeCallDuration is the longest duration of the plain calls that are
+	// not quick but safe to repeat. Their callers wait 4 s, and an attempt may
+	// be given up after 0.6 s and executed again.
 	maxSafeCallDuration = 3 * time.Second
 )
 
-// RandomPlan draws lengths, with a pause between events.
+// RandomPlan returns a plan with random durations, where eventGap is the time
+// between two events of a stream.
 func RandomPlan(eventGap time.Duration) *AnswerPlan {
 	return &AnswerPlan{EventCount: func(id string) int { return int(randomStreamDuration(id) / eventGap) }, CallDuration: randomCallDuration}
 }
 
-// TokenUsage returns the most tokens that a caller allows for the answer, up to half more than it
-// has, and the caller's estimate, which may be too low or too high.
+// TokenUsage returns what a caller states about the length of the answer to a
+// request, in tokens: maxTokens is the limit, from 1 to 1.5 times the actual
+// length, and hint an estimate, from 0.6 to 1.4 times the actual length.
 func (p *AnswerPlan) TokenUsage(id string, tokensPerEvent int) (maxTokens, hint int) {
 	r, tokens := seededRandom(id+" usage"), float64(p.EventCount(id)*tokensPerEvent)
 	return int(tokens * (1 + r.Float64()/2)), int(tokens * (0.6 + 0.8*r.Float64()))
 }
 
+// seededRandom returns a random generator whose seed is a hash of id.
 func seededRandom(id string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	return rand.New(rand.NewPCG(h.Sum64(), 1))
 }
 
+// randomDuration returns a uniformly distributed duration.
 func randomDuration(r *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(r.Float64()*float64(longest-shortest))
 }
 
+// randomStreamDuration returns the duration of the stream with the given ID.
 func randomStreamDuration(id string) time.Duration {
 	r := seededRandom(id)
 	if r.IntN(5) < 3 {
@@ -61,6 +73,8 @@
 	return randomDuration(r, usualStreamDuration, MaxStreamDuration)
 }
 
+// randomCallDuration returns the duration of the plain call with the given ID;
+// paths under /safe/ are safe to repeat.
 func randomCallDuration(id, path string) time.Duration {
 	r := seededRandom(id)
 	if r.IntN(8) > 0 {
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,7 @@
-// Package worker is a stand-in for the upstreams of the users' platform: plain
-// services and engines that answer with streams of events. It counts what ran,
-// and fails in the ways that tests order.
+// Package worker emulates the upstreams of the users' platform: plain services,
+// and engines that answer with streams of server-sent events. A Worker is one
+// upstream; it records every request that it executes and fails in the ways that
+// a test sets.
 package worker
 
 import (
@@ -16,170 +17,223 @@
 	"time"
 )
 
-// Fault is how a worker answers.
+// Fault is the way in which a worker fails to answer requests correctly.
 type Fault int
 
-// The faults.
+// The faults of a worker. With all but FaultFull and FaultBackoff, the worker
+// executes the request.
 const (
-	// FaultNone answers.
+	// FaultNone makes the worker answer correctly.
 	FaultNone Fault = iota
-	// FaultFull answers 503 and states that it did not run the request.
+	// FaultFull makes the worker answer 503 and state in X-Not-Executed that
+	// it did not execute the request. It refuses to reserve or release memory
+	// too.
 	FaultFull
-	// FaultServerError runs the request and answers 500.
+	// FaultServerError makes the worker execute the request and answer 500.
 	FaultServerError
-	// FaultConnectionLost runs the request and breaks the connection instead of answering.
+	// FaultConnectionLost makes the worker execute the request and close the
+	// connection instead of answering.
 	FaultConnectionLost
-	// FaultNoAnswer runs the request and says nothing.
+	// FaultNoAnswer makes the worker execute the request and never answer; the
+	// connection stays open until the client closes it.
 	FaultNoAnswer
-	// FaultBrokenOff breaks off in the middle of the answer, streams within an event.
+	// FaultBrokenOff makes the worker close the connection halfway through the
+	// answer, which for streams is within an event.
 	FaultBrokenOff
-	// FaultEndsEarly ends a stream as if it were whole, in the middle of an event.
+	// FaultEndsEarly makes the worker end a stream without an error halfway
+	// through, within an event. It doesn't affect plain calls.
 	FaultEndsEarly
-	// FaultForeignID answers with another request's id.
+	// FaultForeignID makes the worker answer with the ID of another request in
+	// X-Attempt-Id.
 	FaultForeignID
-	// FaultExtraAnswer sends a second answer after the first.
+	// FaultExtraAnswer makes the worker send a second HTTP response after the
+	// answer to a plain call. It doesn't affect streams.
 	FaultExtraAnswer
-	// FaultUnsigned answers without the signature.
+	// FaultUnsigned makes the worker answer without X-Engine-Stamp, by which
+	// entries recognise the answers of upstreams.
 	FaultUnsigned
-	// FaultUnframed ends its answer with the connection.
+	// FaultUnframed makes the worker answer a plain call without a length, so
+	// that only the closing connection marks the end. It doesn't affect
+	// streams.
 	FaultUnframed
-	// FaultSlow takes SlowWork before it answers.
+	// FaultSlow makes the worker execute the request for SlowWorkTime before
+	// it answers.
 	FaultSlow
-	// FaultBackoff answers 503, states that it did not run the request, and wants none for PauseTime.
+	// FaultBackoff makes the worker answer 503, state in X-Not-Executed that it
+	// did not execute the request, and ask in Retry-After for a backoff of
+	// BackoffTime.
 	FaultBackoff
 )
 
-// BackoffTime is for how long a worker that is Pausing wants no requests from an entry that it
-// has told so.
+// BackoffTime is the time for which a worker with FaultBackoff asks the entry that
+// it refuses to send it nothing.
 const BackoffTime = 3 * time.Second
 
-// SlowWorkTime is how long a worker that is Slow takes.
+// SlowWorkTime is the time from the start of an execution to the answer of a
+// worker with FaultSlow. If a plan sets the duration of a plain call, the call
+// takes longer by that duration less the work time given to New.
 const SlowWorkTime = 1900 * time.Millisecond
 
-// AllFaults lists all faults.
+// AllFaults lists all values of Fault, FaultNone included.
 var AllFaults = []Fault{FaultNone, FaultFull, FaultServerError, FaultConnectionLost, FaultNoAnswer, FaultBrokenOff, FaultEndsEarly, FaultForeignID, FaultExtraAnswer, FaultUnsigned, FaultUnframed, FaultSlow, FaultBackoff}
 
-// Execution is one request that a worker began to work on.
+// Execution is the record of one request that a worker began to execute. The same
+// type serves for requests that it refused.
 type Execution struct {
-	RequestID    string
+	// RequestID is the value of X-Attempt-Id, which is the same in all attempts
+	// at a request.
+	RequestID string
+	// Organisation is the value of X-Tenant.
 	Organisation string
-	Path         string
-	LastEventID  string
-	Helpers      string
-	Priority     string
-	Body         string
-	Remaining    time.Duration
-	// WorkerID is the worker's id, Fault how it answered. Process counts the worker's starts.
-	WorkerID    string
-	Fault       Fault
+	// Path is the path of the request with its query.
+	Path string
+	// LastEventID is the value of Last-Event-Id: the ID of the event after which
+	// a stream is resumed; empty for a new stream.
+	LastEventID string
+	// Helpers is the value of X-Helpers: the addresses of the other engines that
+	// hold memory for the request, each with the ticket of its reservation.
+	Helpers string
+	// Priority is the value of X-Request-Priority.
+	Priority string
+	// Body is the body of the request.
+	Body string
+	// Remaining is the time left until the deadline when the request arrived,
+	// from X-Deadline-Ms; 0 without that header.
+	Remaining time.Duration
+	// WorkerID is the worker's instance ID.
+	WorkerID string
+	// Fault is the fault that the worker had when the request arrived.
+	Fault Fault
+	// Incarnation is the number of the worker's restarts before the execution.
 	Incarnation int
-	// Crashed is true where the run ended its worker's process.
+	// Crashed is true if the request crashed the worker's incarnation.
 	Crashed bool
-	// Began and Ended are when the worker took the run and let it go; Ended is
-	// zero while it works.
+	// Began is when the worker began to execute or refused the request; Ended is
+	// when it stopped executing it, and zero while the execution is in progress.
 	Began, Ended time.Time
 }
 
-// Worker is one upstream.
+// Worker emulates one upstream. It is safe for concurrent use, except for SetPlan
+// and OnCrash.
 type Worker struct {
+	// id is the instance ID.
 	id string
-	// Events and Pause are those of its streams; Work is the time before an
-	// answer.
-	eventCount         int
+	// eventCount is the number of events of a stream, unless there is a plan.
+	eventCount int
+	// eventGap is the time between two events of a stream. workTime is the time
+	// before the answer or the first event; a plan replaces it for plain calls.
 	eventGap, workTime time.Duration
-	// plan, where not nil, takes the place of events and, for plain calls, work.
+	// plan determines the lengths of answers; nil if they are all alike.
 	plan *AnswerPlan
 
+	// lock guards the fields below, but for onCrash.
 	lock       sync.Mutex
 	fault      Fault
 	executions []Execution
-	// refusals are requests that the worker was too full for; they are no runs.
+	// refusals records the requests refused because of FaultFull or
+	// FaultBackoff.
 	refusals []Execution
-	current  *incarnation
-	// restarts counts the starts.
+	// current is the incarnation that serves new requests.
+	current *incarnation
+	// restarts is the number of calls of Restart.
 	restarts int
-	// reservations is the memory set aside by ticket, used the tickets that a request uses.
+	// reservations holds the tokens of reserved memory by ticket.
 	reservations map[string]int
-	usedTickets  map[string]bool
-	// onCrash is called when a request ends the process that runs it; nil where none does.
+	// usedTickets holds the tickets passed to MarkTicketUsed.
+	usedTickets map[string]bool
+	// onCrash is called when a request crashes the worker; if nil, requests
+	// don't crash it.
 	onCrash func()
 }
 
-// incarnation is one run of the worker's process.
+// incarnation is one process lifetime of a worker, from start to exit. The
+// worker's lock guards its fields.
 type incarnation struct {
+	// inProgress is the number of executions in progress.
 	inProgress int
-	// crashed is true once a request has ended the process.
+	// crashed is true once a request has crashed this incarnation.
 	crashed bool
-	// leaving processes say so in all their answers.
+	// leaving makes all responses announce that the worker is leaving.
 	leaving bool
-	// ended is closed when the process has ended.
+	// ended is closed at the exit of the process.
 	ended chan struct{}
 }
 
+// newIncarnation returns an incarnation that has just started.
 func newIncarnation() *incarnation { return &incarnation{ended: make(chan struct{})} }
 
-// New returns a sound worker with an instance id, that answers after work and
-// makes events with pauses.
+// New returns a worker without faults. It has the given instance ID, waits
+// workTime before each answer, and sends streams of eventCount events, eventGap
+// apart.
 func New(id string, workTime time.Duration, eventCount int, eventGap time.Duration) *Worker {
 	return &Worker{id: id, workTime: workTime, eventCount: eventCount, eventGap: eventGap, current: newIncarnation(), reservations: map[string]int{}, usedTickets: map[string]bool{}}
 }
 
-// SetPlan has each request's answer last as a plan says. It is called before
-// the first request.
+// SetPlan makes a plan determine the number of events of streams and the duration
+// of plain calls. It must be called before the first request.
 func (w *Worker) SetPlan(p *AnswerPlan) { w.plan = p }
 
-// crashDelay is how long a process runs a request that crashes it.
+// crashDelay is the time from the start of an execution to the crash that it
+// causes.
 const crashDelay = 60 * time.Millisecond
 
-// crashPathSegment is what the paths contain of requests that crash what runs them.
+// crashPathSegment is contained in the paths of requests that crash the worker
+// that executes them.
 const crashPathSegment = "/crash"
 
-// IsCrashPath reports whether a request to a path crashes whatever runs it.
+// IsCrashPath reports whether a request with this path crashes the worker that
+// executes it.
 func IsCrashPath(path string) bool { return strings.Contains(path, crashPathSegment) }
 
-// OnCrash has a function called when a request crashes the worker. It ends the
-// worker's connections, keeps its address from answering for a while, and calls Restart.
+// OnCrash sets the function that is called when a request crashes the worker; the
+// function must close the worker's connections, keep its address unreachable for
+// a while, and call Restart. Without it requests don't crash the worker. It must be
+// called before the first request.
 func (w *Worker) OnCrash(onCrash func()) { w.onCrash = onCrash }
 
-// SetFault changes how the worker answers.
+// SetFault sets the fault with which the worker answers new requests.
 func (w *Worker) SetFault(f Fault) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.fault = f
 }
 
-// SetLeaving has the worker say in all its answers that it leaves, until it is started again. It goes
-// on serving.
+// SetLeaving makes all responses to new requests announce that the worker is
+// leaving, until the next Restart. The worker still executes requests.
 func (w *Worker) SetLeaving() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.current.leaving = true
 }
 
-// Executions returns all that ran.
+// Executions returns the records of all executions since New, in the order of
+// their start.
 func (w *Worker) Executions() []Execution {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return append([]Execution(nil), w.executions...)
 }
 
-// RefusedCount is how many requests the worker has turned away.
+// RefusedCount returns the number of requests refused because of FaultFull or
+// FaultBackoff.
 func (w *Worker) RefusedCount() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return len(w.refusals)
 }
 
-// InProgress is how many requests are being worked on.
+// InProgress returns the number of requests that the current incarnation is
+// executing.
 func (w *Worker) InProgress() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.current.inProgress
 }
 
-// Restart ends the worker's process and starts it again under its id, as behind a
-// partition: what it worked on is never answered and its connections say nothing more.
-// The new run holds nothing.
+// Restart ends the worker's incarnation and starts another one under the same
+// instance ID. As behind a network partition, requests in progress are never
+// answered and their connections stay open, but silent. The new incarnation has no
+// reservations.
 func (w *Worker) Restart() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -189,16 +243,20 @@
 	clear(w.reservations)
 }
 
-// ExecutionsOf returns the runs of a request at all of the workers, the earliest first.
+// ExecutionsOf returns the executions of the request with the given ID at all of
+// the workers, earliest start first.
 func ExecutionsOf(workers iter.Seq[*Worker], id string) []Execution {
 	return recordsOf(workers, id, func(w *Worker) []Execution { return w.executions })
 }
 
-// RefusalsOf returns when workers were too full for a request, the earliest first.
+// RefusalsOf returns the refusals of the request with the given ID because of
+// FaultFull or FaultBackoff at all of the workers, earliest first.
 func RefusalsOf(workers iter.Seq[*Worker], id string) []Execution {
 	return recordsOf(workers, id, func(w *Worker) []Execution { return w.refusals })
 }
 
+// recordsOf returns those of the workers' records that have the given request ID,
+// earliest first. The function records is called with the worker's lock held.
 func recordsOf(workers iter.Seq[*Worker], id string, records func(*Worker) []Execution) []Execution {
 	var found []Execution
 	for w := range workers {
@@ -214,23 +272,29 @@
 	return found
 }
 
-// ExecutionCount is how often a request ran at all of the workers.
+// ExecutionCount returns how many times the workers began to execute the request
+// with the given ID.
 func ExecutionCount(workers iter.Seq[*Worker], id string) int { return len(ExecutionsOf(workers, id)) }
 
-// ReservedTokens returns the memory set aside, by ticket.
+// ReservedTokens returns the reserved memory in tokens, by ticket.
 func (w *Worker) ReservedTokens() map[string]int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return maps.Clone(w.reservations)
 }
 
-// AnswerBody is the answer to a plain request.
+// AnswerBody returns the body of the correct answer to the plain call with the
+// given ID.
 func AnswerBody(id string) string { return "answer to " + id }
 
-// StreamEvent is one event of the answer to a stream.
+// StreamEvent returns the n-th event, counted from 1, of the correct answer to the
+// streaming request with the given ID, as bytes of the event stream.
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one HTTP request. Requests to /order reserve or release memory
+// and those to /report list the reservations; all others are executed or refused as
+// the fault determines, or refused with 421 if X-Expect-Instance names another
+// instance.
 func (w *Worker) ServeHTTP(response http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -300,7 +364,9 @@
 	}
 }
 
-// serveCrash runs a request that ends the process. Of two at a time the first does.
+// serveCrash executes a request that crashes the incarnation. Only the first such
+// request of an incarnation calls onCrash, but all are recorded as crashed. None is
+// answered.
 func (w *Worker) serveCrash(r *http.Request, current *incarnation, index int) {
 	if !current.wait(r, crashDelay) {
 		return
@@ -316,7 +382,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// workTimeOf is how long a sound worker works before it answers.
+// workTimeOf returns the time before the answer to r, or before the first event
+// of a stream, without faults.
 func (w *Worker) workTimeOf(r *http.Request, id string) time.Duration {
 	if w.plan != nil && r.Header.Get("X-Token-Usage") == "" {
 		return w.plan.CallDuration(id, r.URL.Path)
@@ -324,7 +391,7 @@
 	return w.workTime
 }
 
-// eventCountOf is how many events the answer to a stream has.
+// eventCountOf returns the number of events of the stream with the given ID.
 func (w *Worker) eventCountOf(id string) int {
 	if w.plan != nil {
 		return w.plan.EventCount(id)
@@ -332,7 +399,8 @@
 	return w.eventCount
 }
 
-// beginExecution notes a run, and returns its place among the runs.
+// beginExecution records the start of an execution. It returns the incarnation
+// that executes it and the index of the record in executions.
 func (w *Worker) beginExecution(r *http.Request, id, body string, fault Fault) (*incarnation, int) {
 	remaining, _ := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	w.lock.Lock()
@@ -346,6 +414,7 @@
 	return w.current, len(w.executions) - 1
 }
 
+// endExecution records the end of the execution at index, begun by current.
 func (w *Worker) endExecution(current *incarnation, index int) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -353,7 +422,9 @@
 	w.executions[index].Ended = time.Now()
 }
 
-// wait waits, and reports whether caller and process are still there after it.
+// wait waits for d and returns true, or returns false as soon as the client
+// disconnects. If the incarnation ends first, it waits until the client
+// disconnects and aborts the handler.
 func (i *incarnation) wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -366,6 +437,8 @@
 	}
 }
 
+// writeAnswer writes the answer to a plain call or a stream, after the work time
+// and with those faults that affect the answer itself.
 func (w *Worker) writeAnswer(response http.ResponseWriter, r *http.Request, current *incarnation, fault Fault, id string) {
 	if r.Header.Get("X-Token-Usage") != "" {
 		w.writeStream(response, r, current, fault, id)
@@ -386,8 +459,8 @@
 	}
 }
 
-// writeRawAnswer writes an answer as it stands, with the headers set, and closes the
-// connection.
+// writeRawAnswer writes a status line, the headers set so far and rest to the
+// connection, bypassing net/http's framing, and closes the connection.
 func writeRawAnswer(response http.ResponseWriter, rest string) {
 	connection, buffer, err := http.NewResponseController(response).Hijack()
 	if err != nil {
@@ -400,6 +473,7 @@
 	_ = buffer.Flush()
 }
 
+// writeStream sends the events of a stream after Last-Event-Id, eventGap apart.
 func (w *Worker) writeStream(response http.ResponseWriter, r *http.Request, current *incarnation, fault Fault, id string) {
 	lastEventID, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	response.Header().Set("Content-Type", "text/event-stream")
@@ -417,7 +491,8 @@
 		}
 		_, _ = io.WriteString(response, event)
 		_ = flusher.Flush()
-		// By the clock, so that a hundred events take no longer than their pauses.
+		// Waits until a time counted from the start of the stream, so that
+		// delays don't add up over many events.
 		if !current.wait(r, time.Until(began.Add(time.Duration(n-lastEventID)*w.eventGap))) {
 			return
 		}
