--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform is a stand-in for the users' platform: a configuration
-// service that can be read and watched, and a list of instances that lags.
+// Package platform emulates the users' platform, for tests and the demo: a
+// service that publishes the configuration and the instance list over HTTP. Both
+// can be read and watched; the instance list is shown with a delay.
 package platform
 
 import (
@@ -17,45 +18,57 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Modes of the platform, set by tests.
+// Modes of the platform, set by tests. They determine what readers of the
+// configuration and the instance list get.
 const (
-	// ModeUp: answers with what was published last.
+	// ModeUp serves the latest values, the instance list delayed by ListLag.
 	ModeUp = "up"
-	// ModeDown: answers nothing but errors.
+	// ModeDown answers every read with 503.
 	ModeDown = "down"
-	// ModeStale: answers with what it had when it went stale.
+	// ModeStale serves the values that readers in ModeUp got when the mode was
+	// set.
 	ModeStale = "stale"
-	// ModePrevious: answers with what was published before the last.
+	// ModePrevious serves the values published before the latest ones, as a
+	// platform does that has gone back to an older state.
 	ModePrevious = "back"
 )
 
-// Server is the platform. Its values are set over HTTP by tests and by the
-// operators of the demo.
+// Server emulates the platform. Tests publish values with its methods or over
+// HTTP, operators of the demo over HTTP.
 type Server struct {
-	// ListLag is how old the instance list is that readers see.
+	// ListLag is the age at which a published instance list becomes visible to
+	// readers. It must not change once requests are served.
 	ListLag time.Duration
 
-	lock      sync.Mutex
-	changed   chan struct{}
-	mode      string
+	// lock guards the fields below.
+	lock sync.Mutex
+	// changed is closed, and replaced by an open channel, when a value or the
+	// mode changes.
+	changed chan struct{}
+	// mode is one of the Mode constants.
+	mode string
+	// reads counts the reads of both values since the start.
 	reads     int
 	config    history
 	instances history
 }
 
-// history is the published values of one key, oldest first.
+// history holds the values published of the configuration or the instance list.
 type history struct {
+	// values holds all published values, oldest first.
 	values []publishedValue
-	// stale is the value shown while the platform is stale.
+	// stale is the value that readers get in ModeStale.
 	stale []byte
 }
 
+// publishedValue is a value and the time of its publication.
 type publishedValue struct {
 	publishedAt time.Time
 	data        []byte
 }
 
-// New returns a platform that publishes nothing yet.
+// New returns a Server in ModeUp that has no values yet. It answers reads with 503
+// until they are published.
 func New(listLag time.Duration) *Server {
 	return &Server{ListLag: listLag, mode: ModeUp, changed: make(chan struct{})}
 }
@@ -73,7 +86,7 @@
 	return mux
 }
 
-// Publish sets the configuration or, where list is true, the instance list.
+// Publish sets the configuration or, if list is true, the instance list.
 func (s *Server) Publish(data []byte, list bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -84,16 +97,19 @@
 	s.appendValue(target, data)
 }
 
+// appendValue publishes data. The caller holds the lock.
 func (s *Server) appendValue(h *history, data []byte) {
 	h.values = append(h.values, publishedValue{publishedAt: time.Now(), data: data})
 	s.notifyReaders()
 }
 
+// notifyReaders wakes the reads that wait for a change. The caller holds the lock.
 func (s *Server) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// servePublish publishes the body of r, of at most 1 MiB.
 func (s *Server) servePublish(w http.ResponseWriter, r *http.Request, h *history) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, 1<<20+1))
 	if err != nil || len(data) > 1<<20 {
@@ -105,7 +121,8 @@
 	s.appendValue(h, data)
 }
 
-// SetMode changes what readers see.
+// SetMode sets the mode, one of the Mode constants, and wakes waiting reads. The
+// values that are visible to readers in ModeUp become those of ModeStale.
 func (s *Server) SetMode(mode string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -120,7 +137,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveSetState changes the state of one instance in the list, or removes it.
+// serveSetState publishes a copy of the latest instance list in which one instance
+// has another state. State "gone" removes the instance.
 func (s *Server) serveSetState(w http.ResponseWriter, r *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -142,13 +160,15 @@
 	s.appendValue(&s.instances, data)
 }
 
+// serveReadCount responds with the number of reads since the start.
 func (s *Server) serveReadCount(w http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	_, _ = fmt.Fprintln(w, s.reads)
 }
 
-// valueWithLag is the newest value at least lag old.
+// valueWithLag returns the newest value that is at least lag old, or the oldest
+// value if all are newer. It returns nil if nothing was published.
 func (h *history) valueWithLag(lag time.Duration) []byte {
 	for i := len(h.values) - 1; i >= 0; i-- {
 		if time.Since(h.values[i].publishedAt) >= lag || i == 0 {
@@ -158,6 +178,8 @@
 	return nil
 }
 
+// visibleValue returns the value that readers get in the current mode, or nil if
+// there is none. The caller holds the lock.
 func (s *Server) visibleValue(h *history, lag time.Duration) []byte {
 	switch s.mode {
 	case ModeStale:
@@ -170,13 +192,16 @@
 	return h.valueWithLag(lag)
 }
 
+// etag returns the entity tag of data, a quoted SHA-256 hash.
 func etag(data []byte) string {
 	sum := sha256.Sum256(data)
 	return `"` + hex.EncodeToString(sum[:]) + `"`
 }
 
-// serveRead answers at once, or, where the reader has the value already and
-// prefers to wait, once the value changes.
+// serveRead responds with the visible value and its ETag. If the reader already
+// has that value (If-None-Match), it waits for another one, for as long as the
+// reader prefers, and then responds with 304. Without a visible value, and in
+// ModeDown, it responds with 503.
 func (s *Server) serveRead(w http.ResponseWriter, r *http.Request, h *history, lag time.Duration) {
 	s.lock.Lock()
 	s.reads++
@@ -212,7 +237,8 @@
 	}
 }
 
-// preferredWait reads the wait that a reader prefers, as in RFC 7240.
+// preferredWait returns the time in the reader's Prefer header (wait=SECONDS, as in
+// RFC 7240), or 0 without a valid one.
 func preferredWait(r *http.Request) time.Duration {
 	text, found := strings.CutPrefix(r.Header.Get("Prefer"), "wait=")
 	if !found {
