--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands before a process on a real network and breaks its
-// connections as tests order.
+// Package relay forwards TCP connections to a process and disturbs them in the ways
+// that a test sets, to emulate network faults on a real network.
 package relay
 
 import (
@@ -10,36 +10,46 @@
 	"time"
 )
 
-// Ways to cut the cable between two processes.
+// Modes of a relay, set for each source address. The empty mode forwards
+// everything without delay.
 const (
-	// ModeRefuse resets connections and refuses new ones.
+	// ModeRefuse closes open connections and resets new ones.
 	ModeRefuse = "refuse"
-	// ModeStall carries nothing either way, and says nothing.
+	// ModeStall forwards nothing in either direction and keeps connections
+	// open.
 	ModeStall = "stall"
-	// ModeDropAnswers carries what the caller sends and none of the answers.
+	// ModeDropAnswers forwards what the source sends, but none of the answers.
 	ModeDropAnswers = "answers"
-	// ModeDelay carries everything, each read after LateTime.
+	// ModeDelay forwards everything, each read delayed by DelayTime.
 	ModeDelay = "late"
 )
 
-// DelayTime is by how much a late cable delays each read.
+// DelayTime is the delay of each read in ModeDelay.
 const DelayTime = 150 * time.Millisecond
 
-// Relay stands before one process. It tells who connects by the address that
-// the connection comes from, and treats each as the cable to it is set.
+// Relay forwards TCP connections to one process. It distinguishes sources by the
+// IP address that a connection comes from, and treats the connections of each as
+// the mode set for it says. It is safe for concurrent use.
 type Relay struct {
 	listenAddress, targetAddress netip.AddrPort
-	// OnBytes, where not nil, is told of all bytes carried; it is set before the
-	// first connection.
+	// OnBytes, if not nil, is called for every read that is forwarded, in
+	// either direction, with the source's address and the number of bytes. It
+	// must be set before the first connection.
 	OnBytes func(from netip.Addr, n int)
 
-	lock        sync.Mutex
-	listener    net.Listener
-	modes       map[netip.Addr]string
+	// lock guards the fields below.
+	lock     sync.Mutex
+	listener net.Listener
+	// modes holds the mode of each source; sources that are not in it have the
+	// empty mode.
+	modes map[netip.Addr]string
+	// connections holds the open connections from sources, with the source's
+	// address.
 	connections map[net.Conn]netip.Addr
 }
 
-// New returns a relay that listens at front and connects to back.
+// New returns a relay that listens at listenAddress and forwards connections to
+// targetAddress. It returns an error if it can't listen.
 func New(listenAddress, targetAddress netip.AddrPort) (*Relay, error) {
 	l, err := net.Listen("tcp", listenAddress.String())
 	if err != nil {
@@ -50,11 +60,11 @@
 	return r, nil
 }
 
-// Close ends the relay and all its connections.
+// Close stops listening and closes all connections.
 func (r *Relay) Close() { r.Stop() }
 
-// Stop ends all connections, and nobody listens any more until Up, as where the process has
-// ended.
+// Stop stops listening and closes all connections, as if the target process had
+// exited. Resume undoes it.
 func (r *Relay) Stop() {
 	r.lock.Lock()
 	listener := r.listener
@@ -63,7 +73,8 @@
 	r.CloseConnections(func(netip.Addr) bool { return true })
 }
 
-// Resume listens again.
+// Resume listens at the same address again after Stop. It returns an error if it
+// can't listen.
 func (r *Relay) Resume() error {
 	l, err := net.Listen("tcp", r.listenAddress.String())
 	if err != nil {
@@ -76,7 +87,8 @@
 	return nil
 }
 
-// CloseConnections closes the connections of the callers that which names.
+// CloseConnections closes the open connections of the sources for which selected
+// returns true.
 func (r *Relay) CloseConnections(selected func(netip.Addr) bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -87,8 +99,9 @@
 	}
 }
 
-// SetMode cuts or, with an empty way, mends the cable to an address. Mending
-// resets what was stalled, as a real break outlasts any connection.
+// SetMode sets the mode of a source, one of the Mode constants or "" to forward
+// normally. ModeRefuse, and the return to "", close the source's open connections:
+// a connection doesn't survive a real network fault either.
 func (r *Relay) SetMode(source netip.Addr, mode string) {
 	r.lock.Lock()
 	before := r.modes[source]
@@ -99,12 +112,14 @@
 	}
 }
 
+// mode returns the mode of a source.
 func (r *Relay) mode(source netip.Addr) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.modes[source]
 }
 
+// acceptConnections forwards the connections that l accepts, until l is closed.
 func (r *Relay) acceptConnections(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -115,6 +130,9 @@
 	}
 }
 
+// relayConnection forwards one connection until either side closes it. It resets
+// the connection if the source's mode is ModeRefuse or the target can't be reached
+// within a second.
 func (r *Relay) relayConnection(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	source := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
@@ -142,7 +160,9 @@
 	<-done
 }
 
-// copyBytes carries bytes until either end closes; while stalled it holds them.
+// copyBytes copies bytes from one connection to the other until either is closed,
+// and then sends to done. While isHeld returns true for the mode of the source, it
+// withholds what it has read.
 func (r *Relay) copyBytes(from, to net.Conn, source netip.Addr, isHeld func(string) bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 64<<10)
