--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service beside the engines, for
-// tests and the demo. It records every execution.
+// Package service emulates a plain service, an upstream that runs no model, for
+// tests and the demo. It records every execution of a call.
 package service
 
 import (
@@ -12,19 +12,28 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Execution of a call.
+// Execution is the record of one execution of a call.
 type Execution struct {
+	// RequestID is the value of the header api.HeaderRequestID.
 	RequestID string
-	Call      string
-	Body      string
+	// Call is the name of the call, from the path.
+	Call string
+	// Body is the body of the request, cut off after 1 MiB.
+	Body string
 }
 
-// Server is a service whose every call takes Delay.
+// Server emulates one service. Its exported fields must not change once requests
+// are served.
 type Server struct {
-	Name  string
+	// Name is the service's name in request paths; requests for other names are
+	// refused with 400.
+	Name string
+	// Delay is the time from the arrival of a call to its answer.
 	Delay time.Duration
 
-	lock       sync.Mutex
+	// lock guards executions.
+	lock sync.Mutex
+	// executions holds all executions since the start, oldest first.
 	executions []Execution
 }
 
@@ -36,6 +45,8 @@
 	return mux
 }
 
+// serveCall records an execution of a call and, after Delay, responds with the
+// request ID and the name of the call. A refusal states that nothing was started.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil || r.PathValue("service") != s.Name {
@@ -55,13 +66,14 @@
 	}{execution.RequestID, execution.Call})
 }
 
-// Executions lists what was run.
+// Executions returns the records of all executions, oldest first.
 func (s *Server) Executions() []Execution {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return append([]Execution(nil), s.executions...)
 }
 
+// serveExecutions responds with all executions as JSON.
 func (s *Server) serveExecutions(w http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
