--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin runs a stand-in for a model engine, a plain service or the
-// platform. It is for tests and the demo; the product never uses it.
+// Command standin runs an emulated model engine, plain service or platform, or
+// measures the routing policy in simulated time. It is for tests and the demo; the
+// product never uses it.
 package main
 
 import (
@@ -19,12 +20,13 @@
 	"github.com/sapphireramp/sapphireramp/standin/service"
 )
 
-// standIn is one stand-in, ready to be served.
+// standIn is an emulated engine, service or platform, ready to be served.
 type standIn struct {
 	handler http.Handler
-	// runBackground works beside the server until the context ends.
+	// runBackground runs beside the HTTP server until its context ends; it may
+	// be nil.
 	runBackground func(context.Context)
-	// drain returns when the program may exit.
+	// drain returns once the process may exit; it may be nil.
 	drain func(context.Context)
 }
 
@@ -35,9 +37,11 @@
 	}
 }
 
+// runCommand parses the command line and runs the subcommand until it ends or a
+// signal stops it.
 func runCommand() error {
 	flaggy.SetName("standin")
-	flaggy.SetDescription("stand-ins for engines, services and the platform")
+	flaggy.SetDescription("emulates engines, services and the platform")
 	address := "127.0.0.1:0"
 
 	engineConfig := engine.Config{
@@ -54,30 +58,30 @@
 	engineCommand.String(&adapters, "", "adapters", "adapters loaded at the start, separated by commas")
 	engineCommand.String(&engineConfig.Role, "", "role", "role at the start")
 	engineCommand.Int(&engineConfig.MemoryTokens, "", "memory", "KV memory in tokens")
-	engineCommand.Int(&engineConfig.PrefillRate, "", "prefill-rate", "prompt tokens a second")
-	engineCommand.Duration(&engineConfig.TokenTime, "", "token-time", "time of one answer token")
+	engineCommand.Int(&engineConfig.PrefillRate, "", "prefill-rate", "prompt tokens prefilled a second")
+	engineCommand.Duration(&engineConfig.TokenTime, "", "token-time", "duration of one decoding step, a token for each stream")
 	engineCommand.Duration(&engineConfig.ReportLag, "", "report-lag", "age of the load report")
-	engineCommand.Duration(&engineConfig.WeightLoadTime, "", "load-time", "time that an order takes")
-	engineCommand.Bool(&engineConfig.ChecksFences, "", "checks-fences", "refuse an old fencing number")
-	engineCommand.Bool(&engineConfig.ChecksOrders, "", "checks-orders", "check who orders")
-	engineCommand.String(&issuers, "", "issuers", "who may order, separated by commas")
-	engineCommand.Bool(&sendsStrayChunks, "", "crossed", "send chunks of other requests too")
+	engineCommand.Duration(&engineConfig.WeightLoadTime, "", "load-time", "time from an order until it takes effect")
+	engineCommand.Bool(&engineConfig.ChecksFences, "", "checks-fences", "refuse orders whose fence is not higher than the current one")
+	engineCommand.Bool(&engineConfig.ChecksOrders, "", "checks-orders", "refuse orders of issuers not in --issuers")
+	engineCommand.String(&issuers, "", "issuers", "issuers whose orders are accepted, separated by commas")
+	engineCommand.Bool(&sendsStrayChunks, "", "crossed", "add chunks of other requests and attempts to every stream")
 	flaggy.AttachSubcommand(engineCommand, 1)
 
 	serviceServer := &service.Server{Name: "service", Delay: 10 * time.Millisecond}
 	serviceCommand := flaggy.NewSubcommand("service")
 	serviceCommand.String(&address, "a", "address", "IP:port to listen on")
 	serviceCommand.String(&serviceServer.Name, "n", "name", "name")
-	serviceCommand.Duration(&serviceServer.Delay, "", "delay", "time that a call takes")
+	serviceCommand.Duration(&serviceServer.Delay, "", "delay", "time from a call to its answer")
 	flaggy.AttachSubcommand(serviceCommand, 1)
 
 	var listLag time.Duration
 	configFile, listFile := "", ""
 	platformCommand := flaggy.NewSubcommand("platform")
 	platformCommand.String(&address, "a", "address", "IP:port to listen on")
-	platformCommand.String(&configFile, "", "config", "file with the first document")
-	platformCommand.String(&listFile, "", "instances", "file with the first instance list")
-	platformCommand.Duration(&listLag, "", "list-lag", "age of the instance list")
+	platformCommand.String(&configFile, "", "config", "file with the configuration document to publish at the start")
+	platformCommand.String(&listFile, "", "instances", "file with the instance list to publish at the start")
+	platformCommand.Duration(&listLag, "", "list-lag", "age at which a published instance list becomes visible")
 	flaggy.AttachSubcommand(platformCommand, 1)
 
 	measure := newMeasureCommand()
@@ -96,9 +100,10 @@
 	case measure.subcommand.Used:
 		return measure.run()
 	}
-	return fmt.Errorf("command: one of engine, service, platform, measure is needed")
+	return fmt.Errorf("no subcommand given: use engine, service, platform or measure")
 }
 
+// splitList splits a comma-separated list; an empty text is an empty list.
 func splitList(text string) []string {
 	if text == "" {
 		return nil
@@ -106,6 +111,8 @@
 	return strings.Split(text, ",")
 }
 
+// servePlatform serves a platform that starts with the contents of configFile and
+// listFile; an empty file name leaves the value unpublished.
 func servePlatform(address string, listLag time.Duration, configFile, listFile string) error {
 	server := platform.New(listLag)
 	for file, list := range map[string]bool{configFile: false, listFile: true} {
@@ -114,14 +121,14 @@
 		}
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return fmt.Errorf("read what to publish: %w", err)
+			return fmt.Errorf("read the document or instance list to publish: %w", err)
 		}
 		server.Publish(data, list)
 	}
 	return serve(address, standIn{handler: server.Handler()})
 }
 
-// serve runs the program until a signal, then drains it.
+// serve serves p at address until SIGTERM or SIGINT, and then drains it.
 func serve(address string, p standIn) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -141,7 +148,8 @@
 	if p.drain != nil {
 		p.drain(context.Background())
 	}
-	// A watch in progress is cut: the stand-in owes it nothing.
+	// Reads that wait for a change of the platform's values are cut off after
+	// 200 ms: an emulated platform need not finish them.
 	shutdownContext, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	_ = server.Shutdown(shutdownContext)
--- a/cmd/standin/measure.go
+++ b/cmd/standin/measure.go
@@ -12,41 +12,54 @@
 	"github.com/sapphireramp/sapphireramp/standin/measurer"
 )
 
-// measureCommand is the command that prints the policy's figures.
+// measureCommand is the subcommand that simulates deployments under load and
+// prints latency and goodput for each routing policy.
 type measureCommand struct {
-	subcommand  *flaggy.Subcommand
+	subcommand *flaggy.Subcommand
+	// deployments lists names of measurer.Deployments, separated by commas.
 	deployments string
-	policies    string
-	loads       string
-	fault       string
-	seed        uint64
-	full        bool
-	burst       bool
+	// policies lists names of measurer.Policies, separated by commas; empty means
+	// all.
+	policies string
+	// loads lists offered loads as fractions of the engines' prefill capacity,
+	// separated by commas.
+	loads string
+	// fault is a measurer.Fault; empty means none.
+	fault string
+	seed  uint64
+	// full prints a table of all classes for each policy, instead of a line.
+	full bool
+	// burst measures the recovery from a burst, instead of a constant load.
+	burst bool
 }
 
+// newMeasureCommand returns the subcommand with its flags defined.
+
 func newMeasureCommand() *measureCommand {
 	m := &measureCommand{subcommand: flaggy.NewSubcommand("measure"), deployments: "condor,zeekant", loads: "0.8", seed: 1}
-	m.subcommand.Description = "measure the routing policy in virtual time"
-	m.subcommand.String(&m.deployments, "d", "deployments", "condor, zeekant, separated by commas")
-	m.subcommand.String(&m.policies, "p", "policies", "names of policies, separated by commas; none means all")
-	m.subcommand.String(&m.loads, "l", "loads", "parts of what the engines can prefill, separated by commas")
+	m.subcommand.Description = "measure routing policies in simulated time"
+	m.subcommand.String(&m.deployments, "d", "deployments", "condor or zeekant, or both, separated by commas")
+	m.subcommand.String(&m.policies, "p", "policies", "names of policies, separated by commas; empty means all")
+	m.subcommand.String(&m.loads, "l", "loads", "fractions of the engines' prefill capacity, separated by commas")
 	m.subcommand.String(&m.fault, "f", "fault", "dead-engine, slow-engine, lagged-load, cut-centre, or none")
-	m.subcommand.UInt64(&m.seed, "s", "seed", "seed of the requests")
-	m.subcommand.Bool(&m.full, "", "full", "print all classes")
-	m.subcommand.Bool(&m.burst, "", "burst", "measure recovery from a minute at twice what the engines can do")
+	m.subcommand.UInt64(&m.seed, "s", "seed", "seed of the random requests")
+	m.subcommand.Bool(&m.full, "", "full", "print a table of all classes for each policy")
+	m.subcommand.Bool(&m.burst, "", "burst", "measure the recovery from a minute at twice the engines' capacity")
 	return m
 }
 
+// run measures every deployment at every load. It returns an error if a flag has an
+// invalid value, after printing the results for the values before it.
 func (m *measureCommand) run() error {
 	for name := range strings.SplitSeq(m.deployments, ",") {
 		d, ok := measurer.Deployments[name]
 		if !ok {
-			return fmt.Errorf("--deployments: %q: must be condor or zeekant", name)
+			return fmt.Errorf("--deployments: %q must be condor or zeekant", name)
 		}
 		for text := range strings.SplitSeq(m.loads, ",") {
 			load, err := strconv.ParseFloat(text, 64)
 			if err != nil || load <= 0 || load > 10 {
-				return fmt.Errorf("--loads: %q: must be a number over 0 and at most 10", text)
+				return fmt.Errorf("--loads: %q must be a number above 0 and at most 10", text)
 			}
 			m.comparePolicies(d, load)
 		}
@@ -54,7 +67,9 @@
 	return nil
 }
 
-// comparePolicies prints a line, or a table, for each policy.
+// comparePolicies simulates deployment d at a load and prints a line, or with
+// --full a table, for each policy. The line also compares the short prompts'
+// latency with that in a second simulation, without the two longest classes.
 func (m *measureCommand) comparePolicies(d measurer.Deployment, load float64) {
 	fmt.Printf("deployment=%s load=%.2f fault=%q seed=%d\n", d.Name, load, m.fault, m.seed)
 	if m.burst {
@@ -86,8 +101,9 @@
 	}
 }
 
-// measureRecovery prints how the policies come through a burst, with callers that send
-// again what failed.
+// measureRecovery simulates deployment d through a burst, with callers that retry
+// what was refused or late, and prints the results of every half minute for each
+// policy.
 func (m *measureCommand) measureRecovery(d measurer.Deployment) {
 	const base, peak, retries = 0.7, 2.0, 5
 	for _, p := range measurer.Policies {
@@ -103,6 +119,7 @@
 	}
 }
 
+// listContains reports whether a comma-separated list contains name.
 func listContains(list, name string) bool {
 	for item := range strings.SplitSeq(list, ",") {
 		if item == name {
