--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -22,8 +22,8 @@
 	Body string
 }
 
-// Server emulates one service. Its exported fields must not change once requests
-// are served.
+// Server emulates one service. Its exported fields must not change while a request
+// is being served.
 type Server struct {
 	// Name is the service's name in request paths; requests for other names are
 	// refused with 400.
