--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -324,7 +324,7 @@
 	}
 	runs := func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.workers), id) }
 	refusals := func(id string) []worker.Execution { return worker.RefusalsOf(maps.Values(f.workers), id) }
-	return caller.Observations{Runs: runs, Refusals: refusals, EventCount: events, Faults: &f.disruptionLog}
+	return caller.Observations{Executions: runs, Refusals: refusals, EventCount: events, Faults: &f.disruptionLog}
 }
 
 // stopEntry stops an entry as SIGTERM does, and records the stop and the exit in disruptionLog.
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -437,7 +437,7 @@
 // injected, against which the results of requests are checked.
 func (f *fleet) evidence() caller.Observations {
 	return caller.Observations{
-		Runs:       func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.upstreams), id) },
+		Executions: func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.upstreams), id) },
 		Refusals:   func(id string) []worker.Execution { return worker.RefusalsOf(maps.Values(f.upstreams), id) },
 		EventCount: withShortCalmAnswers(answerPlan).EventCount, Faults: &f.disruptions,
 	}
--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -36,7 +36,7 @@
 		results = append(results, x.results...)
 	}
 	for _, r := range results {
-		for _, run := range observed.Runs(r.ID) {
+		for _, run := range observed.Executions(r.ID) {
 			arrivals = append(arrivals, arrival{r, run})
 		}
 		for _, run := range observed.Refusals(r.ID) {
@@ -77,7 +77,7 @@
 // passedOnRun returns the run or refusal of a request at the upstream whose answer its
 // entry forwarded, and whether there is one.
 func passedOnRun(observed Observations, r Result) (worker.Execution, bool) {
-	for _, run := range append(observed.Runs(r.ID), observed.Refusals(r.ID)...) {
+	for _, run := range append(observed.Executions(r.ID), observed.Refusals(r.ID)...) {
 		if run.WorkerID == r.Upstream {
 			return run, true
 		}
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -275,7 +275,7 @@
 // answer to a plain call, or else to a prompt.
 func preventsCompleteAnswer(f worker.Fault, plainCall bool) bool {
 	switch f {
-	case worker.FaultServerError, worker.FaultConnectionLost, worker.FaultNoAnswer, worker.FaultBrokenOff, worker.FaultForeignID, worker.FaultUnsigned:
+	case worker.FaultServerError, worker.FaultConnectionLost, worker.FaultNoAnswer, worker.FaultBrokenOff, worker.FaultForeignID, worker.FaultUnstamped:
 		return true
 	case worker.FaultEndsEarly:
 		return !plainCall
--- a/standin/caller/repeat.go
+++ b/standin/caller/repeat.go
@@ -37,7 +37,7 @@
 	resultOf := map[string]Result{}
 	for _, r := range x.results {
 		resultOf[r.ID] = r
-		runs = append(runs, observed.Runs(r.ID)...)
+		runs = append(runs, observed.Executions(r.ID)...)
 	}
 	slices.SortFunc(runs, func(a, b worker.Execution) int { return a.Ended.Compare(b.Ended) })
 	var crashes []worker.Execution // one per crashed incarnation
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -92,8 +92,8 @@
 // Observations is what a test recorded at the upstreams and about the faults that it
 // injected. The results of a [Traffic] are checked against it.
 type Observations struct {
-	// Runs returns the runs of a request at all upstreams, the earliest first.
-	Runs func(id string) []worker.Execution
+	// Executions returns the runs of a request at all upstreams, the earliest first.
+	Executions func(id string) []worker.Execution
 	// Refusals returns the refusals of a request by upstreams that had no capacity or
 	// asked for a backoff, the earliest first.
 	Refusals func(id string) []worker.Execution
@@ -114,7 +114,7 @@
 // text for each violated guarantee. Every shutdown of an entry must have ended.
 func (x *Traffic) Evaluate(observed Observations) (served, sent int, violations []string) {
 	for _, r := range x.results {
-		runs := observed.Runs(r.ID)
+		runs := observed.Executions(r.ID)
 		violations = append(violations, r.Violations(len(runs), observed.EventCount(r.ID))...)
 		violations = append(violations, r.falseQuarantine()...)
 		violations = append(violations, observed.Faults.lossesByShutdown(r, runs, observed.Refusals(r.ID))...)
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -49,9 +49,9 @@
 	// FaultExtraAnswer makes the worker send a second HTTP response after the
 	// answer to a plain call. It doesn't affect streams.
 	FaultExtraAnswer
-	// FaultUnsigned makes the worker answer without X-Engine-Stamp, by which
+	// FaultUnstamped makes the worker answer without X-Engine-Stamp, by which
 	// entries recognise the answers of upstreams.
-	FaultUnsigned
+	FaultUnstamped
 	// FaultUnframed makes the worker answer a plain call without a length, so
 	// that only the closing connection marks the end. It doesn't affect
 	// streams.
@@ -75,7 +75,7 @@
 const SlowWorkTime = 1900 * time.Millisecond
 
 // AllFaults lists all values of Fault, FaultNone included.
-var AllFaults = []Fault{FaultNone, FaultFull, FaultServerError, FaultConnectionLost, FaultNoAnswer, FaultBrokenOff, FaultEndsEarly, FaultForeignID, FaultExtraAnswer, FaultUnsigned, FaultUnframed, FaultSlow, FaultBackoff}
+var AllFaults = []Fault{FaultNone, FaultFull, FaultServerError, FaultConnectionLost, FaultNoAnswer, FaultBrokenOff, FaultEndsEarly, FaultForeignID, FaultExtraAnswer, FaultUnstamped, FaultUnframed, FaultSlow, FaultBackoff}
 
 // Execution is the record of one request that a worker began to execute. The same
 // type serves for requests that it refused.
@@ -338,7 +338,7 @@
 	if fault == FaultForeignID {
 		response.Header().Set("X-Attempt-Id", "another")
 	}
-	if fault != FaultUnsigned {
+	if fault != FaultUnstamped {
 		response.Header().Set("X-Engine-Stamp", w.id)
 	}
 	if w.onCrash != nil && IsCrashPath(r.URL.Path) {
