--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -20,8 +20,8 @@
 
 // arrival is a request that reached an upstream, which ran or refused it.
 type arrival struct {
-	result Result
-	run    worker.Execution
+	result    Result
+	execution worker.Execution
 }
 
 // BackpressureViolations describes the requests of stopped traffics that an entry sent
@@ -36,50 +36,50 @@
 		results = append(results, x.results...)
 	}
 	for _, r := range results {
-		for _, run := range observed.Executions(r.ID) {
-			arrivals = append(arrivals, arrival{r, run})
+		for _, execution := range observed.Executions(r.ID) {
+			arrivals = append(arrivals, arrival{r, execution})
 		}
-		for _, run := range observed.Refusals(r.ID) {
-			refusals = append(refusals, arrival{r, run})
+		for _, execution := range observed.Refusals(r.ID) {
+			refusals = append(refusals, arrival{r, execution})
 		}
 	}
 	arrivals = append(arrivals, refusals...)
 	for _, a := range arrivals {
 		for _, r := range results {
-			if !r.UpstreamLeaving || r.Upstream != a.run.WorkerID || r.Entry != a.result.Entry || !a.result.StartedAt.After(r.EndedAt().Add(leavingReactionTime)) {
+			if !r.UpstreamLeaving || r.Upstream != a.execution.WorkerID || r.Entry != a.result.Entry || !a.result.StartedAt.After(r.EndedAt().Add(leavingReactionTime)) {
 				continue
 			}
-			if leavingRun, ok := passedOnRun(observed, r); ok && leavingRun.Incarnation == a.run.Incarnation && !observed.Faults.wasDisturbed(r.Entry, r.StartedAt, a.result.EndedAt()) {
-				violations = append(violations, fmt.Sprintf("%s %s: reached upstream %s %s after the entry forwarded an answer in which it announced that it is leaving", a.result.Path, a.result.ID, r.Upstream, a.run.Began.Sub(r.EndedAt())))
+			if leavingExecution, ok := forwardedExecution(observed, r); ok && leavingExecution.Incarnation == a.execution.Incarnation && !observed.Faults.wasDisturbed(r.Entry, r.StartedAt, a.result.EndedAt()) {
+				violations = append(violations, fmt.Sprintf("%s %s: reached upstream %s %s after the entry forwarded an answer in which it announced that it is leaving", a.result.Path, a.result.ID, r.Upstream, a.execution.Began.Sub(r.EndedAt())))
 				break
 			}
 		}
 	}
 	for _, refusal := range refusals {
-		if refusal.run.Fault != worker.FaultBackoff {
+		if refusal.execution.Fault != worker.FaultBackoff {
 			continue
 		}
 		var late []string
 		for _, a := range arrivals {
-			delay := a.run.Began.Sub(refusal.run.Began)
-			if a.result.Entry == refusal.result.Entry && a.run.WorkerID == refusal.run.WorkerID && a.run.Incarnation == refusal.run.Incarnation && delay > backoffReactionTime && delay < worker.BackoffTime {
+			delay := a.execution.Began.Sub(refusal.execution.Began)
+			if a.result.Entry == refusal.result.Entry && a.execution.WorkerID == refusal.execution.WorkerID && a.execution.Incarnation == refusal.execution.Incarnation && delay > backoffReactionTime && delay < worker.BackoffTime {
 				late = append(late, a.result.ID)
 			}
 		}
-		until := refusal.run.Began.Add(worker.BackoffTime)
-		if len(late) > maxDuringBackoff && !observed.Faults.wasDisturbed(refusal.result.Entry, refusal.result.StartedAt, until) && !observed.Faults.wasCut(refusal.run.WorkerID, refusal.run.Began, until) {
-			violations = append(violations, fmt.Sprintf("%d requests reached upstream %s during a backoff that it asked of entry %s: %v", len(late), refusal.run.WorkerID, refusal.result.Entry, late))
+		until := refusal.execution.Began.Add(worker.BackoffTime)
+		if len(late) > maxDuringBackoff && !observed.Faults.wasDisturbed(refusal.result.Entry, refusal.result.StartedAt, until) && !observed.Faults.wasCut(refusal.execution.WorkerID, refusal.execution.Began, until) {
+			violations = append(violations, fmt.Sprintf("%d requests reached upstream %s during a backoff that it asked of entry %s: %v", len(late), refusal.execution.WorkerID, refusal.result.Entry, late))
 		}
 	}
 	return violations
 }
 
-// passedOnRun returns the run or refusal of a request at the upstream whose answer its
+// forwardedExecution returns the run or refusal of a request at the upstream whose answer its
 // entry forwarded, and whether there is one.
-func passedOnRun(observed Observations, r Result) (worker.Execution, bool) {
-	for _, run := range append(observed.Executions(r.ID), observed.Refusals(r.ID)...) {
-		if run.WorkerID == r.Upstream {
-			return run, true
+func forwardedExecution(observed Observations, r Result) (worker.Execution, bool) {
+	for _, execution := range append(observed.Executions(r.ID), observed.Refusals(r.ID)...) {
+		if execution.WorkerID == r.Upstream {
+			return execution, true
 		}
 	}
 	return worker.Execution{}, false
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -277,18 +277,18 @@
 // Violations describes the guarantees that a result violates, one text each. The
 // request ran at upstreams runs times; a complete stream has the given number of
 // events.
-func (r Result) Violations(runs, events int) []string {
+func (r Result) Violations(executionCount, eventCount int) []string {
 	var out []string
-	if !isRepeatable(r.Path) && runs > 1 {
-		out = append(out, fmt.Sprintf("%s %s: ran %d times, but must run at most once", r.Path, r.ID, runs))
+	if !isRepeatable(r.Path) && executionCount > 1 {
+		out = append(out, fmt.Sprintf("%s %s: ran %d times, but must run at most once", r.Path, r.ID, executionCount))
 	}
-	if runs > 2 {
-		out = append(out, fmt.Sprintf("%s %s: ran at %d upstreams, but at most 2 are allowed", r.Path, r.ID, runs))
+	if executionCount > 2 {
+		out = append(out, fmt.Sprintf("%s %s: ran at %d upstreams, but at most 2 are allowed", r.Path, r.ID, executionCount))
 	}
-	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !isRepeatable(r.Path) && runs > 0 {
+	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !isRepeatable(r.Path) && executionCount > 0 {
 		out = append(out, fmt.Sprintf("%s %s: refused with status 503 as not run, but ran", r.Path, r.ID))
 	}
-	if r.IsServed() && r.Body != completeBody(r, events) {
+	if r.IsServed() && r.Body != completeBody(r, eventCount) {
 		out = append(out, fmt.Sprintf("%s %s: response body %q is not the complete answer", r.Path, r.ID, r.Body))
 	}
 	return out
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -23,9 +23,9 @@
 	// forcedExitSlack is the time before SIGKILL within which an exit counts as forced:
 	// the process may have had unfinished requests.
 	forcedExitSlack = time.Second
-	// strayRunTime is the time within which a run ends if its connection had been closed
+	// strayExecutionTime is the time within which a run ends if its connection had been closed
 	// before it began.
-	strayRunTime = 20 * time.Millisecond
+	strayExecutionTime = 20 * time.Millisecond
 )
 
 // FaultLog records the faults that a test injected into entries and upstreams, with
@@ -121,9 +121,9 @@
 	}
 }
 
-// restartNoticeTime is the maximum time until all entries detect a new incarnation of
+// restartDetectionTime is the maximum time until all entries detect a new incarnation of
 // an upstream, counted from its start or from the return of the store.
-const restartNoticeTime = 2 * time.Second
+const restartDetectionTime = 2 * time.Second
 
 // RecordRestart records that an upstream restarts under the same id. The requests that
 // it was running are never answered. An entry that detects the new incarnation ends
@@ -133,7 +133,7 @@
 	x.RecordCut(upstream)()
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	x.cuts = append(x.cuts, &outage{upstream: upstream, from: time.Now(), to: time.Now().Add(restartNoticeTime), fromRestart: true})
+	x.cuts = append(x.cuts, &outage{upstream: upstream, from: time.Now(), to: time.Now().Add(restartDetectionTime), fromRestart: true})
 }
 
 // lossesByShutdown describes the shutdowns by which a request was lost. There must be
@@ -151,7 +151,7 @@
 //   - Its last attempt could not complete, see [FaultLog.couldNotComplete].
 //   - Its last attempt was refused by an upstream without capacity, see
 //     [endedAtFullUpstream].
-func (x *FaultLog) lossesByShutdown(r Result, runs, refusals []worker.Execution) []string {
+func (x *FaultLog) lossesByShutdown(r Result, executions, refusals []worker.Execution) []string {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	var out []string
@@ -159,30 +159,30 @@
 		if r.Entry.Addr() != s.entry || !r.HeaderSent || r.EndedAt().Before(s.signalledAt) || !s.exitedAt.IsZero() && r.StartedAt.After(s.exitedAt) {
 			continue
 		}
-		if r.IsServed() || isCleanRefusal(r, runs) || x.isExcused(r, runs, refusals, s) {
+		if r.IsServed() || isCleanRefusal(r, executions) || x.isExcused(r, executions, refusals, s) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("%s %s: sent %s after SIGTERM to entry %s with a time limit of %s, ended %s after SIGTERM with status %d, %d bytes, error %v; the process exited %s after SIGTERM; runs, times after SIGTERM: %s",
-			r.Path, r.ID, sinceShutdown(s, r.StartedAt), s.entry, r.TimeLimit, sinceShutdown(s, r.EndedAt()), r.Status, len(r.Body), r.Err, sinceShutdown(s, s.exitedAt), x.describeRuns(s, runs)))
+			r.Path, r.ID, sinceShutdown(s, r.StartedAt), s.entry, r.TimeLimit, sinceShutdown(s, r.EndedAt()), r.Status, len(r.Body), r.Err, sinceShutdown(s, s.exitedAt), x.describeExecutions(s, executions)))
 	}
 	return out
 }
 
 // isCleanRefusal reports whether a request was refused with status 503 and a
 // Retry-After header, and ran at no upstream.
-func isCleanRefusal(r Result, runs []worker.Execution) bool {
-	return r.Err == nil && r.Status == http.StatusServiceUnavailable && r.RetryAfter != "" && len(runs) == 0
+func isCleanRefusal(r Result, executions []worker.Execution) bool {
+	return r.Err == nil && r.Status == http.StatusServiceUnavailable && r.RetryAfter != "" && len(executions) == 0
 }
 
 // isExcused reports whether a request that was sent has one of the excuses listed at
 // lossesByShutdown.
-func (x *FaultLog) isExcused(r Result, runs, refusals []worker.Execution, s *Shutdown) bool {
+func (x *FaultLog) isExcused(r Result, executions, refusals []worker.Execution, s *Shutdown) bool {
 	switch {
 	case r.Duration >= r.TimeLimit-timeoutSlack:
 		return true
 	case r.StartedAt.Before(s.signalledAt) && r.StartedAt.Add(r.TimeLimit).After(s.killAt):
 		return true
-	case r.Err != nil && len(runs) == 0 && r.Duration < unreadCloseTime:
+	case r.Err != nil && len(executions) == 0 && r.Duration < unreadCloseTime:
 		return true
 	}
 	for _, k := range x.kills {
@@ -190,18 +190,18 @@
 			return true
 		}
 	}
-	return x.couldNotComplete(r, runs, s) || endedAtFullUpstream(r, runs, refusals)
+	return x.couldNotComplete(r, executions, s) || endedAtFullUpstream(r, executions, refusals)
 }
 
 // endedAtFullUpstream reports whether the last attempt of a request was refused by an
 // upstream without capacity after an earlier attempt ran. The entry can't forward this
 // refusal, as the caller would take the request for not run.
-func endedAtFullUpstream(r Result, runs, refusals []worker.Execution) bool {
-	if r.Err != nil || len(refusals) == 0 || len(runs) == 0 {
+func endedAtFullUpstream(r Result, executions, refusals []worker.Execution) bool {
+	if r.Err != nil || len(refusals) == 0 || len(executions) == 0 {
 		return false
 	}
 	at := refusals[len(refusals)-1].Began
-	return at.After(r.EndedAt().Add(-sameEndSlack)) && !at.Before(runs[len(runs)-1].Began)
+	return at.After(r.EndedAt().Add(-sameEndSlack)) && !at.Before(executions[len(executions)-1].Began)
 }
 
 // couldNotComplete reports whether the last attempt of a request could not end with a
@@ -211,9 +211,9 @@
 // upstream is silent. Earlier attempts don't count, as the last one may have replaced
 // them. If no run was in progress at the end, the last attempt may have been waiting for
 // an upstream of the service whose connections were cut.
-func (x *FaultLog) couldNotComplete(r Result, runs []worker.Execution, s *Shutdown) bool {
+func (x *FaultLog) couldNotComplete(r Result, executions []worker.Execution, s *Shutdown) bool {
 	from := r.StartedAt
-	if last, ok := lastAttemptRun(runs); ok {
+	if last, ok := lastAttemptExecution(executions); ok {
 		// A process that exits long before SIGKILL has no unfinished requests.
 		wasKilled := s.exitedAt.IsZero() || s.exitedAt.After(s.killAt.Add(-forcedExitSlack))
 		endedWithEntry := wasKilled && (s.exitedAt.IsZero() || r.EndedAt().After(s.exitedAt.Add(-sameEndSlack)))
@@ -221,23 +221,23 @@
 			return true
 		}
 		if last.Ended.IsZero() || last.Ended.After(r.EndedAt().Add(-sameEndSlack)) {
-			return mayBeGivenUp(r, last) && x.hasCut(last.Began, r.EndedAt(), upstreamIDPart(r.Path), false)
+			return mayBeAbandoned(r, last) && x.hasCut(last.Began, r.EndedAt(), upstreamIDPart(r.Path), false)
 		}
 		from = last.Ended
 	}
 	return x.hasCut(from, r.EndedAt(), upstreamIDPart(r.Path), false)
 }
 
-// mayBeGivenUp reports whether the entry may have abandoned the last run because the
+// mayBeAbandoned reports whether the entry may have abandoned the last run because the
 // upstream was silent. It then retries at another upstream, which may be down, as the
 // entry only detects that by trying.
-func mayBeGivenUp(r Result, last worker.Execution) bool {
+func mayBeAbandoned(r Result, last worker.Execution) bool {
 	return isPlainCall(r.Path) && isRepeatable(r.Path) && last.Ended.Sub(last.Began) >= plainCallSilence
 }
 
 // plainCallSilence is the silence after which entries abandon an attempt at a repeatable
 // plain call: twice the latency target of its route, less the tolerance strayRunTime.
-const plainCallSilence = 600*time.Millisecond - strayRunTime
+const plainCallSilence = 600*time.Millisecond - strayExecutionTime
 
 // upstreamIDPart returns a substring of the ids of all upstreams that serve a path.
 func upstreamIDPart(path string) string {
@@ -247,13 +247,13 @@
 	return "-lm-"
 }
 
-// lastAttemptRun returns the run of the last attempt, if there is a run: the latest run
+// lastAttemptExecution returns the run of the last attempt, if there is a run: the latest run
 // that is not stray. A stray run began after its entry had abandoned the attempt and
 // retried at another upstream; it ends at once while the run before it goes on.
-func lastAttemptRun(runs []worker.Execution) (worker.Execution, bool) {
-	for i := len(runs) - 1; i >= 0; i-- {
-		r := runs[i]
-		stray := i > 0 && !r.Ended.IsZero() && r.Ended.Sub(r.Began) < strayRunTime && (runs[i-1].Ended.IsZero() || runs[i-1].Ended.After(r.Ended))
+func lastAttemptExecution(executions []worker.Execution) (worker.Execution, bool) {
+	for i := len(executions) - 1; i >= 0; i-- {
+		r := executions[i]
+		stray := i > 0 && !r.Ended.IsZero() && r.Ended.Sub(r.Began) < strayExecutionTime && (executions[i-1].Ended.IsZero() || executions[i-1].Ended.After(r.Ended))
 		if !stray {
 			return r, true
 		}
@@ -264,11 +264,11 @@
 // attemptStart returns a time at which the attempt of a run was in progress: the start
 // of the run or, if a slow connection delivered the attempt after the end of the
 // request, the start of the request.
-func attemptStart(run worker.Execution, r Result) time.Time {
-	if run.Began.After(r.EndedAt()) {
+func attemptStart(execution worker.Execution, r Result) time.Time {
+	if execution.Began.After(r.EndedAt()) {
 		return r.StartedAt
 	}
-	return run.Began
+	return execution.Began
 }
 
 // preventsCompleteAnswer reports whether an upstream with a fault can't give a complete
@@ -295,7 +295,7 @@
 		}
 		end := c.to
 		if c.fromRestart {
-			end = x.noticedBy(c.to)
+			end = x.detectedBy(c.to)
 		}
 		if strings.Contains(c.upstream, idPart) && !c.from.After(to) && (end.IsZero() || !end.Before(from)) {
 			return true
@@ -304,26 +304,26 @@
 	return false
 }
 
-// noticedBy returns the time at which all entries have detected a restart that they would
+// detectedBy returns the time at which all entries have detected a restart that they would
 // have detected by the deadline if the store had had no outage; zero if an outage of the
 // store has not ended.
-func (x *FaultLog) noticedBy(deadline time.Time) time.Time {
+func (x *FaultLog) detectedBy(deadline time.Time) time.Time {
 	for _, a := range x.storeOutages { // in the order of their beginnings
 		switch {
 		case a.from.After(deadline):
 		case a.to.IsZero():
 			return time.Time{}
-		case a.to.Add(restartNoticeTime).After(deadline):
-			deadline = a.to.Add(restartNoticeTime)
+		case a.to.Add(restartDetectionTime).After(deadline):
+			deadline = a.to.Add(restartDetectionTime)
 		}
 	}
 	return deadline
 }
 
-// describeRuns returns the runs as text, with times relative to SIGTERM.
-func (x *FaultLog) describeRuns(s *Shutdown, runs []worker.Execution) string {
+// describeExecutions returns the runs as text, with times relative to SIGTERM.
+func (x *FaultLog) describeExecutions(s *Shutdown, executions []worker.Execution) string {
 	text := ""
-	for _, r := range runs {
+	for _, r := range executions {
 		text += fmt.Sprintf("[%s fault %d, %s to %s]", r.WorkerID, r.Fault, sinceShutdown(s, r.Began), sinceShutdown(s, r.Ended))
 	}
 	return text
--- a/standin/caller/faultlog_test.go
+++ b/standin/caller/faultlog_test.go
@@ -20,10 +20,10 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	entry, other := netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2")
 	errCut := errors.New("unexpected EOF")
-	type run = worker.Execution
-	sound := []run{{WorkerID: "i-lm-1", Began: at(2010), Ended: at(7300)}}
-	with := func(f worker.Fault, began, ended int) run {
-		return run{WorkerID: "i-lm-1", Fault: f, Began: at(began), Ended: at(ended)}
+	type execution = worker.Execution
+	lastingUntilExit := []execution{{WorkerID: "i-lm-1", Began: at(2010), Ended: at(7300)}}
+	executionWithFault := func(f worker.Fault, began, ended int) execution {
+		return execution{WorkerID: "i-lm-1", Fault: f, Began: at(began), Ended: at(ended)}
 	}
 	for name, c := range map[string]struct {
 		path             string
@@ -32,8 +32,8 @@
 		status           int
 		err              error
 		retryAfter       string
-		runs             []run
-		refusals         []run
+		executions       []execution
+		refusals         []execution
 		storeOutage      *outage
 		unsent           bool
 		otherEntry       bool
@@ -41,43 +41,43 @@
 		cut              *outage
 		lost             bool
 	}{
-		"interrupted by the exit":                  {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, lost: true},
-		"interrupted before the header":            {sentAt: 2000, duration: 5300, err: errCut, runs: sound, lost: true},
-		"sent before, limit before SIGKILL":        {sentAt: -500, duration: 7800, timeLimit: 8500, status: 200, err: errCut, runs: sound, lost: true},
-		"sent before, limit after SIGKILL":         {sentAt: -500, duration: 7800, timeLimit: 8600, status: 200, err: errCut, runs: sound},
-		"sent after, limit after SIGKILL":          {sentAt: 10, duration: 7290, timeLimit: 8600, status: 200, err: errCut, runs: sound, lost: true},
-		"complete":                                 {sentAt: 2000, duration: 5000, status: 200, runs: sound},
+		"interrupted by the exit":                  {sentAt: 2000, duration: 5300, status: 200, err: errCut, executions: lastingUntilExit, lost: true},
+		"interrupted before the header":            {sentAt: 2000, duration: 5300, err: errCut, executions: lastingUntilExit, lost: true},
+		"sent before, limit before SIGKILL":        {sentAt: -500, duration: 7800, timeLimit: 8500, status: 200, err: errCut, executions: lastingUntilExit, lost: true},
+		"sent before, limit after SIGKILL":         {sentAt: -500, duration: 7800, timeLimit: 8600, status: 200, err: errCut, executions: lastingUntilExit},
+		"sent after, limit after SIGKILL":          {sentAt: 10, duration: 7290, timeLimit: 8600, status: 200, err: errCut, executions: lastingUntilExit, lost: true},
+		"complete":                                 {sentAt: 2000, duration: 5000, status: 200, executions: lastingUntilExit},
 		"refused":                                  {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05"},
 		"refused without Retry-After":              {sentAt: 2000, duration: 5, status: 503, lost: true},
-		"refused though it ran":                    {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05", runs: sound, lost: true},
+		"refused though it ran":                    {sentAt: 2000, duration: 5, status: 503, retryAfter: "0.05", executions: lastingUntilExit, lost: true},
 		"another status":                           {sentAt: 2000, duration: 5, status: 502, lost: true},
-		"limit reached":                            {sentAt: 200, duration: 7000, status: 504, runs: sound},
+		"limit reached":                            {sentAt: 200, duration: 7000, status: 504, executions: lastingUntilExit},
 		"not sent":                                 {sentAt: 4000, duration: 1, err: errCut, unsent: true},
-		"another entry":                            {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, otherEntry: true},
-		"ended before SIGTERM":                     {sentAt: -3000, duration: 2000, status: 200, err: errCut, runs: sound},
-		"sent after the exit":                      {sentAt: 7400, duration: 100, err: errCut, runs: sound},
+		"another entry":                            {sentAt: 2000, duration: 5300, status: 200, err: errCut, executions: lastingUntilExit, otherEntry: true},
+		"ended before SIGTERM":                     {sentAt: -3000, duration: 2000, status: 200, err: errCut, executions: lastingUntilExit},
+		"sent after the exit":                      {sentAt: 7400, duration: 100, err: errCut, executions: lastingUntilExit},
 		"connection closed before it was read":     {sentAt: 3600, duration: 1, err: errCut},
 		"read and closed without a response":       {sentAt: 3600, duration: 300, err: errCut, lost: true},
-		"entry killed during the request":          {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3000},
-		"entry killed after the request":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: sound, killedAt: 3500, lost: true},
-		"upstream interrupts the answer":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.FaultBrokenOff, 2010, 3000)}},
-		"upstream is silent":                       {sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.FaultNoAnswer, 2010, 7300)}},
-		"upstream is slow":                         {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: []run{with(worker.FaultSlow, 2010, 7300)}, lost: true},
-		"abandoned because the upstream was slow":  {sentAt: 2000, duration: 1500, status: 502, runs: []run{with(worker.FaultSlow, 2010, 3500)}},
-		"retried after an interrupted answer":      {sentAt: 1000, duration: 6300, status: 200, err: errCut, runs: []run{with(worker.FaultBrokenOff, 1010, 2000), sound[0]}, lost: true},
-		"short answer is a fault of streams only":  {path: "/once/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(worker.FaultEndsEarly, 2010, 7300)}, lost: true},
-		"upstream cut off":                         {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(3000), to: at(3000)}},
-		"upstream cut off before the run":          {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1000), to: at(2000)}, lost: true},
-		"another upstream cut off":                 {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-3", from: at(1000)}, lost: true},
-		"cut off before the run began":             {sentAt: 2000, duration: 100, status: 502, runs: []run{with(0, 2150, 2150)}, cut: &outage{upstream: "i-lm-1", from: at(2100), to: at(2100)}},
-		"stray run after the last attempt's run":   {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(worker.FaultBrokenOff, 2100, 3000), with(0, 2150, 2150)}},
-		"ended by a late restart notice":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}},
-		"after the time for restart notices":       {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
-		"restart notice delayed by a store outage": {sentAt: 4000, duration: 1000, status: 200, err: errCut, runs: []run{with(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, storeOutage: &outage{from: at(1000), to: at(3000)}},
-		"retry refused by a full upstream":         {path: "/safe/x", sentAt: 2000, duration: 600, status: 502, runs: []run{with(0, 2000, 2600)}, refusals: []run{with(worker.FaultFull, 2600, 2600)}},
-		"only full upstreams":                      {sentAt: 2000, duration: 5, status: 502, refusals: []run{with(worker.FaultFull, 2002, 2002)}, lost: true},
-		"interrupted after a full upstream":        {path: "/safe/x", sentAt: 2000, duration: 5300, err: errCut, runs: []run{with(0, 2000, 7300)}, refusals: []run{with(worker.FaultFull, 1990, 1990)}, lost: true},
-		"exit during a late restart notice":        {sentAt: 2000, duration: 5300, status: 200, err: errCut, runs: sound, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
+		"entry killed during the request":          {sentAt: 2000, duration: 1000, status: 200, err: errCut, executions: lastingUntilExit, killedAt: 3000},
+		"entry killed after the request":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, executions: lastingUntilExit, killedAt: 3500, lost: true},
+		"upstream interrupts the answer":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, executions: []execution{executionWithFault(worker.FaultBrokenOff, 2010, 3000)}},
+		"upstream is silent":                       {sentAt: 2000, duration: 5300, err: errCut, executions: []execution{executionWithFault(worker.FaultNoAnswer, 2010, 7300)}},
+		"upstream is slow":                         {sentAt: 2000, duration: 5300, status: 200, err: errCut, executions: []execution{executionWithFault(worker.FaultSlow, 2010, 7300)}, lost: true},
+		"abandoned because the upstream was slow":  {sentAt: 2000, duration: 1500, status: 502, executions: []execution{executionWithFault(worker.FaultSlow, 2010, 3500)}},
+		"retried after an interrupted answer":      {sentAt: 1000, duration: 6300, status: 200, err: errCut, executions: []execution{executionWithFault(worker.FaultBrokenOff, 1010, 2000), lastingUntilExit[0]}, lost: true},
+		"short answer is a fault of streams only":  {path: "/once/x", sentAt: 2000, duration: 5300, err: errCut, executions: []execution{executionWithFault(worker.FaultEndsEarly, 2010, 7300)}, lost: true},
+		"upstream cut off":                         {sentAt: 2000, duration: 1000, status: 200, err: errCut, executions: []execution{executionWithFault(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(3000), to: at(3000)}},
+		"upstream cut off before the run":          {sentAt: 2000, duration: 5300, status: 200, err: errCut, executions: lastingUntilExit, cut: &outage{upstream: "i-lm-1", from: at(1000), to: at(2000)}, lost: true},
+		"another upstream cut off":                 {sentAt: 2000, duration: 5300, status: 200, err: errCut, executions: lastingUntilExit, cut: &outage{upstream: "i-lm-3", from: at(1000)}, lost: true},
+		"cut off before the run began":             {sentAt: 2000, duration: 100, status: 502, executions: []execution{executionWithFault(0, 2150, 2150)}, cut: &outage{upstream: "i-lm-1", from: at(2100), to: at(2100)}},
+		"stray run after the last attempt's run":   {sentAt: 2000, duration: 1000, status: 200, err: errCut, executions: []execution{executionWithFault(worker.FaultBrokenOff, 2100, 3000), executionWithFault(0, 2150, 2150)}},
+		"ended by a late restart notice":           {sentAt: 2000, duration: 1000, status: 200, err: errCut, executions: []execution{executionWithFault(0, 2010, 3000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}},
+		"after the time for restart notices":       {sentAt: 4000, duration: 1000, status: 200, err: errCut, executions: []execution{executionWithFault(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
+		"restart notice delayed by a store outage": {sentAt: 4000, duration: 1000, status: 200, err: errCut, executions: []execution{executionWithFault(0, 4010, 5000)}, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, storeOutage: &outage{from: at(1000), to: at(3000)}},
+		"retry refused by a full upstream":         {path: "/safe/x", sentAt: 2000, duration: 600, status: 502, executions: []execution{executionWithFault(0, 2000, 2600)}, refusals: []execution{executionWithFault(worker.FaultFull, 2600, 2600)}},
+		"only full upstreams":                      {sentAt: 2000, duration: 5, status: 502, refusals: []execution{executionWithFault(worker.FaultFull, 2002, 2002)}, lost: true},
+		"interrupted after a full upstream":        {path: "/safe/x", sentAt: 2000, duration: 5300, err: errCut, executions: []execution{executionWithFault(0, 2000, 7300)}, refusals: []execution{executionWithFault(worker.FaultFull, 1990, 1990)}, lost: true},
+		"exit during a late restart notice":        {sentAt: 2000, duration: 5300, status: 200, err: errCut, executions: lastingUntilExit, cut: &outage{upstream: "i-lm-1", from: at(1500), to: at(3500), fromRestart: true}, lost: true},
 		"waiting for an upstream that is cut off":  {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-lm-3", from: at(1000)}},
 		"not run, another service cut off":         {sentAt: 2000, duration: 5300, err: errCut, cut: &outage{upstream: "i-app-0", from: at(1000)}, lost: true},
 	} {
@@ -106,7 +106,7 @@
 			if c.otherEntry {
 				r.Entry = netip.AddrPortFrom(other, 80)
 			}
-			is.New(t).Equal(len(x.lossesByShutdown(r, c.runs, c.refusals)) > 0, c.lost)
+			is.New(t).Equal(len(x.lossesByShutdown(r, c.executions, c.refusals)) > 0, c.lost)
 		})
 	}
 }
--- a/standin/caller/repeat.go
+++ b/standin/caller/repeat.go
@@ -33,15 +33,15 @@
 // had crashed. Requests through entries that may have been out of contact with the
 // others, because these entries or all of them were disturbed, don't count.
 func (x *Traffic) RepeatViolations(observed Observations) (violations []string) {
-	var runs []worker.Execution
+	var executions []worker.Execution
 	resultOf := map[string]Result{}
 	for _, r := range x.results {
 		resultOf[r.ID] = r
-		runs = append(runs, observed.Executions(r.ID)...)
+		executions = append(executions, observed.Executions(r.ID)...)
 	}
-	slices.SortFunc(runs, func(a, b worker.Execution) int { return a.Ended.Compare(b.Ended) })
+	slices.SortFunc(executions, func(a, b worker.Execution) int { return a.Ended.Compare(b.Ended) })
 	var crashes []worker.Execution // one per crashed incarnation
-	for _, r := range runs {
+	for _, r := range executions {
 		isCounted := slices.ContainsFunc(crashes, func(o worker.Execution) bool { return o.WorkerID == r.WorkerID && o.Incarnation == r.Incarnation })
 		if r.Crashed && !isCounted {
 			crashes = append(crashes, r)
@@ -52,14 +52,14 @@
 	}
 	quarantinedAt := crashes[quarantineCrashes-1].Ended
 	lateIDs := map[string]bool{}
-	for _, run := range runs {
-		r := resultOf[run.RequestID]
+	for _, execution := range executions {
+		r := resultOf[execution.RequestID]
 		if r.StartedAt.After(quarantinedAt.Add(convergenceTime)) && observed.Faults.wasInContact(r) {
 			lateIDs[r.ID] = true
 		}
 	}
 	if len(lateIDs) > maxRequestsAfterQuarantine {
-		violations = append(violations, fmt.Sprintf("%s: %d requests reached upstreams after equal requests had crashed enough upstreams for a quarantine, %d runs in total", x.name, len(lateIDs), len(runs)))
+		violations = append(violations, fmt.Sprintf("%s: %d requests reached upstreams after equal requests had crashed enough upstreams for a quarantine, %d runs in total", x.name, len(lateIDs), len(executions)))
 	}
 	return violations
 }
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -114,10 +114,10 @@
 // text for each violated guarantee. Every shutdown of an entry must have ended.
 func (x *Traffic) Evaluate(observed Observations) (served, sent int, violations []string) {
 	for _, r := range x.results {
-		runs := observed.Executions(r.ID)
-		violations = append(violations, r.Violations(len(runs), observed.EventCount(r.ID))...)
+		executions := observed.Executions(r.ID)
+		violations = append(violations, r.Violations(len(executions), observed.EventCount(r.ID))...)
 		violations = append(violations, r.falseQuarantine()...)
-		violations = append(violations, observed.Faults.lossesByShutdown(r, runs, observed.Refusals(r.ID))...)
+		violations = append(violations, observed.Faults.lossesByShutdown(r, executions, observed.Refusals(r.ID))...)
 		if r.IsServed() {
 			served++
 		}
