--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -18,7 +18,8 @@
 	maxDuringBackoff    = 2
 )
 
-// arrival is a request that reached an upstream, which ran or refused it.
+// arrival is a request that reached an upstream, with the upstream's record of its
+// execution or refusal.
 type arrival struct {
 	result    Result
 	execution worker.Execution
@@ -26,9 +27,9 @@
 
 // BackpressureViolations describes the requests of stopped traffics that an entry sent
 // to an upstream although the same incarnation of the upstream had announced to this
-// entry that it was leaving or had asked for a backoff. Entries that were restarted,
-// suspended or partitioned since then are excused, and in the case of a backoff also
-// all entries if connections to the upstream were cut.
+// entry that it was leaving or had asked for a backoff. Requests are excused if the
+// entry was restarted, suspended or partitioned since then or, in the case of a backoff,
+// if connections to the upstream were cut.
 func BackpressureViolations(observed Observations, traffics ...*Traffic) (violations []string) {
 	var results []Result
 	var arrivals, refusals []arrival
@@ -50,7 +51,7 @@
 				continue
 			}
 			if leavingExecution, ok := forwardedExecution(observed, r); ok && leavingExecution.Incarnation == a.execution.Incarnation && !observed.Faults.wasDisturbed(r.Entry, r.StartedAt, a.result.EndedAt()) {
-				violations = append(violations, fmt.Sprintf("%s %s: reached upstream %s %s after the entry forwarded an answer in which it announced that it is leaving", a.result.Path, a.result.ID, r.Upstream, a.execution.Began.Sub(r.EndedAt())))
+				violations = append(violations, fmt.Sprintf("%s %s: reached upstream %s %s after the entry forwarded an answer in which that upstream announced that it is leaving", a.result.Path, a.result.ID, r.Upstream, a.execution.Began.Sub(r.EndedAt())))
 				break
 			}
 		}
@@ -74,8 +75,8 @@
 	return violations
 }
 
-// forwardedExecution returns the run or refusal of a request at the upstream whose answer its
-// entry forwarded, and whether there is one.
+// forwardedExecution returns the execution or refusal of a request whose answer the entry
+// forwarded. It returns false if the upstream that answered has no record of the request.
 func forwardedExecution(observed Observations, r Result) (worker.Execution, bool) {
 	for _, execution := range append(observed.Executions(r.ID), observed.Refusals(r.ID)...) {
 		if execution.WorkerID == r.Upstream {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -110,7 +110,8 @@
 // Close closes the caller's idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Result describes how one request ended, as its caller saw it.
+// Result holds what the caller of one request observed: the response or the error, and
+// when.
 type Result struct {
 	ID, Path string
 	// Entry is the address that the request was sent to.
@@ -248,7 +249,7 @@
 	answer, err := io.ReadAll(response.Body)
 	r.Status, r.Body, r.RetryAfter = response.StatusCode, string(answer), response.Header.Get("Retry-After")
 	if err != nil {
-		return fmt.Errorf("read response: %w", err)
+		return fmt.Errorf("read response body: %w", err)
 	}
 	return nil
 }
@@ -274,16 +275,16 @@
 	return strings.HasPrefix(path, "/safe/") || strings.HasPrefix(path, "/stream/")
 }
 
-// Violations describes the guarantees that a result violates, one text each. The
-// request ran at upstreams runs times; a complete stream has the given number of
-// events.
+// Violations describes the guarantees that a result violates, one text each.
+// executionCount is the number of the request's executions at all upstreams, eventCount
+// the number of events in the complete answer if that is a stream.
 func (r Result) Violations(executionCount, eventCount int) []string {
 	var out []string
 	if !isRepeatable(r.Path) && executionCount > 1 {
 		out = append(out, fmt.Sprintf("%s %s: ran %d times, but must run at most once", r.Path, r.ID, executionCount))
 	}
 	if executionCount > 2 {
-		out = append(out, fmt.Sprintf("%s %s: ran at %d upstreams, but at most 2 are allowed", r.Path, r.ID, executionCount))
+		out = append(out, fmt.Sprintf("%s %s: ran %d times, but at most 2 executions are allowed", r.Path, r.ID, executionCount))
 	}
 	if r.Err == nil && r.Status == http.StatusServiceUnavailable && !isRepeatable(r.Path) && executionCount > 0 {
 		out = append(out, fmt.Sprintf("%s %s: refused with status 503 as not run, but ran", r.Path, r.ID))
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// timeoutSlack is the time before its limit from which on a request counts as timed
-	// out.
+	// timeoutSlack is the time by which a request may end before its time limit and still
+	// count as timed out.
 	timeoutSlack = 50 * time.Millisecond
-	// sameEndSlack is the maximum time between two observed ends that have the same cause.
+	// sameEndSlack is the maximum time between two events that count as simultaneous, such
+	// as the end of an execution and the end of its request at the caller.
 	sameEndSlack = 200 * time.Millisecond
 	// unreadCloseTime is the time after sending a request within which its connection ends
 	// if the entry closed it without reading the request.
@@ -23,8 +24,8 @@
 	// forcedExitSlack is the time before SIGKILL within which an exit counts as forced:
 	// the process may have had unfinished requests.
 	forcedExitSlack = time.Second
-	// strayExecutionTime is the time within which a run ends if its connection had been closed
-	// before it began.
+	// strayExecutionTime is the time within which an execution ends if its connection had
+	// been closed before it began.
 	strayExecutionTime = 20 * time.Millisecond
 )
 
@@ -60,16 +61,16 @@
 	at    time.Time
 }
 
-// outage is a time in which connections broke or carried no data.
+// outage is an interval in which connections broke or carried no data.
 type outage struct {
 	// upstream is the id of the affected upstream; empty if the outage is not one of an
 	// upstream.
 	upstream string
 	// to is zero until the outage ends.
 	from, to time.Time
-	// fromRestart is true if the upstream restarted and this is the time in which entries
-	// may detect that. It explains why an entry ended a request, but not why a request
-	// ended with the exit of its entry.
+	// fromRestart is true if the outage is the interval in which entries may detect that
+	// the upstream restarted. Such an outage explains why an entry ended a request, but not
+	// why a request ended with the exit of its entry.
 	fromRestart bool
 }
 
@@ -126,9 +127,9 @@
 const restartDetectionTime = 2 * time.Second
 
 // RecordRestart records that an upstream restarts under the same id. The requests that
-// it was running are never answered. An entry that detects the new incarnation ends
-// every request that it sent to this id before, including those that reached the new
-// incarnation, as it can't distinguish them from the others.
+// the old incarnation was running are never answered. An entry that detects the new
+// incarnation ends every request that it sent to this id before, including those that
+// reached the new incarnation, as it can't distinguish them from the others.
 func (x *FaultLog) RecordRestart(upstream string) {
 	x.RecordCut(upstream)()
 	x.lock.Lock()
@@ -142,14 +143,15 @@
 //
 // A request without either is excused only in these cases, whether SIGTERM came before
 // the request or after it:
-//   - It was not sent because no connection was accepted: callers try another entry.
-//   - It reached its time limit, which also happens without a shutdown.
-//   - It was sent before SIGTERM, and its time limit is later than SIGKILL.
+//   - The request was not sent because no connection was accepted: callers try another
+//     entry.
+//   - The request reached its time limit, which also happens without a shutdown.
+//   - The request was sent before SIGTERM, and its time limit is later than SIGKILL.
 //   - The entry was killed while the request was in progress.
-//   - Its connection ended at once, and it ran at no upstream: the entry closed a
+//   - The connection ended at once, and the request ran at no upstream: the entry closed a
 //     connection between two requests, which HTTP/1.1 can't announce.
-//   - Its last attempt could not complete, see [FaultLog.couldNotComplete].
-//   - Its last attempt was refused by an upstream without capacity, see
+//   - The last attempt could not complete, see [FaultLog.couldNotComplete].
+//   - The last attempt was refused by an upstream without capacity, see
 //     [endedAtFullUpstream].
 func (x *FaultLog) lossesByShutdown(r Result, executions, refusals []worker.Execution) []string {
 	x.lock.Lock()
@@ -162,7 +164,7 @@
 		if r.IsServed() || isCleanRefusal(r, executions) || x.isExcused(r, executions, refusals, s) {
 			continue
 		}
-		out = append(out, fmt.Sprintf("%s %s: sent %s after SIGTERM to entry %s with a time limit of %s, ended %s after SIGTERM with status %d, %d bytes, error %v; the process exited %s after SIGTERM; runs, times after SIGTERM: %s",
+		out = append(out, fmt.Sprintf("%s %s: sent %s after SIGTERM to entry %s with a time limit of %s, ended %s after SIGTERM with status %d, %d bytes, error %v; the process exited %s after SIGTERM; executions, times after SIGTERM: %s",
 			r.Path, r.ID, sinceShutdown(s, r.StartedAt), s.entry, r.TimeLimit, sinceShutdown(s, r.EndedAt()), r.Status, len(r.Body), r.Err, sinceShutdown(s, s.exitedAt), x.describeExecutions(s, executions)))
 	}
 	return out
@@ -195,7 +197,7 @@
 
 // endedAtFullUpstream reports whether the last attempt of a request was refused by an
 // upstream without capacity after an earlier attempt ran. The entry can't forward this
-// refusal, as the caller would take the request for not run.
+// refusal, as it would state to the caller that the request did not run.
 func endedAtFullUpstream(r Result, executions, refusals []worker.Execution) bool {
 	if r.Err != nil || len(refusals) == 0 || len(executions) == 0 {
 		return false
@@ -205,12 +207,12 @@
 }
 
 // couldNotComplete reports whether the last attempt of a request could not end with a
-// complete answer, whatever its entry did: the upstream failed in a way that a test
-// ordered, or its connection was cut. A slow upstream is no excuse for a request that
-// the exit of its entry cut off, but before that the entry may abandon an attempt whose
-// upstream is silent. Earlier attempts don't count, as the last one may have replaced
-// them. If no run was in progress at the end, the last attempt may have been waiting for
-// an upstream of the service whose connections were cut.
+// complete answer, whatever its entry did: the upstream had an injected fault, or its
+// connection was cut. A slow upstream is no excuse for a request that the exit of its
+// entry cut off, but before that the entry may abandon an attempt whose upstream is
+// silent. Faults in earlier attempts are no excuse, as the last attempt replaced them. If
+// no execution was in progress at the end, the last attempt may have been waiting for an
+// upstream of the service whose connections were cut.
 func (x *FaultLog) couldNotComplete(r Result, executions []worker.Execution, s *Shutdown) bool {
 	from := r.StartedAt
 	if last, ok := lastAttemptExecution(executions); ok {
@@ -228,9 +230,9 @@
 	return x.hasCut(from, r.EndedAt(), upstreamIDPart(r.Path), false)
 }
 
-// mayBeAbandoned reports whether the entry may have abandoned the last run because the
-// upstream was silent. It then retries at another upstream, which may be down, as the
-// entry only detects that by trying.
+// mayBeAbandoned reports whether the entry may have abandoned the last execution because
+// the upstream was silent. The entry then retries at another upstream, which may be down,
+// as the entry only detects that by trying.
 func mayBeAbandoned(r Result, last worker.Execution) bool {
 	return isPlainCall(r.Path) && isRepeatable(r.Path) && last.Ended.Sub(last.Began) >= plainCallSilence
 }
@@ -239,7 +241,8 @@
 // plain call: twice the latency target of its route, less the tolerance strayRunTime.
 const plainCallSilence = 600*time.Millisecond - strayExecutionTime
 
-// upstreamIDPart returns a substring of the ids of all upstreams that serve a path.
+// upstreamIDPart returns a substring that the ids of all upstreams that serve a path have
+// in common, and no others.
 func upstreamIDPart(path string) string {
 	if isPlainCall(path) {
 		return "-app-"
@@ -247,9 +250,10 @@
 	return "-lm-"
 }
 
-// lastAttemptExecution returns the run of the last attempt, if there is a run: the latest run
-// that is not stray. A stray run began after its entry had abandoned the attempt and
-// retried at another upstream; it ends at once while the run before it goes on.
+// lastAttemptExecution returns the execution of the last attempt: the latest one that is
+// not stray. It returns false if there is none. A stray execution began after its entry
+// had abandoned the attempt and retried at another upstream; it ends at once while the
+// execution before it goes on.
 func lastAttemptExecution(executions []worker.Execution) (worker.Execution, bool) {
 	for i := len(executions) - 1; i >= 0; i-- {
 		r := executions[i]
@@ -261,9 +265,9 @@
 	return worker.Execution{}, false
 }
 
-// attemptStart returns a time at which the attempt of a run was in progress: the start
-// of the run or, if a slow connection delivered the attempt after the end of the
-// request, the start of the request.
+// attemptStart returns a time at which the attempt of an execution was in progress: the
+// start of the execution or, if a slow connection delivered the attempt after the end of
+// the request, the start of the request.
 func attemptStart(execution worker.Execution, r Result) time.Time {
 	if execution.Began.After(r.EndedAt()) {
 		return r.StartedAt
@@ -272,7 +276,7 @@
 }
 
 // preventsCompleteAnswer reports whether an upstream with a fault can't give a complete
-// answer to a plain call, or else to a prompt.
+// answer: to a plain call if plainCall is true, otherwise to a prompt.
 func preventsCompleteAnswer(f worker.Fault, plainCall bool) bool {
 	switch f {
 	case worker.FaultServerError, worker.FaultConnectionLost, worker.FaultNoAnswer, worker.FaultBrokenOff, worker.FaultForeignID, worker.FaultUnstamped:
@@ -286,8 +290,8 @@
 }
 
 // hasCut reports whether, at any moment between from and to, connections were cut to an
-// upstream whose id contains idPart. With withRestarts, the time in which entries may
-// detect a restart of such an upstream counts as a cut.
+// upstream whose id contains idPart. If withRestarts is true, the time in which entries
+// may detect a restart of such an upstream counts as a cut. The caller holds the lock.
 func (x *FaultLog) hasCut(from, to time.Time, idPart string, withRestarts bool) bool {
 	for _, c := range x.cuts {
 		if c.fromRestart && !withRestarts {
@@ -304,9 +308,9 @@
 	return false
 }
 
-// detectedBy returns the time at which all entries have detected a restart that they would
-// have detected by the deadline if the store had had no outage; zero if an outage of the
-// store has not ended.
+// detectedBy returns the time by which all entries have detected a restart, where deadline
+// is the time by which they would have done so if the store had had no outage. It returns
+// the zero time if an outage that delays the detection has not ended.
 func (x *FaultLog) detectedBy(deadline time.Time) time.Time {
 	for _, a := range x.storeOutages { // in the order of their beginnings
 		switch {
@@ -320,7 +324,7 @@
 	return deadline
 }
 
-// describeExecutions returns the runs as text, with times relative to SIGTERM.
+// describeExecutions returns the executions as text, with times relative to SIGTERM.
 func (x *FaultLog) describeExecutions(s *Shutdown, executions []worker.Execution) string {
 	text := ""
 	for _, r := range executions {
@@ -329,7 +333,8 @@
 	return text
 }
 
-// sinceShutdown returns the time from SIGTERM to t; zero if t is zero.
+// sinceShutdown returns the time from SIGTERM to t, rounded to milliseconds; 0 if t is
+// zero.
 func sinceShutdown(s *Shutdown, t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
--- a/standin/caller/repeat.go
+++ b/standin/caller/repeat.go
@@ -17,8 +17,8 @@
 	// quarantine equal requests. maxRequestsAfterQuarantine is the number of such
 	// requests that may still reach upstreams afterwards.
 	quarantineCrashes, maxRequestsAfterQuarantine = 3, 3
-	// convergenceTime is the time within which all entries have received what the others
-	// know, once nothing disrupts their exchange.
+	// convergenceTime is the time within which every entry has received the crashes that the
+	// others recorded, once no fault disrupts the exchange between entries.
 	convergenceTime = 3 * time.Second
 )
 
@@ -28,10 +28,10 @@
 	return newTraffic(name, callers, newCaller, func(int) (string, time.Duration) { return path, pause })
 }
 
-// RepeatViolations checks stopped repeating traffic whose requests crash upstreams. It
-// returns a violation if too many of them reached upstreams after three incarnations
-// had crashed. Requests through entries that may have been out of contact with the
-// others, because these entries or all of them were disturbed, don't count.
+// RepeatViolations checks a stopped repeating traffic whose requests crash upstreams. It
+// returns a violation if too many of the requests reached upstreams after three
+// incarnations had crashed. A request doesn't count if its entry was stopped or killed, or
+// any entries were partitioned, at the time: the entry may not have received the crashes.
 func (x *Traffic) RepeatViolations(observed Observations) (violations []string) {
 	var executions []worker.Execution
 	resultOf := map[string]Result{}
@@ -59,7 +59,7 @@
 		}
 	}
 	if len(lateIDs) > maxRequestsAfterQuarantine {
-		violations = append(violations, fmt.Sprintf("%s: %d requests reached upstreams after equal requests had crashed enough upstreams for a quarantine, %d runs in total", x.name, len(lateIDs), len(executions)))
+		violations = append(violations, fmt.Sprintf("%s: %d requests reached upstreams after equal requests had crashed enough upstreams for a quarantine, %d executions in total", x.name, len(lateIDs), len(executions)))
 	}
 	return violations
 }
@@ -77,9 +77,9 @@
 	return []string{fmt.Sprintf("%s %s: crashes no upstream, but was refused as quarantined", r.Path, r.ID)}
 }
 
-// wasInContact reports whether the entry that received a request was in contact with
-// the other entries: from convergenceTime before the request until its end, the entry
-// was neither stopped nor killed, and no partition of entries was recorded.
+// wasInContact reports whether the entry that received a request could exchange messages
+// with the other entries: from convergenceTime before the request until its end, the
+// entry was neither stopped nor killed, and no partition of entries was recorded.
 func (x *FaultLog) wasInContact(r Result) bool {
 	return !x.wasDisturbed(r.Entry, r.StartedAt.Add(-convergenceTime), r.EndedAt())
 }
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -13,9 +13,9 @@
 var requestPaths = []string{"/once/x", "/safe/x", "/stream/x", "/fixed/x"}
 
 // RouteTimeout returns the timeout that a test configures for the route of a path.
-// The timeout of safe calls is shorter than that of their callers, the others are
-// longer. The timeout of a safe call allows for a run that the entry abandons and a
-// second one.
+// The route timeout of safe calls is shorter than the timeout of their callers, the
+// others are longer. That of safe calls allows for an execution that the entry abandons
+// and a second one.
 func RouteTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 4 * time.Second
@@ -23,9 +23,9 @@
 	return 8 * time.Second
 }
 
-// callerTimeout returns the time for which callers wait for a response from a path.
-// For streams and for calls that may run only once, it is about the time that the
-// longest of them takes.
+// callerTimeout returns the time for which callers wait for a complete response from a
+// path. For streams and for calls that may run only once, it is about the duration of the
+// longest answer.
 func callerTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 5 * time.Second
@@ -92,7 +92,7 @@
 // Observations is what a test recorded at the upstreams and about the faults that it
 // injected. The results of a [Traffic] are checked against it.
 type Observations struct {
-	// Executions returns the runs of a request at all upstreams, the earliest first.
+	// Executions returns the executions of a request at all upstreams, the earliest first.
 	Executions func(id string) []worker.Execution
 	// Refusals returns the refusals of a request by upstreams that had no capacity or
 	// asked for a backoff, the earliest first.
