--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -24,8 +24,8 @@
 	Version  string
 	Adapters []string
 	Role     string
-	// MemoryTokens is the size of the KV memory in tokens; a hold that does
-	// not fit is refused.
+	// MemoryTokens is the size of the KV memory in tokens; a hold that exceeds
+	// the free memory is refused.
 	MemoryTokens int
 	// PrefillRate is the number of prompt tokens prefilled a second, over all
 	// streams.
@@ -41,8 +41,8 @@
 	// Issuers lists the issuers whose orders are accepted; it is only used if
 	// ChecksOrders is true.
 	Issuers []string
-	// WeightLoadTime is the time between accepting an order and serving what
-	// it asks for. Requests are refused in between.
+	// WeightLoadTime is the time between accepting an order and serving the
+	// model that the order asks for. Requests are refused in between.
 	WeightLoadTime time.Duration
 	// ReportLag is the age of the load that LoadReport returns.
 	ReportLag time.Duration
@@ -59,8 +59,8 @@
 // a full buffer is not decoded further.
 const chunkBuffer = 256
 
-// leavingGrace is the time after the start of leaving in which new streams are
-// still expected; those started later are counted in startsAfterGrace.
+// leavingGrace is the time after SetLeaving in which new streams are still
+// expected. Streams started later are counted in startsAfterGrace.
 const leavingGrace = 3 * time.Second
 
 // stream is the execution of one attempt, or the prefill of one shard of a
@@ -69,7 +69,7 @@
 	attemptID string
 	requestID string
 	request   api.CompletionRequest
-	// priority orders prefill; a higher one is prefilled first.
+	// priority orders prefill; streams with a higher value are prefilled first.
 	priority int
 	arrived  time.Time
 	// prefillLeft is the number of prompt tokens that this engine still has to
@@ -96,9 +96,9 @@
 	api.EngineHold
 	// renewedAt is the time of the latest renewal, or of creation.
 	renewedAt time.Time
-	// shard is the prefill of the shard that a hold of kind api.HoldGroup
-	// reserves memory for; nil for other kinds and once a stream has adopted
-	// the shard.
+	// shard is the prefill of the shard for which a hold of kind api.HoldGroup
+	// reserves memory; nil for other kinds and once adoptShard has moved the
+	// prefill to a stream.
 	shard *stream
 }
 
@@ -106,8 +106,8 @@
 // prefill tokens for each call of Advance. It is not safe for concurrent use.
 type Batcher struct {
 	config Config
-	// load is the current load, without ReportLag. Advance updates its counts
-	// of tokens and streams.
+	// load is the current load, which LoadReport returns after ReportLag. Advance
+	// updates its counts of tokens and streams.
 	load api.EngineLoad
 	// holds is keyed by hold ID, which is the attempt ID for streams.
 	holds map[string]*hold
@@ -197,7 +197,8 @@
 	return nil
 }
 
-// Holds returns all holds with their ages, sorted by ID.
+// Holds returns all holds, sorted by ID. Their ages are the seconds since the latest
+// renewal, or since creation.
 func (b *Batcher) Holds(now time.Time) []api.EngineHold {
 	out := make([]api.EngineHold, 0, len(b.holds))
 	for _, h := range b.holds {
@@ -225,7 +226,8 @@
 }
 
 // FreeHold removes a hold and aborts its stream, if any. It returns false and
-// changes nothing when the hold does not exist or is younger than olderThan.
+// changes nothing when the hold does not exist or was renewed or created less than
+// olderThan ago.
 func (b *Batcher) FreeHold(now time.Time, id string, olderThan time.Duration) bool {
 	h, ok := b.holds[id]
 	if !ok || now.Sub(h.renewedAt) < olderThan {
@@ -245,6 +247,7 @@
 	requestID, attemptID, owner string
 	// incarnation is that of the owner, not of the engine.
 	incarnation uint64
+	// priority orders prefill; streams with a higher value are prefilled first.
 	// resumeFrom is the number of answer tokens that the caller already has.
 	priority, resumeFrom int
 	// group lists the IDs of all holds of the group that holds the prompt;
@@ -293,8 +296,8 @@
 }
 
 // adoptShard makes the stream of a group prefill only the shard held on this
-// engine, and continue where the shard's hold has got to. The other engines of
-// the group prefill their shards under their own holds.
+// engine, and only the tokens of the shard that are not prefilled yet. The other
+// engines of the group prefill their shards under their own holds.
 func (b *Batcher) adoptShard(s *stream, group []string) {
 	for _, id := range group {
 		if h, ok := b.holds[id]; ok && h.shard != nil {
@@ -338,7 +341,7 @@
 
 // Advance emulates the engine's work since the previous call, up to now. Prefill
 // is limited to PrefillRate over all streams, highest priority first; decoding
-// takes none of this budget.
+// doesn't count against this limit.
 func (b *Batcher) Advance(now time.Time) {
 	b.finishLoading(now)
 	budget := now.Sub(b.advancedAt).Seconds() * float64(b.config.PrefillRate)
@@ -413,8 +416,8 @@
 	}
 }
 
-// AnswerTag returns the string that all tokens of the answer to r contain: a
-// hash of its model and prompt, by which tests recognise foreign answers.
+// AnswerTag returns the string that all tokens of the answer to r contain: a hash of
+// the model and the prompt of r, by which tests recognise answers to other requests.
 func AnswerTag(r api.CompletionRequest) string {
 	h := fnv.New32a()
 	h.Write([]byte(r.Model))
@@ -423,8 +426,8 @@
 }
 
 // AnswerToken returns the answer token at an offset, where tag is the AnswerTag of
-// the request. It depends on nothing else, so that tests can check that an answer
-// resumed on another engine is complete.
+// the request. The token depends on nothing else, so that tests can check that an
+// answer resumed on another engine is complete.
 func AnswerToken(tag string, offset int) string {
 	return fmt.Sprintf("%s.%d ", tag, offset)
 }
@@ -442,8 +445,8 @@
 	}
 }
 
-// LoadReport returns the load as of ReportLag ago, but the current value of
-// Leaving. Name and Incarnation never change.
+// LoadReport returns the load as of ReportLag ago, except for Leaving, which has its
+// current value. Before the first call of Advance it returns the initial load.
 func (b *Batcher) LoadReport() api.EngineLoad {
 	if len(b.loadHistory) == 0 {
 		return b.load
@@ -466,9 +469,10 @@
 func (b *Batcher) IsIdle() bool { return len(b.streams) == 0 }
 
 // HandleOrder starts to carry out an order to change the model, version, adapters
-// and role served; it takes effect after WeightLoadTime. It returns a RefusedError
-// when the issuer is not allowed, when the fence is not higher than the current
-// one, or when streams are in progress.
+// and role served; the order takes effect after WeightLoadTime. HandleOrder returns a
+// RefusedError when ChecksOrders is set and the issuer is not allowed, when
+// ChecksFences is set and the fence is not higher than the current one, or when
+// streams are in progress.
 func (b *Batcher) HandleOrder(now time.Time, o api.EngineOrder) error {
 	if b.config.ChecksOrders && !slices.Contains(b.config.Issuers, o.Issuer) {
 		return RefusedError{403, "order: issuer is not allowed"}
--- a/standin/engine/direct.go
+++ b/standin/engine/direct.go
@@ -12,15 +12,15 @@
 	// AttemptID serves as the request ID too.
 	AttemptID string
 	Request   api.CompletionRequest
-	// Priority orders prefill; a higher one is prefilled first.
+	// Priority orders prefill; attempts with a higher value are prefilled first.
 	Priority int
 	// GroupHoldIDs lists the IDs of all holds of the group that holds the
 	// prompt; empty if one engine holds all of it.
 	GroupHoldIDs []string
 }
 
-// RunningAttempt is an attempt started by StartDirect, from which its answer is
-// read.
+// RunningAttempt is an attempt started by StartDirect. Its method ReceiveTokens
+// receives the answer.
 type RunningAttempt struct{ stream *stream }
 
 // StartDirect starts an attempt without HTTP. It returns a RefusedError, and
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -17,7 +17,7 @@
 // advanceInterval is the time between two calls of Batcher.Advance.
 const advanceInterval = 2 * time.Millisecond
 
-// The publication of cache events is delayed and loses some of them.
+// Cache events are published late, and some of them never.
 const (
 	// cacheEventDelay is the time from a change of the cache to the
 	// publication of its event.
@@ -32,7 +32,8 @@
 	// lock guards batcher and cacheEvents.
 	lock    sync.Mutex
 	batcher *Batcher
-	// sendsStrayChunks makes sendStrayChunks add chunks to every stream.
+	// sendsStrayChunks adds chunks that entries must drop to every stream, as
+	// described at sendStrayChunks.
 	sendsStrayChunks bool
 	// cacheEvents holds all cache events since the start, oldest first.
 	cacheEvents []timedCacheEvent
@@ -44,9 +45,9 @@
 	event api.EngineCacheEvent
 }
 
-// NewServer returns a Server for a new engine configured by c. If
-// sendsStrayChunks is true, every stream also carries chunks that entries must
-// drop: of another request, of another attempt, and sent before.
+// NewServer returns a Server for a new engine configured by c. If sendsStrayChunks
+// is true, every stream also carries chunks that entries must drop: chunks of another
+// request, chunks of another attempt, and chunks that were sent before.
 func NewServer(c Config, sendsStrayChunks bool) *Server {
 	return &Server{batcher: NewBatcher(time.Now(), c), sendsStrayChunks: sendsStrayChunks}
 }
@@ -192,8 +193,8 @@
 }
 
 // sendStrayChunks sends three chunks that a faulty engine might send: one of
-// another request, one of another attempt, and one at an offset sent before. It
-// leaves out the third at offset 0 and beside the final chunk.
+// another request, one of another attempt, and one at an offset sent before. The
+// third is left out at offset 0 and with the final chunk.
 func (s *Server) sendStrayChunks(w http.ResponseWriter, chunk api.CompletionChunk) {
 	foreign := chunk
 	foreign.ID = "00000000-0000-4000-8000-000000000000"
