--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -90,17 +90,17 @@
 func sampleRequests(d Deployment, load float64, length time.Duration, seed uint64) []requestSpec {
 	random := rand.New(rand.NewPCG(seed, seed))
 	mean := 0.0
-	for _, l := range classProfiles {
-		mean += float64(l.percent) / 100 * (l.maxTokens - l.minTokens) / math.Log(l.maxTokens/l.minTokens)
+	for _, profile := range classProfiles {
+		mean += float64(profile.percent) / 100 * (profile.maxTokens - profile.minTokens) / math.Log(profile.maxTokens/profile.minTokens)
 	}
 	rate := load * float64(d.Engines*d.PrefillRate) / mean
 	var out []requestSpec
 	for at := 0.0; at < length.Seconds(); at += random.ExpFloat64() / rate {
 		class := sampleClass(random)
-		l := classProfiles[class]
+		profile := classProfiles[class]
 		out = append(out, requestSpec{
 			arrivalOffset: time.Duration(at * float64(time.Second)), class: class,
-			promptTokens: int(l.minTokens * math.Exp(random.Float64()*math.Log(l.maxTokens/l.minTokens))),
+			promptTokens: int(profile.minTokens * math.Exp(random.Float64()*math.Log(profile.maxTokens/profile.minTokens))),
 			answerTokens: minAnswerTokens + random.IntN(maxAnswerTokens-minAnswerTokens),
 			entryIndex:   random.IntN(d.Entries),
 		})
@@ -111,11 +111,11 @@
 // sampleClass returns a random class, with the percentages of classProfiles.
 func sampleClass(random *rand.Rand) router.LengthClass {
 	n := random.IntN(100)
-	for c, l := range classProfiles {
-		if n < l.percent {
+	for c, profile := range classProfiles {
+		if n < profile.percent {
 			return router.LengthClass(c)
 		}
-		n -= l.percent
+		n -= profile.percent
 	}
 	return router.Short
 }
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -154,8 +154,8 @@
 type simEntry struct {
 	index      int
 	dataCentre string
-	// board chooses among the engines.
-	board *router.EngineIndex
+	// engineIndex chooses among the engines.
+	engineIndex *router.EngineIndex
 	// loads are the entry's estimates of the engines' loads, by engine name.
 	loads map[string]*router.Load
 }
@@ -222,9 +222,9 @@
 }
 
 // addEntry adds an entry, which knows all engines.
-func (f *fleet) addEntry(number int) {
+func (f *fleet) addEntry(i int) {
 	d := f.deployment
-	e := &simEntry{index: number, dataCentre: f.dataCentreOf(number), loads: map[string]*router.Load{}}
+	e := &simEntry{index: i, dataCentre: f.dataCentreOf(i), loads: map[string]*router.Load{}}
 	var engines []*router.Engine
 	for _, s := range f.engines {
 		e.loads[s.name] = &router.Load{}
@@ -233,7 +233,7 @@
 			PrefillRate: d.PrefillRate, OneWayDelay: d.Latency, Load: e.loads[s.name],
 		})
 	}
-	e.board = router.NewEngineIndex(engines)
+	e.engineIndex = router.NewEngineIndex(engines)
 	f.entries = append(f.entries, e)
 }
 
@@ -284,9 +284,9 @@
 		}
 		s.batcher.Advance(f.now)
 		for r, running := range s.running {
-			made, ended := running.ReceiveTokens()
-			r.generatedTokens += made
-			if made > 0 && r.firstTokenAt.IsZero() {
+			generated, ended := running.ReceiveTokens()
+			r.generatedTokens += generated
+			if generated > 0 && r.firstTokenAt.IsZero() {
 				f.recordFirstToken(r)
 			}
 			if ended {
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -101,7 +101,7 @@
 	switch step.Kind {
 	case placer.Choose:
 		requirements := router.Requirements{Model: "model", Class: f.queueClass(r), PrefillTokens: r.promptTokens, MemoryTokens: r.promptTokens + r.answerTokens, MaxAnswerTokens: r.answerTokens, Exclude: r.triedEngines}
-		r.placer.SetChoices(r.entry.board.Choose(f.now, f.options.Policy, requirements, maxAskedKeepers, f.random))
+		r.placer.SetChoices(r.entry.engineIndex.Choose(f.now, f.options.Policy, requirements, maxAskedKeepers, f.random))
 		f.advancePlacement(r)
 	case placer.Ask:
 		f.askKeeper(r, f.engineByName[step.Choice.Engine.Name])
@@ -311,7 +311,7 @@
 		return
 	}
 	var candidates []reserver.Candidate
-	for _, e := range r.entry.board.EnginesFor("model") {
+	for _, e := range r.entry.engineIndex.EnginesFor("model") {
 		s := f.engineByName[e.Name]
 		if f.canReach(r.entry, s) {
 			free := f.deployment.MemoryTokens
