--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -117,7 +117,7 @@
 		if l == nil {
 			return nil, errRefused
 		}
-		callerEnd, callerPipe := net.Pipe()
+		dialerEnd, dialerPipe := net.Pipe()
 		acceptorPipe, acceptorEnd := net.Pipe()
 		select {
 		case l.accepted <- acceptorEnd:
@@ -126,13 +126,13 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		opened := &link{from: from, to: to.Addr(), ends: [4]net.Conn{callerEnd, callerPipe, acceptorPipe, acceptorEnd}}
+		opened := &link{from: from, to: to.Addr(), ends: [4]net.Conn{dialerEnd, dialerPipe, acceptorPipe, acceptorEnd}}
 		n.lock.Lock()
 		n.links[opened] = true
 		n.lock.Unlock()
-		go n.copyBytes(opened, opened.from, callerPipe, acceptorPipe)
-		go n.copyBytes(opened, opened.to, acceptorPipe, callerPipe)
-		return callerEnd, nil
+		go n.copyBytes(opened, opened.from, dialerPipe, acceptorPipe)
+		go n.copyBytes(opened, opened.to, acceptorPipe, dialerPipe)
+		return dialerEnd, nil
 	}
 }
 
