--- a/standin/worker/down.go
+++ b/standin/worker/down.go
@@ -9,8 +9,8 @@
 	// lock guards downIDs.
 	lock    sync.Mutex
 	downIDs map[string]bool
-	// restarts counts the workers in the set.
-	restarts sync.WaitGroup
+	// downCount counts the workers in the set.
+	downCount sync.WaitGroup
 }
 
 // MarkDown adds a worker by its instance ID and returns true. It returns false if
@@ -25,7 +25,7 @@
 		d.downIDs = map[string]bool{}
 	}
 	d.downIDs[id] = true
-	d.restarts.Add(1)
+	d.downCount.Add(1)
 	return true
 }
 
@@ -34,8 +34,8 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	delete(d.downIDs, id)
-	d.restarts.Done()
+	d.downCount.Done()
 }
 
 // WaitAllUp waits until the set is empty.
-func (d *DownSet) WaitAllUp() { d.restarts.Wait() }
+func (d *DownSet) WaitAllUp() { d.downCount.Wait() }
