--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -17,7 +17,7 @@
 	// Entries and Engines are the numbers of entries and engines.
 	Entries int
 	Engines int
-	// DataCentres is the number of data centres, over which entries and engines are
+	// DataCentres is the number of data centres, over which the entries and the engines are
 	// spread evenly.
 	DataCentres int
 	// Latency is the one-way network delay between an entry and an engine or keeper.
@@ -53,8 +53,8 @@
 const MaxShortTokens = 4000
 
 // classProfiles describe the requests of each class: the range of prompt lengths in
-// tokens, which are distributed log-uniformly, the percentage of all requests and the
-// callers' timeout.
+// tokens, which are distributed log-uniformly, the share of the class in all requests in
+// percent, and the time limit after which callers give up.
 var classProfiles = [...]struct {
 	minTokens, maxTokens float64
 	percent              int
@@ -72,7 +72,8 @@
 	maxAnswerTokens = 300
 )
 
-// requestSpec specifies one request of the simulated load.
+// requestSpec specifies one request of the simulated load: when it arrives, where, and how
+// long its prompt and its answer are.
 type requestSpec struct {
 	// arrivalOffset is the time from the start of the load until the caller sends the
 	// request.
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -17,9 +17,9 @@
 const (
 	// engineStepPeriod is the time between two steps of the emulated engines.
 	engineStepPeriod = 5 * time.Millisecond
-	// pollPeriod, listPeriod, heartbeatPeriod and holdLease are the defaults of an entry:
-	// the time between two polls of an engine's load, two listings of its holds and two
-	// heartbeats, and the age at which an unrenewed hold expires.
+	// pollPeriod is the time between two polls of an engine's load, listPeriod that between
+	// two listings of its holds and heartbeatPeriod that between two heartbeats. holdLease is
+	// the age at which an unrenewed hold expires. All are the defaults of an entry.
 	pollPeriod      = 250 * time.Millisecond
 	listPeriod      = time.Second
 	heartbeatPeriod = 500 * time.Millisecond
@@ -29,7 +29,7 @@
 	grantTTL = 2 * time.Second
 )
 
-// Options select the policy that a run measures and the fault injected into the run.
+// Options select the policy that a simulation measures and the fault injected into it.
 type Options struct {
 	// Policy is the way in which entries choose engines.
 	Policy router.Policy
@@ -37,7 +37,8 @@
 	AskKeepers bool
 	// SchedulesByPriority makes engines schedule shorter prompts first.
 	SchedulesByPriority bool
-	// QueuesByClass makes estimates of queues distinguish the classes of prompts.
+	// QueuesByClass makes entries and keepers estimate an engine's queue for each class of
+	// prompts, instead of as one queue in the order of arrival.
 	QueuesByClass bool
 	// MeasuresPace makes entries measure the time per answer token of each engine and
 	// use it in predictions.
@@ -45,21 +46,21 @@
 	// MaxRetries is the maximum number of times that a caller sends a request again that
 	// was refused or late.
 	MaxRetries int
-	// HasRetryBudget limits retries to a tenth of the requests, plus a reserve.
+	// HasRetryBudget limits retries to a tenth of the requests plus ten for each entry.
 	HasRetryBudget bool
-	// PriorityLevels is the number of priority levels; the longest classes share the
-	// last level. 0 means one level for each class.
+	// PriorityLevels is the number of priority levels. If there are fewer than classes, the
+	// longest classes share the last level. 0 means one level for each class.
 	PriorityLevels int
 	// RefusesLate makes keepers refuse attempts that would miss the deadline.
 	RefusesLate bool
-	// Fault is the fault injected into the run; empty for none.
+	// Fault is the fault injected into the simulation; empty for none.
 	Fault Fault
 }
 
-// Fault names a fault that is injected into a run.
+// Fault names a fault that is injected into a simulation.
 type Fault string
 
-// The faults that a run can have.
+// The faults that a simulation can have.
 const (
 	// NoFault injects nothing.
 	NoFault Fault = ""
@@ -68,7 +69,7 @@
 	// SlowEngine slows the first engine down after the warm-up, by slowdownFactor.
 	SlowEngine Fault = "slow-engine"
 	// LaggedLoad delays the load reports of all engines by laggedLoadAge for the whole
-	// run.
+	// simulation.
 	LaggedLoad Fault = "lagged-load"
 	// CutDataCentre disconnects the first data centre from the others after the warm-up.
 	CutDataCentre Fault = "cut-centre"
@@ -84,7 +85,7 @@
 // event is an action scheduled for a moment of virtual time.
 type event struct {
 	at time.Time
-	// sequence orders events of the same time as they were scheduled.
+	// sequence increases with each event scheduled; it orders events of the same time.
 	sequence int
 	action   func()
 }
@@ -129,8 +130,8 @@
 	promptFiller string
 	// lastID is the number of ids issued by newID.
 	lastID int
-	// retryBudgetUsed is the part of the retry budget, common to all callers, that is
-	// used up, in retries.
+	// retryBudgetUsed is the number of retries charged to the retry budget, which all
+	// callers share, less a tenth for each request sent for the first time; at least 0.
 	retryBudgetUsed float64
 }
 
@@ -144,7 +145,7 @@
 	keeperEntry int
 	// running has the requests that the engine prefills or answers.
 	running map[*request]*engine.RunningAttempt
-	// isDead is true if the engine neither works nor answers.
+	// isDead is true if the engine neither advances its requests nor can be reached.
 	isDead bool
 	// listedAt is the time of the last listing of holds.
 	listedAt time.Time
@@ -154,7 +155,7 @@
 type simEntry struct {
 	index      int
 	dataCentre string
-	// engineIndex chooses among the engines.
+	// engineIndex orders the engines for a request by the policy of the simulation.
 	engineIndex *router.EngineIndex
 	// loads are the entry's estimates of the engines' loads, by engine name.
 	loads map[string]*router.Load
@@ -221,7 +222,7 @@
 	}
 }
 
-// addEntry adds an entry, which knows all engines.
+// addEntry adds the i-th entry, which may choose among all engines.
 func (f *fleet) addEntry(i int) {
 	d := f.deployment
 	e := &simEntry{index: i, dataCentre: f.dataCentreOf(i), loads: map[string]*router.Load{}}
@@ -275,8 +276,8 @@
 	return !s.isDead && (!cut || s.dataCentre == e.dataCentre || (s.dataCentre != "dc-0" && e.dataCentre != "dc-0"))
 }
 
-// stepEngines lets all engines work until now and records the tokens that they generated
-// and the requests that they finished.
+// stepEngines advances all engines that are not dead to the current time and records the
+// tokens that they generated and the requests that they finished.
 func (f *fleet) stepEngines() {
 	for _, s := range f.engines {
 		if s.isDead {
@@ -298,7 +299,7 @@
 }
 
 // pollEngines passes to each keeper the load of its engine and, once per listPeriod, the
-// list of the engine's holds.
+// list of the engine's holds, unless the keeper can't reach the engine.
 func (f *fleet) pollEngines() {
 	for _, s := range f.engines {
 		if !f.canReach(f.entries[s.keeperEntry], s) {
@@ -313,7 +314,8 @@
 	}
 }
 
-// broadcastLoads gives all entries the keepers' estimates of the engines' loads.
+// broadcastLoads gives the keeper's estimate of each engine's load to all entries that can
+// reach the engine.
 func (f *fleet) broadcastLoads() {
 	for _, s := range f.engines {
 		if s.keeper.LastReportAt().IsZero() {
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// warmUp is the time at the start of a run that is excluded from the result. runTime
-	// is the time measured after it. coolDown lets the last requests end.
+	// warmUp is the time at the start of a simulation that is excluded from the result, and
+	// runTime the time after it that is measured. coolDown follows without new requests, so
+	// that the last ones can end.
 	warmUp   = 30 * time.Second
 	runTime  = 5 * time.Minute
 	coolDown = 5 * time.Minute
@@ -21,10 +22,10 @@
 // classes lists the classes in the order of the table.
 var classes = []router.LengthClass{router.Short, router.Medium, router.Long, router.Longest}
 
-// classNames are the ranges of prompt tokens by which the table names the classes.
+// classNames are the names of the classes in the table: their ranges of prompt tokens.
 var classNames = map[router.LengthClass]string{router.Short: "1k-4k", router.Medium: "4k-32k", router.Long: "32k-128k", router.Longest: "128k-1M"}
 
-// ClassResult holds the figures of one class of requests.
+// ClassResult holds the request counts and latencies of one class of requests.
 type ClassResult struct {
 	// Sent is the number of requests; Answered, Refused and Late count them by outcome.
 	// Late includes the requests that have no other outcome.
@@ -34,8 +35,9 @@
 	FirstToken *hdrhistogram.Histogram
 }
 
-// Result holds the figures of a run.
+// Result holds what a simulation measured after the warm-up.
 type Result struct {
+	// Classes holds the result of every class.
 	Classes map[router.LengthClass]*ClassResult
 	// Goodput is the rate of prompt tokens in requests answered in time, in tokens per
 	// second.
@@ -43,7 +45,7 @@
 }
 
 // Run measures a policy on a deployment. The load is the rate of prompt tokens as a
-// fraction of the prefill rate of all engines together. Without withLongClasses, the
+// fraction of the prefill rate of all engines together. If withLongClasses is false, the
 // requests of the two longest classes are left out and the others are the same.
 func Run(d Deployment, o Options, load float64, withLongClasses bool, seed uint64) Result {
 	f := newFleet(d, o, seed)
@@ -58,7 +60,7 @@
 	return f.summarise(start)
 }
 
-// summarise returns the figures of the requests that were sent after the warm-up, which
+// summarise returns the result for the requests that were sent after the warm-up, which
 // began at start.
 func (f *fleet) summarise(start time.Time) Result {
 	const maxMicros, digits = 600_000_000, 3
@@ -94,9 +96,10 @@
 	return float64(r.Classes[c].FirstToken.ValueAtQuantile(percentile)) / 1000
 }
 
-// Window holds the figures of the requests sent in one interval of a run.
+// Window holds the counts and the goodput of the requests sent in one interval of a
+// simulation.
 type Window struct {
-	// Start is the time from the start of the run to that of the interval.
+	// Start is the time from the start of the simulation to that of the interval.
 	Start time.Duration
 	// Sent is the number of requests; Answered, Refused and Late count them by outcome.
 	// Late includes the requests that have no other outcome.
@@ -106,9 +109,9 @@
 	Goodput float64
 }
 
-// RunBurst measures how a policy recovers from overload: the load is peak during the
-// second minute of the run and base otherwise. It returns a window for every half
-// minute, without a warm-up.
+// RunBurst measures how a policy recovers from overload: the load, as a fraction of the
+// prefill rate of all engines together, is peak during the second minute and base
+// otherwise. It returns a window for every half minute, including the first.
 func RunBurst(d Deployment, o Options, base, peak float64, seed uint64) []Window {
 	const (
 		windowLength = 30 * time.Second
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -15,12 +15,13 @@
 	// maxAskedKeepers is the maximum number of engines whose keepers are asked per round
 	// of a placement, the same as in the product.
 	maxAskedKeepers = 3
-	// groupRetryDelay is the time between two attempts to reserve a group of engines.
+	// groupRetryDelay is the time between two attempts to reserve a group of engines. A
+	// request that an engine refused is placed again after a quarter of it.
 	groupRetryDelay = 120 * time.Millisecond
 	// shortWeight is the priority of the short class, the default of the configuration.
 	shortWeight = 6
-	// engineTimeout is the time after which an entry gives up an engine that doesn't
-	// answer.
+	// engineTimeout is the time after which an entry abandons an attempt at an engine that
+	// can't be reached.
 	engineTimeout = 5 * time.Second
 )
 
@@ -30,8 +31,8 @@
 const (
 	pending  outcome = iota // in progress
 	answered                // answered completely within the time limit
-	refused                 // refused, as no engine was found
-	late                    // cut off at the time limit
+	refused                 // refused, as no engine or group was available
+	late                    // ended at the time limit
 	failed                  // not used
 )
 
@@ -59,8 +60,8 @@
 	priorSends int
 	// generatedTokens is the number of answer tokens that the engine has generated.
 	generatedTokens int
-	// isCounted is true if the prompt is counted in the entry's OwnTokens of the engine,
-	// which is until the first token.
+	// isCounted is true while the prompt is counted in OwnPrefillTokens of the entry's load
+	// of the engine: from the dispatch to the first token.
 	isCounted bool
 }
 
@@ -135,8 +136,8 @@
 	f.schedule(wait, func() { f.send(r.requestSpec, r.priorSends+1) })
 }
 
-// askKeeper asks the keeper of an engine for a grant and passes the answer to the placer.
-// If the policy doesn't ask keepers, the grant is assumed.
+// askKeeper asks the keeper of an engine for a grant and passes the reply to the placer.
+// If the policy doesn't ask keepers, it passes a grant at once.
 func (f *fleet) askKeeper(r *request, s *simEngine) {
 	r.attemptID = f.newID()
 	if !f.options.AskKeepers {
@@ -203,8 +204,8 @@
 	f.schedule(f.deployment.Latency, func() { f.submit(r, s) })
 }
 
-// submit starts a request on an engine when it arrives there. An engine that can't be
-// reached or refuses the request makes the entry place the request again.
+// submit starts a request on an engine when the request arrives there. If the engine can't
+// be reached or refuses the request, the entry places the request again.
 func (f *fleet) submit(r *request, s *simEngine) {
 	if r.outcome != pending {
 		f.releaseLoad(r)
@@ -227,7 +228,8 @@
 }
 
 // retryPlacement places a request again after an engine refused it or didn't answer.
-// Engines already tried are avoided until there are more of them than maxAskedKeepers.
+// Engines already tried are avoided; once there are more than maxAskedKeepers of them, all
+// engines are candidates again.
 func (f *fleet) retryPlacement(r *request, s *simEngine) {
 	f.releaseLoad(r)
 	if r.outcome != pending {
@@ -256,8 +258,8 @@
 	r.engine = nil
 }
 
-// recordPace gives the entry the measured time per answer token, if the answer has
-// enough tokens.
+// recordPace records the measured time per answer token in the entry's load of the engine,
+// if the policy measures the pace and the answer has at least minPacedTokens.
 func (f *fleet) recordPace(r *request) {
 	const minPacedTokens = 8
 	if f.options.MeasuresPace && r.generatedTokens >= minPacedTokens {
@@ -301,7 +303,8 @@
 }
 
 // reserveGroup reserves a group of engines for a request and dispatches the request. If
-// no group is available, it retries until the deadline and then refuses the request.
+// no group is available, it retries until the deadline of the search and then refuses the
+// request.
 func (f *fleet) reserveGroup(r *request, deadline time.Time) {
 	if r.outcome != pending {
 		return
