--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -14,17 +14,17 @@
 	"github.com/sapphireramp/sapphireramp/connector"
 )
 
-// dialTimeout limits the time for opening a connection, if the caller's context doesn't
-// set an earlier deadline.
+// dialTimeout limits the time for opening a connection, if the context of the dial has no
+// earlier deadline.
 const dialTimeout = time.Second
 
 // Network connects hosts, which are identified by their IP addresses. All hosts can reach
 // each other at first. It is safe for concurrent use.
 type Network struct {
 	// OnDatagram, if not nil, is called for each datagram to an open socket that can be
-	// reached, with its size in bytes, also if the socket's queue is full. It must be set
-	// before the first datagram and must not call methods of the network, whose lock is
-	// held.
+	// reached, with the size in bytes, also if the socket's queue is full and the datagram
+	// is lost. It must be set before the first datagram and must not call methods of the
+	// network, whose lock is held.
 	OnDatagram func(from, to netip.Addr, size int)
 
 	lock sync.Mutex
@@ -38,7 +38,7 @@
 	packetConns map[netip.AddrPort]*packetConn
 	// sendRates are the maximum rates at which hosts send over connections, in bytes per
 	// second; hosts without one are not limited. idleAt is the time at which a host with
-	// a rate has sent all data that it was given.
+	// a rate will have sent all data passed to it so far.
 	sendRates map[netip.Addr]int
 	idleAt    map[netip.Addr]time.Time
 }
@@ -46,7 +46,7 @@
 // link is an open connection from one host to another.
 type link struct {
 	from, to netip.Addr
-	// ends are the ends of two pipes, between which copyBytes moves data: the caller's,
+	// ends are the ends of two pipes, between which copyBytes moves data: the dialer's,
 	// the two inner ones and the acceptor's.
 	ends [4]net.Conn
 }
@@ -101,7 +101,8 @@
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
 // Dialer returns a function that opens connections from a host. Connections to a host
-// that is disconnected time out; those to an address without a listener are refused.
+// that is disconnected from it time out; those to an address without a listener are
+// refused.
 func (n *Network) Dialer(from netip.Addr) connector.DialFunc {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to := netip.MustParseAddrPort(address)
@@ -144,8 +145,8 @@
 	n.sendRates[host] = rate
 }
 
-// sendDelay returns the time until a host has sent size more bytes after everything that
-// it was given before; 0 if its rate is not limited.
+// sendDelay returns the time until a host has sent size more bytes, after all data passed
+// to it before; 0 if its rate is not limited.
 func (n *Network) sendDelay(host netip.Addr, size int) time.Duration {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -236,7 +237,7 @@
 	n.closeLinks(func(l *link) bool { return l.from == host || l.to == host })
 }
 
-// closeLinks closes the links that match.
+// closeLinks closes the links for which matches returns true.
 func (n *Network) closeLinks(matches func(*link) bool) {
 	n.lock.Lock()
 	var found []*link
--- a/standin/network/packets.go
+++ b/standin/network/packets.go
@@ -11,7 +11,7 @@
 // are lost.
 const maxQueuedPackets = 256
 
-// packet is a datagram with its sender.
+// packet is a datagram with the address of its sender.
 type packet struct {
 	from netip.AddrPort
 	data []byte
