--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -47,17 +47,18 @@
 	changed chan struct{}
 	// mode is one of the Mode constants.
 	mode string
-	// reads counts the reads of both values since the start.
+	// reads counts the requests for the configuration or the instance list since the start.
 	reads     int
 	config    history
 	instances history
 }
 
-// history holds the values published of the configuration or the instance list.
+// history holds the published values of either the configuration or the instance list.
 type history struct {
 	// values holds all published values, oldest first.
 	values []publishedValue
-	// stale is the value that readers get in ModeStale.
+	// stale is the value that readers get in ModeStale; nil if nothing was published when
+	// the mode was set.
 	stale []byte
 }
 
@@ -86,7 +87,7 @@
 	return mux
 }
 
-// Publish sets the configuration or, if list is true, the instance list.
+// Publish publishes data as the configuration or, if list is true, as the instance list.
 func (s *Server) Publish(data []byte, list bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -97,7 +98,7 @@
 	s.appendValue(target, data)
 }
 
-// appendValue publishes data. The caller holds the lock.
+// appendValue publishes data as the latest value of h. The caller holds the lock.
 func (s *Server) appendValue(h *history, data []byte) {
 	h.values = append(h.values, publishedValue{publishedAt: time.Now(), data: data})
 	s.notifyReaders()
@@ -109,7 +110,7 @@
 	s.changed = make(chan struct{})
 }
 
-// servePublish publishes the body of r, of at most 1 MiB.
+// servePublish publishes the body of r. It refuses bodies over 1 MiB.
 func (s *Server) servePublish(w http.ResponseWriter, r *http.Request, h *history) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, 1<<20+1))
 	if err != nil || len(data) > 1<<20 {
@@ -121,8 +122,8 @@
 	s.appendValue(h, data)
 }
 
-// SetMode sets the mode, one of the Mode constants, and wakes waiting reads. The
-// values that are visible to readers in ModeUp become those of ModeStale.
+// SetMode sets the mode, one of the Mode constants, and wakes waiting reads. It
+// also saves, for ModeStale, the values that readers get in ModeUp at this time.
 func (s *Server) SetMode(mode string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -199,9 +200,9 @@
 }
 
 // serveRead responds with the visible value and its ETag. If the reader already
-// has that value (If-None-Match), it waits for another one, for as long as the
-// reader prefers, and then responds with 304. Without a visible value, and in
-// ModeDown, it responds with 503.
+// has that value (If-None-Match), serveRead waits for another one for up to
+// preferredWait and responds with 304 if none appears. Without a visible value, and
+// in ModeDown, it responds with 503.
 func (s *Server) serveRead(w http.ResponseWriter, r *http.Request, h *history, lag time.Duration) {
 	s.lock.Lock()
 	s.reads++
