--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay forwards TCP connections to a process and disturbs them in the ways
-// that a test sets, to emulate network faults on a real network.
+// Package relay forwards TCP connections to a process and delays, stalls or closes them
+// as a test requires, to emulate network faults on a real network.
 package relay
 
 import (
@@ -27,21 +27,20 @@
 // DelayTime is the delay of each read in ModeDelay.
 const DelayTime = 150 * time.Millisecond
 
-// Relay forwards TCP connections to one process. It distinguishes sources by the
-// IP address that a connection comes from, and treats the connections of each as
-// the mode set for it says. It is safe for concurrent use.
+// Relay forwards TCP connections to one process. Each source, an IP address that
+// connections come from, has a mode that determines how its connections are
+// forwarded. A Relay is safe for concurrent use.
 type Relay struct {
 	listenAddress, targetAddress netip.AddrPort
-	// OnBytes, if not nil, is called for every read that is forwarded, in
-	// either direction, with the source's address and the number of bytes. It
-	// must be set before the first connection.
+	// OnBytes, if not nil, is called whenever bytes are forwarded, in either
+	// direction, with the source's address and the number of bytes. It must be set
+	// before the first connection.
 	OnBytes func(from netip.Addr, n int)
 
 	// lock guards the fields below.
 	lock     sync.Mutex
 	listener net.Listener
-	// modes holds the mode of each source; sources that are not in it have the
-	// empty mode.
+	// modes holds the mode of each source; sources without one have the empty mode.
 	modes map[netip.Addr]string
 	// connections holds the open connections from sources, with the source's
 	// address.
@@ -60,7 +59,7 @@
 	return r, nil
 }
 
-// Close stops listening and closes all connections.
+// Close stops listening and closes all connections, like Stop.
 func (r *Relay) Close() { r.Stop() }
 
 // Stop stops listening and closes all connections, as if the target process had
@@ -161,8 +160,8 @@
 }
 
 // copyBytes copies bytes from one connection to the other until either is closed,
-// and then sends to done. While isHeld returns true for the mode of the source, it
-// withholds what it has read.
+// and then sends to done. While isHeld returns true for the mode of the source,
+// copyBytes withholds the bytes that it has read and reads no more.
 func (r *Relay) copyBytes(from, to net.Conn, source netip.Addr, isHeld func(string) bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 64<<10)
