--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store emulates the key-value store of the users' platform over HTTP. Its items
-// can be read by prefix and watched for changes. Tests write items and make the store
-// fail in several ways.
+// Package store emulates the key-value store of the users' platform over HTTP. Clients
+// read items by key prefix and watch them for changes. Tests write items and make the
+// store fail in the ways that Mode lists.
 package store
 
 import (
@@ -44,8 +44,8 @@
 	// Value is a JSON string with the value in base64, unless a test wrote other JSON by
 	// PutRaw.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Revision is the store's revision after the last change of the item, CreateRevision
-	// the one after it was created; 0 in a change that removes the item.
+	// Revision is the store's revision after the last change of the item. CreateRevision is
+	// the store's revision after the item was created, or 0 in a change that removes it.
 	Revision       int64 `json:"rev"`
 	CreateRevision int64 `json:"create-rev,omitempty"`
 	// Deleted is true in a change that removes the item.
@@ -63,7 +63,8 @@
 	// revision is the number of changes so far.
 	revision int64
 	// changed is closed and replaced on each change of an item or of the mode.
-	changed   chan struct{}
+	changed chan struct{}
+	// callCount is the number of HTTP calls received, in all modes.
 	callCount int
 }
 
@@ -91,8 +92,8 @@
 	return s.PutRaw(key, text)
 }
 
-// PutRaw writes a key whose value is the given JSON on the wire, which need not be
-// base64 text, and returns the revision.
+// PutRaw writes a key whose value is sent to clients as the given JSON, which need not be
+// a base64 string, and returns the store's new revision.
 func (s *Store) PutRaw(key string, value json.RawMessage) int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -117,8 +118,8 @@
 	return s.revision
 }
 
-// recordChange appends a change to the history and wakes all watches. The caller holds
-// the lock.
+// recordChange appends a change to the history and wakes all waiting watches. The caller
+// holds the lock.
 func (s *Store) recordChange(i item) {
 	s.history = append(s.history, i)
 	close(s.changed)
@@ -191,9 +192,9 @@
 	return false
 }
 
-// serveRange responds with the items whose keys have the prefix of the query and come
-// after its key "after", in the order of keys, up to maxPageItems, and with the revision
-// that they were read at.
+// serveRange responds with the items whose keys have the query's "prefix" and sort after
+// its "after", in the order of keys, up to maxPageItems, and with the store's revision when
+// they were read.
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("prefix"), r.URL.Query().Get("after")
 	s.lock.Lock()
@@ -214,8 +215,9 @@
 	}{found[:min(len(found), maxPageItems)], more, asOf})
 }
 
-// serveWatch responds with the changes after the revision "after" of the query to keys
-// with its prefix, or without changes if there are none within "wait-ms" milliseconds.
+// serveWatch responds with the changes since the revision in the query's "after" to keys
+// with its "prefix". If there are none, it waits up to "wait-ms" milliseconds for one and
+// then responds without changes.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
