--- a/standin/worker/down.go
+++ b/standin/worker/down.go
@@ -9,7 +9,7 @@
 	// lock guards downIDs.
 	lock    sync.Mutex
 	downIDs map[string]bool
-	// downCount counts the workers in the set.
+	// downCount counts the workers in the set, so that WaitAllUp can wait for 0.
 	downCount sync.WaitGroup
 }
 
@@ -29,7 +29,7 @@
 	return true
 }
 
-// MarkUp removes a worker that MarkDown has added.
+// MarkUp removes a worker by its instance ID. The worker must be in the set.
 func (d *DownSet) MarkUp(id string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/standin/worker/plan.go
+++ b/standin/worker/plan.go
@@ -22,7 +22,7 @@
 	// MinAnswerDuration is the shortest duration of streams and of slow plain
 	// calls.
 	MinAnswerDuration = 300 * time.Millisecond
-	// MaxStreamDuration is the longest duration of streams; callers wait 7 s.
+	// MaxStreamDuration is the longest duration of streams; their callers wait 7 s.
 	MaxStreamDuration = 6900 * time.Millisecond
 	// usualStreamDuration is the longest duration of three streams in five, and
 	// the shortest of the others.
@@ -33,8 +33,8 @@
 	// neither quick nor safe to repeat; their callers wait 7 s.
 	maxCallDuration = 6600 * time.Millisecond
 	// maxSafeCallDuration is the longest duration of the plain calls that are
-	// not quick but safe to repeat. Their callers wait 4 s, and an attempt may
-	// be given up after 0.6 s and executed again.
+	// not quick but safe to repeat. Their route times out after 4 s, and an
+	// attempt may be given up after 0.6 s and executed again.
 	maxSafeCallDuration = 3 * time.Second
 )
 
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -70,15 +70,16 @@
 const BackoffTime = 3 * time.Second
 
 // SlowWorkTime is the time from the start of an execution to the answer of a
-// worker with FaultSlow. If a plan sets the duration of a plain call, the call
-// takes longer by that duration less the work time given to New.
+// worker with FaultSlow. A plain call whose duration is set by a plan takes that
+// duration plus SlowWorkTime, less the work time passed to New.
 const SlowWorkTime = 1900 * time.Millisecond
 
 // AllFaults lists all values of Fault, FaultNone included.
 var AllFaults = []Fault{FaultNone, FaultFull, FaultServerError, FaultConnectionLost, FaultNoAnswer, FaultBrokenOff, FaultEndsEarly, FaultForeignID, FaultExtraAnswer, FaultUnstamped, FaultUnframed, FaultSlow, FaultBackoff}
 
-// Execution is the record of one request that a worker began to execute. The same
-// type serves for requests that it refused.
+// Execution is the record of one request that a worker began to execute, or that it
+// refused because of FaultFull or FaultBackoff. The record of a refusal has only
+// RequestID, WorkerID, Fault, Incarnation, Began and Ended.
 type Execution struct {
 	// RequestID is the value of X-Attempt-Id, which is the same in all attempts
 	// at a request.
@@ -108,8 +109,9 @@
 	Incarnation int
 	// Crashed is true if the request crashed the worker's incarnation.
 	Crashed bool
-	// Began is when the worker began to execute or refused the request; Ended is
-	// when it stopped executing it, and zero while the execution is in progress.
+	// Began is the time at which the worker began to execute the request or refused
+	// it. Ended is the time at which the execution ended; zero while it is in
+	// progress.
 	Began, Ended time.Time
 }
 
@@ -133,7 +135,7 @@
 	// refusals records the requests refused because of FaultFull or
 	// FaultBackoff.
 	refusals []Execution
-	// current is the incarnation that serves new requests.
+	// current is the incarnation that executes new requests.
 	current *incarnation
 	// restarts is the number of calls of Restart.
 	restarts int
@@ -187,8 +189,8 @@
 
 // OnCrash sets the function that is called when a request crashes the worker; the
 // function must close the worker's connections, keep its address unreachable for
-// a while, and call Restart. Without it requests don't crash the worker. It must be
-// called before the first request.
+// a while, and call Restart. If OnCrash is not called, requests don't crash the
+// worker. It must be called before the first request.
 func (w *Worker) OnCrash(onCrash func()) { w.onCrash = onCrash }
 
 // SetFault sets the fault with which the worker answers new requests.
@@ -414,7 +416,8 @@
 	return w.current, len(w.executions) - 1
 }
 
-// endExecution records the end of the execution at index, begun by current.
+// endExecution records the end of the execution at index in executions, which the
+// incarnation current began.
 func (w *Worker) endExecution(current *incarnation, index int) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -423,8 +426,8 @@
 }
 
 // wait waits for d and returns true, or returns false as soon as the client
-// disconnects. If the incarnation ends first, it waits until the client
-// disconnects and aborts the handler.
+// disconnects. If the incarnation ends first, wait blocks until the client
+// disconnects and then aborts the handler by a panic.
 func (i *incarnation) wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
