--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -23,10 +23,11 @@
 // standIn is an emulated engine, service or platform, ready to be served.
 type standIn struct {
 	handler http.Handler
-	// runBackground runs beside the HTTP server until its context ends; it may
-	// be nil.
+	// runBackground emulates work that no HTTP request drives, until its context ends;
+	// nil if there is none.
 	runBackground func(context.Context)
-	// drain returns once the process may exit; it may be nil.
+	// drain waits until the work in progress has ended, so that the process may exit;
+	// nil if the process may exit at once.
 	drain func(context.Context)
 }
 
@@ -128,7 +129,8 @@
 	return serve(address, standIn{handler: server.Handler()})
 }
 
-// serve serves p at address until SIGTERM or SIGINT, and then drains it.
+// serve serves p at address until SIGTERM or SIGINT, and then drains p. It returns an
+// error if it can't listen.
 func serve(address string, p standIn) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/standin/measure.go
+++ b/cmd/standin/measure.go
@@ -24,17 +24,17 @@
 	// loads lists offered loads as fractions of the engines' prefill capacity,
 	// separated by commas.
 	loads string
-	// fault is a measurer.Fault; empty means none.
+	// fault is a measurer.Fault; empty means none. It is not used with burst.
 	fault string
-	seed  uint64
+	// seed determines the random requests and the random choices of policies.
+	seed uint64
 	// full prints a table of all classes for each policy, instead of a line.
 	full bool
-	// burst measures the recovery from a burst, instead of a constant load.
+	// burst measures the recovery from a burst of a fixed size, instead of the loads.
 	burst bool
 }
 
-// newMeasureCommand returns the subcommand with its flags defined.
-
+// newMeasureCommand returns the subcommand measure with its flags defined.
 func newMeasureCommand() *measureCommand {
 	m := &measureCommand{subcommand: flaggy.NewSubcommand("measure"), deployments: "condor,zeekant", loads: "0.8", seed: 1}
 	m.subcommand.Description = "measure routing policies in simulated time"
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// comparePolicies simulates deployment d at a load and prints a line, or with
-// --full a table, for each policy. The line also compares the short prompts'
-// latency with that in a second simulation, without the two longest classes.
+// comparePolicies simulates deployment d at a load and prints a line, or with --full a
+// table, for each policy. The line also compares the time to first token of short
+// prompts with that in a second simulation without the two longest classes.
 func (m *measureCommand) comparePolicies(d measurer.Deployment, load float64) {
 	fmt.Printf("deployment=%s load=%.2f fault=%q seed=%d\n", d.Name, load, m.fault, m.seed)
 	if m.burst {
@@ -102,8 +102,8 @@
 }
 
 // measureRecovery simulates deployment d through a burst, with callers that retry
-// what was refused or late, and prints the results of every half minute for each
-// policy.
+// requests that were refused or late. It prints the results of every half minute for
+// each policy.
 func (m *measureCommand) measureRecovery(d measurer.Deployment) {
 	const base, peak, retries = 0.7, 2.0, 5
 	for _, p := range measurer.Policies {
