--- a/scenario/benchmark_test.go
+++ b/scenario/benchmark_test.go
@@ -305,11 +305,11 @@
 // in force at all of 7 entries, and the platform calls per second meanwhile: once
 // while all entries reach the platform, and once while only one of them does.
 func BenchmarkDocumentPropagation(b *testing.B) {
-	for _, way := range []string{"all-reach", "one-reaches"} {
-		b.Run(way, func(b *testing.B) {
+	for _, reachability := range []string{"all-reach", "one-reaches"} {
+		b.Run(reachability, func(b *testing.B) {
 			for range b.N {
 				withBenchFleet(b, map[string]string{"entries": "7", "engines": "1", "watch": "20s", "strict": "false"}, func(f *fleet) {
-					measurePropagation(b, f, way)
+					measurePropagation(b, f, reachability)
 				})
 			}
 		})
@@ -329,17 +329,17 @@
 	}
 	calls := platformCalls(b, f)
 	start := time.Now()
-	var worst, sum time.Duration
+	var longest, sum time.Duration
 	for revision := 2; revision < 2+changes; revision++ {
 		if err := f.putToPlatform("/control/config", f.configDocument(revision, "")); err != nil {
 			b.Fatal(err)
 		}
 		elapsed := awaitRevisionInForce(b, f, revision)
-		worst, sum = max(worst, elapsed), sum+elapsed
+		longest, sum = max(longest, elapsed), sum+elapsed
 		time.Sleep(300 * time.Millisecond)
 	}
 	b.ReportMetric(float64(sum.Milliseconds())/changes, "ms-mean")
-	b.ReportMetric(float64(worst.Milliseconds()), "ms-worst")
+	b.ReportMetric(float64(longest.Milliseconds()), "ms-worst")
 	b.ReportMetric(float64(platformCalls(b, f)-calls)/time.Since(start).Seconds(), "platform-calls/s")
 }
 
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -460,7 +460,7 @@
 // isReady reports whether every entry names itself and its neighbours to callers
 // and every engine's keeper has listed the engine's holds.
 func (f *fleet) isReady() bool {
-	reachedEngines := map[string]bool{}
+	listedEngines := map[string]bool{}
 	for _, name := range f.startOrder {
 		if !strings.HasPrefix(name, "entry-") {
 			continue
@@ -476,11 +476,11 @@
 		}
 		for _, e := range status.Engines {
 			if e.Keeper == name && e.Heard {
-				reachedEngines[e.Name] = true
+				listedEngines[e.Name] = true
 			}
 		}
 	}
-	return len(reachedEngines) == f.intOption("engines")
+	return len(listedEngines) == f.intOption("engines")
 }
 
 // getJSON decodes the body of a GET request's response into target. Any status
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -60,8 +60,8 @@
 			e.Values[fleetKey] = f
 			e.Defer(func() {
 				f.stopAll()
-				if broken := f.invariantViolation(); broken != "" {
-					e.T().Fatal(broken)
+				if violation := f.invariantViolation(); violation != "" {
+					e.T().Fatal(violation)
 				}
 			})
 			e.Setenv("PATH", binaries+string(os.PathListSeparator)+e.Getenv("PATH"))
@@ -468,14 +468,14 @@
 // post-background JOB NAME PATH BODY [HEADER=VALUE ...].
 func cmdPostBackground(ts *testscript.TestScript, _ bool, args []string) {
 	url := "http://" + processNamed(ts, args[1]).listenAddress.String() + args[2]
-	answer := make(chan string, 1)
-	fleetFrom(ts).posts[args[0]] = answer
+	response := make(chan string, 1)
+	fleetFrom(ts).posts[args[0]] = response
 	go func() {
 		out, err := httpPost(url, args[3], args[4:])
 		if err != nil {
 			out += err.Error()
 		}
-		answer <- out
+		response <- out
 	}()
 }
 
