--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -104,9 +104,9 @@
 	servers []*http.Server
 	// configVersion is the version of the configuration written last.
 	configVersion int
-	// disruptions records the faults of entries, upstreams and the store with their
+	// faultLog records the faults of entries, upstreams and the store with their
 	// times, by which the check decides which requests may fail.
-	disruptions caller.FaultLog
+	faultLog caller.FaultLog
 	// background tracks goroutines of faults: shutdowns and the end of traffic.
 	background sync.WaitGroup
 	// down holds the upstreams that have crashed and are not restarted yet.
@@ -219,7 +219,7 @@
 // never answered.
 func (f *fleet) restartUpstream(id string) {
 	f.upstreams[id].Restart()
-	f.disruptions.RecordRestart(id)
+	f.faultLog.RecordRestart(id)
 	f.registerStart(id)
 }
 
@@ -242,7 +242,7 @@
 	if !f.down.MarkDown(id) {
 		return
 	}
-	endCut := f.disruptions.RecordCut(id)
+	endCut := f.faultLog.RecordCut(id)
 	f.upstreams[id].Restart()
 	f.upstreamRelays[id].Stop()
 	go func() {
@@ -251,7 +251,7 @@
 		if err := f.upstreamRelays[id].Resume(); err != nil {
 			f.t.Errorf("seed %d: %s: %v", f.seed, id, err)
 		}
-		f.disruptions.RecordRestart(id)
+		f.faultLog.RecordRestart(id)
 		f.registerStart(id)
 		endCut()
 	}()
@@ -360,8 +360,8 @@
 		e.awaitExitWithin(5 * time.Second)
 	}
 	f.storeRelay.Close()
-	for _, w := range f.upstreamRelays {
-		w.Close()
+	for _, r := range f.upstreamRelays {
+		r.Close()
 	}
 	for _, s := range f.servers {
 		_ = s.Close()
@@ -419,7 +419,7 @@
 			c.SetAddressReuse(n)
 		}
 		c.BodyOf = caller.MixedBody
-		c.TokenUsageOf = func(id string) (most, hint int) {
+		c.TokenUsageOf = func(id string) (maxTokens, hint int) {
 			return withShortCalmAnswers(answerPlan).TokenUsage(id, tokensPerEvent)
 		}
 		return c
@@ -433,23 +433,23 @@
 	return caller.NewRepeatingTraffic(name, callerCount, caller.CrashPath, interval, func(n int) *caller.Caller { return f.newCaller(50 + n) })
 }
 
-// evidence returns what happened at the upstreams and the faults that were
+// observations returns what happened at the upstreams and the faults that were
 // injected, against which the results of requests are checked.
-func (f *fleet) evidence() caller.Observations {
+func (f *fleet) observations() caller.Observations {
 	return caller.Observations{
 		Executions: func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.upstreams), id) },
 		Refusals:   func(id string) []worker.Execution { return worker.RefusalsOf(maps.Values(f.upstreams), id) },
-		EventCount: withShortCalmAnswers(answerPlan).EventCount, Faults: &f.disruptions,
+		EventCount: withShortCalmAnswers(answerPlan).EventCount, Faults: &f.faultLog,
 	}
 }
 
-// checkPromises checks the results of a stopped traffic and fails the test for
+// checkGuarantees checks the results of a stopped traffic and fails the test for
 // every violated guarantee. It returns how many requests were served and how many
 // were sent.
-func (f *fleet) checkPromises(traffic *caller.Traffic) (served, asked int) {
-	served, asked, violations := traffic.Evaluate(f.evidence())
+func (f *fleet) checkGuarantees(traffic *caller.Traffic) (served, sent int) {
+	served, sent, violations := traffic.Evaluate(f.observations())
 	for _, violation := range violations {
 		f.t.Errorf("seed %d: %s", f.seed, violation)
 	}
-	return served, asked
+	return served, sent
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -45,7 +45,7 @@
 		if e == nil {
 			return func() {}
 		}
-		f.disruptions.RecordKill(e.host)
+		f.faultLog.RecordKill(e.host)
 		e.signal(syscall.SIGKILL)
 		return func() { e.restart(); e.disrupted.Store(false) }
 	},
@@ -54,14 +54,14 @@
 		if e == nil {
 			return func() {}
 		}
-		down := make(chan struct{})
+		mayRestart := make(chan struct{})
 		f.background.Go(func() {
 			e.shutDown()
-			<-down
+			<-mayRestart
 			e.start()
 			e.disrupted.Store(false)
 		})
-		return func() { close(down) }
+		return func() { close(mayRestart) }
 	},
 	"entries stopped in series": func(f *fleet, r *rand.Rand) func() {
 		f.stopEntriesInSeries(r)
@@ -72,7 +72,7 @@
 		if e == nil {
 			return func() {}
 		}
-		endPause := f.disruptions.RecordPartition()
+		endPause := f.faultLog.RecordPartition()
 		e.signal(syscall.SIGSTOP)
 		return func() { e.signal(syscall.SIGCONT); e.disrupted.Store(false); endPause() }
 	},
@@ -93,7 +93,7 @@
 		return func() {}
 	},
 	"way to the store": func(f *fleet, r *rand.Rand) func() {
-		endOutage := f.disruptions.RecordStoreOutage()
+		endOutage := f.faultLog.RecordStoreOutage()
 		f.storeRelay.SetMode(loopbackSource, pick(r, relay.ModeRefuse, relay.ModeStall, relay.ModeDropAnswers, relay.ModeDelay))
 		return func() { f.storeRelay.SetMode(loopbackSource, ""); endOutage() }
 	},
@@ -101,18 +101,18 @@
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
 		linkMode, endCut := pick(r, relay.ModeRefuse, relay.ModeStall, relay.ModeDropAnswers, relay.ModeDelay), func() {}
 		if linkMode != relay.ModeDelay { // a slow link breaks no connection until the fault ends
-			endCut = f.disruptions.RecordCut(id)
+			endCut = f.faultLog.RecordCut(id)
 		}
 		f.upstreamRelays[id].SetMode(loopbackSource, linkMode)
 		return func() {
-			defer f.disruptions.RecordCut(id)() // ending the fault resets the connections that were held up
+			defer f.faultLog.RecordCut(id)() // ending the fault resets the connections that were held up
 			f.upstreamRelays[id].SetMode(loopbackSource, "")
 			endCut()
 		}
 	},
 	"connections reset": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
-		defer f.disruptions.RecordCut(id)()
+		defer f.faultLog.RecordCut(id)()
 		f.upstreamRelays[id].CloseConnections(func(netip.Addr) bool { return true })
 		return func() {}
 	},
@@ -122,7 +122,7 @@
 		return func() { upstream.SetFault(worker.FaultNone) }
 	},
 	"store fails": func(f *fleet, r *rand.Rand) func() {
-		endOutage := f.disruptions.RecordStoreOutage()
+		endOutage := f.faultLog.RecordStoreOutage()
 		f.store.SetMode(pick(r, store.Unavailable, store.RateLimited, store.Unresponsive, store.ResetsConnections, store.Slow))
 		return func() { f.store.SetMode(store.Available); endOutage() }
 	},
@@ -213,7 +213,7 @@
 
 // shutDown sends the entry SIGTERM and waits until its process has exited.
 func (e *entry) shutDown() {
-	stop := e.fleet.disruptions.RecordShutdown(e.host, gracePeriod)
+	stop := e.fleet.faultLog.RecordShutdown(e.host, gracePeriod)
 	e.signal(syscall.SIGTERM)
 	e.requireExit()
 	stop.RecordExit()
@@ -309,15 +309,15 @@
 	f.background.Wait()
 	f.down.WaitAllUp()
 	for _, x := range f.traffics {
-		served, asked := f.checkPromises(x)
-		t.Logf("seed %d: %d of %d served under faults", seed, served, asked)
+		served, sent := f.checkGuarantees(x)
+		t.Logf("seed %d: %d of %d served under faults", seed, served, sent)
 	}
-	for _, b := range caller.BackpressureViolations(f.evidence(), append(f.traffics, f.crashTraffics...)...) {
-		t.Errorf("seed %d: %s", seed, b)
+	for _, violation := range caller.BackpressureViolations(f.observations(), append(f.traffics, f.crashTraffics...)...) {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
 	for _, x := range f.crashTraffics {
-		for _, b := range x.RepeatViolations(f.evidence()) {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, violation := range x.RepeatViolations(f.observations()) {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 	f.awaitReady(5 * time.Second)
@@ -325,9 +325,9 @@
 	calm := f.startTraffic("calm", 8)
 	time.Sleep(2 * time.Second)
 	calm.Stop()
-	served, asked := f.checkPromises(calm)
-	if served < asked || asked == 0 {
-		t.Errorf("seed %d: after the faults %d of %d requests were served, want all of at least 1", seed, served, asked)
+	served, sent := f.checkGuarantees(calm)
+	if served < sent || sent == 0 {
+		t.Errorf("seed %d: after the faults %d of %d requests were served, want all of at least 1", seed, served, sent)
 	}
 	f.checkNothingLeft()
 	f.checkOperatorPages()
