--- a/scenario/benchmark_test.go
+++ b/scenario/benchmark_test.go
@@ -18,8 +18,8 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// relayedBytesByHost counts the bytes that relays carry, by the last byte of the
-// IP address that connected.
+// relayedBytesByHost counts the bytes that relays forward in either direction, by
+// the last byte of the IP address that opened the connection.
 var relayedBytesByHost [256]atomic.Int64
 
 // resourceUsage is the processor time and memory of one process.
@@ -63,10 +63,10 @@
 	run(f)
 }
 
-// BenchmarkIdleEntry measures what an entry without requests uses, by the number
-// of entries and engines: processor time, memory, and bytes relayed for
-// heartbeats, load reports and listings of holds. The periods are those of the scripts: ten
-// heartbeats and load reports a second and five listings.
+// BenchmarkIdleEntry measures the resource usage of an entry without requests, by
+// the number of entries and engines: processor time, memory, and bytes relayed for
+// heartbeats, load reports and listings of holds. It uses the timing profile of the
+// scripts: ten heartbeats, ten load reports and five listings a second.
 func BenchmarkIdleEntry(b *testing.B) {
 	for _, size := range [][2]int{{2, 2}, {7, 2}, {7, 14}, {7, 42}, {14, 14}, {28, 14}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// BenchmarkIdleEntryTargetTiming measures what an entry without requests uses
-// with the timing profile "target". Its three neighbours bound the heartbeats that
-// an entry sends, whatever the number of entries.
+// BenchmarkIdleEntryTargetTiming measures the resource usage of an entry without
+// requests with the timing profile "target". In this profile an entry sends
+// heartbeats to three neighbours, whatever the number of entries.
 func BenchmarkIdleEntryTargetTiming(b *testing.B) {
 	for _, size := range [][2]int{{7, 1}, {7, 11}, {7, 42}} {
 		b.Run(fmt.Sprintf("entries=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
@@ -98,8 +98,8 @@
 // measureIdleEntries measures the entries of a fleet over 8 s.
 func measureIdleEntries(b *testing.B, f *fleet) { measureIdleEntriesFor(b, f, 8*time.Second) }
 
-// measureIdleEntriesFor reports the mean use of an entry over a period: percent of
-// a core, resident megabytes, and relayed bytes per second.
+// measureIdleEntriesFor reports the mean resource usage of an entry over a period:
+// percent of a core, resident megabytes, and relayed bytes per second.
 func measureIdleEntriesFor(b *testing.B, f *fleet, period time.Duration) {
 	var before []resourceUsage
 	bytesBefore := totalRelayedBytes()
@@ -121,7 +121,7 @@
 	b.ReportMetric(float64(totalRelayedBytes()-bytesBefore)/period.Seconds()/n, "bytes/s/entry")
 }
 
-// totalRelayedBytes returns the bytes that all relays have carried.
+// totalRelayedBytes returns the number of bytes that all relays have forwarded.
 func totalRelayedBytes() int64 {
 	var sum int64
 	for i := range relayedBytesByHost {
@@ -130,7 +130,8 @@
 	return sum
 }
 
-// countRelayedBytes adds n bytes to the count of the address that connected.
+// countRelayedBytes adds n bytes to the count of the address that opened the
+// connection.
 func countRelayedBytes(from netip.Addr, n int) {
 	octets := from.As4()
 	relayedBytesByHost[octets[3]].Add(int64(n))
@@ -147,8 +148,8 @@
 	return out
 }
 
-// BenchmarkRelay measures what an entry uses to relay streams from engines to
-// callers: processor time per request and per token, and peak memory.
+// BenchmarkRelay measures the resource usage of an entry that relays streams from
+// engines to callers: processor time per request and per token, and peak memory.
 func BenchmarkRelay(b *testing.B) {
 	for _, load := range []struct {
 		name   string
@@ -167,9 +168,9 @@
 	}
 }
 
-// measureRelay sends rate requests a second to the only entry for 6 s and reports
-// what it used beyond an idle entry. Prompt and tokens are the prompt and answer
-// lengths in tokens.
+// measureRelay sends rate requests a second to the only entry for 6 s. It reports
+// the entry's processor time beyond that of an idle entry, and its memory. prompt and
+// tokens are the lengths of each prompt and answer in tokens.
 func measureRelay(b *testing.B, f *fleet, rate, tokens, prompt int) {
 	const seconds = 6
 	entry := f.entryProcesses()[0]
@@ -223,9 +224,10 @@
 	return n
 }
 
-// BenchmarkLargeDocument measures an entry that puts into force five documents
-// of the target's size, that of 4300 organisations and 600 engines: its memory
-// before, at its peak and afterwards, and the processor time per document.
+// BenchmarkLargeDocument measures an entry that puts five large documents into
+// force, one after the other: the resident memory before, at the peak and afterwards,
+// and the processor time per document. The documents have the target size: 4300
+// organisations and 600 engines.
 func BenchmarkLargeDocument(b *testing.B) {
 	for range b.N {
 		withBenchFleet(b, map[string]string{"entries": "2", "engines": "2", "strict": "false"}, func(f *fleet) {
@@ -249,8 +251,8 @@
 }
 
 // largeDocumentSection returns text to insert into a document after its
-// organisations: more organisations, and engines as comment lines, which give the
-// document its full size without engines that do not exist.
+// organisations: more organisations, and engines as comment lines. The comments give
+// the document its full size without listing engines that do not exist.
 func largeDocumentSection(organisations, engines int) string {
 	var out strings.Builder
 	for i := range organisations {
@@ -316,8 +318,9 @@
 	}
 }
 
-// measurePropagation publishes ten documents and reports the mean and the longest
-// time until a document was in force at every entry.
+// measurePropagation publishes ten documents. It reports the mean and the longest
+// time until a document was in force at every entry, and the platform calls per
+// second. If reachability is "one-reaches", only the first entry reaches the platform.
 func measurePropagation(b *testing.B, f *fleet, reachability string) {
 	const changes = 10
 	if reachability == "one-reaches" {
@@ -343,7 +346,8 @@
 	b.ReportMetric(float64(platformCalls(b, f)-calls)/time.Since(start).Seconds(), "platform-calls/s")
 }
 
-// platformCalls returns the number of calls that the platform has received.
+// platformCalls returns the number of requests for the document or the instance list
+// that the platform has received.
 func platformCalls(b *testing.B, f *fleet) int {
 	b.Helper()
 	text, err := httpGet("http://" + f.processes["platform"].listenAddress.String() + "/control/calls")
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -38,7 +38,8 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// fleet holds the processes of one scenario and what the script has started.
+// fleet holds the processes of one script, and the commands and requests that the
+// script runs in the background.
 type fleet struct {
 	// dir holds settings and log files.
 	dir string
@@ -46,7 +47,8 @@
 	binaries string
 	// processes are keyed by name, such as entry-1.
 	processes map[string]*process
-	// startOrder lists the names of the processes in the order of their start.
+	// startOrder lists the names of the processes in the order in which startAll starts
+	// them.
 	startOrder []string
 	// instances is the instance list that the platform publishes.
 	instances []api.Instance
@@ -56,7 +58,8 @@
 	dataCentres int
 	// jobs holds commands in the background, by the name the script gave them.
 	jobs map[string]*job
-	// posts delivers the responses to POST requests in the background, by job name.
+	// posts delivers the status and body of the responses to POST requests in the
+	// background, by the name the script gave them.
 	posts map[string]chan string
 	// forms holds the console form that each operator is editing, by operator name.
 	forms map[string]url.Values
@@ -81,10 +84,11 @@
 	address netip.AddrPort
 	// listenAddress is where the process itself listens; the relay connects to it.
 	listenAddress netip.AddrPort
-	// peerAddress and peerListenAddress are the same for connections between
-	// entries. They are invalid for other processes.
+	// peerAddress and peerListenAddress are the corresponding addresses for
+	// connections between entries. They are invalid unless the process is an entry.
 	peerAddress, peerListenAddress netip.AddrPort
-	// relays are empty while the process is unplugged.
+	// relays forward connections to the process, for callers and, at an entry, for
+	// peers. They are empty before the first start and after cmdUnplug.
 	relays []*relay.Relay
 	// cmd is the process started last; nil before the first start.
 	cmd *exec.Cmd
@@ -105,15 +109,16 @@
 	return netip.AddrPortFrom(ip, portFor(os.Getpid(), portsUsed.Add(1)))
 }
 
-// portFor returns the nth port of a test process. All ports are below the
-// system's ephemeral range, so that outgoing connections do not occupy them.
+// portFor returns the nth port of the test process with the given ID. All ports are
+// below the system's ephemeral range, so that outgoing connections do not occupy them.
 func portFor(processID int, n uint32) uint16 {
 	const firstPort, portCount = 10_000, 20_000
 	return uint16(firstPort + (uint32(processID)*37+n)%portCount)
 }
 
-// loopbackHost returns an address of the loopback network. Test processes with
-// neighbouring process IDs get different addresses.
+// loopbackHost returns the loopback address of a process, given its kind and its index
+// among those of the kind. Test processes with neighbouring process IDs get different
+// addresses.
 func loopbackHost(processID int, kind, index byte) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(1 + processID%250), kind, index})
 }
@@ -229,9 +234,9 @@
 	}
 }
 
-// timingProfiles are the values of the option "timing", each with the log level
-// and the periods that it sets at entries. Scripts use "fast" to wait less;
-// "target" has the periods on which docs/CAPACITY.md is based.
+// timingProfiles holds, for each value of the option "timing", the log level and the
+// periods of entries. Scripts use "fast" to wait less; "target" has the periods on which
+// docs/CAPACITY.md is based.
 var timingProfiles = map[string]struct{ level, periods string }{
 	"fast":   {"debug", "Heartbeat: 100ms, Suspect: 800ms, Poll: 100ms, List: 200ms"},
 	"target": {"info", "Heartbeat: 2s, Neighbours: 3, Suspect: 6s, Poll: 1s, List: 10s"},
@@ -329,8 +334,8 @@
 	return fmt.Errorf("%s does not accept connections within 4 s", p.name)
 }
 
-// invariantViolation returns the name of the first process that exited because
-// it violated an invariant, with the end of its log; empty if none did.
+// invariantViolation returns a message about the first process that exited because
+// it violated an invariant, with the end of its log. It returns "" if none did.
 func (f *fleet) invariantViolation() string {
 	const exitViolated = 70 // exit status of an entry run with --strict
 	for _, name := range f.startOrder {
@@ -396,8 +401,8 @@
 // sealKey is the key with which the console seals documents.
 var sealKey = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// sealKeysSetting returns the value of the setting SealKeys: sealKey if the
-// option "seal" is set, else none, which turns off the check of seals.
+// sealKeysSetting returns the value of the setting SealKeys: the public key of sealKey
+// if the option "seal" is set, otherwise an empty list, which turns off the check of seals.
 func (f *fleet) sealKeysSetting() string {
 	if f.options["seal"] != "true" {
 		return "[]"
@@ -414,8 +419,8 @@
 	return f.putToPlatform("/control/instances", string(data))
 }
 
-// configDocument returns a configuration document for the fleet. The comment
-// makes documents of the same revision differ.
+// configDocument returns a configuration document for the fleet with the given revision.
+// The comment makes documents of the same revision differ.
 func (f *fleet) configDocument(revision int, comment string) string {
 	var b strings.Builder
 	o := f.options
@@ -457,8 +462,8 @@
 	return fmt.Errorf("fleet is not ready after %s", readyTimeout)
 }
 
-// isReady reports whether every entry names itself and its neighbours to callers
-// and every engine's keeper has listed the engine's holds.
+// isReady reports whether every entry returns its own address and those of its
+// neighbours to callers, and every engine's keeper has listed the engine's holds.
 func (f *fleet) isReady() bool {
 	listedEngines := map[string]bool{}
 	for _, name := range f.startOrder {
--- a/scenario/freeze_test.go
+++ b/scenario/freeze_test.go
@@ -29,11 +29,10 @@
 	}
 }
 
-// Guards against a freeze that returns before all threads have stopped. SIGSTOP
-// is asynchronous: in the script once-frozen-entry, threads that still ran
-// accepted the call and got as far as its connection to the service. The call
-// then slept past its time limit and never ran. The outcome "unknown" was
-// correct, but the script waited for one execution.
+// Guards against a freeze that returns before all threads have stopped, as SIGSTOP is
+// asynchronous. In the script once-frozen-entry, threads that still ran accepted a call
+// and connected to the service, and then stood still past the call's time limit. The
+// call never ran; its outcome "unknown" was correct, but the script expects one execution.
 func TestFrozenProcessServesNothing(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{dir: t.TempDir(), binaries: binaries, dataCentres: 1, processes: map[string]*process{}, options: defaultOptions()}
--- a/scenario/http_test.go
+++ b/scenario/http_test.go
@@ -33,13 +33,14 @@
 	return string(data), err
 }
 
-// httpPost sends a body and returns the status and body of the response.
-// Headers have the form NAME=VALUE.
+// httpPost sends a POST request with the key of the organisation and returns the
+// status, as the line status=CODE, and the body of the response. Headers have the
+// form NAME=VALUE.
 func httpPost(url, body string, headers []string) (string, error) {
 	return httpPostFrom(url, strings.NewReader(body), headers)
 }
 
-// httpPostFrom is httpPost with a body that is read while it is sent.
+// httpPostFrom is like httpPost, but sends the body while reading it from a reader.
 func httpPostFrom(url string, body io.Reader, headers []string) (string, error) {
 	r, err := http.NewRequest(http.MethodPost, url, body)
 	if err != nil {
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -31,8 +31,8 @@
 	os.Exit(runMain(m))
 }
 
-// runMain returns the exit status. It is separate from TestMain because os.Exit
-// skips deferred calls.
+// runMain builds the programs under test, runs the tests and returns the exit status.
+// It is separate from TestMain because os.Exit skips deferred calls.
 func runMain(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "scenario")
 	if err != nil {
@@ -77,11 +77,11 @@
 	})
 }
 
-// fleetFrom returns the fleet of the script that runs.
+// fleetFrom returns the fleet of the running script.
 func fleetFrom(ts *testscript.TestScript) *fleet { return ts.Value(fleetKey).(*fleet) }
 
-// processNamed returns a process of the fleet; the script fails if there is none
-// of that name.
+// processNamed returns the process of the fleet with a name. The script fails if there
+// is none.
 func processNamed(ts *testscript.TestScript, name string) *process {
 	p, ok := fleetFrom(ts).processes[name]
 	if !ok {
@@ -115,7 +115,7 @@
 	ts.Check(err)
 }
 
-// signals are those that cmdSignal sends without waiting for their effect.
+// signals holds the signals that cmdSignal sends without waiting for their effect.
 var signals = map[string]syscall.Signal{"CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM}
 
 // cmdSignal sends a signal to processes: signal STOP|CONT|TERM|KILL NAME... After
@@ -161,7 +161,7 @@
 	}
 }
 
-// duration parses an argument such as 500ms.
+// duration parses a duration such as 500ms. The script fails if it is malformed.
 func duration(ts *testscript.TestScript, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	ts.Check(err)
@@ -184,8 +184,8 @@
 	}
 }
 
-// setLink sets the mode of the link between two processes; an empty mode restores
-// the link.
+// setLink sets the mode of the connections that one process opens to another; an empty
+// mode restores them.
 func setLink(ts *testscript.TestScript, from, to, mode string) {
 	address := netip.MustParseAddr("127.0.0.1")
 	if from != "caller" {
@@ -274,7 +274,8 @@
 	}
 }
 
-// commandOutput runs a command of cmdUntil and returns its output, also where it fails.
+// commandOutput runs a command of cmdUntil and returns its output, or the error text if a
+// get fails. A program's exit status is ignored.
 func commandOutput(ts *testscript.TestScript, command []string) string {
 	if command[0] == "entry-log" {
 		return fleetFrom(ts).readLog(command[1])
@@ -296,7 +297,8 @@
 	return httpGet("http://" + processNamed(ts, name).listenAddress.String() + path)
 }
 
-// cmdGet prints the body of a process's response to a GET request: get NAME PATH.
+// cmdGet sends a GET request to a process, past its relay, and prints the body of the
+// response: get NAME PATH. Negated, it checks that the request fails.
 func cmdGet(ts *testscript.TestScript, neg bool, args []string) {
 	out, err := getFromProcess(ts, args[0], args[1])
 	if (err != nil) != neg {
@@ -322,7 +324,7 @@
 	time.Sleep(duration(ts, args[0]))
 }
 
-// cmdBackground runs a command of the product in the background:
+// cmdBackground runs the program sapphireramp with arguments in the background:
 // background JOB ARGS...
 func cmdBackground(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
@@ -428,8 +430,8 @@
 	return err == nil && len(executions) > 0
 }
 
-// cmdUnplug closes the relays of processes, so that new connections are refused:
-// unplug NAME...
+// cmdUnplug closes the relays of processes, which closes open connections to them and
+// makes new ones fail as refused: unplug NAME...
 func cmdUnplug(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		p := processNamed(ts, name)
