--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -1,8 +1,8 @@
-// Package soak runs the program as several processes on one machine and injects
+// Package soak runs several entries as separate processes on one machine and injects
 // random faults from outside them. Relays in front of the store and the upstreams
 // delay, reset, cut and stall connections; signals shut down, pause and kill
 // entries; the stand-ins for upstreams and the store return faulty responses.
-// Callers check every response against the guarantees that the product gives.
+// The tests check every response against the guarantees that the product gives.
 package soak
 
 import (
@@ -36,12 +36,13 @@
 	// tokensPerEvent is the number of tokens in one event of a stream: the stride
 	// of the engines in the configuration.
 	tokensPerEvent = 51
-	// gracePeriod is the time that an entry has from SIGTERM to its exit.
+	// gracePeriod is the time from SIGTERM within which an entry must exit, as in the
+	// setting bounds.grace-s.
 	gracePeriod = 8 * time.Second
 )
 
-// answerPlan sets by request ID how long each answer takes, with 40 ms between
-// the events of a stream.
+// answerPlan determines the duration of each answer by the request's ID, with 40 ms
+// between the events of a stream.
 var answerPlan = worker.RandomPlan(40 * time.Millisecond)
 
 // binary is the path of the program under test, which TestMain builds.
@@ -63,7 +64,7 @@
 	os.Exit(code)
 }
 
-// entry is one entry, which runs as a process of its own.
+// entry is one entry of the fleet, which runs as a separate process.
 type entry struct {
 	fleet *fleet
 	// index is the entry's number in its name, from 0.
@@ -77,11 +78,11 @@
 	cmd *exec.Cmd
 	// exited is closed once cmd has exited.
 	exited chan struct{}
-	// disrupted is true while a fault has the process shut down, killed or paused.
+	// disrupted is true while the process is shut down, killed or paused by a fault.
 	disrupted atomic.Bool
 }
 
-// fleet is the system under test in one run: entries, upstreams and the store, on
+// fleet is the system under test for one seed: entries, upstreams and the store, on
 // loopback addresses that the seed determines.
 type fleet struct {
 	t    *testing.T
@@ -104,23 +105,24 @@
 	servers []*http.Server
 	// configVersion is the version of the configuration written last.
 	configVersion int
-	// faultLog records the faults of entries, upstreams and the store with their
-	// times, by which the check decides which requests may fail.
+	// faultLog records the injected faults of entries, upstreams and the store with
+	// their times. checkGuarantees uses it to decide which requests may fail.
 	faultLog caller.FaultLog
-	// background tracks goroutines of faults: shutdowns and the end of traffic.
+	// background tracks the goroutines that shut down entries and stop traffics.
 	background sync.WaitGroup
 	// down holds the upstreams that have crashed and are not restarted yet.
 	down worker.DownSet
 	// mutex guards startedAt.
 	mutex sync.Mutex
-	// crashTraffics are the callers whose requests crash upstreams.
+	// crashTraffics are the traffics whose requests crash upstreams.
 	crashTraffics []*caller.Traffic
-	// traffics are the callers that sent other requests during the faults.
+	// traffics are the other traffics started before the end of the faults.
 	traffics []*caller.Traffic
 }
 
-// address returns a loopback address of this run. Kinds are 0 for the store and
-// its relay, 1 for upstreams, 2 for their relays and 3 for entries.
+// address returns the loopback address of a component, given its kind and its number n
+// from 0. Kinds are 0 for the store and its relay, 1 for upstreams, 2 for their relays
+// and 3 for entries. Seeds less than 250 apart get different addresses.
 func (f *fleet) address(kind, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(1 + f.seed%250), byte(kind), byte(1 + n)})
 }
@@ -193,11 +195,11 @@
 }
 
 // isCalmName reports whether a traffic's name or a request's ID belongs to the calm
-// traffic, which is sent after all faults have ended.
+// traffic, which is started after all faults have ended.
 func isCalmName(name string) bool { return strings.HasPrefix(name, "calm") }
 
-// withShortCalmAnswers returns a plan that gives short answers to calm traffic, so
-// that the end of a run does not wait for long ones.
+// withShortCalmAnswers returns a copy of a plan with short answers to calm traffic, so
+// that the test does not wait for long answers at its end.
 func withShortCalmAnswers(base *worker.AnswerPlan) *worker.AnswerPlan {
 	return &worker.AnswerPlan{
 		EventCount: func(id string) int {
@@ -215,8 +217,8 @@
 	}
 }
 
-// restartUpstream restarts an upstream under its ID. Its requests in flight are
-// never answered.
+// restartUpstream restarts an upstream under its ID. The requests in flight at the
+// upstream are never answered.
 func (f *fleet) restartUpstream(id string) {
 	f.upstreams[id].Restart()
 	f.faultLog.RecordRestart(id)
@@ -280,8 +282,8 @@
 	})
 }
 
-// writeSettings replaces the entry's settings file atomically. The bound on
-// retries of all entries, which holds at any load, is 100 plus retrySlack.
+// writeSettings replaces the entry's settings file atomically. The settings allow, at any
+// load, 100 plus retrySlack retries for each service in addition to a ratio of its requests.
 func (e *entry) writeSettings(retrySlack int) {
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", e.host, port) }
 	lines := []string{
@@ -327,7 +329,7 @@
 }
 
 // signal sends a signal to the entry's process, if one was started. It uses the
-// process ID, so that it reaches only processes that this run started.
+// process handle, so that it reaches only processes that this test started.
 func (e *entry) signal(s syscall.Signal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -400,8 +402,8 @@
 	}
 }
 
-// newCaller returns a caller that asks any entry's directory for addresses. n sets
-// its random sequence.
+// newCaller returns a caller that queries any entry's directory for addresses. n and the
+// fleet's seed determine the caller's random choices.
 func (f *fleet) newCaller(n int) *caller.Caller {
 	var directories []netip.AddrPort
 	for _, e := range f.entries {
@@ -415,7 +417,7 @@
 func (f *fleet) startTraffic(name string, callerCount int) *caller.Traffic {
 	return caller.NewTraffic(name, callerCount, func(n int) *caller.Caller {
 		c := f.newCaller(n)
-		if !isCalmName(name) { // a habit keeps callers at one entry, and calm traffic has to reach every entry
+		if !isCalmName(name) { // reusing addresses keeps callers at one entry, but calm traffic has to reach every entry
 			c.SetAddressReuse(n)
 		}
 		c.BodyOf = caller.MixedBody
@@ -426,15 +428,15 @@
 	})
 }
 
-// startCrashTraffic starts callers that repeat a request that crashes upstreams, with
-// an interval between repetitions.
+// startCrashTraffic starts callers that repeat a request that crashes upstreams, each
+// with a pause of interval before every repetition.
 func (f *fleet) startCrashTraffic(callerCount int, interval time.Duration) *caller.Traffic {
 	name := fmt.Sprintf("repeat%d-%d", f.seed, len(f.crashTraffics))
 	return caller.NewRepeatingTraffic(name, callerCount, caller.CrashPath, interval, func(n int) *caller.Caller { return f.newCaller(50 + n) })
 }
 
-// observations returns what happened at the upstreams and the faults that were
-// injected, against which the results of requests are checked.
+// observations returns the records of the upstreams and of the injected faults, against
+// which the results of requests are checked.
 func (f *fleet) observations() caller.Observations {
 	return caller.Observations{
 		Executions: func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.upstreams), id) },
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,14 +22,14 @@
 var (
 	firstSeed    = flag.Int("soak.seed", 1, "first seed to run")
 	seedCount    = flag.Int("soak.seeds", 2, "number of seeds to run, at most four at a time")
-	faultSeconds = flag.Int("soak.seconds", 6, "seconds for which each run injects faults")
+	faultSeconds = flag.Int("soak.seconds", 6, "seconds for which faults are injected with each seed")
 )
 
 // loopbackSource is the address from which entries connect to relays.
 var loopbackSource = netip.MustParseAddr("127.0.0.1")
 
-// regressions maps seeds that once failed to the cause of the failure. TestSoak
-// runs them in addition to the seeds of the flags.
+// regressions maps seeds that once failed to the cause of the failure. TestSoak runs
+// these seeds in addition to those of the flags.
 var regressions = map[int]string{}
 
 // fault injects one fault and returns a function that ends it.
@@ -38,7 +38,7 @@
 // pick returns a random one of the choices.
 func pick[T any](r *rand.Rand, choices ...T) T { return choices[r.IntN(len(choices))] }
 
-// faults holds the faults by name; faultNames lists the names.
+// faults holds the faults by name. Each name must also be in faultNames.
 var faults = map[string]fault{
 	"entry killed": func(f *fleet, r *rand.Rand) func() {
 		e := f.pickUndisrupted(r)
@@ -100,12 +100,12 @@
 	"way to an upstream": func(f *fleet, r *rand.Rand) func() {
 		id := pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")
 		linkMode, endCut := pick(r, relay.ModeRefuse, relay.ModeStall, relay.ModeDropAnswers, relay.ModeDelay), func() {}
-		if linkMode != relay.ModeDelay { // a slow link breaks no connection until the fault ends
+		if linkMode != relay.ModeDelay { // delays break no connection until the fault ends
 			endCut = f.faultLog.RecordCut(id)
 		}
 		f.upstreamRelays[id].SetMode(loopbackSource, linkMode)
 		return func() {
-			defer f.faultLog.RecordCut(id)() // ending the fault resets the connections that were held up
+			defer f.faultLog.RecordCut(id)() // the return to the empty mode closes all connections
 			f.upstreamRelays[id].SetMode(loopbackSource, "")
 			endCut()
 		}
@@ -157,7 +157,7 @@
 		upstream := f.upstreams[pick(r, "i-app-0", "i-lm-1", "i-app-2", "i-lm-3")]
 		upstream.SetFault(worker.FaultBackoff)
 		time.Sleep(time.Duration(50+r.IntN(450)) * time.Millisecond)
-		upstream.SetFault(worker.FaultNone) // accepts requests again; only entries that got a backoff wait
+		upstream.SetFault(worker.FaultNone) // the backoff applies only to entries that were asked for it meanwhile
 		return func() {}
 	},
 	"outage of upstreams": func(f *fleet, r *rand.Rand) func() {
@@ -219,8 +219,8 @@
 	stop.RecordExit()
 }
 
-// requireExit waits until the entry's process has exited. If that takes more than
-// 10 s, it fails the test and kills the process.
+// requireExit waits until the entry's process has exited. After 10 s, it fails the test
+// and kills the process.
 func (e *entry) requireExit() {
 	if !e.awaitExitWithin(10 * time.Second) {
 		e.fleet.t.Errorf("seed %d: entry-%d did not exit within 10 s", e.fleet.seed, e.index)
@@ -239,12 +239,12 @@
 // the faults every request has to be served, and no request or reserved memory may
 // be left at the upstreams.
 //
-// The runs also have to catch answers that are cut off by an entry's shutdown.
-// Four things hid that failure: answers under 0.4 s, callers that left an entry
-// within a second of its SIGTERM, shutdowns of few entries at a time, and a check that
-// blamed no cut answer on a shutdown. So answers take up to as long as callers wait,
-// some callers keep their entry, every run shuts down several entries in series, and
-// [caller.Traffic.Judge] tells which answers a shutdown may cut off.
+// The test also guards against answers that are cut off by an entry's shutdown. Four
+// properties of an earlier version hid that failure: answers under 0.4 s, callers that
+// left an entry within a second of its SIGTERM, shutdowns of few entries at a time, and a
+// check that attributed no cut answer to a shutdown. Now answers take up to as long as
+// callers wait, some callers keep using one entry, each seed shuts down several entries in
+// series, and [caller.Traffic.Evaluate] decides which answers a shutdown may cut off.
 func TestSoak(t *testing.T) {
 	running := make(chan struct{}, 4)
 	for n := range *seedCount {
@@ -273,8 +273,8 @@
 	"upstream says that it leaves", "upstream pauses",
 }
 
-// recoveryTime is the time after the faults within which entries try again the
-// upstreams that they avoid.
+// recoveryTime is the time after the end of the faults within which entries retry the
+// upstreams that they avoided because of failures.
 const recoveryTime = 5 * time.Second
 
 // runSeed starts a fleet, injects the faults that the seed picks, and checks the
@@ -290,7 +290,7 @@
 	seriesDue := started.Add(time.Duration(r.IntN(*faultSeconds*1000/2)) * time.Millisecond)
 	for time.Since(started) < time.Duration(*faultSeconds)*time.Second {
 		name := pick(r, faultNames...)
-		if !seriesDue.IsZero() && !time.Now().Before(seriesDue) { // every run shuts down entries in series at least once
+		if !seriesDue.IsZero() && !time.Now().Before(seriesDue) { // each seed shuts down entries in series at least once
 			name, seriesDue = "entries stopped in series", time.Time{}
 		}
 		t.Logf("seed %d: %s: %s", seed, time.Since(started).Round(time.Millisecond), name)
@@ -333,7 +333,8 @@
 	f.checkOperatorPages()
 }
 
-// checkOperatorPages checks that every entry serves its status and its metrics.
+// checkOperatorPages checks that every entry is ready by its status and serves its
+// metrics.
 func (f *fleet) checkOperatorPages() {
 	for _, e := range f.entries {
 		status, err := exec.Command(binary, "status", "--entry", fmt.Sprintf("%s:%d", e.host, metricsPort)).CombinedOutput()
@@ -355,8 +356,8 @@
 	}
 }
 
-// checkNothingLeft checks that within 5 s no upstream has a request in flight or
-// reserved memory.
+// checkNothingLeft waits up to 5 s until no upstream has requests in flight or reserved
+// memory, and fails the test for each upstream that still has.
 func (f *fleet) checkNothingLeft() {
 	f.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
