--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -260,29 +260,29 @@
 // the longest answer; the stream of a group uses the memory of the group's
 // holds. It returns a RefusedError, and starts nothing, when the engine loads
 // weights, serves another model or has too little memory.
-func (b *Batcher) Start(now time.Time, st startParams) (*stream, error) {
+func (b *Batcher) Start(now time.Time, params startParams) (*stream, error) {
 	if b.pendingOrder != nil {
 		return nil, RefusedError{503, "loading"}
 	}
-	if st.request.Model != b.load.Model {
+	if params.request.Model != b.load.Model {
 		return nil, RefusedError{404, "the requested model is not loaded"}
 	}
-	prompt := api.EstimatePromptTokens(len(st.request.Prompt))
-	tokens := prompt + st.request.MaxTokens
-	if len(st.group) > 0 {
+	prompt := api.EstimatePromptTokens(len(params.request.Prompt))
+	tokens := prompt + params.request.MaxTokens
+	if len(params.group) > 0 {
 		tokens = 0
 	}
-	err := b.AddHold(now, api.EngineHold{ID: st.attemptID, Owner: st.owner, Incarnation: st.incarnation, Kind: api.HoldStream, Tokens: tokens})
+	err := b.AddHold(now, api.EngineHold{ID: params.attemptID, Owner: params.owner, Incarnation: params.incarnation, Kind: api.HoldStream, Tokens: tokens})
 	if err != nil {
 		return nil, err
 	}
 	s := &stream{
-		attemptID: st.attemptID, requestID: st.requestID, request: st.request, priority: st.priority,
-		arrived: now, prefillLeft: float64(prompt + st.resumeFrom), promptTokens: prompt, nextOffset: st.resumeFrom,
-		answerTag: AnswerTag(st.request),
+		attemptID: params.attemptID, requestID: params.requestID, request: params.request, priority: params.priority,
+		arrived: now, prefillLeft: float64(prompt + params.resumeFrom), promptTokens: prompt, nextOffset: params.resumeFrom,
+		answerTag: AnswerTag(params.request),
 		chunks:    make(chan api.CompletionChunk, chunkBuffer), aborted: make(chan struct{}),
 	}
-	b.adoptShard(s, st.group)
+	b.adoptShard(s, params.group)
 	b.useCachedPrefix(s)
 	b.streams[s.attemptID] = s
 	b.startsByRequest[s.requestID]++
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -136,28 +136,28 @@
 // readStartParams reads the parameters of an attempt from the headers and the
 // body of r. Numbers that can't be parsed count as 0.
 func readStartParams(r *http.Request) (startParams, error) {
-	st := startParams{
+	params := startParams{
 		requestID: r.Header.Get(api.HeaderRequestID),
 		attemptID: r.Header.Get(api.HeaderAttemptID),
 		owner:     r.Header.Get(api.HeaderOwner),
 	}
-	st.incarnation, _ = strconv.ParseUint(r.Header.Get(api.HeaderOwnerIncarnation), 10, 64)
-	st.priority, _ = strconv.Atoi(r.Header.Get(api.HeaderPriority))
-	st.resumeFrom, _ = strconv.Atoi(r.Header.Get(api.HeaderResumeFrom))
+	params.incarnation, _ = strconv.ParseUint(r.Header.Get(api.HeaderOwnerIncarnation), 10, 64)
+	params.priority, _ = strconv.Atoi(r.Header.Get(api.HeaderPriority))
+	params.resumeFrom, _ = strconv.Atoi(r.Header.Get(api.HeaderResumeFrom))
 	if group := r.Header.Get(api.HeaderGroupHolds); group != "" {
-		st.group = strings.Split(group, ",")
+		params.group = strings.Split(group, ",")
 	}
-	return st, json.NewDecoder(r.Body).Decode(&st.request)
+	return params, json.NewDecoder(r.Body).Decode(&params.request)
 }
 
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	st, err := readStartParams(r)
+	params, err := readStartParams(r)
 	if err != nil {
 		writeRefusal(w, err)
 		return
 	}
 	var stream *stream
-	s.withBatcher(func(b *Batcher) { stream, err = b.Start(time.Now(), st) })
+	s.withBatcher(func(b *Batcher) { stream, err = b.Start(time.Now(), params) })
 	if err != nil {
 		writeRefusal(w, err)
 		return
@@ -305,12 +305,12 @@
 		return
 	}
 	incarnation, _ := strconv.ParseUint(r.Header.Get(api.HeaderOwnerIncarnation), 10, 64)
-	h := api.EngineHold{
+	reservation := api.EngineHold{
 		ID: r.Header.Get(api.HeaderAttemptID), Owner: r.Header.Get(api.HeaderOwner),
 		Incarnation: incarnation, Kind: kind, Tokens: api.EstimatePromptTokens(CachedPrefixBytes),
 	}
 	var err error
-	s.withBatcher(func(b *Batcher) { err = b.AddHold(time.Now(), h) })
+	s.withBatcher(func(b *Batcher) { err = b.AddHold(time.Now(), reservation) })
 	if err != nil {
 		writeRefusal(w, err)
 		return
