--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -87,12 +87,12 @@
 	return mux
 }
 
-// Publish publishes data as the configuration or, if list is true, as the instance list.
-func (s *Server) Publish(data []byte, list bool) {
+// Publish publishes data as the configuration or, if isList is true, as the instance list.
+func (s *Server) Publish(data []byte, isList bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	target := &s.config
-	if list {
+	if isList {
 		target = &s.instances
 	}
 	s.appendValue(target, data)
