--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -66,7 +66,7 @@
 	reservationHTTPClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	store := platform.NewStore(&http.Client{}, settings.StoreAddress)
 	config := launcher.Config{
-		Name: settings.Name, DataCentre: settings.DataCentre, CallerAddress: settings.CallerAddress, ReadyAddress: settings.ReadinessAddress,
+		Name: settings.Name, DataCentre: settings.DataCentre, CallerAddress: settings.CallerAddress, ReadinessAddress: settings.ReadinessAddress,
 		PeerAddress: settings.PeerAddress, DirectoryAddress: settings.DirectoryAddress, LoadAddress: settings.LoadAddress,
 		AddressTTL: min(addressTTL, settings.MaxAddressTTL), Settings: reloadableSettings(settings),
 		ReadSettings: func() (launcher.Settings, error) {
@@ -79,7 +79,7 @@
 		Speed:            settings.Speed,
 		MaxIdle:          settings.MaxIdle,
 		ReservationTTL:   min(settings.MaxReservationTTL, settings.MaxReservedAfterUse*leasePercent/100),
-		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
+		DirectoryHandler: platform.DirectoryHandler, ReadinessHandler: platform.ReadinessHandler,
 		Log: log, Scope: metrics.Scope, MetricsHandler: metrics.Handler, Asserter: invariants,
 	}
 	if metricsPort > 0 {
@@ -93,7 +93,7 @@
 // reloadableSettings returns the settings that may change while the entry runs.
 func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
-		Seeds: settings.Seeds, GracePeriod: settings.ShutdownGrace,
+		Seeds: settings.Seeds, ShutdownGrace: settings.ShutdownGrace,
 		RetryBudget: budgeter.Config{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack},
 	}
 }
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -244,17 +244,17 @@
 	storeClient := platform.NewStore(client, netip.AddrPortFrom(storeHost, 80))
 	settings := launcher.Settings{
 		Seeds:       []netip.AddrPort{netip.AddrPortFrom(entryHost(0), peerPort), netip.AddrPortFrom(entryHost(1), peerPort)},
-		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, GracePeriod: gracePeriod,
+		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, ShutdownGrace: gracePeriod,
 	}
 	e := &entry{host: host, reload: make(chan struct{}, 1), exited: make(chan struct{})}
 	l := launcher.New(launcher.Config{
 		SinceBoot: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, // virtual time
-		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), CallerAddress: onPort(entryPort), ReadyAddress: onPort(readyPort),
+		Name:      fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), CallerAddress: onPort(entryPort), ReadinessAddress: onPort(readyPort),
 		PeerAddress: onPort(peerPort), DirectoryAddress: onPort(directoryPort), LoadAddress: onPort(loadPort), AddressTTL: time.Second, Settings: settings,
 		ReadSettings: func() (launcher.Settings, error) { return settings, nil },
 		Store:        controller.Store{Read: storeClient.Read, Watch: storeClient.Watch, DecodeConfig: platform.DecodeConfig}, MaxPropagation: 2 * time.Second,
 		Protocol: platform.Protocol(), Reservations: platform.NewReservationClient(client), ReservationTTL: 3 * time.Second, MaxIdle: 9 * time.Second,
-		DirectoryHandler: platform.DirectoryHandler, ReadyHandler: platform.ReadinessHandler,
+		DirectoryHandler: platform.DirectoryHandler, ReadinessHandler: platform.ReadinessHandler,
 		Log: zap.NewNop(), Scope: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
 		Asserter: asserter.New(func(name, detail string) { f.t.Errorf("%s: %s", name, detail) }),
 		Dial:     f.net.Dialer(host), Listen: f.net.Listen, ListenPacket: f.net.ListenPacket,
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -34,8 +34,8 @@
 	Seeds []netip.AddrPort
 	// RetryBudget bounds the retries of all entries together.
 	RetryBudget budgeter.Config
-	// GracePeriod is the time from SIGTERM until the process is killed.
-	GracePeriod time.Duration
+	// ShutdownGrace is the time from SIGTERM until the process is killed.
+	ShutdownGrace time.Duration
 }
 
 // Config configures a Launcher. All fields are required, except that
@@ -46,11 +46,11 @@
 	Name string
 	// DataCentre is the name of the data centre that the entry runs in.
 	DataCentre string
-	// CallerAddress, ReadyAddress, PeerAddress and DirectoryAddress are the TCP addresses on which the entry
+	// CallerAddress, ReadinessAddress, PeerAddress and DirectoryAddress are the TCP addresses on which the entry
 	// listens for callers' requests, readiness checks, other entries, and queries of the directory, which lists
 	// the entries that callers may connect to. LoadAddress is the UDP address for load updates of other
 	// entries. MetricsAddress serves the metrics and the status page; if it is invalid, neither is served.
-	CallerAddress, ReadyAddress, PeerAddress, DirectoryAddress, LoadAddress, MetricsAddress netip.AddrPort
+	CallerAddress, ReadinessAddress, PeerAddress, DirectoryAddress, LoadAddress, MetricsAddress netip.AddrPort
 	// AddressTTL is how long callers may use the addresses in a response of the directory.
 	AddressTTL time.Duration
 	// Settings are the settings in force until the first reload.
@@ -74,9 +74,9 @@
 	// DirectoryHandler returns the handler that gives callers the addresses of entries in the platform's
 	// format. A response may be used for ttl; addresses returns the addresses for a caller in a data centre.
 	DirectoryHandler func(ttl time.Duration, addresses func(dataCentre string) []netip.AddrPort) http.Handler
-	// ReadyHandler returns the handler of the platform's readiness checks.
-	ReadyHandler func(ready func() bool) http.Handler
-	Log          *zap.Logger
+	// ReadinessHandler returns the handler of the platform's readiness checks.
+	ReadinessHandler func(ready func() bool) http.Handler
+	Log              *zap.Logger
 	// Scope receives the metrics of the entry, MetricsHandler serves them on MetricsAddress.
 	Scope          tally.Scope
 	MetricsHandler http.Handler
@@ -218,7 +218,7 @@
 		server  *http.Server
 	}{
 		{c.CallerAddress, l.callerServer},
-		{c.ReadyAddress, &http.Server{Handler: c.ReadyHandler(l.controller.IsReady), ReadHeaderTimeout: headerTimeout}},
+		{c.ReadinessAddress, &http.Server{Handler: c.ReadinessHandler(l.controller.IsReady), ReadHeaderTimeout: headerTimeout}},
 		{c.DirectoryAddress, &http.Server{Handler: c.DirectoryHandler(c.AddressTTL, l.controller.CallerAddresses), ReadHeaderTimeout: headerTimeout}},
 		{c.MetricsAddress, &http.Server{Handler: l.operatorHandler(), ReadHeaderTimeout: headerTimeout}},
 	}
@@ -275,7 +275,7 @@
 // cancelled.
 func (l *Launcher) shutDown() {
 	start := time.Now()
-	gracePeriod := l.settings.Load().GracePeriod
+	gracePeriod := l.settings.Load().ShutdownGrace
 	deadline := start.Add(gracePeriod - exitMargin)
 	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", gracePeriod))
 	addressValidUntil := start.Add(maxAddressTTLs * l.config.AddressTTL)
@@ -342,7 +342,7 @@
 }
 
 func (s Settings) equal(o Settings) bool {
-	if len(s.Seeds) != len(o.Seeds) || s.RetryBudget != o.RetryBudget || s.GracePeriod != o.GracePeriod {
+	if len(s.Seeds) != len(o.Seeds) || s.RetryBudget != o.RetryBudget || s.ShutdownGrace != o.ShutdownGrace {
 		return false
 	}
 	for i := range s.Seeds {
--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -15,13 +15,13 @@
 // ErrEventTooLarge is returned for an event that does not end within 1 MiB.
 var ErrEventTooLarge = errors.New("event exceeds 1 MiB")
 
-// GapError is returned if events are missing between the event with id After and the next one
+// MissingEventsError is returned if events are missing between the event with id After and the next one
 // received, with id Got.
-type GapError struct {
+type MissingEventsError struct {
 	After, Got int64
 }
 
-func (e GapError) Error() string {
+func (e MissingEventsError) Error() string {
 	return fmt.Sprintf("event %d follows event %d: events are missing", e.Got, e.After)
 }
 
@@ -88,7 +88,7 @@
 		return false, nil
 	}
 	if s.hasLastID && e.ID != s.lastID+1 {
-		return false, GapError{After: s.lastID, Got: e.ID}
+		return false, MissingEventsError{After: s.lastID, Got: e.ID}
 	}
 	s.lastID, s.hasLastID = e.ID, true
 	return true, nil
