--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -95,7 +95,7 @@
 		a.verdict, a.err = verdictUnsent, err
 		return a
 	}
-	a.response, err = f.upstreams.RoundTrip(request)
+	a.response, err = f.transport.RoundTrip(request)
 	if !connected {
 		a.verdict, a.err = verdictUnsent, fmt.Errorf("connect: %w", cancellationCause(ctx, err))
 		return a
@@ -188,20 +188,20 @@
 // the backpressure that the header signals.
 func (f *Forwarder) classify(x *exchange, a *attempt) {
 	status := a.response.StatusCode
-	reply := f.protocol.ReadResponse(status, a.response.Header)
-	f.applyBackpressure(x, a, reply)
+	metadata := f.protocol.ReadResponse(status, a.response.Header)
+	f.applyBackpressure(x, a, metadata)
 	switch {
-	case reply.RequestID != "" && reply.RequestID != x.metadata.ID:
+	case metadata.RequestID != "" && metadata.RequestID != x.metadata.ID:
 		a.verdict, a.err = verdictBroken, errWrongRequest
-	case reply.NotRun:
+	case metadata.NotRun:
 		x.pendingCount--
 		a.verdict, a.err = verdictNotRun, fmt.Errorf("status %d", status)
-		if reply.FaultyAddress.IsValid() && reply.FaultyAddress != a.placement.First.Address {
-			f.blameHelper(x, a, reply.FaultyAddress)
+		if metadata.FaultyAddress.IsValid() && metadata.FaultyAddress != a.placement.First.Address {
+			f.blameHelper(x, a, metadata.FaultyAddress)
 		}
 	case status >= 500:
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", status)
-	case !reply.Stamped && status < 300:
+	case !metadata.Stamped && status < 300:
 		a.verdict, a.err = verdictBroken, errors.New("the response has no upstream stamp")
 	default:
 		a.verdict = verdictAnswered
@@ -234,16 +234,16 @@
 // the restart be late. The attempt then goes on if another event arrives within twice the longest
 // gap so far, at most maxGap.
 func (a *attempt) onUpstreamRestart(maxGap time.Duration) {
-	seen := a.eventCount.Load()
-	if seen == 0 {
+	eventsBefore := a.eventCount.Load()
+	if eventsBefore == 0 {
 		a.cancel(errUpstreamRestarted)
 		return
 	}
-	if pause := time.Duration(a.longestGap.Load()); pause > 0 {
-		maxGap = min(maxGap, 2*pause)
+	if gap := time.Duration(a.longestGap.Load()); gap > 0 {
+		maxGap = min(maxGap, 2*gap)
 	}
 	time.AfterFunc(maxGap, func() {
-		if a.eventCount.Load() == seen {
+		if a.eventCount.Load() == eventsBefore {
 			a.cancel(errUpstreamRestarted)
 		}
 	})
--- a/forwarder/backpressure_test.go
+++ b/forwarder/backpressure_test.go
@@ -76,7 +76,7 @@
 		f.is.Equal(refused.status, 503)
 		f.is.Equal(refused.duration, time.Duration(0))
 		f.is.Equal(refused.header.Get("Retry-After"), "2.000") // when the first backoff ends
-		f.is.Equal(countRuns(f.plain, "second"), 0)
+		f.is.Equal(countExecutions(f.plain, "second"), 0)
 		time.Sleep(worker.BackoffTime - time.Second)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "third"}).status, 200)
 	})
@@ -87,8 +87,8 @@
 	withForwarder(t, func(f *fixture) {
 		f.engines[0].SetFault(worker.FaultBackoff)
 		f.engines[1].SetFault(worker.FaultBackoff)
-		began := time.Now()
-		for n := 0; time.Since(began) < worker.BackoffTime-time.Second; n++ {
+		start := time.Now()
+		for n := 0; time.Since(start) < worker.BackoffTime-time.Second; n++ {
 			f.is.Equal(f.ask(request{path: "/stream/x", id: fmt.Sprint("r", n), usage: "2000,200"}).status, 200)
 		}
 		for _, w := range f.engines[:2] {
@@ -112,6 +112,6 @@
 		}
 		f.dispatcher.Update(f.table, f.instances)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "second"}).status, 503)
-		f.is.Equal(countRuns(f.plain, "second"), 0)
+		f.is.Equal(countExecutions(f.plain, "second"), 0)
 	})
 }
--- a/forwarder/crash.go
+++ b/forwarder/crash.go
@@ -37,7 +37,7 @@
 	}
 	first, brokeAt := a.placement.First, time.Now()
 	go func() {
-		if !f.presence.HasExited(first.Address.String()) {
+		if !f.exitDetector.HasExited(first.Address.String()) {
 			return
 		}
 		f.log.Warn("upstream_ended", zap.String("request", x.metadata.ID), zap.Stringer("content", x.fingerprint), zap.String("upstream", first.ID),
--- a/forwarder/crash_test.go
+++ b/forwarder/crash_test.go
@@ -62,20 +62,20 @@
 // From then on it is quarantined, and refused for as long as the quarantine lasts.
 func TestSuspectRequestIsNotRetriedAndQuarantinedIsRefused(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		now, content := time.Now(), fingerprintOf("/stream/x", "b")
+		now, fingerprint := time.Now(), fingerprintOf("/stream/x", "b")
 		for n := range 2 {
 			ended := now.Add(time.Duration(n-3) * time.Second)
-			f.quarantine.RecordCrash(now, quarantiner.Crash{Fingerprint: content, Incarnation: quarantiner.Incarnation(n), LastSent: ended.Add(-100 * time.Millisecond), Ended: ended})
+			f.quarantine.RecordCrash(now, quarantiner.Crash{Fingerprint: fingerprint, Incarnation: quarantiner.Incarnation(n), LastSent: ended.Add(-100 * time.Millisecond), Ended: ended})
 		}
 		time.AfterFunc(100*time.Millisecond, f.killWorkingEngines)
 		f.ask(request{path: "/stream/x", id: "third", usage: "2000,200", body: "b"})
-		f.is.Equal(countRuns(f.engines, "third"), 1)
+		f.is.Equal(countExecutions(f.engines, "third"), 1)
 		time.Sleep(2 * time.Second)
 		f.is.Equal(len(f.quarantine.Evaluate(time.Now())), 1)
 		fourth := f.ask(request{path: "/stream/x", id: "fourth", usage: "2000,200", body: "b"})
 		f.is.Equal(fourth.status, 503)
 		f.is.Equal(fourth.header.Get("Retry-After"), "300.000")
-		f.is.Equal(countRuns(f.engines, "fourth"), 0)
+		f.is.Equal(countExecutions(f.engines, "fourth"), 0)
 		other := f.ask(request{path: "/safe/x", id: "other", body: "b"})
 		f.is.Equal(other.status, 200)
 	})
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -34,8 +34,8 @@
 	if fail == nil {
 		return nil
 	}
-	if cut := x.shutdownFailure(caller, f.view(), fail.cause); cut != nil {
-		return cut
+	if shutdownFail := x.shutdownFailure(caller, f.view(), fail.cause); shutdownFail != nil {
+		return shutdownFail
 	}
 	if x.hasCallerLeft() {
 		return &failure{status: http.StatusBadGateway, reason: reasonCallerLeft, cause: fail.cause}
@@ -93,10 +93,10 @@
 			return fail
 		}
 		a := f.send(x, p, "")
-		answer := f.bufferResponse(x, a)
+		buffered := f.bufferResponse(x, a)
 		retry := a.verdict != verdictAnswered && f.allowRetry(x, a, unsentCount)
-		if !retry && answer != nil {
-			fail := f.writeResponse(x, a, answer)
+		if !retry && buffered != nil {
+			fail := f.writeResponse(x, a, buffered)
 			f.endAttempt(x, a)
 			return fail
 		}
@@ -140,28 +140,28 @@
 }
 
 // writeResponse writes the buffered response of an upstream to the caller.
-func (f *Forwarder) writeResponse(x *exchange, a *attempt, answer *bufferedResponse) *failure {
+func (f *Forwarder) writeResponse(x *exchange, a *attempt, buffered *bufferedResponse) *failure {
 	h := x.writer.Header()
 	copyHeaders(h, a.response.Header)
 	if _, ok := h["Content-Type"]; !ok {
 		h["Content-Type"] = nil // net/http would guess one from the body
 	}
 	length := a.response.ContentLength
-	if answer.rest == nil {
-		length = int64(len(answer.body))
+	if buffered.rest == nil {
+		length = int64(len(buffered.body))
 	}
 	h.Del("Content-Length")
 	if length >= 0 && canHaveBody(a.response.StatusCode) && x.request.Method != http.MethodHead {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	x.writeHeader(a.response.StatusCode)
-	if _, err := x.writer.Write(answer.body); err != nil && canHaveBody(a.response.StatusCode) && !errors.Is(err, http.ErrBodyNotAllowed) {
+	if _, err := x.writer.Write(buffered.body); err != nil && canHaveBody(a.response.StatusCode) && !errors.Is(err, http.ErrBodyNotAllowed) {
 		return &failure{reason: reasonCallerLeft, cause: err}
 	}
-	if answer.rest == nil {
+	if buffered.rest == nil {
 		return nil
 	}
-	if _, err := io.Copy(x.writer, answer.rest); err != nil {
+	if _, err := io.Copy(x.writer, buffered.rest); err != nil {
 		return unknownOutcomeFailure(reasonBroken, err)
 	}
 	return nil
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -71,8 +71,8 @@
 	dispatcher        *dispatcher.Dispatcher
 	retryBudget       *budgeter.Budgeter
 	quarantine        *quarantiner.Quarantiner
-	upstreams         *http.Transport
-	presence          *connector.ExitDetector
+	transport         *http.Transport
+	exitDetector      *connector.ExitDetector
 	log               *zap.Logger
 	metrics           metrics
 	asserter          *asserter.Asserter
@@ -84,7 +84,7 @@
 func New(c Config) *Forwarder {
 	f := &Forwarder{
 		protocol: c.Protocol, reservationClient: c.Reservations, reservationTTL: c.ReservationTTL, maxIdle: c.MaxIdle, view: c.View, dispatcher: c.Dispatcher, retryBudget: c.RetryBudget, quarantine: c.Quarantine, log: c.Log,
-		metrics: newMetrics(c.Scope), asserter: c.Asserter, upstreams: newTransport(c.Dial), presence: connector.NewExitDetector(c.Dial),
+		metrics: newMetrics(c.Scope), asserter: c.Asserter, transport: newTransport(c.Dial), exitDetector: connector.NewExitDetector(c.Dial),
 	}
 	f.handler = chain(f.forward, f.respond, f.recoverPanic, f.requireConfig, f.limitHeader, f.matchRoute, f.readBody)
 	return f
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -49,7 +49,7 @@
 	engines   []*worker.Worker
 }
 
-var engineModel = &matcher.EngineProfile{
+var engineProfile = &matcher.EngineProfile{
 	Slots: 16, MemoryTokens: 315000, StepsPerPass: 51, StepTime: 850 * time.Microsecond, TimePerSequence: 4250 * time.Nanosecond,
 	TimePerThousandTokens: 2850 * time.Nanosecond, PrefillTokensPerSecond: 177000, TimePerMillionPairs: 184 * time.Microsecond, ChunkTokens: 2048,
 }
@@ -65,7 +65,7 @@
 			{Name: "long", Host: "h", Prefix: "/long/", Kind: matcher.Stream, Timeout: 15 * time.Second, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Services: lm, MaxAttempts: 2, CarriesPrompts: true, Resumable: true},
 			{Name: "fixed", Host: "h", Prefix: "/fixed/", Kind: matcher.Stream, Timeout: 10 * time.Second, FirstByteTarget: 300 * time.Millisecond, GapTarget: 250 * time.Millisecond, Services: lm, MaxAttempts: 2, CarriesPrompts: true},
 		},
-		Services:      []matcher.Service{{Name: "app"}, {Name: "lm", Engine: engineModel}},
+		Services:      []matcher.Service{{Name: "app"}, {Name: "lm", Engine: engineProfile}},
 		Limits:        matcher.Limits{BodyBytes: 1000, HeaderBytes: 2000},
 		Organisations: []matcher.Organisation{{Name: "crew", Keys: []string{"key"}, Priority: 1}, {Name: "desk", Keys: []string{"urgent"}}},
 	}
@@ -200,8 +200,8 @@
 	return text
 }
 
-// countRuns returns how many times workers have run the request with an id.
-func countRuns(workers []*worker.Worker, id string) int {
+// countExecutions returns how many times workers have run the request with an id.
+func countExecutions(workers []*worker.Worker, id string) int {
 	return worker.ExecutionCount(slices.Values(workers), id)
 }
 
@@ -220,7 +220,7 @@
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 200)
 		f.is.Equal(a.body, worker.AnswerBody("r1"))
-		f.is.Equal(countRuns(f.plain, "r1"), 1)
+		f.is.Equal(countExecutions(f.plain, "r1"), 1)
 		for _, w := range f.plain {
 			for _, r := range w.Executions() {
 				f.is.Equal(r.Path, "/once/a%2Fb//c?x=1&y=%20")
@@ -269,7 +269,7 @@
 			f.is.NoErr(a.err)
 			f.is.Equal(a.status, c.status)
 			f.is.Equal(a.header.Get("X-Attempt-Id"), c.request.id)
-			f.is.Equal(countRuns(f.plain, c.request.id), 0)
+			f.is.Equal(countExecutions(f.plain, c.request.id), 0)
 		}
 		f.view.Store(&forwarder.View{})
 		a := f.ask(request{path: "/once/", id: "r4"})
@@ -289,7 +289,7 @@
 			f.is.NoErr(a.err)
 			f.is.Equal(a.status, 503)
 			f.is.Equal(a.header.Get("Retry-After"), "0.100")
-			f.is.Equal(countRuns(f.plain, c.id), 0)
+			f.is.Equal(countExecutions(f.plain, c.id), 0)
 		}
 		f.is.Equal(f.ask(request{path: "/once/x", id: "r2"}).status, 200) // a known route is served
 	})
@@ -337,7 +337,7 @@
 			withForwarder(t, func(f *fixture) {
 				setFaults(f.plain, fault)
 				a := f.ask(request{path: "/once/x", id: "r1"})
-				ran := countRuns(f.plain, "r1")
+				ran := countExecutions(f.plain, "r1")
 				f.is.True(ran <= 1)
 				if a.err == nil && a.status == 503 {
 					f.is.Equal(ran, 0) // a refusal promises that it did not run
@@ -365,7 +365,7 @@
 					f.is.NoErr(a.err)
 					f.is.Equal(a.status, 200)
 					f.is.Equal(a.body, worker.AnswerBody(id))
-					f.is.True(countRuns(f.plain, id) <= 2)
+					f.is.True(countExecutions(f.plain, id) <= 2)
 				}
 			})
 		})
@@ -381,7 +381,7 @@
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 500)
 		f.is.True(a.header.Get("X-Engine-Stamp") != "")
-		f.is.Equal(countRuns(f.plain, "r1"), 2)
+		f.is.Equal(countExecutions(f.plain, "r1"), 2)
 	})
 }
 
@@ -420,7 +420,7 @@
 			setFaults(f.engines, fault)
 			a := f.ask(request{path: "/fixed/x", id: "s1", usage: "1000,100"})
 			f.is.True(a.err != nil)
-			f.is.Equal(countRuns(f.engines, "s1"), 1)
+			f.is.Equal(countExecutions(f.engines, "s1"), 1)
 			f.is.True(strings.HasPrefix(wholeStream("s1", 1), a.body))
 		})
 	}
@@ -437,7 +437,7 @@
 		f.is.True(a.duration >= 10*time.Second && a.duration < 10100*time.Millisecond)
 		a = f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100"})
 		f.is.Equal(a.status, 504)
-		f.is.Equal(countRuns(f.engines, "s2"), 2) // the first attempt was given up, the second was not
+		f.is.Equal(countExecutions(f.engines, "s2"), 2) // the first attempt was given up, the second was not
 		f.is.True(a.duration >= 10*time.Second && a.duration < 10100*time.Millisecond)
 	})
 }
@@ -465,7 +465,7 @@
 		a := <-done
 		f.is.NoErr(a.err)
 		f.is.Equal(a.body, wholeStream("s1", 1))
-		f.is.Equal(countRuns(f.engines, "s1"), 1)
+		f.is.Equal(countExecutions(f.engines, "s1"), 1)
 	})
 }
 
@@ -524,7 +524,7 @@
 		setFaults(f.engines, worker.FaultFull)
 		a := f.ask(request{path: "/long/x", id: "s1", usage: "400000,100"})
 		f.is.Equal(a.status, 503)
-		f.is.Equal(countRuns(f.engines, "s1"), 0)
+		f.is.Equal(countExecutions(f.engines, "s1"), 0)
 		time.Sleep(time.Second)
 		for _, e := range f.engines {
 			f.is.Equal(len(e.ReservedTokens()), 0)
@@ -542,9 +542,9 @@
 		for i, e := range f.engines {
 			if runs := e.Executions(); len(runs) > 0 && runs[0].Helpers != "" {
 				first = i
-				ticket, _, _ := strings.Cut(runs[0].Helpers, "/")
+				reservationID, _, _ := strings.Cut(runs[0].Helpers, "/")
 				for j := range f.engines {
-					if f.instances[2+j].Address.String() == ticket {
+					if f.instances[2+j].Address.String() == reservationID {
 						helper = j
 					}
 				}
@@ -555,7 +555,7 @@
 		long.id = "s2"
 		a := f.ask(long)
 		f.is.Equal(a.status, 200)
-		f.is.Equal(countRuns(f.engines[first:first+1], "s2"), 1)
+		f.is.Equal(countExecutions(f.engines[first:first+1], "s2"), 1)
 		for _, row := range f.dispatcher.Upstreams(time.Now()) {
 			f.is.Equal(row.Load.FailureRate > 0, row.Instance.ID == f.instances[2+helper].ID)
 		}
@@ -576,11 +576,11 @@
 			for range 160 {
 				time.Sleep(100 * time.Millisecond)
 				for _, e := range f.engines {
-					for ticket := range e.ReservedTokens() {
-						held[ticket]++
-						longest = max(longest, held[ticket])
+					for reservationID := range e.ReservedTokens() {
+						held[reservationID]++
+						longest = max(longest, held[reservationID])
 						if used {
-							e.MarkTicketUsed(ticket)
+							e.MarkTicketUsed(reservationID)
 						}
 					}
 				}
--- a/forwarder/group.go
+++ b/forwarder/group.go
@@ -92,13 +92,13 @@
 			g.reservations = append(g.reservations, reservation{engine: h.Address, id: uuid.NewString(), tokens: tokens})
 		}
 	}
-	failures := make(chan error, len(g.reservations))
+	results := make(chan error, len(g.reservations))
 	for _, s := range g.reservations {
-		go func() { failures <- f.reserveOne(ctx, s) }()
+		go func() { results <- f.reserveOne(ctx, s) }()
 	}
 	var failed error
 	for range g.reservations {
-		failed = errors.Join(failed, <-failures)
+		failed = errors.Join(failed, <-results)
 	}
 	if failed != nil {
 		f.releaseReservations(g)
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -13,10 +13,10 @@
 // allows.
 func (f *Forwarder) limitHeader(next handler) handler {
 	return func(x *exchange) *failure {
-		limit := x.view.Table.Config.Limits.HeaderBytes
-		if size := headerSize(x.request); limit > 0 && size > limit {
+		maxBytes := x.view.Table.Config.Limits.HeaderBytes
+		if size := headerSize(x.request); maxBytes > 0 && size > maxBytes {
 			return &failure{
-				status: http.StatusRequestHeaderFieldsTooLarge, reason: reasonHeaderTooLarge, cause: fmt.Errorf("header: %d bytes, over %d", size, limit),
+				status: http.StatusRequestHeaderFieldsTooLarge, reason: reasonHeaderTooLarge, cause: fmt.Errorf("header: %d bytes, over %d", size, maxBytes),
 			}
 		}
 		return next(x)
@@ -43,33 +43,33 @@
 // can be repeated and an upstream that responds early never gets half a body.
 func (f *Forwarder) readBody(next handler) handler {
 	return func(x *exchange) *failure {
-		limit := x.view.Table.Config.Limits.BodyBytes
-		tooLarge := &failure{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooLarge, cause: fmt.Errorf("body: over %d bytes", limit)}
-		if limit > 0 && x.request.ContentLength > limit {
+		maxBytes := x.view.Table.Config.Limits.BodyBytes
+		tooLarge := &failure{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooLarge, cause: fmt.Errorf("body: over %d bytes", maxBytes)}
+		if maxBytes > 0 && x.request.ContentLength > maxBytes {
 			return tooLarge
 		}
-		connection := http.NewResponseController(x.writer)
-		_ = connection.SetReadDeadline(x.deadline)
+		controller := http.NewResponseController(x.writer)
+		_ = controller.SetReadDeadline(x.deadline)
 		// Interrupts the read when the request is cancelled, also by the shutdown of the entry, so
 		// that its caller can still be sent a refusal.
-		stop := context.AfterFunc(x.ctx, func() { _ = connection.SetReadDeadline(time.Now()) })
-		from := io.Reader(x.request.Body)
-		if limit > 0 {
-			from = io.LimitReader(from, limit+1)
+		stop := context.AfterFunc(x.ctx, func() { _ = controller.SetReadDeadline(time.Now()) })
+		source := io.Reader(x.request.Body)
+		if maxBytes > 0 {
+			source = io.LimitReader(source, maxBytes+1)
 		}
-		body, err := io.ReadAll(from)
+		body, err := io.ReadAll(source)
 		stop()
-		if cut := x.shutdownFailure(x.ctx, f.view(), err); cut != nil {
-			return cut
+		if shutdownFail := x.shutdownFailure(x.ctx, f.view(), err); shutdownFail != nil {
+			return shutdownFail
 		}
-		_ = connection.SetReadDeadline(time.Time{})
+		_ = controller.SetReadDeadline(time.Time{})
 		if errors.Is(err, context.Canceled) || x.ctx.Err() != nil {
 			return &failure{status: http.StatusRequestTimeout, reason: reasonCallerLeft, cause: err}
 		}
 		if err != nil {
 			return &failure{status: http.StatusRequestTimeout, reason: reasonBodyUnread, cause: err}
 		}
-		if limit > 0 && int64(len(body)) > limit {
+		if maxBytes > 0 && int64(len(body)) > maxBytes {
 			return tooLarge
 		}
 		x.body, x.bodyRead = body, true
--- a/forwarder/protocol.go
+++ b/forwarder/protocol.go
@@ -58,7 +58,7 @@
 type ReservationClient struct {
 	// Reserve reserves memory for tokens under an id for the duration hold, or renews the
 	// reservation with that id.
-	Reserve func(ctx context.Context, engine netip.AddrPort, id string, tokens int, hold time.Duration) error
+	Reserve func(ctx context.Context, engine netip.AddrPort, id string, tokens int, ttl time.Duration) error
 	// Release ends the reservation with an id.
 	Release func(ctx context.Context, engine netip.AddrPort, id string) error
 	// InUse reports whether a request uses the memory reserved under an id.
@@ -93,7 +93,7 @@
 	ReadResponse func(status int, h http.Header) ResponseMetadata
 	// WriteRefusal sets the headers of a response that the entry itself makes; a retryAfter of 0
 	// sets no Retry-After.
-	WriteRefusal func(h http.Header, callID string, retryAfter time.Duration)
+	WriteRefusal func(h http.Header, requestID string, retryAfter time.Duration)
 }
 
 // View is an immutable snapshot of the control state by which requests are served.
--- a/forwarder/restart_test.go
+++ b/forwarder/restart_test.go
@@ -60,7 +60,7 @@
 		for i := range 40 {
 			id := fmt.Sprintf("r%d", i)
 			f.is.Equal(f.ask(request{path: "/safe/x", id: id}).status, 200)
-			f.is.Equal(countRuns(f.plain, id), 1)
+			f.is.Equal(countExecutions(f.plain, id), 1)
 		}
 	})
 }
@@ -83,7 +83,7 @@
 		a := <-done
 		f.is.Equal(a.status, 502)
 		f.is.True(a.duration < 250*time.Millisecond)
-		f.is.Equal(countRuns(f.plain, "r1"), 1)
+		f.is.Equal(countExecutions(f.plain, "r1"), 1)
 	})
 }
 
@@ -142,6 +142,6 @@
 		})
 		a := f.ask(request{path: "/once/x", id: "r1"})
 		f.is.Equal(a.status, 200)
-		f.is.Equal(countRuns(f.plain, "r1"), 1)
+		f.is.Equal(countExecutions(f.plain, "r1"), 1)
 	})
 }
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -40,14 +40,14 @@
 		f.is.True(a.closesConnection)
 		a = f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100"})
 		f.is.Equal(a.status, 503)
-		f.is.Equal(countRuns(f.engines, "s1"), 0)
+		f.is.Equal(countExecutions(f.engines, "s1"), 0)
 	})
 }
 
 // A request that waits for a placement stops waiting when its entry begins to stop: it is sent if
 // it can end in time, and refused at once otherwise.
 func TestWaitingRequestAtStoppingEntry(t *testing.T) {
-	for _, left := range []time.Duration{8 * time.Second, 2 * time.Second} {
+	for _, untilExit := range []time.Duration{8 * time.Second, 2 * time.Second} {
 		withForwarder(t, func(f *fixture) {
 			for range 2 {
 				_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
@@ -58,16 +58,16 @@
 			done := make(chan answer)
 			go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "90000,2000"}) }()
 			time.Sleep(150 * time.Millisecond)
-			f.is.Equal(countRuns(f.engines, "s1"), 0)
+			f.is.Equal(countExecutions(f.engines, "s1"), 0)
 			stopping := *f.view.Load()
-			stopping.Stopping, stopping.StopBy = true, time.Now().Add(left)
+			stopping.Stopping, stopping.StopBy = true, time.Now().Add(untilExit)
 			f.view.Store(&stopping)
 			time.Sleep(50 * time.Millisecond)
-			begun := left > 6*time.Second
-			f.is.Equal(countRuns(f.engines, "s1") > 0, begun)
+			isServed := untilExit > 6*time.Second
+			f.is.Equal(countExecutions(f.engines, "s1") > 0, isServed)
 			a := <-done
-			f.is.Equal(a.status == 200, begun)
-			f.is.True(begun || a.status == 503 && a.duration < 250*time.Millisecond)
+			f.is.Equal(a.status == 200, isServed)
+			f.is.True(isServed || a.status == 503 && a.duration < 250*time.Millisecond)
 		})
 	}
 }
@@ -80,11 +80,11 @@
 func TestStoppingEntryBeginsOnlyWhatEndsInTime(t *testing.T) {
 	const long, brief = "1000,4500", "1000,100" // an idle engine decodes for 4.3 s and 0.1 s
 	for _, c := range []struct {
-		path, usage    string
-		patience, left time.Duration
+		path, usage        string
+		timeout, untilExit time.Duration
 		// after is the time from the stop signal to the request.
-		after time.Duration
-		begun bool
+		after    time.Duration
+		isServed bool
 	}{
 		{"/stream/x", long, 10 * time.Second, 10100 * time.Millisecond, 0, true},
 		{"/stream/x", long, 10 * time.Second, 7300 * time.Millisecond, 0, true},
@@ -102,14 +102,14 @@
 		{"/safe/x", "", time.Second, 1100 * time.Millisecond, 0, true},
 		{"/safe/x", "", time.Second, 900 * time.Millisecond, 0, false},
 	} {
-		t.Run(fmt.Sprintf("%s %s %s of %s after %s", c.path, c.usage, c.patience, c.left, c.after), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s %s %s of %s after %s", c.path, c.usage, c.timeout, c.untilExit, c.after), func(t *testing.T) {
 			withForwarder(t, func(f *fixture) {
-				f.startStopping(c.left, 1)
+				f.startStopping(c.untilExit, 1)
 				time.Sleep(c.after)
-				a := f.ask(request{path: c.path, id: "r1", usage: c.usage, timeout: c.patience})
-				ran := countRuns(f.engines, "r1") + countRuns(f.plain, "r1")
+				a := f.ask(request{path: c.path, id: "r1", usage: c.usage, timeout: c.timeout})
+				ran := countExecutions(f.engines, "r1") + countExecutions(f.plain, "r1")
 				f.is.True(a.closesConnection)
-				if c.begun {
+				if c.isServed {
 					f.is.Equal(a.status, 200)
 					f.is.Equal(ran, 1)
 					return
@@ -133,10 +133,10 @@
 		f.is.Equal(short.body, wholeStream("s1", 1))
 		long := f.ask(request{path: "/stream/x", id: "s2", usage: "1000,4500"})
 		f.is.Equal(long.status, 503)
-		f.is.Equal(countRuns(f.engines, "s2"), 0)
-		known := time.Until(f.view.Load().AddressValidUntil)
-		f.is.True(known > 0)
-		f.is.True(f.retryAfter(long) > known && f.retryAfter(long) < known+3*time.Second)
+		f.is.Equal(countExecutions(f.engines, "s2"), 0)
+		untilExpiry := time.Until(f.view.Load().AddressValidUntil)
+		f.is.True(untilExpiry > 0)
+		f.is.True(f.retryAfter(long) > untilExpiry && f.retryAfter(long) < untilExpiry+3*time.Second)
 	})
 }
 
@@ -155,7 +155,7 @@
 		f.is.NoErr(send.Close())
 		a := <-done
 		f.is.Equal(a.status, 503)
-		f.is.Equal(countRuns(f.engines, "s1"), 0)
+		f.is.Equal(countExecutions(f.engines, "s1"), 0)
 	})
 }
 
@@ -182,9 +182,9 @@
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
 		time.Sleep(100 * time.Millisecond)
-		shares := f.dispatcher.RequestLoads(time.Now())
-		f.is.Equal(len(shares), 1)
-		f.is.True(shares[0].Remaining > 7*time.Second && shares[0].Remaining <= 7300*time.Millisecond)
+		loads := f.dispatcher.RequestLoads(time.Now())
+		f.is.Equal(len(loads), 1)
+		f.is.True(loads[0].Remaining > 7*time.Second && loads[0].Remaining <= 7300*time.Millisecond)
 		f.is.Equal((<-done).status, 200)
 	})
 }
@@ -202,7 +202,7 @@
 		a := <-done
 		f.is.Equal(a.status, 200)
 		f.is.Equal(a.body, wholeStream("s1", 1))
-		f.is.Equal(countRuns(f.engines, "s1"), 1)
+		f.is.Equal(countExecutions(f.engines, "s1"), 1)
 	})
 }
 
@@ -220,7 +220,7 @@
 		a := <-done
 		f.is.NoErr(a.err)
 		f.is.Equal(a.status, 200)
-		f.is.Equal(countRuns(f.plain, "r1"), 2)
+		f.is.Equal(countExecutions(f.plain, "r1"), 2)
 	})
 }
 
@@ -230,26 +230,26 @@
 // were counted.
 func TestSilentStreamResumesAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
-		const left = 6 * time.Second
+		const untilExit = 6 * time.Second
 		done := make(chan answer, 1)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
 		time.Sleep(400 * time.Millisecond)
 		silent := f.instances[2+f.runningEngine("s1")].Address.Addr()
 		f.net.Disconnect(entryHost, silent)
-		f.startStopping(left, 1)
-		time.Sleep(left)
+		f.startStopping(untilExit, 1)
+		time.Sleep(untilExit)
 		f.net.KillHost(silent)
 		a := <-done
 		f.is.NoErr(a.err)
 		f.is.Equal(a.body, wholeStream("s1", 1))
-		f.is.True(a.duration < left)
+		f.is.True(a.duration < untilExit)
 	})
 }
 
 // A stopping entry has the usual admission rules: a prompt whose cost to other requests exceeds its
 // value is refused, also if it would end in time.
 func TestStoppingEntryRefusesTooCostlyPrompt(t *testing.T) {
-	for _, patience := range []time.Duration{2 * time.Second, 10 * time.Second} {
+	for _, timeout := range []time.Duration{2 * time.Second, 10 * time.Second} {
 		withForwarder(t, func(f *fixture) {
 			for range 6 {
 				_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
@@ -258,9 +258,9 @@
 				f.is.True(refusal == nil)
 			}
 			f.startStopping(7300*time.Millisecond, 1)
-			a := f.ask(request{path: "/long/x", id: "s1", usage: "90000,100", timeout: patience})
+			a := f.ask(request{path: "/long/x", id: "s1", usage: "90000,100", timeout: timeout})
 			f.is.Equal(a.status, 503)
-			f.is.Equal(countRuns(f.engines, "s1"), 0)
+			f.is.Equal(countExecutions(f.engines, "s1"), 0)
 		})
 	}
 }
@@ -286,10 +286,10 @@
 		time.Sleep(3 * time.Second)
 		late := f.ask(request{path: "/stream/x", id: "s1", usage: "1000,100"})
 		f.is.Equal(late.status, 503)
-		f.is.Equal(countRuns(f.engines, "s1"), 0)
+		f.is.Equal(countExecutions(f.engines, "s1"), 0)
 		f.is.True(f.retryAfter(late) > time.Second) // once the entry has restarted
-		sure := f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100", timeout: 2 * time.Second})
-		f.is.Equal(sure.status, 200)
-		f.is.Equal(sure.body, wholeStream("s2", 1))
+		bounded := f.ask(request{path: "/stream/x", id: "s2", usage: "1000,100", timeout: 2 * time.Second})
+		f.is.Equal(bounded.status, 200)
+		f.is.Equal(bounded.body, wholeStream("s2", 1))
 	})
 }
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -174,9 +174,9 @@
 
 // relayFailure writes the failure response of an upstream to the caller unchanged.
 func (f *Forwarder) relayFailure(x *exchange, a *attempt) *failure {
-	answer := f.bufferResponse(x, a)
-	if answer == nil {
+	buffered := f.bufferResponse(x, a)
+	if buffered == nil {
 		return lastAttemptFailure(x, a)
 	}
-	return f.writeResponse(x, a, answer)
+	return f.writeResponse(x, a, buffered)
 }
--- a/forwarder/yield_test.go
+++ b/forwarder/yield_test.go
@@ -23,15 +23,15 @@
 			Service: "lm", PromptTokens: 100_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Waited: time.Second, MaxWait: 9 * time.Second,
 		})
 		f.is.True(refusal == nil)
-		tell := func() { f.dispatcher.Import(time.Now(), dispatcher.WireIDOf("other"), other.Export(time.Now(), false)) }
-		tell()
+		sendLoadUpdate := func() { f.dispatcher.Import(time.Now(), dispatcher.WireIDOf("other"), other.Export(time.Now(), false)) }
+		sendLoadUpdate()
 		time.Sleep(100 * time.Millisecond)
-		f.is.Equal(countRuns(f.engines, "s1"), 0)
+		f.is.Equal(countExecutions(f.engines, "s1"), 0)
 		p.End(time.Now(), dispatcher.Answered)
-		tell()
+		sendLoadUpdate()
 		a := <-done
 		f.is.Equal(a.status, 200)
 		f.is.Equal(a.body, wholeStream("s1", 1))
-		f.is.Equal(countRuns(f.engines, "s1"), 1)
+		f.is.Equal(countExecutions(f.engines, "s1"), 1)
 	})
 }
