--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -53,7 +53,7 @@
 }
 
 // Feed appends the next bytes of the stream and returns the events that they complete. Events up to
-// the last id returned are dropped as repeats. The error is a GapError if events are missing, or
+// the last id returned are dropped as repeats. The error is a MissingEventsError if events are missing, or
 // ErrEventTooLarge; events that precede the error are returned with it.
 func (s *Splitter) Feed(p []byte) ([]Event, error) {
 	s.buffer = append(s.buffer, p...)
@@ -78,7 +78,7 @@
 	}
 }
 
-// checkOrder reports whether an event is new. It returns a GapError if its id is not the next one.
+// checkOrder reports whether an event is new. It returns a MissingEventsError if its id is not the next one.
 // Events without an id are always new.
 func (s *Splitter) checkOrder(e Event) (bool, error) {
 	if !e.HasID {
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -61,9 +61,9 @@
 	is.Equal(len(events), 1)
 	is.Equal(events[0].ID, int64(5))
 	_, err = s.Feed([]byte(event(7)))
-	var gap splitter.MissingEventsError
-	is.True(errors.As(err, &gap))
-	is.Equal(gap, splitter.MissingEventsError{After: 5, Got: 7})
+	var missing splitter.MissingEventsError
+	is.True(errors.As(err, &missing))
+	is.Equal(missing, splitter.MissingEventsError{After: 5, Got: 7})
 }
 
 func TestBreakDropsPartialEvent(t *testing.T) {
