--- a/decoder/decoder_test.go
+++ b/decoder/decoder_test.go
@@ -24,14 +24,14 @@
 	is := is.New(t)
 	text := "Count: -1\nWait: soon\nItems:\n  - {Size: 1, Ready: true}\n  - {Size: many, Ready: perhaps}\n"
 	err := decoder.Decode([]byte(text), 1000, &target{})
-	var faults decoder.FieldErrors
-	is.True(errors.As(err, &faults))
+	var fieldErrors decoder.FieldErrors
+	is.True(errors.As(err, &fieldErrors))
 	var fields []string
-	for _, f := range faults {
+	for _, f := range fieldErrors {
 		fields = append(fields, f.Field)
 	}
 	is.Equal(fields, []string{"Count", "Wait", "Items[1].Size", "Items[1].Ready"})
-	is.Equal(faults[0].Error(), `Count: "-1": must be a whole number of at least 0`)
+	is.Equal(fieldErrors[0].Error(), `Count: "-1": must be a whole number of at least 0`)
 }
 
 func TestRefusesAllButOneValidDocument(t *testing.T) {
--- a/decoder/position.go
+++ b/decoder/position.go
@@ -31,23 +31,23 @@
 	}
 	var scalars []scalar
 	collectScalars(&root, "", &scalars)
-	var faults FieldErrors
+	var fieldErrors FieldErrors
 	var rest []string
 	for _, text := range types.Errors {
-		fault, ok := locateField(text, scalars)
+		fieldError, ok := locateField(text, scalars)
 		if ok {
-			faults = append(faults, fault)
+			fieldErrors = append(fieldErrors, fieldError)
 			continue
 		}
 		rest = append(rest, text)
 	}
 	switch {
-	case len(faults) == 0:
+	case len(fieldErrors) == 0:
 		return err
 	case len(rest) == 0:
-		return faults
+		return fieldErrors
 	}
-	return fmt.Errorf("%w\n%s", faults, strings.Join(rest, "\n"))
+	return fmt.Errorf("%w\n%s", fieldErrors, strings.Join(rest, "\n"))
 }
 
 // scalar is one value of a document, with its line and the path of its field.
