--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -40,8 +40,8 @@
 	tokensPerEvent = 51
 	// shortTimeout is the timeout of plain routes whose upstreams respond within 20 ms.
 	shortTimeout = 3 * time.Second
-	// gracePeriod is the time from SIGTERM until an entry is killed.
-	gracePeriod = 8 * time.Second
+	// shutdownGrace is the time from SIGTERM until an entry is killed.
+	shutdownGrace = 8 * time.Second
 )
 
 // entry is one incarnation of an entry.
@@ -244,7 +244,7 @@
 	storeClient := platform.NewStore(client, netip.AddrPortFrom(storeHost, 80))
 	settings := launcher.Settings{
 		Seeds:       []netip.AddrPort{netip.AddrPortFrom(entryHost(0), peerPort), netip.AddrPortFrom(entryHost(1), peerPort)},
-		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, ShutdownGrace: gracePeriod,
+		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, ShutdownGrace: shutdownGrace,
 	}
 	e := &entry{host: host, reload: make(chan struct{}, 1), exited: make(chan struct{})}
 	l := launcher.New(launcher.Config{
@@ -322,14 +322,14 @@
 	if f.responsePlan != nil {
 		events = f.responsePlan.EventCount
 	}
-	runs := func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.workers), id) }
+	executions := func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.workers), id) }
 	refusals := func(id string) []worker.Execution { return worker.RefusalsOf(maps.Values(f.workers), id) }
-	return caller.Observations{Executions: runs, Refusals: refusals, EventCount: events, Faults: &f.disruptionLog}
+	return caller.Observations{Executions: executions, Refusals: refusals, EventCount: events, Faults: &f.disruptionLog}
 }
 
 // stopEntry stops an entry as SIGTERM does, and records the stop and the exit in disruptionLog.
 func (f *fleet) stopEntry(e *entry) {
-	s := f.disruptionLog.RecordShutdown(e.host, gracePeriod)
+	s := f.disruptionLog.RecordShutdown(e.host, shutdownGrace)
 	e.stop()
 	go func() {
 		<-e.exited
@@ -337,5 +337,7 @@
 	}()
 }
 
-// runCount returns how many times a request ran, over all workers.
-func (f *fleet) runCount(id string) int { return worker.ExecutionCount(maps.Values(f.workers), id) }
+// executionCount returns how many times a request ran, over all workers.
+func (f *fleet) executionCount(id string) int {
+	return worker.ExecutionCount(maps.Values(f.workers), id)
+}
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -275,9 +275,9 @@
 // cancelled.
 func (l *Launcher) shutDown() {
 	start := time.Now()
-	gracePeriod := l.settings.Load().ShutdownGrace
-	deadline := start.Add(gracePeriod - exitMargin)
-	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", gracePeriod))
+	shutdownGrace := l.settings.Load().ShutdownGrace
+	deadline := start.Add(shutdownGrace - exitMargin)
+	l.config.Log.Info("stopping", zap.Int("in_flight", l.forwarder.InFlight()), zap.Duration("grace_ms", shutdownGrace))
 	addressValidUntil := start.Add(maxAddressTTLs * l.config.AddressTTL)
 	l.controller.AnnounceShutdown(addressValidUntil, deadline)
 	listenUntil := addressValidUntil.Add(l.config.AddressTTL / 2)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -73,7 +73,7 @@
 			began := time.Now()
 			f.stopEntry(f.entries[i])
 			<-f.entries[i].exited
-			is.True(time.Since(began) < gracePeriod)
+			is.True(time.Since(began) < shutdownGrace)
 			time.Sleep(1500 * time.Millisecond) // until no caller uses the address any more
 			f.entries[i] = f.startEntry(i)
 			time.Sleep(2 * time.Second)
@@ -141,9 +141,9 @@
 		f.putWorker("i-app-1", "app", "draining")
 		f.store.Delete("servers/i-lm-2")
 		time.Sleep(2 * time.Second)
-		runsBefore := len(f.workers["i-app-1"].Executions()) + len(f.workers["i-lm-2"].Executions())
+		executionsBefore := len(f.workers["i-app-1"].Executions()) + len(f.workers["i-lm-2"].Executions())
 		time.Sleep(5 * time.Second)
-		is.Equal(len(f.workers["i-app-1"].Executions())+len(f.workers["i-lm-2"].Executions()), runsBefore)
+		is.Equal(len(f.workers["i-app-1"].Executions())+len(f.workers["i-lm-2"].Executions()), executionsBefore)
 		served, sent := x.stopAndCheck()
 		is.Equal(served, sent)
 	})
--- a/launcher/planned_requests_test.go
+++ b/launcher/planned_requests_test.go
@@ -23,7 +23,7 @@
 	// longEvents is the number of events, of 50 tokens each, in a long response.
 	longEvents = 20
 	// exitDelay is the time from SIGTERM until an entry cancels its remaining requests and exits.
-	exitDelay = gracePeriod - 300*time.Millisecond
+	exitDelay = shutdownGrace - 300*time.Millisecond
 	// callerTimeout is the timeout of callers. It is longer than any response takes.
 	callerTimeout = 20 * time.Second
 	// longAnswerUsage states the lengths in tokens of a short prompt and its long answer, as in the
@@ -169,21 +169,21 @@
 // response is complete, if the entry refused a request that did not run, or if it no longer accepted
 // connections.
 func (f *fleet) checkResult(r caller.Result) error {
-	runs := f.runCount(r.ID)
-	if violations := r.Violations(runs, longEvents); len(violations) > 0 {
+	executions := f.executionCount(r.ID)
+	if violations := r.Violations(executions, longEvents); len(violations) > 0 {
 		return errors.New(strings.Join(violations, ", "))
 	}
 	switch {
 	case r.IsServed():
 		return nil
-	case r.Err != nil && runs == 0 && strings.Contains(r.Err.Error(), "connection refused"):
+	case r.Err != nil && executions == 0 && strings.Contains(r.Err.Error(), "connection refused"):
 		return nil
 	case r.Err != nil:
-		return fmt.Errorf("%w after %s, %d runs, %d bytes: %w", errUnanswered, r.Duration.Round(time.Millisecond), runs, len(r.Body), r.Err)
-	case r.Status == http.StatusServiceUnavailable && runs == 0:
+		return fmt.Errorf("%w after %s, %d executions, %d bytes: %w", errUnanswered, r.Duration.Round(time.Millisecond), executions, len(r.Body), r.Err)
+	case r.Status == http.StatusServiceUnavailable && executions == 0:
 		return checkRetryAfter(r.RetryAfter)
 	}
-	return fmt.Errorf("answered with %d after %s, %d runs, Retry-After %q", r.Status, r.Duration.Round(time.Millisecond), runs, r.RetryAfter)
+	return fmt.Errorf("answered with %d after %s, %d executions, Retry-After %q", r.Status, r.Duration.Round(time.Millisecond), executions, r.RetryAfter)
 }
 
 // checkRetryAfter returns an error unless text is a positive number of seconds within callerTimeout.
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -22,10 +22,10 @@
 // callers may use its address. Refusing them would cost callers a retry.
 func TestStoppingEntryServesWhatEndsInTime(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/once/near/x", "/safe/near/x"} {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprint(path[1:], " kept ", kept), func(t *testing.T) {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprint(path[1:], " reused ", reused), func(t *testing.T) {
 				withLongAnswers(t, func(is *is.I, f *fleet) {
-					planned := plannedRequest{path: path, reusesConn: kept}.repeatUntilExit(0)
+					planned := plannedRequest{path: path, reusesConn: reused}.repeatUntilExit(0)
 					for i, r := range f.checkNoneLost(planned) {
 						is.True(r.IsServed() || planned[i].sendAt > 3*time.Second)
 					}
@@ -68,7 +68,7 @@
 		}
 		for _, r := range f.checkNoneLost(planned) {
 			is.True(r.IsServed())
-			is.Equal(f.runCount(r.ID), 2)
+			is.Equal(f.executionCount(r.ID), 2)
 		}
 	})
 }
@@ -85,7 +85,7 @@
 				unread := plannedRequest{path: path, usage: longAnswerUsage, sendAt: -200 * time.Millisecond, bodyTime: 7 * time.Second}
 				for _, r := range f.sendDuringShutdown(f.entries[0], []plannedRequest{q, unread}) {
 					is.NoErr(r.Err)
-					ran := f.runCount(r.ID) > 0
+					ran := f.executionCount(r.ID) > 0
 					is.True(r.Status == http.StatusBadGateway && ran || r.Status == http.StatusServiceUnavailable && !ran)
 				}
 			})
@@ -98,10 +98,10 @@
 // These took longer and were cut off by its exit.
 func TestStoppingEntryCutsNoStream(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/fixed/x"} {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprint(path[1:], " kept ", kept), func(t *testing.T) {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprint(path[1:], " reused ", reused), func(t *testing.T) {
 				withLongAnswers(t, func(_ *is.I, f *fleet) {
-					f.checkNoneLost(plannedRequest{path: path, usage: longAnswerUsage, reusesConn: kept}.repeatUntilExit(0))
+					f.checkNoneLost(plannedRequest{path: path, usage: longAnswerUsage, reusesConn: reused}.repeatUntilExit(0))
 				})
 			})
 		}
@@ -112,10 +112,10 @@
 // has left, unless the entry refuses those whose deadline is after its exit.
 func TestStoppingEntryCutsNoSlowCall(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x"} {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprint(path[1:], " kept ", kept), func(t *testing.T) {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprint(path[1:], " reused ", reused), func(t *testing.T) {
 				withLongAnswers(t, func(_ *is.I, f *fleet) {
-					f.checkNoneLost(plannedRequest{path: path, reusesConn: kept}.repeatUntilExit(0))
+					f.checkNoneLost(plannedRequest{path: path, reusesConn: reused}.repeatUntilExit(0))
 				})
 			})
 		}
@@ -162,15 +162,15 @@
 				for at := -300 * time.Millisecond; at < 0; at += 20 * time.Millisecond {
 					planned = append(planned, plannedRequest{path: path, usage: longPromptUsage, sendAt: at})
 				}
-				var begun []bool
+				var begunAtStop []bool
 				time.AfterFunc(time.Second-time.Millisecond, func() {
 					for i := range planned {
-						begun = append(begun, f.runCount(f.requestID(i)) > 0)
+						begunAtStop = append(begunAtStop, f.executionCount(f.requestID(i)) > 0)
 					}
 				})
 				waited := 0
 				for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
-					if begun[i] {
+					if begunAtStop[i] {
 						continue
 					}
 					waited++
@@ -189,9 +189,9 @@
 func TestStoppingEntryBeginsNoLateAttempt(t *testing.T) {
 	for _, c := range []struct {
 		path string
-		// soundAt is the time from SIGTERM at which the upstreams answer again. Requests are sent between
+		// recoveredAt is the time from SIGTERM at which the upstreams answer again. Requests are sent between
 		// from and until, also counted from SIGTERM.
-		soundAt, from, until time.Duration
+		recoveredAt, from, until time.Duration
 	}{
 		{"/stream/x", 1500 * time.Millisecond, -250 * time.Millisecond, 1500 * time.Millisecond},
 		{"/stream/brief/x", 4 * time.Second, 1750 * time.Millisecond, 3500 * time.Millisecond},
@@ -199,7 +199,7 @@
 		t.Run(c.path[1:], func(t *testing.T) {
 			withLongAnswers(t, func(_ *is.I, f *fleet) {
 				f.setFaults(worker.FaultNoAnswer)
-				time.AfterFunc(time.Second+c.soundAt, func() { f.setFaults(worker.FaultNone) })
+				time.AfterFunc(time.Second+c.recoveredAt, func() { f.setFaults(worker.FaultNone) })
 				var planned []plannedRequest
 				for _, q := range (plannedRequest{path: c.path, usage: longAnswerUsage}).repeatUntilExit(c.from) {
 					if q.sendAt < c.until {
@@ -208,8 +208,8 @@
 				}
 				for i, r := range f.sendDuringShutdown(f.entries[0], planned) {
 					// 502 is correct if the silent upstream ran the request.
-					unsure := r.Err == nil && r.Status == http.StatusBadGateway && f.runCount(r.ID) > 0
-					if err := f.checkResult(r); err != nil && !unsure {
+					outcomeUnknown := r.Err == nil && r.Status == http.StatusBadGateway && f.executionCount(r.ID) > 0
+					if err := f.checkResult(r); err != nil && !outcomeUnknown {
 						t.Errorf("%s sent %s after SIGTERM: %v", r.Path, planned[i].sendAt, err)
 					}
 				}
@@ -349,7 +349,7 @@
 				continue
 			}
 			is.Equal(r.Status, 503)
-			is.Equal(f.runCount(r.ID), 0)
+			is.Equal(f.executionCount(r.ID), 0)
 		}
 	})
 }
