--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -9,14 +9,14 @@
 	"strconv"
 )
 
-// maxEventBytes is the largest accepted event; real events are smaller than 1 KB.
+// maxEventBytes is the maximum size of an event; real events are smaller than 1 KB.
 const maxEventBytes = 1 << 20
 
 // ErrEventTooLarge is returned for an event that does not end within 1 MiB.
 var ErrEventTooLarge = errors.New("event exceeds 1 MiB")
 
-// MissingEventsError is returned if events are missing between the event with id After and the next one
-// received, with id Got.
+// MissingEventsError is returned if the event with id Got follows the event with id After, and the
+// events between them are missing.
 type MissingEventsError struct {
 	After, Got int64
 }
@@ -25,12 +25,12 @@
 	return fmt.Sprintf("event %d follows event %d: events are missing", e.Got, e.After)
 }
 
-// Event is one complete event.
+// Event is one complete event of a stream.
 type Event struct {
 	// Raw holds the bytes of the event, including the blank line that ends it.
 	Raw []byte
-	// ID is the numeric id of the event. HasID is false if the event has no id or one that is not a
-	// number.
+	// ID is the numeric id of the event, valid if HasID is true. HasID is false if the event has no
+	// id or one that is not a number.
 	ID    int64
 	HasID bool
 }
@@ -39,8 +39,8 @@
 type Splitter struct {
 	// buffer holds the bytes of the stream that are not yet part of a complete event.
 	buffer []byte
-	// lastID is the id of the last event returned by Feed, or the one given to New; valid if
-	// hasLastID is true.
+	// lastID is the id of the last event returned by Feed or, before that, the id given to New; valid
+	// if hasLastID is true.
 	lastID    int64
 	hasLastID bool
 }
@@ -52,8 +52,8 @@
 	return &Splitter{lastID: lastID, hasLastID: err == nil}
 }
 
-// Feed appends the next bytes of the stream and returns the events that they complete. Events up to
-// the last id returned are dropped as repeats. The error is a MissingEventsError if events are missing, or
+// Feed appends the next bytes of the stream and returns the events that they complete. Events with an
+// id up to LastID are dropped as repeats. The error is a MissingEventsError if events are missing, or
 // ErrEventTooLarge; events that precede the error are returned with it.
 func (s *Splitter) Feed(p []byte) ([]Event, error) {
 	s.buffer = append(s.buffer, p...)
@@ -78,8 +78,8 @@
 	}
 }
 
-// checkOrder reports whether an event is new. It returns a MissingEventsError if its id is not the next one.
-// Events without an id are always new.
+// checkOrder reports whether an event is new, which events without an id always are. It returns a
+// MissingEventsError if the event's id is not the next one.
 func (s *Splitter) checkOrder(e Event) (bool, error) {
 	if !e.HasID {
 		return true, nil
@@ -94,8 +94,8 @@
 	return true, nil
 }
 
-// LastID returns the id of the last event as text, for a request that resumes the stream after it;
-// empty if no id is known.
+// LastID returns the id of the last event as text, for a request that resumes the stream after that
+// event; empty if no id is known.
 func (s *Splitter) LastID() string {
 	if !s.hasLastID {
 		return ""
@@ -103,14 +103,14 @@
 	return strconv.FormatInt(s.lastID, 10)
 }
 
-// HasPartial reports whether the stream has ended, so far, within an event.
+// HasPartial reports whether the bytes fed so far end with an incomplete event.
 func (s *Splitter) HasPartial() bool { return len(s.buffer) > 0 }
 
-// DiscardPartial drops the bytes of an incomplete event, so that the stream can resume from another
-// source.
+// DiscardPartial drops the bytes of an incomplete event, so that another upstream can resume the
+// stream after LastID.
 func (s *Splitter) DiscardPartial() { s.buffer = nil }
 
-// eventEnd returns the length of the first complete event in p, or -1 if there is none.
+// eventEnd returns the length of the complete event that p begins with, or -1 if it is incomplete.
 func eventEnd(p []byte) int {
 	end := -1
 	for _, blank := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -122,7 +122,7 @@
 	return end
 }
 
-// parseEvent returns the event in raw, with the id in its last id line.
+// parseEvent returns the event with the bytes raw. Its id is that of the last id line.
 func parseEvent(raw []byte) Event {
 	e := Event{Raw: raw}
 	for line := range bytes.Lines(raw) {
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -22,8 +22,7 @@
 	// Output: 1 1 true
 }
 
-// However a stream is divided into reads, the events returned have the bytes of its complete
-// events.
+// However a stream is divided into reads, Feed returns its complete events with unchanged bytes.
 func TestBytesUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "events")
@@ -53,7 +52,7 @@
 
 // An upstream that resumes a stream may repeat events, which are dropped; a missing event is an
 // error.
-func TestResumedStreamDropsRepeatsAndDetectsGaps(t *testing.T) {
+func TestResumedStreamDropsRepeatsAndDetectsMissingEvents(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New("4")
 	events, err := s.Feed([]byte(event(3) + event(4) + event(5)))
@@ -66,7 +65,7 @@
 	is.Equal(missing, splitter.MissingEventsError{After: 5, Got: 7})
 }
 
-func TestBreakDropsPartialEvent(t *testing.T) {
+func TestDiscardPartialDropsIncompleteEvent(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New("")
 	_, err := s.Feed([]byte(event(1) + "id: 2\nda"))
