--- a/decoder/decoder.go
+++ b/decoder/decoder.go
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s: %q: must be %s", e.Field, e.Value, e.Requirement)
 }
 
-// FieldErrors collects the errors of all invalid fields of one input.
+// FieldErrors holds the errors of all invalid fields of one input.
 type FieldErrors []FieldError
 
 func (e FieldErrors) Error() string {
@@ -37,7 +37,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Require adds an error for a field unless the condition holds.
+// Require adds an error for a field unless holds is true. value is the invalid value, and requirement
+// describes the accepted values, worded to follow "must be".
 func (e *FieldErrors) Require(holds bool, field string, value any, requirement string) {
 	if holds {
 		return
@@ -53,7 +54,7 @@
 	return e
 }
 
-// TooLargeError is returned for an input of Size bytes where at most Limit are allowed.
+// TooLargeError is returned for an input of Size bytes if at most Limit bytes are allowed.
 type TooLargeError struct {
 	Size, Limit int
 }
@@ -79,7 +80,7 @@
 		return fmt.Errorf("input: empty: must be a YAML document")
 	}
 	if err != nil {
-		return fmt.Errorf("read yaml: %w", nameFields(data, err))
+		return fmt.Errorf("decode YAML: %w", nameFields(data, err))
 	}
 	if d.Decode(&yaml.Node{}) != io.EOF {
 		return errMultipleDocuments
--- a/decoder/position.go
+++ b/decoder/position.go
@@ -11,15 +11,16 @@
 )
 
 // typeErrorPattern matches the error texts of the YAML library for values of the wrong type. Its
-// groups are the line, the YAML tag, the value and the Go type.
+// groups are the line number, the YAML tag, the value and the Go type.
 var typeErrorPattern = regexp.MustCompile("^line ([0-9]+): cannot unmarshal (\\S+)(?: `(.*)`)? into (\\S+)$")
 
-// truncatedLength is the number of bytes of a long value that the YAML library shows, followed by
-// "...".
+// truncatedLength is the number of bytes that the YAML library shows of a long value in an error text,
+// followed by "...".
 const truncatedLength = 7
 
-// nameFields replaces the errors of the YAML library about wrong types, which name lines, by
-// FieldErrors, which name fields. Errors whose field is not found keep their text.
+// nameFields replaces the errors of the YAML library about values of the wrong type in data, which
+// name lines, by FieldErrors, which name fields. An error whose field is not found keeps its text; an
+// err of another kind is returned unchanged.
 func nameFields(data []byte, err error) error {
 	var types *yaml.TypeError
 	if !errors.As(err, &types) {
@@ -50,14 +51,16 @@
 	return fmt.Errorf("%w\n%s", fieldErrors, strings.Join(rest, "\n"))
 }
 
-// scalar is one value of a document, with its line and the path of its field.
+// scalar is one value of a YAML document.
 type scalar struct {
+	// line is the number of the line of the value, path the path of its field as in FieldError.Field.
 	line  int
 	path  string
 	value string
 }
 
-// collectScalars appends the values at and below a node, whose path is given, to out.
+// collectScalars appends the values of a node and of the nodes below it to out. path is the path of the
+// node's field.
 func collectScalars(n *yaml.Node, path string, out *[]scalar) {
 	switch n.Kind {
 	case yaml.DocumentNode:
@@ -76,8 +79,8 @@
 	*out = append(*out, scalar{line: n.Line, path: path, value: n.Value})
 }
 
-// locateField returns the error of the field that an error text of the YAML library is about: the
-// field on the same line with the same value. It returns false if there is none.
+// locateField converts an error text of the YAML library to the error of the field that it is about,
+// which is the field on the same line with the same value. It returns false if there is none.
 func locateField(text string, scalars []scalar) (FieldError, bool) {
 	parts := typeErrorPattern.FindStringSubmatch(text)
 	if parts == nil {
@@ -96,7 +99,8 @@
 	return FieldError{}, false
 }
 
-// describeType describes the accepted values of a Go type, worded to follow "must be".
+// describeType describes the accepted values of the Go type with the given name, worded to follow "must
+// be".
 func describeType(typeName string) string {
 	switch {
 	case strings.HasPrefix(typeName, "uint"):
