--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -1,7 +1,6 @@
-// Package drainer tracks which upstreams are leaving. A notice from any one source is enough to
-// stop sending work to an upstream, and stays valid until a new incarnation of the upstream
-// appears: an outdated instance list that still shows the old one as live does not make it usable
-// again.
+// Package drainer tracks which upstreams are leaving. A notice from any one source is enough to stop
+// sending work to an upstream, and stays valid until a new incarnation of the upstream appears: an
+// outdated instance list that still shows the old incarnation as live does not make it usable again.
 package drainer
 
 import "github.com/sapphireramp/sapphireramp/api"
@@ -16,7 +15,7 @@
 	FromList Source = "list"
 	// FromUpstream means that the upstream itself reported that it is leaving.
 	FromUpstream Source = "upstream"
-	// FromPeer means that another entry reported it.
+	// FromPeer means that another entry reported that the upstream is leaving.
 	FromPeer Source = "peer"
 )
 
@@ -31,7 +30,7 @@
 	// listLeaving is true if the latest instance list shows the upstream as leaving or does not
 	// contain it.
 	listLeaving bool
-	// listed is true once any instance list has contained the upstream.
+	// listed is true once any instance list has contained the upstream; it is never reset.
 	listed bool
 }
 
@@ -55,9 +54,9 @@
 	return u
 }
 
-// UpdateList replaces the instance list. Upstreams that are not live in the list count as leaving,
-// also those that an earlier list contained and this one does not; entries in the list are ignored.
-// It returns the names of the upstreams that became unusable by this list.
+// UpdateList replaces the instance list. Upstreams that are not live in the new list count as leaving,
+// also those that only an earlier list contained. Instances of the kind api.KindEntry are ignored.
+// UpdateList returns the names of the upstreams that the new list makes unusable.
 func (d *Drainer) UpdateList(instances []api.Instance) []string {
 	states := make(map[string]string, len(instances))
 	for _, i := range instances {
@@ -84,13 +83,13 @@
 	return startedLeaving
 }
 
-// markLeaving notes that an incarnation and all earlier ones are leaving.
+// markLeaving records that an incarnation and all earlier ones are leaving.
 func (u *upstream) markLeaving(incarnation uint64) {
 	u.leaving = true
 	u.leavingIncarnation = max(u.leavingIncarnation, incarnation)
 }
 
-// MarkLeaving notes that an incarnation of an upstream is leaving. It reports whether that was not
+// MarkLeaving records that an incarnation of an upstream is leaving. It returns false if that was
 // known before.
 func (d *Drainer) MarkLeaving(name string, incarnation uint64) bool {
 	u := d.ensureUpstream(name)
@@ -102,9 +101,9 @@
 	return true
 }
 
-// ObserveIncarnation notes an incarnation that the upstream itself reported. One that is later than
-// the incarnation known to be leaving makes the upstream usable again, unless the list still shows
-// it as leaving.
+// ObserveIncarnation records an incarnation that the upstream itself reported. An incarnation later
+// than the one known to be leaving makes the upstream usable again, unless the latest list shows the
+// upstream as leaving.
 func (d *Drainer) ObserveIncarnation(name string, incarnation uint64) {
 	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
@@ -120,7 +119,7 @@
 	return !u.leaving || u.incarnation > u.leavingIncarnation
 }
 
-// WasListed reports whether any list has contained the upstream.
+// WasListed reports whether any instance list so far has contained the upstream.
 func (d *Drainer) WasListed(name string) bool {
 	u, ok := d.upstreams[name]
 	return ok && u.listed
