--- a/api/api.go
+++ b/api/api.go
@@ -1,6 +1,14 @@
 // Package api defines the wire types, paths and headers that sapphireramp exchanges with callers,
 // upstreams and the platform, and between its own instances. It contains no logic except
 // conversions; the types used internally are in the packages that work with them.
+//
+// An entry is a process that accepts requests of callers and sends them to upstreams: engines, which
+// run models, or other services. The keeper of an engine is the entry that grants the engine's KV
+// memory. Granted memory in use at an engine is a hold.
+//
+// Entries of the command gateway run on the users' platform: they read its settings, configuration
+// and instance registrations through package platform. Other entries have a settings file and a
+// configuration document of their own. Fields that only one kind of entry sets state that.
 package api
 
 import (
@@ -9,12 +17,12 @@
 	"time"
 )
 
-// Header names used towards callers and upstreams.
+// Names of the headers in messages to and from callers and upstreams.
 const (
 	// HeaderTimeout is the caller's time limit for a request in decimal seconds, counted from the
 	// arrival of the request. It is a duration, so clocks need not agree.
 	HeaderTimeout = "X-Request-Timeout"
-	// HeaderIdempotencyKey is the ticket of a request that may run at most once.
+	// HeaderIdempotencyKey is the Ticket of a request that may run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderRepeatable is "false" on a request that may run at most once.
 	HeaderRepeatable = "X-Repeatable"
@@ -22,7 +30,7 @@
 	HeaderRequestID = "X-Request-Id"
 	// HeaderAttemptID is the id of one attempt of a request: 128 random bits.
 	HeaderAttemptID = "X-Attempt-Id"
-	// HeaderOwner is the name of the entry that owns an attempt or a hold.
+	// HeaderOwner is the name of the entry that makes an attempt or a hold, and thereby owns it.
 	HeaderOwner = "X-Owner"
 	// HeaderOwnerIncarnation is the incarnation of the entry in HeaderOwner.
 	HeaderOwnerIncarnation = "X-Owner-Incarnation"
@@ -35,7 +43,7 @@
 	// HeaderGroupHolds lists, separated by commas, the ids of the holds whose memory a request to a
 	// group of engines may use.
 	HeaderGroupHolds = "X-Group-Holds"
-	// HeaderOutcome is the Outcome of the request, sent to the caller.
+	// HeaderOutcome is the Outcome of the request, in responses to callers.
 	HeaderOutcome = "X-Outcome"
 	// HeaderForwardedByEntry is the name of the entry that forwarded the request to this one. A
 	// request with this header is not forwarded again.
@@ -90,11 +98,11 @@
 	CodeTicketRequired = "ticket_required"
 	CodeTicketUnknown  = "ticket_unknown"
 	CodeTicketExpired  = "ticket_expired"
-	// CodeTicketOwnerGone is for a ticket whose issuer, an entry, can't be reached or has restarted.
+	// CodeTicketOwnerGone is for a ticket whose issuing entry can't be reached or has restarted.
 	CodeTicketOwnerGone = "ticket_owner_gone"
 	// CodeTicketInProgress is for a ticket whose request is still running.
 	CodeTicketInProgress = "ticket_in_progress"
-	// CodeTicketSpent is for a ticket whose request has ended, if its answer is no longer kept.
+	// CodeTicketSpent is for a ticket whose request has ended and whose answer is no longer stored.
 	CodeTicketSpent = "ticket_spent"
 )
 
@@ -103,16 +111,16 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes why a request failed. It has the form of the error object of the
-// completions protocol, with the outcome and hints for a retry added.
+// ErrorDetail describes why a request failed. It has the fields of the error object of the completions
+// protocol, and in addition the outcome and hints for a retry.
 type ErrorDetail struct {
 	// Code is one of the Code constants.
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Param is the name of the invalid parameter or header; empty if none is at fault.
+	// Param is the name of the invalid parameter or header; empty if none is invalid.
 	Param   string  `json:"param,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// RetryAfterSeconds is how long to wait before a retry; 0 if a retry would not help.
+	// RetryAfterSeconds is how long the caller should wait before a retry; 0 if a retry would not help.
 	RetryAfterSeconds float64 `json:"retry_after_seconds,omitempty"`
 	// Elsewhere lists the addresses of other entries that accept callers; empty unless this entry
 	// is shutting down.
@@ -129,8 +137,8 @@
 	MaxTokens int `json:"max_tokens"`
 	// Stream is true if the answer is to be sent as server-sent events.
 	Stream bool `json:"stream"`
-	// Temperature and TopP are sampling parameters, forwarded to the engine unchanged; nil if the
-	// caller set none.
+	// Temperature and TopP are sampling parameters, forwarded to the engine unchanged; nil if not set
+	// by the caller.
 	Temperature *float64 `json:"temperature,omitempty"`
 	TopP        *float64 `json:"top_p,omitempty"`
 	// Seed makes sampling deterministic, so that another engine can resume the answer.
@@ -161,7 +169,7 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// CompletionUsage is the numbers of tokens in the prompt and the answer of a request.
+// CompletionUsage holds the numbers of tokens in the prompt and in the answer of a request.
 type CompletionUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -180,9 +188,9 @@
 	return max(1, (promptBytes+BytesPerToken-1)/BytesPerToken)
 }
 
-// ParseSeconds parses a decimal number of seconds. It returns an error for text that is no number,
-// and strconv.ErrRange for NaN and numbers too large for a time.Duration; an overflow thus never
-// turns a large positive number into a negative or zero duration.
+// ParseSeconds parses a decimal number of seconds. It returns an error for text that is no number, and
+// strconv.ErrRange for NaN and for numbers whose magnitude is too large for a time.Duration, which
+// could otherwise overflow to a duration of the wrong sign.
 func ParseSeconds(text string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -195,12 +203,13 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// FormatSeconds formats a duration as decimal seconds with three places, for ParseSeconds.
+// FormatSeconds formats a duration as decimal seconds with three decimal places, as ParseSeconds reads
+// it.
 func FormatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// HTTPStatus returns the HTTP status for one of the Code constants: 503 for codes that have no more
+// HTTPStatus returns the HTTP status for one of the Code constants; it is 503 for codes without a more
 // specific status.
 func HTTPStatus(code string) int {
 	switch code {
--- a/api/entry.go
+++ b/api/entry.go
@@ -18,7 +18,7 @@
 // Addresses is the response to PathAddresses: the entries that a caller may connect to.
 type Addresses struct {
 	Entries []EntryAddress
-	// LifeSeconds is how long the caller may cache this response.
+	// LifeSeconds is how long the caller may cache the response, in seconds.
 	LifeSeconds float64
 }
 
@@ -29,11 +29,12 @@
 	DataCentre string
 }
 
-// Ticket is the response to PathTickets: a token that makes sure that the requests sent with it are
-// executed at most once in all.
+// Ticket is the response to PathTickets. A caller sends a ticket with a request that may run at most
+// once: however often the request is sent with the same ticket, it is executed at most once.
 type Ticket struct {
+	// Ticket is the value for HeaderIdempotencyKey.
 	Ticket string
-	// LifeSeconds is how long the ticket may be used.
+	// LifeSeconds is how long the ticket may be used, in seconds.
 	LifeSeconds float64
 }
 
@@ -43,8 +44,8 @@
 	Name        string
 	DataCentre  string
 	Incarnation uint64
-	// Ready is true if the entry has the configuration that it needs to accept callers, Stopping if it
-	// is shutting down.
+	// Ready is true if the entry has the configuration that it needs to accept callers, Stopping if
+	// the entry is shutting down.
 	Ready    bool
 	Stopping bool
 	// Revision and Digest identify the configuration in force. Digest is empty on the users'
@@ -57,29 +58,32 @@
 	// Quarantined is the number of fingerprints whose requests are refused because they crash
 	// upstreams. Set on the users' platform only.
 	Quarantined int `json:",omitempty"`
-	// Superseded lists the digests of documents that lost to another document of the same revision.
+	// Superseded lists the digests of configuration documents that lost to a document with the same
+	// revision and a higher digest, oldest first.
 	Superseded []string
-	Members    []MemberStatus
-	Engines    []EngineStatus
+	// Members holds the other entries as this entry sees them, Engines the engines or, on the users'
+	// platform, all upstreams.
+	Members []MemberStatus
+	Engines []EngineStatus
 	// InFlight is the number of requests in flight at the entry.
 	InFlight int
-	// Violations is the number of violations by the name of the invariant.
+	// Violations holds the number of violations of each invariant, by its name.
 	Violations map[string]int
-	// LoadNews is the counts of load updates. Set on the users' platform only.
+	// LoadNews holds the counts of load updates. Set on the users' platform only.
 	LoadNews *LoadUpdateCounts `json:",omitempty"`
 }
 
-// LoadUpdateCounts is the number of entries that an entry sends its load updates to, and the number
+// LoadUpdateCounts holds the number of entries that an entry sends its load updates to, and the number
 // of load updates that it has sent and received since its start.
 type LoadUpdateCounts struct {
 	// Peers is the number of entries that receive the full load periodically, PlacingPeers the
 	// number of those that receive each change because they place requests. RelayedCentres is the
-	// number of data centres in which an entry, chosen at random for each message, relays it to the
-	// others.
+	// number of data centres in which one entry, chosen at random for each message, relays the message
+	// to the other entries there.
 	Peers, PlacingPeers, RelayedCentres int
-	// Told counts the messages with the entry's own load, Relayed those from other data centres that
-	// the entry passed on; both count a message once for each entry that it is sent to. Heard counts
-	// all messages received.
+	// Told counts the messages sent with the entry's own load, Relayed the messages from other data
+	// centres that the entry passed on. Both count a message once for each receiver. Heard counts all
+	// messages received.
 	Told, Relayed, Heard MessageCount
 	// Malformed is the number of received messages that could not be decoded.
 	Malformed int64
@@ -93,16 +97,16 @@
 // MemberStatus is an entry's view of another entry.
 type MemberStatus struct {
 	Name string
-	// State is the member's state as the prober names it.
+	// State is the member's prober.State as text: listed, live, stopping or dead.
 	State       string
 	Incarnation uint64
-	// Heard is the time since the last heartbeat from the member; 0 if there was none.
+	// Heard is the time since the last heartbeat from the member; 0 if none has arrived.
 	Heard time.Duration
-	// Speed is the member's speed in processor cores; 0 if unknown.
+	// Speed is the speed of the member's machine in processor cores; 0 if unknown.
 	Speed float64
 	// Strained is true if the member reports that it is overloaded.
 	Strained bool
-	// Takes is true if callers are given the member's address.
+	// Takes is true if the reporting entry gives callers the member's address.
 	Takes bool
 }
 
@@ -115,7 +119,7 @@
 	State   string
 	Model   string
 	Version string
-	// Keeper is the name of the entry that keeps the engine.
+	// Keeper is the name of the entry that grants the engine's memory.
 	Keeper string
 	// Fence is the highest fencing number that the engine reports.
 	Fence uint64
@@ -124,8 +128,8 @@
 	UsedTokens   int
 	// QueuedTokens is the estimated number of prompt tokens that wait to be prefilled.
 	QueuedTokens int
-	// Holds is the number of holds that the engine listed last, Grants the number of grants that it
-	// does not list yet.
+	// Holds is the number of holds in the engine's latest list, Grants the number of grants of memory
+	// that are not in that list yet.
 	Holds  int
 	Grants int
 	// InFlight is the number of requests in flight at the engine.
@@ -136,12 +140,12 @@
 	Failures float64 `json:",omitempty"`
 	// PausedFor is the time left until the end of the upstream's backoff; 0 if there is none.
 	PausedFor time.Duration `json:",omitempty"`
-	// Heard is true if the reporting entry keeps the engine and has received its list of holds.
+	// Heard is true if the reporting entry is the engine's keeper and has received its list of holds.
 	Heard bool
 }
 
-// Notice reports a state of an instance and is gossiped between entries. A notice about an
-// incarnation never applies to a later one.
+// Notice reports the state of an instance and is gossiped between entries. A notice about one
+// incarnation of the instance never applies to a later incarnation.
 type Notice struct {
 	// Kind is KindEntry, KindEngine or KindService.
 	Kind        string
@@ -149,7 +153,7 @@
 	Incarnation uint64
 	// State is NoticeLeaving, NoticeDead or NoticeLive.
 	State string
-	// Sequence orders the notices about one incarnation.
+	// Sequence orders the notices about one incarnation; a higher number is newer.
 	Sequence uint64
 	// Ready is true if the notice is about an entry that accepts callers.
 	Ready bool
@@ -162,7 +166,8 @@
 	NoticeLive    = "live"
 )
 
-// Heartbeat is sent periodically from each entry to others, which answer with their own.
+// Heartbeat is sent periodically by each entry to other entries, which respond with a heartbeat of their
+// own.
 type Heartbeat struct {
 	// From is the name of the sender, Incarnation its incarnation.
 	From        string
@@ -171,8 +176,8 @@
 	PeerAddress netip.AddrPort
 	Address     netip.AddrPort
 	DataCentre  string
-	// Stopping is true if the sender is shutting down, Ready if it has the configuration that it needs
-	// to accept callers.
+	// Stopping is true if the sender is shutting down, Ready if the sender has the configuration that
+	// it needs to accept callers.
 	Stopping bool
 	Ready    bool
 	// Revision and Digest identify the configuration in force at the sender. Digest is a prefix of
@@ -184,38 +189,39 @@
 	// the platform last confirmed the list; negative if it never did.
 	ListDigest string
 	ListAge    time.Duration
-	// Loads is the loads of the engines that the sender keeps.
+	// Loads holds the loads of the engines whose keeper is the sender.
 	Loads []LoadDigest
-	// Quarantine is the sender's recent reports of requests that crash upstreams. In the response to
-	// a heartbeat it includes all quarantines if those of the two entries differ.
+	// Quarantine holds the sender's recent reports of requests that crash upstreams. In the response to
+	// a heartbeat it includes all quarantines of the sender if those of the two entries differ.
 	Quarantine QuarantineNews
 }
 
-// FetchArgs is the arguments of the call Fetch, by which an entry gets the configuration document and
-// the instance list of another. From is the name of the calling entry.
+// FetchArgs holds the arguments of the call Fetch, by which an entry gets the configuration document and
+// the instance list of another entry. From is the name of the calling entry.
 type FetchArgs struct{ From string }
 
 // FetchReply is the reply to the call Fetch.
 type FetchReply struct {
 	// Document is the configuration document in force, as published; List is the instance list as
-	// the platform sent it. Each is empty if the entry has none.
+	// the platform sent it. Each is empty if the called entry has none.
 	Document []byte
 	List     []byte
-	// ListAge is how long ago the platform last confirmed the list.
+	// ListAge is how long ago the platform last confirmed the list to the called entry.
 	ListAge time.Duration
 }
 
-// AskArgs is the arguments of the call Ask, by which an entry requests a grant for an attempt from the
-// keeper of an engine.
+// AskArgs holds the arguments of the call Ask, by which an entry requests a grant of memory for an attempt
+// from the keeper of an engine.
 type AskArgs struct {
+	// Engine is the name of the engine, Model the name of the model that the attempt needs.
 	Engine string
 	Model  string
 	// AttemptID is the id of the attempt. The engine lists the hold of the attempt under this id.
 	AttemptID string
 	// Class is the number of the length class of the prompt; the shortest class is 0.
 	Class int
-	// PrefillTokens is the number of prompt tokens to prefill, MemoryTokens the KV memory that the
-	// attempt needs in tokens.
+	// PrefillTokens is the number of prompt tokens to prefill, MemoryTokens the size in tokens of the
+	// KV memory that the attempt needs.
 	PrefillTokens int
 	MemoryTokens  int
 	// Remaining is the time left until the deadline of the request. It is a duration because the
@@ -229,15 +235,15 @@
 	// zero.
 	Keeper  bool
 	Granted bool
-	// Reason is the keeper.Reason for the decision.
+	// Reason is the keeper.Reason for granting or refusing.
 	Reason string
-	// Wait is the estimated time that the prompt would queue before its prefill starts.
+	// Wait is the estimated time for which the prompt would queue before its prefill starts.
 	Wait time.Duration
 	// Load is the keeper's estimate of the engine's load. It may be zero if the engine is leaving.
 	Load LoadDigest
 }
 
-// LoadDigest is the load of one engine as its keeper estimates it.
+// LoadDigest is the load of one engine, estimated by its keeper.
 type LoadDigest struct {
 	Engine      string
 	Incarnation uint64
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -18,7 +18,8 @@
 	PathInstances  = "/instances"
 )
 
-// EngineLoad is an engine's report of its load. It is up to one report period of the engine old.
+// EngineLoad is an engine's report of its load, and of the model that it has loaded. The report is up to
+// one report period of the engine old.
 type EngineLoad struct {
 	Name        string   `json:"name"`
 	Incarnation uint64   `json:"incarnation"`
@@ -29,8 +30,8 @@
 	Role        string   `json:"role"`
 	// Fence is the highest fencing number of an order that the engine has seen.
 	Fence uint64 `json:"fence"`
-	// MemoryTokens is the capacity of the engine's KV memory in tokens, UsedTokens how much of it is
-	// in use.
+	// MemoryTokens is the capacity of the engine's KV memory, UsedTokens the size of its part in use,
+	// both in tokens.
 	MemoryTokens int `json:"memory_tokens"`
 	UsedTokens   int `json:"used_tokens"`
 	// QueuedTokens is the number of prompt tokens that wait to be prefilled.
@@ -47,9 +48,9 @@
 	Incarnation uint64 `json:"incarnation"`
 	// Kind is one of the Hold constants.
 	Kind string `json:"kind"`
-	// Tokens is the size of the held memory.
+	// Tokens is the size of the held memory in tokens.
 	Tokens int `json:"tokens"`
-	// AgeSeconds is the time since the hold was made or last renewed.
+	// AgeSeconds is the time in seconds since the hold was made or last renewed.
 	AgeSeconds float64 `json:"age_seconds"`
 }
 
@@ -71,9 +72,9 @@
 }
 
 // EngineHoldRenewal is a request to reset the age of holds. The response has the same type and lists
-// the holds that the engine does not have.
+// the requested holds that the engine does not have.
 type EngineHoldRenewal struct {
-	// IDs is the ids of the holds.
+	// IDs lists the ids of the holds.
 	IDs []string `json:"ids"`
 }
 
@@ -94,10 +95,11 @@
 
 // EngineCacheEvent reports that a prefix was added to or dropped from an engine's cache.
 type EngineCacheEvent struct {
-	// Sequence numbers the events of an engine.
+	// Sequence is the number of the event among the events of the engine.
 	Sequence uint64 `json:"sequence"`
-	Prefix   string `json:"prefix"`
-	// Tokens is the length of the prefix.
+	// Prefix is a hash that identifies the prefix.
+	Prefix string `json:"prefix"`
+	// Tokens is the length of the prefix in tokens.
 	Tokens int `json:"tokens"`
 	// Dropped is true if the prefix was dropped, false if it was added.
 	Dropped bool `json:"dropped"`
