--- a/launcher/callers.go
+++ b/launcher/callers.go
@@ -10,9 +10,9 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// newCallerServer returns the HTTP server for callers. It closes connections
-// that exceed the idle timeout of the configuration in view, and passes each
-// change of a connection's state to onStateChange.
+// newCallerServer returns the HTTP server for callers. The server closes
+// connections that exceed the idle timeout of the configuration in view, and
+// passes each change of a connection's state to onStateChange.
 func newCallerServer(h http.Handler, view func() *forwarder.View, onStateChange func(net.Conn, http.ConnState)) *http.Server {
 	idle := idleCloser{limits: func() matcher.Limits {
 		if t := view().Table; t != nil {
@@ -29,11 +29,11 @@
 	}
 }
 
-// idleSlack is added to the idle timeout, so that a request sent just before
-// the timeout still finds an open connection.
+// idleSlack is added to the idle timeout of connections, so that a request sent
+// just before the timeout still finds its connection open.
 const idleSlack = 500 * time.Millisecond
 
-// idleCloser closes connections that are idle for longer than the
+// idleCloser closes callers' connections that are idle for longer than the
 // configuration in force allows.
 type idleCloser struct {
 	// limits returns the limits in force.
@@ -57,8 +57,9 @@
 	}
 }
 
-// scheduleClose starts a timer that closes a connection when its idle timeout
-// has passed. The timer starts again if the timeout was raised meanwhile.
+// scheduleClose starts a timer that closes a connection when it has been idle
+// for the idle timeout, or for headerTimeout if the configuration sets none. The
+// timer starts again if the idle timeout was raised meanwhile.
 func (i *idleCloser) scheduleClose(c net.Conn, idleSince time.Time) {
 	limit := i.limits().IdleTimeout
 	if limit <= 0 {
--- a/launcher/crash_test.go
+++ b/launcher/crash_test.go
@@ -9,11 +9,11 @@
 	"github.com/sapphireramp/sapphireramp/standin/caller"
 )
 
-// The tests in this file guard against a request that crashes each engine it runs on and is sent
-// again under new IDs and to other entries. It crashed 43 engines within half a minute: each entry
-// treated every repeat as a new request, because the retry budget counts per service and health
-// checks blame the upstream. Entries now recognise the request by its fingerprint, logged as content,
-// and log the exit of an engine as upstream_ended.
+// The tests in this file guard against a request that crashes each engine that runs it and that
+// callers send again under new IDs and to other entries. Such a request crashed 43 engines within
+// half a minute: each entry treated every repeat as a new request, as the retry budget counts per
+// service and health checks blame the upstream. Entries now recognise the request by its fingerprint,
+// logged as content, and log the exit of an engine as upstream_ended.
 
 // newCrashFleet starts a fleet with six entries and eight engines.
 func newCrashFleet(t *testing.T) *fleet {
@@ -25,8 +25,8 @@
 	return f
 }
 
-// startRepeater starts callers that send one request that crashes engines again and again, with a
-// pause between.
+// startRepeater starts callers that repeat one request that crashes engines. Each caller waits for the
+// duration pause between two sends.
 func (f *fleet) startRepeater(callers int, pause time.Duration) *caller.Traffic {
 	f.trafficCount++
 	return caller.NewRepeatingTraffic(fmt.Sprintf("r%d%s", f.trafficCount, f.idSalt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
@@ -46,7 +46,7 @@
 	})}
 }
 
-// A request that crashes engines is quarantined. Afterwards all requests with other content are
+// A request that crashes engines is quarantined. Afterwards all requests with other fingerprints are
 // served.
 func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/launcher/dial.go
+++ b/launcher/dial.go
@@ -18,7 +18,7 @@
 	keepAliveProbes = 2
 	// ackTimeout is how long sent data may stay unacknowledged before the
 	// connection is closed. It allows several retransmissions within a region and
-	// is shorter than callers wait.
+	// is shorter than the time for which callers wait.
 	ackTimeout = 1500 * time.Millisecond
 )
 
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -32,11 +32,12 @@
 
 const (
 	entryPort, readyPort, directoryPort, peerPort, loadPort = 80, 81, 82, 83, 84
-	// streamEvents is the number of events of a streamed response where no response plan is set.
+	// streamEvents is the number of events of a streamed response if the fleet has no response plan.
 	streamEvents = 8
 	// eventGap is the time between two events of a stream.
 	eventGap = 60 * time.Millisecond
-	// tokensPerEvent is the stride of the engines in the configuration.
+	// tokensPerEvent is the number of tokens that the engines generate per event, as in the
+	// configuration.
 	tokensPerEvent = 51
 	// shortTimeout is the timeout of plain routes whose upstreams respond within 20 ms.
 	shortTimeout = 3 * time.Second
@@ -57,8 +58,8 @@
 	killed bool
 }
 
-// fleet holds entries and the stand-ins that they run against (network, store
-// and upstreams), all in one process and in virtual time.
+// fleet holds entries and the stand-ins for what they use (network, store and
+// upstreams), all in one process and in virtual time.
 type fleet struct {
 	t     *testing.T
 	net   *network.Network
@@ -69,16 +70,16 @@
 	// workers holds the stand-in upstreams and workerHosts their hosts, both by instance ID.
 	workers     map[string]*worker.Worker
 	workerHosts map[string]netip.Addr
-	// lock guards startedAt and servers, which also the goroutines of crashed workers change.
+	// lock guards startedAt and servers, since goroutines that restart crashed workers change them too.
 	lock sync.Mutex
 	// startedAt holds the start of each worker's incarnation in Unix milliseconds, by instance ID.
 	startedAt map[string]int64
 	// downWorkers holds the workers that crashed and have not restarted yet.
 	downWorkers worker.DownSet
-	// repeaters are the traffic that repeats a request which crashes upstreams.
+	// repeaters holds the callers that repeat requests that crash upstreams.
 	repeaters []*caller.Traffic
-	// lastWorker is the number of the worker added last, trafficCount the number of traffics started; they
-	// make IDs unique.
+	// lastWorker is the number of the worker added last, trafficCount the number of groups of callers
+	// started. They make instance and request IDs unique.
 	lastWorker   int
 	trafficCount int
 	// responsePlan sets how long responses take; if nil, all take the same short time.
@@ -88,7 +89,7 @@
 	idSalt string
 	// disruptionLog records what the test does to entries and upstreams, and when.
 	disruptionLog caller.FaultLog
-	// bursts are the traffics started in addition to the steady one. downEntries holds the indexes of entries
+	// bursts holds the traffic started in addition to the steady one. downEntries holds the indexes of entries
 	// that were killed or stopped and not started again.
 	bursts      []*traffic
 	downEntries map[int]bool
@@ -138,7 +139,7 @@
 }
 
 // addWorkerWith starts a worker that responds to plain requests after workTime and to streaming
-// requests with the given number of events, eventGap apart. It returns its instance ID.
+// requests with the given number of events, eventGap apart. It returns the worker's instance ID.
 func (f *fleet) addWorkerWith(service string, workTime time.Duration, events int, eventGap time.Duration) string {
 	f.lastWorker++
 	id := fmt.Sprintf("i-%s-%d", service, f.lastWorker)
@@ -161,7 +162,7 @@
 }
 
 // crashWorker simulates a crash of a worker: its connections break and new ones are refused. After
-// crashDowntime it restarts under the same instance ID.
+// crashDowntime the worker restarts under the same instance ID. A worker that is down is left alone.
 func (f *fleet) crashWorker(id, service string) {
 	if !f.downWorkers.MarkDown(id) {
 		return
@@ -270,8 +271,8 @@
 	return e
 }
 
-// killEntry simulates a power loss of an entry: all its connections break. Its
-// goroutines end once they have gone through their normal shutdown.
+// killEntry simulates a power loss of an entry: all its connections break. The
+// entry's goroutines end later, after a normal shutdown without a network.
 func (f *fleet) killEntry(e *entry) {
 	e.killed = true
 	f.disruptionLog.RecordKill(e.host)
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package launcher runs an entry on the platform: it assembles the controller,
-// the forwarder and the HTTP servers into one process, applies changed settings
-// without a restart, and shuts the entry down gracefully.
+// Package launcher runs an entry on the users' platform: it assembles the
+// controller, the forwarder and the HTTP servers into one process, applies
+// changed settings without a restart, and shuts the entry down gracefully.
 package launcher
 
 import (
@@ -32,7 +32,7 @@
 type Settings struct {
 	// Seeds are the peer addresses of the entries to contact first.
 	Seeds []netip.AddrPort
-	// RetryBudget bounds the retries of all entries together.
+	// RetryBudget limits the retries of each service, by all entries together.
 	RetryBudget budgeter.Config
 	// ShutdownGrace is the time from SIGTERM until the process is killed.
 	ShutdownGrace time.Duration
@@ -59,13 +59,14 @@
 	ReadSettings func() (Settings, error)
 	// Store reads and watches the configuration and the list of upstreams.
 	Store controller.Store
-	// MaxPropagation is the longest time from a change in the store until the entry must act on it.
+	// MaxPropagation is the longest allowed time from a change in the store until the change is in force
+	// at all entries.
 	MaxPropagation time.Duration
-	// Speed is the processor capacity of the instance in cores; 0 if unknown.
+	// Speed is the speed of the entry's machine in processor cores; 0 if unknown.
 	Speed float64
 	// Protocol reads and writes the headers of requests and responses.
 	Protocol forwarder.Protocol
-	// Reservations manages the memory reserved at engines.
+	// Reservations reserves memory at engines, for prompts longer than the memory of one engine.
 	Reservations forwarder.ReservationClient
 	// ReservationTTL is the lease of memory reserved at engines.
 	ReservationTTL time.Duration
@@ -74,7 +75,8 @@
 	// DirectoryHandler returns the handler that gives callers the addresses of entries in the platform's
 	// format. A response may be used for ttl; addresses returns the addresses for a caller in a data centre.
 	DirectoryHandler func(ttl time.Duration, addresses func(dataCentre string) []netip.AddrPort) http.Handler
-	// ReadinessHandler returns the handler of the platform's readiness checks.
+	// ReadinessHandler returns the handler of the platform's readiness checks, which succeed while ready
+	// returns true.
 	ReadinessHandler func(ready func() bool) http.Handler
 	Log              *zap.Logger
 	// Scope receives the metrics of the entry, MetricsHandler serves them on MetricsAddress.
@@ -82,9 +84,9 @@
 	MetricsHandler http.Handler
 	// Asserter counts and reports violated invariants.
 	Asserter *asserter.Asserter
-	// SinceBoot returns the time since the instance booted, Dial opens connections, Listen and ListenPacket
-	// open listeners and UDP sockets. Where one is nil, the clock or network of the instance is used; tests
-	// replace them.
+	// SinceBoot returns the time since the machine booted, Dial opens connections, Listen and ListenPacket
+	// open listeners and UDP sockets. The clock and the network of the machine are used in place of nil
+	// functions; tests replace them.
 	SinceBoot    func() time.Duration
 	Dial         connector.DialFunc
 	Listen       func(netip.AddrPort) (net.Listener, error)
@@ -92,16 +94,17 @@
 }
 
 const (
-	// maxAddressTTLs is how many times AddressTTL some callers keep using the addresses of a response.
+	// maxAddressTTLs is the time for which some callers keep using the addresses in a response of the
+	// directory, as a multiple of AddressTTL.
 	maxAddressTTLs = 3
-	// exitMargin is how long before the end of the grace period the entry cancels the remaining requests:
-	// finalResponseTime, and twice that for the process to exit on a slow instance.
+	// exitMargin is how long before the end of ShutdownGrace the entry cancels the remaining requests:
+	// finalResponseTime, and twice that for the process to exit on a slow machine.
 	exitMargin = 300 * time.Millisecond
-	// drainPollPeriod is how often an entry that shuts down checks whether it has drained.
+	// drainPollPeriod is the interval at which an entry that shuts down checks whether it has drained.
 	drainPollPeriod = 20 * time.Millisecond
-	// finalResponseTime is the time for sending the error responses of cancelled requests at exit.
+	// finalResponseTime bounds the time for sending the error responses of cancelled requests at exit.
 	finalResponseTime = 100 * time.Millisecond
-	// reloadPeriod is how often the settings are read without a signal.
+	// reloadPeriod is the interval at which the settings are read without a signal.
 	reloadPeriod = 2 * time.Second
 	// headerTimeout bounds the time in which a client must send the header of a request, and idle connections
 	// of callers while the configuration sets no idle timeout. maxHeaderBytes bounds the size of callers'
@@ -116,7 +119,7 @@
 	controller  *controller.Controller
 	forwarder   *forwarder.Forwarder
 	retryBudget *budgeter.Budgeter
-	// settings points to the settings in force. A reload stores a new value.
+	// settings points to the Settings in force. A reload stores a new pointer.
 	settings atomic.Pointer[Settings]
 	// servers are all HTTP servers of the entry, callerServer among them.
 	servers      []*http.Server
@@ -130,7 +133,7 @@
 	cancelRequests context.CancelCauseFunc
 }
 
-// New returns an entry that does not listen yet. Run starts it.
+// New returns a Launcher for an entry, which does not listen until Run is called.
 func New(c Config) *Launcher {
 	c = c.withSystemDefaults()
 	quarantine := quarantiner.New()
@@ -149,8 +152,8 @@
 	return l
 }
 
-// withSystemDefaults returns c with the clock and network functions that are
-// nil replaced by those of the instance.
+// withSystemDefaults returns c with those clock and network functions that are
+// nil replaced by functions that use the machine's clock and network.
 func (c Config) withSystemDefaults() Config {
 	if c.SinceBoot == nil {
 		c.SinceBoot = controller.SinceBoot
@@ -169,9 +172,9 @@
 	return c
 }
 
-// Run serves requests until the context shutdown is done, then shuts down
-// gracefully. Each value received from reloadSignals reloads the settings. The
-// error is not nil if the entry could not listen or a server failed.
+// Run serves requests until the context shutdown is done, then shuts the entry
+// down gracefully. Each value received from reloadSignals reloads the settings.
+// The error is not nil if the entry could not listen or a server failed.
 func (l *Launcher) Run(shutdown context.Context, reloadSignals <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -271,7 +274,7 @@
 
 // shutDown removes the entry from the directory, serves callers that still use
 // its address, then stops listening and waits until all requests are complete.
-// Requests that remain exitMargin before the end of the grace period are
+// Requests that remain exitMargin before the end of ShutdownGrace are
 // cancelled.
 func (l *Launcher) shutDown() {
 	start := time.Now()
@@ -316,7 +319,7 @@
 
 // reloadSettings reads the settings on each signal and once per reloadPeriod,
 // and applies them on a signal or if they changed. It returns when the context
-// ends.
+// is done.
 func (l *Launcher) reloadSettings(ctx context.Context, signals <-chan struct{}) {
 	signalled := false
 	for ctx.Err() == nil {
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -21,7 +21,7 @@
 	fleet *fleet
 }
 
-// startTraffic starts a traffic with the given number of callers.
+// startTraffic starts the given number of callers.
 func (f *fleet) startTraffic(callers int) *traffic {
 	f.trafficCount++
 	return &traffic{fleet: f, Traffic: caller.NewTraffic(fmt.Sprintf("t%d%s", f.trafficCount, f.idSalt), callers, func(n int) *caller.Caller { return f.newCaller(uint64(n)) })}
@@ -133,8 +133,8 @@
 }
 
 // An upstream that is draining or deleted from the store receives no new
-// requests after two seconds. Its address may belong to another instance then,
-// which must not run requests for the former one.
+// requests after two seconds. The upstream's address may belong to another
+// instance then, which must not run requests for the former one.
 func TestLeavingUpstreamGetsNoWork(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, f *fleet) {
 		x := f.startTraffic(8)
--- a/launcher/planned_requests_test.go
+++ b/launcher/planned_requests_test.go
@@ -26,16 +26,16 @@
 	exitDelay = shutdownGrace - 300*time.Millisecond
 	// callerTimeout is the timeout of callers. It is longer than any response takes.
 	callerTimeout = 20 * time.Second
-	// longAnswerUsage states the lengths in tokens of a short prompt and its long answer, as in the
-	// header for token usage.
+	// longAnswerUsage is the value of X-Token-Usage, the lengths of prompt and answer in tokens, for a
+	// short prompt with a long answer.
 	longAnswerUsage = "2000,1000"
-	// longPromptUsage states a prompt that takes an engine over a second to prefill, groupPromptUsage
-	// one that needs the memory of two engines. Their answers are long.
+	// longPromptUsage is the value for a prompt that takes an engine over a second to prefill,
+	// groupPromptUsage that for a prompt that needs the memory of two engines. Their answers are long.
 	longPromptUsage, groupPromptUsage = "200000,1000", "320000,1000"
 )
 
-// addSlowWorkers adds workers with slow responses, and routes to them. The engines' step time in the
-// configuration is that of the slowest: 20 events with gaps of 0.345 s.
+// addSlowWorkers adds workers with slow responses, and routes to these workers. The step time of all
+// engines in the configuration is that of the slowest, which sends 20 events with gaps of 0.345 s.
 func (f *fleet) addSlowWorkers() {
 	for _, gap := range []time.Duration{200, 230, 260, 290, 320, 345} {
 		f.addWorkerWith("long", 20*time.Millisecond, longEvents, gap*time.Millisecond)
@@ -92,11 +92,12 @@
 	sendAt time.Duration
 	// bodyTime is the time that sending the body takes; 0 for no body.
 	bodyTime time.Duration
-	// reusesConn is true if the request is sent on a connection that already served another.
+	// reusesConn is true if the request is sent on a connection that already served another request.
 	reusesConn bool
 }
 
-// repeatUntilExit returns copies of the request, one each 250 ms from firstSendAt until the entry exits.
+// repeatUntilExit returns copies of the request, one for each 250 ms from firstSendAt after SIGTERM until
+// the entry exits.
 func (q plannedRequest) repeatUntilExit(firstSendAt time.Duration) []plannedRequest {
 	var out []plannedRequest
 	// The offset keeps requests off the multiples of drainPollPeriod, at which the entry checks its state.
@@ -106,7 +107,8 @@
 	return out
 }
 
-// withBodiesUntil returns copies of the request whose bodies end each 250 ms from SIGTERM until lastEnd.
+// withBodiesUntil returns copies of the request whose bodies are complete at different times, one for each
+// 250 ms from SIGTERM until lastEnd after it.
 func (q plannedRequest) withBodiesUntil(lastEnd time.Duration) []plannedRequest {
 	var out []plannedRequest
 	for q.bodyTime = 255*time.Millisecond - q.sendAt; q.bodyTime < lastEnd-q.sendAt; q.bodyTime += 250 * time.Millisecond {
@@ -115,7 +117,7 @@
 	return out
 }
 
-// slowBody returns a body of two bytes, the second of which arrives after d.
+// slowBody returns a body of two bytes, the second of which arrives d after the first.
 func slowBody(d time.Duration) io.Reader {
 	r, w := io.Pipe()
 	go func() {
@@ -127,8 +129,8 @@
 	return r
 }
 
-// sendDuringShutdown stops an entry a second from now and sends it the planned requests directly, as
-// callers do that still use its address. It returns the results in the order of the requests.
+// sendDuringShutdown stops an entry a second from now and sends the planned requests directly to the
+// entry, as callers do that still use its address. It returns the results in the order of the requests.
 func (f *fleet) sendDuringShutdown(e *entry, planned []plannedRequest) []caller.Result {
 	f.trafficCount++
 	results := make([]caller.Result, len(planned))
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -38,7 +38,7 @@
 	begin func(f *fleet, t *rapid.T) func()
 }
 
-// disruptions lists the kinds from which TestSoak chooses.
+// disruptions lists the kinds of disruptions from which TestSoak chooses.
 var disruptions = []disruption{
 	{"upstream fault", func(f *fleet, t *rapid.T) func() {
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
@@ -60,7 +60,7 @@
 		f.net.Disconnect(host, storeHost)
 		return func() { f.net.Reconnect(host, storeHost); storeReturned() }
 	}},
-	{"entries parted", func(f *fleet, t *rapid.T) func() {
+	{"partition between entries", func(f *fleet, t *rapid.T) func() {
 		a := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "one"))
 		b := entryHost(rapid.IntRange(0, len(f.entries)-1).Draw(t, "other"))
 		partitionEnded := f.disruptionLog.RecordPartition()
@@ -83,7 +83,7 @@
 		f.stopInSeries(t)
 		return func() {}
 	}},
-	{"settings read again", func(f *fleet, t *rapid.T) func() {
+	{"settings reloaded", func(f *fleet, t *rapid.T) func() {
 		e := f.entries[rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry")]
 		select {
 		case e.reload <- struct{}{}:
@@ -100,7 +100,7 @@
 		f.putConfig(rapid.IntRange(10, 1000).Draw(t, "version"), "key-1")
 		return func() {}
 	}},
-	{"upstream starts anew", func(f *fleet, t *rapid.T) func() {
+	{"upstream restarted", func(f *fleet, t *rapid.T) func() {
 		id := rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")
 		f.restartWorker(id, strings.Split(id, "-")[1])
 		return func() {}
@@ -111,12 +111,12 @@
 		f.repeaters = append(f.repeaters, x)
 		return x.Stop
 	}},
-	{"upstream says that it leaves", func(f *fleet, t *rapid.T) func() {
+	{"upstream leaving", func(f *fleet, t *rapid.T) func() {
 		id := rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")
 		f.workers[id].SetLeaving()
 		return func() { f.restartWorker(id, strings.Split(id, "-")[1]) }
 	}},
-	{"upstream pauses", func(f *fleet, t *rapid.T) func() {
+	{"upstream backoff", func(f *fleet, t *rapid.T) func() {
 		w := f.workers[rapid.SampledFrom([]string{"i-app-1", "i-app-3", "i-lm-2", "i-lm-4"}).Draw(t, "worker")]
 		w.SetFault(worker.FaultBackoff)
 		time.Sleep(time.Duration(rapid.IntRange(50, 500).Draw(t, "time")) * time.Millisecond)
@@ -131,7 +131,7 @@
 		}
 		return func() {}
 	}},
-	{"upstream leaves and another comes", func(f *fleet, _ *rapid.T) func() {
+	{"upstream drained", func(f *fleet, _ *rapid.T) func() {
 		f.putWorker("i-lm-6", "lm", "draining")
 		return func() { f.putWorker("i-lm-6", "lm", "ready") }
 	}},
@@ -189,22 +189,22 @@
 // against the guarantees of the product. After the disruptions, all requests must be
 // served and no request or reservation may be left at the upstreams.
 //
-// Every plan contains a series of stops, and responses take up to as long as callers
-// wait. Without stops, or with responses of at most half a second, the test missed
-// responses that were cut off by the exit of their entry.
+// Every plan contains a series of entry stops, and the longest responses take as long
+// as callers wait. Without stops, or with responses of at most half a second, the test
+// missed responses that were cut off by the exit of their entry.
 func TestSoak(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var plan []int
-		for range rapid.IntRange(2, 5).Draw(r, "troubles") {
+		for range rapid.IntRange(2, 5).Draw(r, "disruptions") {
 			plan = append(plan, rapid.IntRange(0, len(disruptions)-1).Draw(r, "kind"))
 		}
 		insert := func(name string) {
 			kind := slices.IndexFunc(disruptions, func(t disruption) bool { return t.name == name })
 			plan = slices.Insert(plan, rapid.IntRange(0, len(plan)).Draw(r, "place"), kind)
 		}
-		// Every plan contains a series of stops and a fault of upstreams.
+		// Every plan contains a series of entry stops and a disruption of upstreams.
 		insert("entries stopped in series")
-		insert(rapid.SampledFrom([]string{"request that crashes upstreams", "outage of upstreams", "upstream says that it leaves", "upstream pauses"}).Draw(r, "trouble of upstreams"))
+		insert(rapid.SampledFrom([]string{"request that crashes upstreams", "outage of upstreams", "upstream leaving", "upstream backoff"}).Draw(r, "upstream disruption"))
 		runSoak(t, r, plan)
 	})
 }
@@ -256,8 +256,8 @@
 	})
 }
 
-// checkBackpressure fails the test for every request that reached an upstream after it had told the
-// sending entry that it is leaving, or asked it for a backoff.
+// checkBackpressure fails the test for every request that an entry sent to an upstream after the
+// upstream had stated to that entry that it is leaving, or had asked that entry for a backoff.
 func (f *fleet) checkBackpressure(x *traffic) {
 	all := append([]*caller.Traffic{x.Traffic}, f.repeaters...)
 	for _, x := range f.bursts {
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// A request whose body arrives until shortly before its deadline still ends by the deadline, before
+// A request whose body is complete only shortly before its deadline still ends by the deadline, before
 // the entry exits.
 func TestStoppingEntryServesLateBodyInTime(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Plain requests are cut off by the exit as streams are if their route allows more time than the entry
-// has left, unless the entry refuses those whose deadline is after its exit.
+// The exit of an entry cuts off plain requests, as it does streams, if their route allows more time than
+// the entry has left. The entry must refuse requests whose deadline is after its exit.
 func TestStoppingEntryCutsNoSlowCall(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x"} {
 		for _, reused := range []bool{false, true} {
@@ -137,8 +137,8 @@
 	}
 }
 
-// A prompt that needs the memory of two engines is subject to the same rule as a short one: an entry
-// that shuts down does not start it if its exit may cut off the response.
+// An entry that shuts down does not start a prompt that needs the memory of two engines if its exit may
+// cut off the response, just as for a short prompt.
 func TestStoppingEntryCutsNoPromptOfAGroup(t *testing.T) {
 	for _, path := range []string{"/stream/heavy/x", "/fixed/heavy/x"} {
 		t.Run(path[1:], func(t *testing.T) {
