--- a/logger/events.go
+++ b/logger/events.go
@@ -1,16 +1,16 @@
 package logger
 
-// Event describes one kind of log line that an entry on the platform writes.
+// Event describes one kind of log line that an entry on the users' platform writes.
 type Event struct {
 	// Name is the value of the line's key "event".
 	Name string
-	// Meaning tells operators when the line is written and what follows from it.
+	// Meaning explains to operators when the line is written and what its consequences are.
 	Meaning string
 	// Fields are the keys of the line in addition to time, level, layer and event.
 	Fields []string
 }
 
-// Events lists all events that an entry on the platform logs, sorted by name.
+// Events lists all events that an entry on the users' platform logs, sorted by name.
 var Events = []Event{
 	{"accept_peer", "A connection from another entry could not be accepted. Heartbeats from other entries are lost until one can.", []string{"error"}},
 	{"attempt", "An attempt did not end in a complete response. Verdict: unsent (no connection), not_run (the upstream states that it did not run the request), broken (may have run), failed (ran and failed). Content is the fingerprint of the request, left_ms the time left until its deadline.", []string{"request", "verdict", "upstream", "address", "helpers", "left_ms", "content", "error"}},
@@ -26,15 +26,15 @@
 	{"member", "The state of another entry, as seen by this one, changed.", []string{"name", "from", "to", "reason"}},
 	{"memory_unused", "Memory reserved at engines for a prompt stayed unused for too long because the engine did not start the request. The attempt ends and the memory is released.", []string{"request", "engines", "age_ms"}},
 	{"panic", "A panic, which is a fault of the program. The request concerned fails.", []string{"request", "value", "stack"}},
-	{"place", "An upstream was chosen for an attempt. Memory_used is in tokens. Failure_rate is the fraction of requests expected to fail, by the results of all entries. List_age_ms is the time since the store confirmed the list of upstreams.", []string{"request", "service", "upstream", "data_centre", "helpers", "helper_ids", "expected_ms", "running", "prefill_ms", "memory_used", "failure_rate", "attempt", "config_revision", "list_age_ms"}},
+	{"place", "An upstream was chosen for an attempt. Expected_ms is the expected time to the first byte. Running, prefill_ms and memory_used are the load of the upstream before this request: the number of its requests, the time that it needs to prefill their prompts, and the memory in use in tokens. Failure_rate is the fraction of requests expected to fail, by the results of all entries. List_age_ms is the time since the store confirmed the list of upstreams.", []string{"request", "service", "upstream", "data_centre", "helpers", "helper_ids", "expected_ms", "running", "prefill_ms", "memory_used", "failure_rate", "attempt", "config_revision", "list_age_ms"}},
 	{"quarantined", "A request that crashes the upstreams that run it is refused from now on, whatever its request ID, for left_ms. Content is the fingerprint of the request, strikes the number of upstreams that crashed while they ran it. Chance is the probability of these crashes if the request causes none of them. Both are 0 if the quarantine was adopted from another entry. Source is own, or that entry.", []string{"content", "strikes", "chance", "left_ms", "source"}},
 	{"release_failed", "Memory reserved at an engine could not be released. The engine frees it when its lease expires.", []string{"request", "engine", "lease_ms", "error"}},
 	{"reload", "The settings were reloaded, on SIGHUP or because they had changed.", []string{"signalled", "changed", "seeds"}},
-	{"renewal_failed", "The lease of reserved memory could not be renewed. It expires after two more failures.", []string{"request", "error"}},
+	{"renewal_failed", "The lease of reserved memory could not be renewed. The lease expires after two more failures.", []string{"request", "error"}},
 	{"report_failed", "An engine did not report whether reserved memory is used. The memory counts as unused.", []string{"request", "engine", "error"}},
 	{"request", "A request ended. Outcome is answered, or the reason why the request failed; see the command explain. Answer is the maximum number of tokens that the request allows in the response. Stop_left_ms is the time from the arrival of the request to the exit of an entry that shuts down. Longest_pause_ms is the longest gap between two events.", []string{"request", "outcome", "status", "took_ms", "attempts", "prompt", "content", "answer", "answer_hint", "events", "route", "kind", "config_revision", "stop_left_ms", "first_ms", "longest_pause_ms", "error", "retry_after_ms"}},
 	{"requests_cut_off", "The time for shutting down ended with requests in progress. They are cancelled.", []string{"in_flight"}},
-	{"reserved", "Memory was reserved at several engines for one prompt.", []string{"request", "engines", "lease_ms"}},
+	{"reserved", "Memory was reserved for one prompt at engines, besides the one that answers it. Engines is their number, lease_ms the lease of the memory.", []string{"request", "engines", "lease_ms"}},
 	{"retry_budget_used_up", "A request was not retried because the retry budget of its service was exhausted. All entries share that budget.", []string{"request", "service"}},
 	{"serve_peers", "Requests of other entries can't be served. This is a fault of the program.", []string{"error"}},
 	{"settings_unreadable", "The settings could not be read. The ones in force stay.", []string{"error"}},
@@ -44,7 +44,7 @@
 	{"started", "The entry listens on its addresses.", []string{"name", "data_centre", "callers", "peers"}},
 	{"status_not_sent", "The status page could not be sent because the client closed the connection (debug).", []string{"error"}},
 	{"stopped", "The entry exits.", []string{"name"}},
-	{"stopping", "The entry received SIGTERM and starts to shut down. The directory names it to no new callers.", []string{"in_flight", "grace_ms"}},
+	{"stopping", "The entry received SIGTERM and starts to shut down. The directory no longer gives its address to callers.", []string{"in_flight", "grace_ms"}},
 	{"store_history_gone", "The store has discarded changes that the entry has not read. The entry reads the complete state instead.", []string{"revision"}},
 	{"store_lost", "The store does not answer. The last known state stays in force, and changes are taken from other entries.", []string{"error", "revision"}},
 	{"store_regained", "The store answers again.", []string{"revision"}},
@@ -53,8 +53,8 @@
 	{"upstream_ended", "A response broke off and its upstream no longer accepts connections. Ran_ms is the time since the request was sent. Content is the fingerprint, which is equal for requests with equal content.", []string{"request", "content", "upstream", "address", "ran_ms"}},
 	{"upstream_leaving", "A response stated that its upstream is leaving.", []string{"request", "upstream", "address"}},
 	{"upstream_pauses", "An upstream refused a request and asked this entry to send it none for pause_ms.", []string{"request", "upstream", "address", "pause_ms"}},
-	{"upstreams_unreadable", "The store held more unreadable entries of upstreams than are logged one by one. Count is the number of all of them, logged the number of those logged.", []string{"count", "logged", "source"}},
+	{"upstreams_unreadable", "The store held more unreadable registrations of upstreams than are logged one by one. Count is the number of all of them, logged the number of those logged.", []string{"count", "logged", "source"}},
 	{"wait", "A prompt waits at this entry until engines are less loaded or it would delay other requests less. Expected_ms is the expected time to its first event if it were placed now, patience_ms the time for which its caller still waits for that event.", []string{"request", "service", "reason", "expected_ms", "patience_ms"}},
 	{"woke", "This process or its instance was suspended for paused_ms. All of its state counts as unconfirmed until it is confirmed again.", []string{"paused_ms"}},
-	{"yield", "A long prompt gives up its placement, because another entry placed one at some of the same engines at the same time. It is placed again, or waits.", []string{"request", "service", "upstream", "helpers", "expected_ms"}},
+	{"yield", "A long prompt gives up its placement, because another entry placed one at some of the same engines at the same time. The prompt is placed again, or waits.", []string{"request", "service", "upstream", "helpers", "expected_ms"}},
 }
--- a/logger/events_test.go
+++ b/logger/events_test.go
@@ -14,8 +14,8 @@
 // logCallPattern matches calls of a logger, with the name of the event.
 var logCallPattern = regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z_]+)"`)
 
-// Events lists exactly the events that the code of an entry on the platform
-// logs, sorted by name.
+// Events lists exactly the events that the code of an entry on the users'
+// platform logs, sorted by name.
 func TestEventsAreThoseOfTheCode(t *testing.T) {
 	used := map[string]bool{"log_lines_dropped": true, "configuration": true, "upstream": true}
 	for _, pattern := range []string{"../controller/*.go", "../forwarder/*.go", "../launcher/*.go", "../cmd/sapphireramp/gateway.go"} {
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,5 +1,5 @@
-// Package logger creates the loggers of the product. Each event is one logfmt
-// line. Every layer of the product has its own logger, and layers can be left
+// Package logger creates the loggers of sapphireramp. Each event is one logfmt
+// line. Every layer of the program has its own logger, and layers can be left
 // out of the log.
 package logger
 
@@ -14,16 +14,16 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Names of the layers of the product, as they appear in the log.
+// Names of the layers of the program, as they appear in the log.
 const (
 	// LayerEntry covers the start, the end and the faults of a process, the ends of requests, and the calls to
-	// the platform. A gateway on the platform logs all its events in this layer.
+	// the platform. An entry on the users' platform logs all its events in this layer.
 	LayerEntry = "entry"
 	// LayerRouter covers the choice of upstreams and the attempts of requests.
 	LayerRouter = "route"
 	// LayerKeeper covers the engines whose memory an entry grants, and the reservations there.
 	LayerKeeper = "keep"
-	// LayerMembers covers the other entries, as seen by one of them.
+	// LayerMembers covers the states of other entries, as seen by the entry that logs.
 	LayerMembers = "members"
 	// LayerDocument covers the configuration document.
 	LayerDocument = "document"
@@ -93,8 +93,8 @@
 	return &Loggers{root: zap.New(core), layers: c.Layers}, nil
 }
 
-// Layer returns the logger of a layer. It writes nothing if the layer is left
-// out of the log.
+// Layer returns the logger of the layer with a name. The logger writes nothing
+// if the layer is left out of the log.
 func (l *Loggers) Layer(name string) *zap.Logger {
 	if len(l.layers) > 0 && !slices.Contains(l.layers, name) {
 		return zap.NewNop()
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -28,7 +28,8 @@
 	closing, done chan struct{}
 }
 
-// NewQueue returns a queue that writes to output. It must be closed.
+// NewQueue returns a queue that writes to output. The caller must close the
+// queue.
 func NewQueue(output io.Writer) *Queue {
 	q := &Queue{output: output, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
 	go q.writeLoop()
@@ -95,7 +96,7 @@
 	}
 }
 
-// Close writes the queued lines and stops the queue. It must be called once. Lines written after that
+// Close writes the queued lines and stops the queue. It must be called once. Lines written after Close
 // are dropped without an error, as operations still running at the exit of a process may log.
 func (q *Queue) Close() error {
 	close(q.closing)
