--- a/assigner/example_test.go
+++ b/assigner/example_test.go
@@ -19,7 +19,7 @@
 }
 
 // The departure of a member moves only the keys that it owned.
-func TestOwnerMovesLittle(t *testing.T) {
+func TestOwnerChangesOnlyForKeysOfDepartedMember(t *testing.T) {
 	is := is.New(t)
 	var members []assigner.Member
 	for i := range 20 {
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -37,7 +37,7 @@
 		if refusal != nil {
 			b.Fatal(refusal)
 		}
-		p.FirstByteSeen(startTime.Add(time.Millisecond))
+		p.RecordFirstByte(startTime.Add(time.Millisecond))
 	}
 	return dispatcher
 }
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	b, peer := dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
 	for range 5 {
-		placeOnFirst(t, b, shortDemand).FirstByteSeen(startTime)
+		placeOnFirst(t, b, shortDemand).RecordFirstByte(startTime)
 		placeOnFirst(t, peer, shortDemand)
 	}
 	b.Import(startTime, WireIDOf("far"), peer.Export(startTime, false))
@@ -99,14 +99,14 @@
 	before := b.Upstreams(startTime)
 	now := startTime.Add(50 * time.Millisecond)
 	for i, p := range old {
-		p.FirstByteSeen(now)
-		p.EventSeen(now)
-		p.End(now, []Result{Answered, Failed, Unreachable, Full}[i])
+		p.RecordFirstByte(now)
+		p.RecordEvent(now)
+		p.End(now, []Result{Answered, Failed, Unreachable, NotRun}[i])
 	}
-	b.ReportHelperFailure(now, old[0].First)
+	b.RecordHelperFailure(now, old[0].First)
 	is.Equal(b.Upstreams(startTime), before)
 	is.True(!b.upstreams["e00"].health.isBlocked(now))
-	b.ReportHelperFailure(now, b.upstreams["e00"].instance)
+	b.RecordHelperFailure(now, b.upstreams["e00"].instance)
 	is.True(b.upstreams["e00"].health.failureRate(now) > 0)
 }
 
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -18,7 +18,7 @@
 	if took > updateDelay {
 		exchangeUpdates(t, now, dispatchers, false)
 	}
-	p.FirstByteSeen(now.Add(took))
+	p.RecordFirstByte(now.Add(took))
 	p.End(now.Add(took), result)
 	exchangeUpdates(t, now.Add(took), dispatchers, false)
 	return result
@@ -81,7 +81,7 @@
 func TestOutcomeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	for result, want := range map[Result]float64{Failed: failureWeight, Incomplete: 0, Unreachable: 0, Full: 0, Abandoned: 0, Answered: 0} {
+	for result, want := range map[Result]float64{Failed: failureWeight, Incomplete: 0, Unreachable: 0, NotRun: 0, Abandoned: 0, Answered: 0} {
 		dispatchers := newPeers(t, 2, 0)
 		p := place(t, dispatchers[0], now, Demand{Service: "app"})
 		p.End(now, result)
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -77,7 +77,7 @@
 	var out []*Placement
 	for range n {
 		p := place(t, b, now, d)
-		p.FirstByteSeen(now)
+		p.RecordFirstByte(now)
 		out = append(out, p)
 	}
 	return out
@@ -117,7 +117,7 @@
 	decoding := map[string]int{}
 	for i := range 20 {
 		p := place(t, b, startTime.Add(time.Duration(i)*70*time.Millisecond), mediumDemand)
-		p.FirstByteSeen(startTime.Add(time.Duration(i)*70*time.Millisecond + p.ExpectedFirstByte))
+		p.RecordFirstByte(startTime.Add(time.Duration(i)*70*time.Millisecond + p.ExpectedFirstByte))
 		decoding[p.First.ID]++
 	}
 	is.True(len(decoding) <= 3) // engines that decode
@@ -181,7 +181,7 @@
 		now := startTime.Add(first.ExpectedFirstByte - 20*time.Millisecond)
 		if begun {
 			now = startTime.Add(first.ExpectedFirstByte + 500*time.Millisecond)
-			first.FirstByteSeen(startTime.Add(first.ExpectedFirstByte))
+			first.RecordFirstByte(startTime.Add(first.ExpectedFirstByte))
 		}
 		place(t, b, now, withPrompt(longDemand, 224000))
 		b.newCandidates(now, longDemand, b.usableUpstreams(now, longDemand))
@@ -431,7 +431,7 @@
 	}
 	for i, p := range all {
 		if i%3 > 0 {
-			p.FirstByteSeen(startTime)
+			p.RecordFirstByte(startTime)
 		}
 		p.End(startTime, Result(i%4))
 	}
@@ -492,7 +492,7 @@
 			if id == long {
 				d.AnswerTokens = 51 * 80
 			}
-			only(startTime, d, id).FirstByteSeen(startTime.Add(40 * time.Millisecond))
+			only(startTime, d, id).RecordFirstByte(startTime.Add(40 * time.Millisecond))
 			// This prompt causes a gap of over a second in the answer.
 			only(startTime.Add(50*time.Millisecond), withPrompt(mediumDemand, 80000), id)
 			b.upstreams[id].queue.Advance(now)
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -24,8 +24,8 @@
 	Load Load
 }
 
-// FirstByteSeen reports that the first byte of the answer has arrived.
-func (p *Placement) FirstByteSeen(now time.Time) {
+// RecordFirstByte reports that the first byte of the answer has arrived.
+func (p *Placement) RecordFirstByte(now time.Time) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -44,9 +44,9 @@
 	}
 }
 
-// EventSeen reports that a further event of the answer has arrived, which shows that the engine has
+// RecordEvent reports that a further event of the answer has arrived, which shows that the engine has
 // just ended a pass.
-func (p *Placement) EventSeen(now time.Time) {
+func (p *Placement) RecordEvent(now time.Time) {
 	p.dispatcher.lock.Lock()
 	defer p.dispatcher.lock.Unlock()
 	if u := p.request.assignments[0].upstream; u.queue != nil {
@@ -110,8 +110,8 @@
 	Incomplete
 	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Full means that the upstream refused the request for lack of capacity.
-	Full
+	// NotRun means that the upstream refused the request for lack of capacity.
+	NotRun
 )
 
 // outcome returns what peers are sent of a result. An answer that this entry did not receive may
@@ -135,7 +135,7 @@
 	defer b.lock.Unlock()
 	h := &r.assignments[0].upstream.health
 	switch result {
-	case Failed, Incomplete, Full:
+	case Failed, Incomplete, NotRun:
 		h.recordFailure(now)
 	case Unreachable:
 		h.recordUnreachable(now)
@@ -175,9 +175,9 @@
 	}
 }
 
-// ReportHelperFailure records that a helper failed a request. It does nothing if the helper has
+// RecordHelperFailure records that a helper failed a request. It does nothing if the helper has
 // restarted since.
-func (b *Dispatcher) ReportHelperFailure(now time.Time, helper Instance) {
+func (b *Dispatcher) RecordHelperFailure(now time.Time, helper Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if u, ok := b.upstreams[helper.ID]; ok && u.instance.SameIncarnation(helper) {
--- a/dispatcher/requestload_test.go
+++ b/dispatcher/requestload_test.go
@@ -66,7 +66,7 @@
 	is := is.New(t)
 	for _, m := range [][]byte{nil, {0}, {loadUpdateFormat}, {loadUpdateFormat, 200}, {loadUpdateFormat, 1, 0, 0, 0, 9}} {
 		_, _, err := DecodeLoadUpdate(m)
-		is.Equal(err, ErrLoadUpdate)
+		is.Equal(err, ErrMalformedLoadUpdate)
 	}
 }
 
@@ -80,7 +80,7 @@
 		r, rest := UnwrapRelay(old)
 		is.Equal(r, RelayToNone)
 		_, _, err := DecodeLoadUpdate(rest)
-		is.Equal(err, ErrLoadUpdate)
+		is.Equal(err, ErrMalformedLoadUpdate)
 		for _, r := range []RelayTarget{RelayToPlacing, RelayToAll} {
 			is.True(WrapForRelay(r, message)[0] != before)
 		}
@@ -106,7 +106,7 @@
 	for range 100 {
 		p, refusal := b.Place(time.Now(), Demand{Service: "plain"})
 		is.True(refusal == nil)
-		p.FirstByteSeen(time.Now())
+		p.RecordFirstByte(time.Now())
 		p.End(time.Now(), Answered)
 	}
 	is.Equal(len(b.Changed), 0)
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -38,7 +38,7 @@
 	for range 20 {
 		p := place(t, b, now, shortDemand)
 		now = now.Add(3 * (p.ExpectedFirstByte + paceSlack))
-		p.FirstByteSeen(now)
+		p.RecordFirstByte(now)
 		p.End(now, Answered)
 	}
 	d := shortDemand
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -28,8 +28,8 @@
 	kindFailed
 )
 
-// ErrLoadUpdate is returned for a message that is no valid load update.
-var ErrLoadUpdate = errors.New("load update is malformed")
+// ErrMalformedLoadUpdate is returned for a message that is no valid load update.
+var ErrMalformedLoadUpdate = errors.New("load update is malformed")
 
 // EncodeLoadUpdates encodes request loads of an entry as load updates that fit into one datagram
 // each.
@@ -188,7 +188,7 @@
 // error is ErrLoadUpdate for any malformed message.
 func DecodeLoadUpdate(message []byte) (WireID, []RequestLoad, error) {
 	if len(message) == 0 || message[0] != loadUpdateFormat {
-		return 0, nil, ErrLoadUpdate
+		return 0, nil, ErrMalformedLoadUpdate
 	}
 	r := loadReader{rest: message[1:]}
 	from := r.wireID()
@@ -197,7 +197,7 @@
 		loads = append(loads, r.load())
 	}
 	if r.failed {
-		return 0, nil, ErrLoadUpdate
+		return 0, nil, ErrMalformedLoadUpdate
 	}
 	return from, loads, nil
 }
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -216,7 +216,7 @@
 func (f *Forwarder) blameHelper(x *exchange, a *attempt, address netip.AddrPort) {
 	for _, h := range a.placement.Helpers {
 		if h.Address == address {
-			f.dispatcher.ReportHelperFailure(time.Now(), h)
+			f.dispatcher.RecordHelperFailure(time.Now(), h)
 			x.failedUpstreams = append(x.failedUpstreams, h)
 			a.helperAtFault = true
 		}
@@ -302,7 +302,7 @@
 	case a.verdict == verdictUnsent:
 		return dispatcher.Unreachable
 	case a.verdict == verdictNotRun:
-		return dispatcher.Full
+		return dispatcher.NotRun
 	case a.verdict == verdictBroken:
 		return dispatcher.Incomplete
 	case a.verdict == verdictFailed:
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -133,7 +133,7 @@
 		return nil
 	}
 	a.watchdog.stop()
-	a.placement.FirstByteSeen(time.Now())
+	a.placement.RecordFirstByte(time.Now())
 	if len(body) > maxBufferedBytes {
 		return &bufferedResponse{body: body, rest: a.response.Body}
 	}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -120,9 +120,9 @@
 		complete, splitErr := events.Feed(buffer[:n])
 		for _, e := range complete {
 			if begun {
-				a.placement.EventSeen(time.Now())
+				a.placement.RecordEvent(time.Now())
 			} else {
-				a.placement.FirstByteSeen(time.Now())
+				a.placement.RecordFirstByte(time.Now())
 				a.reservations.markBegun()
 				begun = true
 			}
--- a/server/call.go
+++ b/server/call.go
@@ -126,7 +126,7 @@
 		x.unresolvedAttempts--
 		f := newFailure(api.CodeUpstreamFailed, "service %s refused", x.service.Name)
 		f.err = fmt.Errorf("status %d", response.StatusCode)
-		return dispatcher.Full, f
+		return dispatcher.NotRun, f
 	}
 	x.unresolvedAttempts--
 	h := x.writer.Header()
@@ -138,7 +138,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		return dispatcher.Failed, nil
 	}
-	p.FirstByteSeen(time.Now())
+	p.RecordFirstByte(time.Now())
 	return dispatcher.Answered, nil
 }
 
