--- a/dispatcher/group_test.go
+++ b/dispatcher/group_test.go
@@ -45,8 +45,8 @@
 	for k := 1; k <= 17; k++ {
 		all = append(all, k)
 	}
-	few := sparseSizes(all)
-	is.Equal(few, []int{1, 2, 3, 4, 5, 6, 8, 11, 15, 17})
+	sparse := sparseSizes(all)
+	is.Equal(sparse, []int{1, 2, 3, 4, 5, 6, 8, 11, 15, 17})
 	is.Equal(sparseSizes([]int{1, 2}), []int{1, 2})
-	is.True(slices.IsSorted(few))
+	is.True(slices.IsSorted(sparse))
 }
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -88,6 +88,6 @@
 // recordPace records an observed ratio of actual to predicted time.
 func (h *health) recordPace(now time.Time, ratio float64) {
 	before := h.pace(now) - 1
-	seen := min(maxPace, max(1, ratio)) - 1
-	h.slowdown, h.slowdownAt = before+paceWeight*(seen-before), now
+	observed := min(maxPace, max(1, ratio)) - 1
+	h.slowdown, h.slowdownAt = before+paceWeight*(observed-before), now
 }
--- a/dispatcher/loss.go
+++ b/dispatcher/loss.go
@@ -39,11 +39,11 @@
 
 // overProbability returns the probability that a predicted time exceeds its target. It is 0 up to
 // from times the target, 1 beyond to times the target, and linear between; 0 without a target.
-func overProbability(expected, target time.Duration, from, to float64) float64 {
+func overProbability(expected, target time.Duration, lower, upper float64) float64 {
 	if target <= 0 {
 		return 0
 	}
-	x := (float64(expected)/float64(target) - from) / (to - from)
+	x := (float64(expected)/float64(target) - lower) / (upper - lower)
 	return min(1, max(0, x))
 }
 
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -136,7 +136,7 @@
 	s := b.newSearch(d, candidates)
 	best, found := s.bestSingle(now, d, candidates)
 	sizes := groupSizes(d, candidates[0].upstream.engine, candidates)
-	if len(candidates) > maxWeighed && len(sizes) > 1 {
+	if len(candidates) > maxCandidates && len(sizes) > 1 {
 		candidates = s.shortlist(now, d, candidates, sizes[len(sizes)-1])
 		sizes = sparseSizes(sizes)
 	}
@@ -177,14 +177,14 @@
 	}
 	p := b.newPlacement(now, d)
 	p.First, p.Load, p.ExpectedFirstByte = best.estimates[0].upstream.instance, best.estimates[0].load, best.prefillDelay
-	for i, o := range best.estimates {
+	for i, est := range best.estimates {
 		if i > 0 {
-			p.Helpers = append(p.Helpers, o.upstream.instance)
+			p.Helpers = append(p.Helpers, est.upstream.instance)
 		}
 		if i > 0 && memoryTokens[i] > 0 {
-			p.HelperMemoryTokens[o.upstream.instance.ID] = memoryTokens[i]
+			p.HelperMemoryTokens[est.upstream.instance.ID] = memoryTokens[i]
 		}
-		p.request.assign(o.upstream, o.job, memoryTokens[i])
+		p.request.assign(est.upstream, est.job, memoryTokens[i])
 	}
 	return p, nil
 }
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -100,11 +100,11 @@
 func TestShortPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
-	shortCounts := enginesUsed(placeStreaming(t, b, startTime, shortDemand, 56)...)
-	is.True(len(shortCounts) <= 6)
+	shortPrompts := enginesUsed(placeStreaming(t, b, startTime, shortDemand, 56)...)
+	is.True(len(shortPrompts) <= 6)
 	p := place(t, b, startTime, longDemand)
 	for id := range enginesUsed(p) {
-		is.Equal(shortCounts[id], 0) // a long prompt avoids engines that decode other answers
+		is.Equal(shortPrompts[id], 0) // a long prompt avoids engines that decode other answers
 	}
 }
 
--- a/dispatcher/requestload.go
+++ b/dispatcher/requestload.go
@@ -267,9 +267,9 @@
 
 // newPeerJob returns the job of a peer's request at an upstream. The engine is nil for plain
 // services.
-func newPeerJob(placed time.Time, d Demand, e *matcher.EngineProfile, shards int, decodes bool) predictor.Job {
+func newPeerJob(placedAt time.Time, d Demand, e *matcher.EngineProfile, shards int, decodes bool) predictor.Job {
 	if e == nil {
-		return predictor.Job{Decodes: decodes, Arrived: placed}
+		return predictor.Job{Decodes: decodes, Arrived: placedAt}
 	}
-	return newJob(placed, d, e, shards, decodes)
+	return newJob(placedAt, d, e, shards, decodes)
 }
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -14,8 +14,8 @@
 	helperRiskCost = 0.02
 	// maxHelpers is the maximum number of helpers that a request to the first engine may list.
 	maxHelpers = 16
-	// maxAnswering is the number of engines that are considered as the one that answers.
-	maxAnswering = 4
+	// maxAnsweringCandidates is the number of engines that are considered as the one that answers.
+	maxAnsweringCandidates = 4
 )
 
 // groupSizes returns the numbers of engines to consider for a prompt. A prompt whose prefill takes
@@ -25,9 +25,9 @@
 func groupSizes(d Demand, e *matcher.EngineProfile, candidates []candidate) []int {
 	maxSize := min(len(candidates), maxHelpers+1)
 	if predictor.Prefill(e, d.PromptTokens) < d.GapTarget/4 {
-		hasIdle := slices.ContainsFunc(candidates, func(c candidate) bool { return c.load.PrefillBacklog < d.FirstByteTarget/2 })
+		hasShortBacklog := slices.ContainsFunc(candidates, func(c candidate) bool { return c.load.PrefillBacklog < d.FirstByteTarget/2 })
 		maxSize = min(maxSize, 2)
-		if hasIdle {
+		if hasShortBacklog {
 			maxSize = 1
 		}
 	}
@@ -41,17 +41,17 @@
 	return sizes
 }
 
-// maxWeighed is the number of engines that are considered for each size of a group: twice the
+// maxCandidates is the number of engines that are considered for each size of a group: twice the
 // largest group. In a larger fleet the engines are left out that would cost most with the smallest
 // shard, and only some sizes are tried. For a long prompt and 112 engines that takes 0.9 ms of
 // processor time, instead of 3.3 ms (BenchmarkPlace).
-const maxWeighed = 2 * (maxHelpers + 1)
+const maxCandidates = 2 * (maxHelpers + 1)
 
 // shortlist returns the candidates that cost least with one of a number of shards, in the order of
 // the cost, and those that would answer.
 func (s *search) shortlist(now time.Time, d Demand, candidates []candidate, shards int) []candidate {
 	s.estimateShards(now, d, candidates, shards)
-	chosen := slices.Clone(s.order[:maxWeighed])
+	chosen := slices.Clone(s.order[:maxCandidates])
 	for _, i := range s.answeringCandidates(d) {
 		if !slices.Contains(chosen, i) {
 			chosen = append(chosen, i)
@@ -165,7 +165,7 @@
 // answeringCandidates returns the indexes of the estimates that are considered as the engine that
 // answers: those with the lowest cost as helpers, the packing cost included.
 func (s *search) answeringCandidates(d Demand) []int {
-	n := min(len(s.order), maxAnswering)
+	n := min(len(s.order), maxAnsweringCandidates)
 	if !s.packs {
 		return s.order[:n]
 	}
