--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -26,8 +26,9 @@
 }
 
 // refuseTooCostly returns a refusal for a long prompt whose placement would cost more than the
-// prompt's value, and nil for others. The argument totalCost is the cost of its best placement in
-// requests, the prompt's own lateness included.
+// prompt's value, and nil for all others, such as prompts that were placed before. The argument
+// totalCost is the cost of the prompt's best placement, in requests, the loss by its own lateness
+// included.
 func refuseTooCostly(d Demand, e *matcher.EngineProfile, candidates []candidate, totalCost float64) *Refusal {
 	if d.Admitted || !hasLongPrefill(e, d.PromptTokens) {
 		return nil
@@ -47,8 +48,8 @@
 	maxDisplacementFraction = 0.3
 	// minBacklogLimit and maxBacklogLimit bound the mean prefill backlog, at the engines that a
 	// long prompt would use, up to which the prompt is placed. The limit rises from the first on
-	// arrival to the second when its waiting time has run out, so that the prompt that has waited
-	// longest is placed first, whichever entry holds it.
+	// arrival to the second when its waiting time has run out, so that of the prompts waiting at
+	// all entries the one that has waited longest is placed first.
 	minBacklogLimit, maxBacklogLimit = 100 * time.Millisecond, 1500 * time.Millisecond
 	// deferralWaitFactor is the caller's remaining wait, in multiples of the predicted prefill
 	// delay, below which a prompt is not deferred.
@@ -58,8 +59,8 @@
 // refuseTooEarly returns a refusal that defers a long prompt while the engines it would use have a
 // long backlog, or while it would delay other requests too much, and nil otherwise. Engines prefill
 // new shards before older ones, and the gaps between events grow with the queue, whereas a prompt
-// that waits at its entry delays no other. An entry that is shutting down has no time for that and
-// defers nothing.
+// that waits at its entry delays no other. An entry that is shutting down (EndWithin is set) has no
+// time to defer a prompt.
 func refuseTooEarly(d Demand, e *matcher.EngineProfile, g group, backlog time.Duration) *Refusal {
 	if d.Admitted || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
 		return nil
@@ -75,7 +76,8 @@
 	return &Refusal{Reason: "too_early", Temporary: true, Deferrable: true, ExpectedFirstByte: g.prefillDelay, RetryAfter: minRetryAfter}
 }
 
-// meanBacklog returns the mean prefill backlog of the candidates.
+// meanBacklog returns the mean prefill backlog of the candidates, of which there must be at least
+// one.
 func meanBacklog(candidates []candidate) time.Duration {
 	sum := time.Duration(0)
 	for _, c := range candidates {
@@ -94,20 +96,21 @@
 }
 
 // refuseOutlivesEntry returns the refusal of a request whose answer may end later than the entry
-// that would relay it. RetryAfter is zero, as the dispatcher does not know when another entry
+// that would relay it. RetryAfter is zero, as the dispatcher cannot predict when another entry
 // accepts the request.
 func refuseOutlivesEntry(expectedFirstByte time.Duration) *Refusal {
 	return &Refusal{Reason: "stopping", OutlivesEntry: true, ExpectedFirstByte: expectedFirstByte}
 }
 
-// endMargin is the safety factor on the predicted end of an answer that must end in time. Long
-// prompts that arrive at its engine later stop it for a second or two.
+// endMargin is the safety factor on the predicted time to the end of an answer that must end before
+// its entry exits: each long prompt that its engine receives later delays the answer by a second or
+// two.
 const endMargin = 1.3
 
 // latestEnd returns an upper estimate of the time from now until the last event of the answer. It
 // assumes the maximum number of events, since estimates of an answer's length are right at the
-// median only, all slots of the engine taken, and a margin for long prompts that arrive there
-// meanwhile.
+// median only, that all slots of the engine are taken, and endMargin for long prompts that arrive
+// there meanwhile.
 func (d Demand) latestEnd(now time.Time, g group) time.Duration {
 	answering := g.estimates[0]
 	engine := answering.upstream.engine
--- a/dispatcher/backpressure.go
+++ b/dispatcher/backpressure.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// leavingTTL is the time for which a leaving incarnation is remembered after it was last listed. An
-// outage of the store can restore an older list that contains it again.
+// leavingTTL is the time for which a leaving incarnation is remembered after it was last listed, as
+// an outage of the store can bring back an older list that still contains it.
 const leavingTTL = 5 * time.Minute
 
 // backpressure is what an incarnation of an upstream has reported in its responses about accepting
-// requests. It takes precedence over the store, which may be unavailable, and over any need for the
-// upstream.
+// requests. It takes precedence over the list in the store, which may be unavailable, and holds
+// even where no other upstream is usable.
 type backpressure struct {
-	// leaving is true where the incarnation accepts no more requests.
+	// leaving is true once the incarnation has reported that it accepts no more requests.
 	leaving bool
-	// backoffUntil is the time until which the incarnation asks this entry to send nothing.
+	// backoffUntil is the time until which the incarnation asks this entry to send nothing; zero if
+	// it never did.
 	backoffUntil time.Time
-	// reportedAt is the time of the last such report, listedAt the time at which the incarnation
-	// was last listed.
+	// reportedAt is the time at which the incarnation last reported that it is leaving or asked for
+	// a backoff, listedAt the time at which the instance list last contained it.
 	reportedAt, listedAt time.Time
 }
 
 // isRefusing reports whether the incarnation accepts no requests now.
 func (p *backpressure) isRefusing(now time.Time) bool { return p.leaving || p.backoffUntil.After(now) }
 
-// isRetained reports whether the backpressure must be remembered although the incarnation is no
-// longer listed.
+// isRetained reports whether the backpressure must still be remembered once the incarnation is no
+// longer listed: for leavingTTL after it was last listed if it is leaving, and in any case until
+// its backoff ends.
 func (p *backpressure) isRetained(now time.Time) bool {
 	return p.leaving && now.Sub(p.listedAt) < leavingTTL || p.backoffUntil.After(now)
 }
@@ -63,9 +65,9 @@
 	return change(&u.backpressure)
 }
 
-// afterRestart returns the backpressure that still applies when another incarnation has started at
-// restartedAt. A report after that time came from the new incarnation, whose listing this entry
-// received late.
+// afterRestart returns the backpressure that applies to the incarnation that replaced this one at
+// restartedAt: all of it if the last report came after that time, since then the new incarnation
+// sent it, whose listing this entry received late; none otherwise.
 func (p backpressure) afterRestart(restartedAt time.Time) backpressure {
 	if p.reportedAt.After(restartedAt) {
 		return p
@@ -74,7 +76,8 @@
 }
 
 // refuseNoneUsable returns the refusal of a request whose service has no usable upstream.
-// RetryAfter is the time until the first backoff ends, where any upstream asked for one.
+// RetryAfter is the time until the first backoff ends, or minRetryAfter where no upstream asked for
+// one.
 func (b *Dispatcher) refuseNoneUsable(now time.Time, d Demand) *Refusal {
 	var first time.Time
 	for _, u := range b.services[d.Service] {
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// loadedDispatcher returns a dispatcher with 112 engines of 10 slots, each of which answers the
-// given number of requests: the size of the largest deployment and its load in a burst.
+// loadedDispatcher returns a dispatcher with the engines of the largest deployment, 112 of 10
+// slots, each of which answers the given number of requests, as in a burst.
 func loadedDispatcher(b testing.TB, answers int) *Dispatcher {
 	b.Helper()
 	engine := testEngine
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -9,24 +9,24 @@
 
 const (
 	// failureLoss is the fraction of an answer's value lost when its upstream fails: the whole
-	// value, and half as much again for the time until the failure is noticed.
+	// value, and half as much again for the time until the failure is detected.
 	failureLoss = 1.5
 	// unpackedCost is the cost, as a fraction of a prompt's value, of placing the prompt on an
-	// engine that decodes no answer with as short a gap target. The cost falls to 0 as the engine
-	// is packed with such answers. Prompts that are not long are packed onto few engines, since a
-	// shard of a long prompt stops all answers of its engine.
+	// engine that decodes no answer whose gap target is as short as the prompt's. The cost falls to
+	// 0 as the engine is packed with such answers. Prompts that are not long are packed onto few
+	// engines, since a shard of a long prompt stops all answers of its engine.
 	unpackedCost = 0.2
 	// packedFraction is the fraction of an engine's slots from which the engine counts as fully
-	// packed. Further answers make it no cheaper, so that requests that arrive at all entries at
-	// the same moment find several engines equally good.
+	// packed. Further answers lower the cost of the engine no more, so that requests that arrive at
+	// all entries at the same moment find several engines equally cheap.
 	packedFraction = 0.5
 	// shortPromptJitter is the maximum random cost of a short prompt where many entries place
 	// requests, in requests: as much as four answers more or less on an engine that is not yet
-	// packed. Entries receive each other's choices only milliseconds later, and would all choose
-	// the one best engine.
+	// packed. Entries receive each other's placements only milliseconds later, and without jitter
+	// would all choose the same engine.
 	shortPromptJitter = 0.2
 	// halfJitterPeers is the number of other entries at which half of shortPromptJitter applies.
-	// Few entries seldom choose at the same moment.
+	// Where there are few entries, two seldom place requests at the same moment.
 	halfJitterPeers = 20
 	// shortPrefillFraction is the fraction of a prompt's own gap target up to which its prefill
 	// counts as short.
@@ -35,10 +35,10 @@
 	// entries have not reported yet.
 	spareSlots = 2
 	// slotWaitCost is the cost of waiting for a slot, as a multiple of a request's value, when as
-	// many requests wait as the engine has slots. The cost is proportional for fewer.
+	// many requests wait as the engine has slots. The cost is proportional to the number that wait.
 	slotWaitCost = 4
-	// transitTime is the time of an answer beside the engine's work: the connection, the network in
-	// both directions, and the processor time of two entries.
+	// transitTime is the time that an answer takes in addition to the engine's work: the
+	// connection, the network in both directions, and the processor time of two entries.
 	transitTime = 5 * time.Millisecond
 )
 
@@ -52,8 +52,8 @@
 )
 
 // slotPrice returns the price of a second of one slot, in requests. Prefill stops all answers of
-// its engine, which keep their slots for as much longer; once all slots are taken, every request
-// waits for them.
+// its engine, so that each occupies its slot longer by the time of the prefill, and once all slots
+// are taken every new request waits for one.
 func slotPrice(candidates []candidate) float64 {
 	running, slots := 0, 0
 	for _, c := range candidates {
@@ -80,8 +80,8 @@
 	// request loses if the prompt is placed elsewhere.
 	othersPrefilledAt []time.Time
 	baselineLoss      []float64
-	// decoding is the number of answers that the engine decodes or is about to decode, slotPrice
-	// the price of a second of one slot in requests.
+	// decoding is the number of answers that the engine decodes or will decode after their prefill.
+	// slotPrice is the price of a second of one slot, in requests.
 	decoding  int
 	slotPrice float64
 }
@@ -90,8 +90,9 @@
 type estimate struct {
 	*candidate
 	job predictor.Job
-	// displacementCost is the predicted loss of other requests on the engine, cost the same with
-	// the prompt's own loss by failures, slot wait and missing memory. Both are in requests.
+	// displacementCost is the predicted loss of other requests on the engine. cost adds the
+	// prompt's own loss by failures, slot wait and missing memory, but not by lateness. Both are in
+	// requests.
 	displacementCost, cost float64
 	// prefillDelay is the time from now until the shard is prefilled, longestGap the longest time
 	// between two events of the answer.
@@ -110,8 +111,8 @@
 	return shortPromptJitter * float64(peers) / float64(peers+halfJitterPeers)
 }
 
-// computeBaseline computes what the requests on the engine lose without the prompt, and how far the
-// engine is packed.
+// computeBaseline sets the fields that describe the engine without the prompt: baselineLoss,
+// othersPrefilledAt, decoding and packed.
 func (c *candidate) computeBaseline(d Demand) {
 	similar := 0
 	for _, projection := range c.upstream.projections {
@@ -130,9 +131,9 @@
 	c.packed = float64(min(similar, full)) / float64(full)
 }
 
-// estimate predicts the effect of placing one of a number of shards on the engine. With decodes the
-// engine also answers; otherwise it is a helper. The call overwrites the projections that an
-// earlier call left in forecast.
+// estimate predicts the effect of placing one of a number of shards on the engine. With decodes
+// set, the engine also decodes the answer; otherwise it is a helper. The call overwrites the
+// projections that an earlier call left in forecast.
 func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, forecast *predictor.Forecast) estimate {
 	u, engine := c.upstream, c.upstream.engine
 	est := estimate{candidate: c, job: newJob(now, d, engine, shards, decodes), canDecode: shards > 1 || d.PromptTokens+d.AnswerTokens <= engine.MemoryTokens}
@@ -161,8 +162,8 @@
 	return est
 }
 
-// newJob returns the engine's job for one of a number of shards of a prompt. With decodes the
-// engine also decodes the answer.
+// newJob returns the engine's job for one of a number of equal shards of a prompt. With decodes
+// set, the engine also decodes the answer.
 func newJob(now time.Time, d Demand, e *matcher.EngineProfile, shards int, decodes bool) predictor.Job {
 	return predictor.Job{
 		Sharded: shards > 1, PrefillTokens: d.PromptTokens / shards, PrefillTime: predictor.ShardPrefill(e, d.PromptTokens, shards), Decodes: decodes, ContextTokens: d.PromptTokens / shards,
@@ -176,8 +177,9 @@
 	return float64(predictor.Prefill(e, d.PromptTokens)) <= shortPrefillFraction*float64(d.GapTarget)
 }
 
-// slotWait returns the mean time until a slot of a full engine is free. An answer is decoded in
-// UsualAnswer / Stride passes, and answers are taken to end evenly over time.
+// slotWait returns the mean time until a slot of a full engine is free. A mean answer takes
+// MeanAnswerTokens / StepsPerPass passes, each of the time pass, and the answers of all slots are
+// assumed to end evenly over time.
 func slotWait(e *matcher.EngineProfile, pass time.Duration) time.Duration {
 	passes := float64(e.MeanAnswerTokens) / float64(max(1, e.StepsPerPass))
 	return time.Duration(passes * float64(pass) / float64(max(1, e.Slots)))
--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -13,7 +13,8 @@
 	// PromptTokens is the length of the prompt, AnswerTokens the expected length of the answer.
 	// PromptTokens is 0 for plain services.
 	PromptTokens, AnswerTokens int
-	// FirstByteTarget and GapTarget are the latency targets of the request's route.
+	// FirstByteTarget and GapTarget are the latency targets of the request's route: the time to the
+	// first byte, and the longest gap between two events; 0 where the route has none.
 	FirstByteTarget, GapTarget time.Duration
 	// Waited is the time for which the caller has already waited for its first byte or next event.
 	Waited time.Duration
@@ -21,12 +22,14 @@
 	MaxWait time.Duration
 	// Remaining is the time until the caller's deadline for the whole answer; 0 if it gives none.
 	Remaining time.Duration
-	// Avoid lists the upstreams that have failed the request.
+	// Avoid lists the incarnations of upstreams that have failed the request; it is not placed on
+	// them.
 	Avoid []Instance
 	// Admitted is true for a request that was placed before. It is not refused for its cost or its
 	// waiting time.
 	Admitted bool
-	// NoHelpers forbids a group of engines, as a group has failed the request before.
+	// NoHelpers forbids placing the request on a group of engines, because a group has failed it
+	// before.
 	NoHelpers bool
 	// EndWithin is the time until the entry that relays the answer exits. The request is refused
 	// where its answer may take longer. EndWithin is 0 where the entry is not shutting down.
@@ -44,9 +47,10 @@
 	RetryAfter time.Duration
 	// ExpectedFirstByte is the predicted time to the first byte on the best upstream; 0 if unknown.
 	ExpectedFirstByte time.Duration
-	// Temporary is true where the answer may be different in a moment, as engines make progress.
+	// Temporary is true where the request may be placed a moment later, as engines make progress.
 	Temporary bool
-	// Deferrable is true where the prompt has time to wait until engines have less to do.
+	// Deferrable is true where the prompt has time to wait at its entry until engines have a
+	// shorter backlog.
 	Deferrable bool
 	// OutlivesEntry is true where the answer may end later than the entry that would relay it.
 	OutlivesEntry bool
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -33,22 +33,23 @@
 	// ownRequests holds the requests placed by this entry, peerRequests those that peers report.
 	ownRequests  map[WireID]*request
 	peerRequests map[peerRequestKey]*request
-	// peerCount is the number of other entries that place requests, as far as known.
+	// peerCount is the number of other entries that place requests, as set by SetPeers.
 	peerCount int
 	// isolated is true while this entry receives no load updates from its peers.
 	isolated bool
 	// rankSalt determines the order of engines with equal costs. All entries share one salt, except
 	// isolated ones, which use a random salt each.
 	rankSalt string
-	// isLocal is true where the dispatcher reports nothing to peers.
+	// isLocal is true where the dispatcher reports nothing to peers (NewLocal).
 	isLocal bool
-	// changed holds own requests to report with the next Export, endedLoads the ends since the last
-	// Export. previouslyEnded holds the IDs of requests whose end was exported since the last full
-	// Export, which repeats them.
+	// changed holds own requests to report with the next Export, endedLoads the ends of own
+	// requests since the last Export. previouslyEnded holds the IDs of requests whose end was
+	// exported since the last full Export; the next full Export repeats these ends.
 	changed         map[*request]bool
 	endedLoads      []RequestLoad
 	previouslyEnded []WireID
-	// Changed holds an element while Export has something new to return.
+	// Changed is a channel of capacity 1 that holds an element while Export has something new to
+	// return.
 	Changed  chan struct{}
 	forecast predictor.Forecast
 }
@@ -101,7 +102,7 @@
 }
 
 // upstreamFor returns the upstream of an instance, and creates one for an incarnation that is not
-// known yet. A new incarnation inherits no work from an earlier one with the same ID.
+// known yet. A new incarnation inherits no assignments from an earlier one with the same ID.
 func (b *Dispatcher) upstreamFor(i Instance) *upstream {
 	u, ok := b.upstreams[i.ID]
 	if ok && !u.instance.SameIncarnation(i) {
@@ -136,8 +137,9 @@
 // dropAssignmentsBefore removes all assignments of an upstream whose incarnation has ended because
 // another started at restartedAt. Own requests are notified at once, since their answer can no
 // longer come. A request placed more than maxClockSkew after the restart is not notified: it has
-// reached the new incarnation, whose listing this entry received late. Later reports for the
-// removed assignments find an upstream without a queue that is no longer tracked.
+// reached the new incarnation, whose listing this entry received late. Later events of the removed
+// assignments have no effect, as they reach an upstream object without a queue that is no longer in
+// the dispatcher.
 func dropAssignmentsBefore(u *upstream, restartedAt time.Time) {
 	for a := range u.assignments {
 		if restartedAt.IsZero() || !a.request.placedAt.After(restartedAt.Add(maxClockSkew)) {
--- a/dispatcher/group_test.go
+++ b/dispatcher/group_test.go
@@ -9,8 +9,8 @@
 )
 
 // With 112 engines that answer six requests each, and some long prompts in progress, the group
-// chosen for a long prompt costs hardly more than the best of all groups. The shorter search saves
-// processor time and must not cost callers more.
+// chosen for a long prompt costs hardly more than the best of all groups. The search over a
+// shortlist saves processor time, and must not make callers wait longer.
 func TestShortlistLosesLittle(t *testing.T) {
 	is := is.New(t)
 	dispatcher := loadedDispatcher(t, 6)
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// failureWeight is the step of one failure towards a failure rate of 1, successWeight the step
-	// of one success towards 0. A few failures in a row make an upstream the last choice, and about
-	// ten successes clear it.
+	// failureWeight is the fraction by which one failure moves the failure rate towards 1,
+	// successWeight the fraction by which one success moves it towards 0. A few failures in a row
+	// make an upstream the last choice, and about ten successes clear it.
 	failureWeight = 0.3
 	successWeight = 0.15
 	// failureHalfLife is the time in which a failure rate halves without new requests, so that an
@@ -19,16 +19,18 @@
 	// is usually no longer listed.
 	minBlock = 250 * time.Millisecond
 	maxBlock = 4 * time.Second
-	// paceWeight is the weight of one observed pace, paceHalfLife the time in which the excess of a
-	// pace over 1 halves.
+	// paceWeight is the weight of one observed pace in the moving average. paceHalfLife is the time
+	// in which the excess of the average over 1 halves without new observations.
 	paceWeight   = 0.4
 	paceHalfLife = 3 * time.Second
-	// maxPace bounds an observed pace: beyond it, a stall is likelier than slow work.
+	// maxPace is the maximum pace that one observation counts as: beyond it, a stall is likelier
+	// than slow work.
 	maxPace = 8
 )
 
-// health holds the failures and the speed that this entry has observed of an upstream, and failures
-// and answers that peers report.
+// health tracks how often an upstream fails, by the requests of this entry and those that peers
+// report, and how slow it is and whether it accepts connections, by the requests of this entry
+// alone.
 type health struct {
 	// lastFailureRate is the failure rate as of lastFailureRateAt, from which it decays.
 	lastFailureRate   float64
@@ -36,17 +38,17 @@
 	// blockCount is the number of failed connections in a row, blockedUntil the end of the last block.
 	blockCount   int
 	blockedUntil time.Time
-	// slowdown is the pace less 1, as of slowdownAt.
+	// slowdown is the pace minus 1, as of slowdownAt, from which it decays.
 	slowdown   float64
 	slowdownAt time.Time
 }
 
-// decayed returns a value that has halved once per halfLife for its age.
+// decayed returns what is left of a value of the given age that halves once per halfLife.
 func decayed(value float64, age, halfLife time.Duration) float64 {
 	return value * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// failureRate returns the fraction of requests that is expected to fail.
+// failureRate returns the fraction of requests that is expected to fail, from 0 to 1.
 func (h *health) failureRate(now time.Time) float64 {
 	return decayed(h.lastFailureRate, now.Sub(h.lastFailureRateAt), failureHalfLife)
 }
@@ -63,7 +65,8 @@
 	h.lastFailureRate, h.lastFailureRateAt = h.failureRate(now)*(1-successWeight), now
 }
 
-// recordSuccess records an answer to a request of this entry, which also ends a block.
+// recordSuccess records that the answer to a request of this entry has begun, which also ends a
+// block.
 func (h *health) recordSuccess(now time.Time) {
 	h.recordAnswer(now)
 	h.blockCount, h.blockedUntil = 0, time.Time{}
@@ -80,12 +83,12 @@
 // isBlocked reports whether the upstream is avoided because it accepted no connection.
 func (h *health) isBlocked(now time.Time) bool { return now.Before(h.blockedUntil) }
 
-// pace returns the ratio of actual to predicted work time, at least 1.
+// pace returns the recent ratio of actual to predicted time to the first byte, at least 1.
 func (h *health) pace(now time.Time) float64 {
 	return 1 + decayed(h.slowdown, now.Sub(h.slowdownAt), paceHalfLife)
 }
 
-// recordPace records an observed ratio of actual to predicted time.
+// recordPace records the ratio of actual to predicted time to the first byte of one answer.
 func (h *health) recordPace(now time.Time, ratio float64) {
 	before := h.pace(now) - 1
 	observed := min(maxPace, max(1, ratio)) - 1
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -12,8 +12,8 @@
 
 var firstIncarnation, secondIncarnation = time.UnixMilli(1_700_000_000_000), time.UnixMilli(1_700_000_005_000)
 
-// dispatcherWithIncarnation returns a dispatcher with two engines, of which e00 started at the
-// given time.
+// dispatcherWithIncarnation returns a dispatcher with the engines e00, which started at the given
+// time, and e01.
 func dispatcherWithIncarnation(t *testing.T, started time.Time) *Dispatcher {
 	t.Helper()
 	b := testDispatcher(t, 0)
@@ -41,8 +41,8 @@
 	return place(t, b, startTime, d)
 }
 
-// An engine that restarts under the same ID keeps nothing: no work of this entry or of peers, no
-// memory, no failures, no block and no pace.
+// The state of an engine that restarts under the same ID is empty: no work of this entry or of
+// peers, no memory, no failures, no block and no pace.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
 	is := is.New(t)
 	b, peer := dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
@@ -63,8 +63,8 @@
 	is.Equal(u.health.pace(startTime), 1.0)
 }
 
-// The owner of a placement is notified once when an engine of it restarts, whether the engine
-// answers or helps. Placements on other engines are not affected.
+// The function set with OnRestart is called once when an engine of the placement restarts, whether
+// the engine answers or helps. Placements on other engines are not affected.
 func TestOnRestartIsCalledOnce(t *testing.T) {
 	is := is.New(t)
 	b := dispatcherWithIncarnation(t, firstIncarnation)
@@ -82,8 +82,8 @@
 	is.Equal(len(calls), 0) // listed again, the same incarnation
 	listIncarnation(t, b, secondIncarnation)
 	listIncarnation(t, b, secondIncarnation)
-	late.OnRestart(func() { calls["asked after it"]++ })
-	is.Equal(fmt.Sprint(calls), "map[alone:1 asked after it:1 joint:1]")
+	late.OnRestart(func() { calls["late"]++ })
+	is.Equal(fmt.Sprint(calls), "map[alone:1 joint:1 late:1]")
 }
 
 // Late events, answers and failures of an earlier incarnation change nothing for the current one.
--- a/dispatcher/instance.go
+++ b/dispatcher/instance.go
@@ -8,7 +8,7 @@
 
 // Instance is one incarnation of an upstream, as the platform lists it.
 type Instance struct {
-	// ID identifies the upstream. It may be the same after a restart.
+	// ID identifies the upstream. It may stay the same when the upstream restarts.
 	ID string
 	// Started is the start time of the incarnation by the upstream's clock, in whole milliseconds;
 	// zero where the upstream does not report it. ID and Started together identify the incarnation.
@@ -31,7 +31,8 @@
 	return i.ID == o.ID && (i.Started.IsZero() || o.Started.IsZero() || i.Started.Equal(o.Started))
 }
 
-// IncarnationID returns the ID of the incarnation in load updates.
+// IncarnationID returns the ID of the incarnation in load updates: a hash of ID and Started, or of
+// ID alone if Started is zero.
 func (i Instance) IncarnationID() WireID {
 	if i.Started.IsZero() {
 		return WireIDOf(i.ID)
--- a/dispatcher/memory.go
+++ b/dispatcher/memory.go
@@ -9,15 +9,15 @@
 // is kept for requests that other entries have not reported yet.
 const usableMemoryFraction = 0.85
 
-// freeTokens returns the memory of an engine that one prompt may use, in tokens.
+// freeTokens returns the free memory of an engine that one prompt may use, in tokens.
 func (c candidate) freeTokens() int {
 	return int(usableMemoryFraction * float64(max(0, c.upstream.engine.MemoryTokens-c.load.MemoryTokens)))
 }
 
-// splitMemory returns the memory that each of the chosen engines holds of a prompt and its answer,
-// in tokens and in the order of the engines, of which the first answers. It reports false where
-// they do not fit. The answering engine holds everything where it has room; otherwise the rest goes
-// to as few of the others as possible.
+// splitMemory returns how much memory each of the chosen engines holds for a prompt and its answer,
+// in tokens, in the order of chosen; the first engine answers. It reports false where the engines
+// have too little memory. The answering engine holds everything if it has room; otherwise the rest
+// goes to as few helpers as possible.
 func splitMemory(d Demand, chosen []estimate) ([]int, bool) {
 	tokens := make([]int, len(chosen))
 	remaining := d.PromptTokens + d.AnswerTokens
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -10,7 +10,8 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// placeCall places a plain request at one entry, ends it after a time, and exchanges load updates.
+// placeCall places a plain request at one entry, and exchanges load updates. The function end
+// returns how long the instance takes and with which result the request ends.
 func placeCall(t *testing.T, dispatchers []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
 	t.Helper()
 	p := place(t, dispatchers[entry], now, Demand{Service: "app"})
@@ -29,7 +30,8 @@
 
 // One of three instances fails half of its requests at once for seven seconds, while its health
 // check passes. Fourteen requests a second, which must not be repeated, reach fifteen entries in
-// turn. At least one request would fail at each entry if each observed the failures only by itself.
+// turn. If entries did not report failures to each other, at least one request would fail at each
+// entry.
 func TestFailuresAreReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	const entries, perSecond, seconds = 15, 14, 7
@@ -92,8 +94,8 @@
 	}
 }
 
-// An entry receives the report of a group before the engine that answers is listed here. The answer
-// counts for that engine, and not for the helper that was listed first.
+// An entry receives the report of a group's request before the engine that answers is in its
+// instance list. The answer counts for that engine, and not for the helper that was listed first.
 func TestAnswerCountsForTheAnsweringEngine(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -7,8 +7,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Place chooses upstreams for a request and records the request there. It returns a refusal where
-// no upstream can be sent the request now. The caller must end each placement with End.
+// Place chooses upstreams for a request and records the request with them. It returns a refusal
+// where no upstream can be sent the request now. The caller must end each placement with End.
 func (b *Dispatcher) Place(now time.Time, d Demand) (*Placement, *Refusal) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -25,9 +25,9 @@
 }
 
 // Accepts reports whether a request would be placed and would start without waiting for a slot. It
-// records nothing. It returns false where all slots are taken: the request would gain nothing by
-// moving away from a silent engine, and prompts that are prefilled again elsewhere would keep the
-// fleet full.
+// records nothing. It returns false where all slots are taken: a request that moved away from a
+// silent engine would wait elsewhere as well, and prompts that are prefilled a second time would
+// keep the fleet full.
 func (b *Dispatcher) Accepts(now time.Time, d Demand) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -42,7 +42,8 @@
 	return u.engine == nil || p.Load.Running+spareSlots < u.engine.Slots
 }
 
-// choose chooses upstreams for a request without recording the placement.
+// choose chooses upstreams for a request without recording the placement. The caller holds the
+// lock.
 func (b *Dispatcher) choose(now time.Time, d Demand) (*Placement, *Refusal) {
 	upstreams := b.usableUpstreams(now, d)
 	if len(upstreams) == 0 {
@@ -78,7 +79,7 @@
 	return p
 }
 
-// newPlacement returns a placement of a request without assignments.
+// newPlacement returns a placement of a request that has no assignments yet.
 func (b *Dispatcher) newPlacement(now time.Time, d Demand) *Placement {
 	return &Placement{dispatcher: b, HelperMemoryTokens: map[string]int{}, request: &request{
 		wireID: WireID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
@@ -90,18 +91,19 @@
 	r.assignments = append(r.assignments, &assignment{upstream: u, request: r, job: j, memoryTokens: memoryTokens})
 }
 
-// Costs in the choice of a plain upstream, in units of the load of a full one.
+// Costs of an upstream of a plain service. The unit is the load of an upstream whose slots are all
+// taken.
 const (
-	// remoteCost is the cost of an upstream in another data centre: a round trip there takes a
-	// tenth of the usual work.
+	// remoteCost is the cost of an upstream in another data centre: the round trip takes a tenth of
+	// the usual time of a request.
 	remoteCost = 0.1
-	// failingCost is the cost of an upstream that fails every request. It is chosen last, even
-	// where all others are full and as many requests again wait there.
+	// failingCost is the cost of an upstream that fails every request. Such an upstream is chosen
+	// last, even where all others are full and as many requests again wait at each.
 	failingCost = 4
 	// slowCost is the cost of an upstream that works at half of the expected speed.
 	slowCost = 0.5
-	// plainJitter is the maximum random cost, which keeps entries with the same view from choosing
-	// alike.
+	// plainJitter is the maximum random cost, which keeps entries with the same view from all
+	// choosing the same upstream.
 	plainJitter = 0.1
 )
 
@@ -111,8 +113,8 @@
 	for _, u := range upstreams {
 		u.project(now, &b.forecast)
 	}
-	// An answer of a group starts only when all of its engines have prefilled their shards, which
-	// the first round predicts.
+	// The answer of a group starts only when all engines of the group have prefilled their shards.
+	// The projections above predict that time; those below use it.
 	for _, u := range upstreams {
 		if u.updateJointJobs() {
 			u.project(now, &b.forecast)
@@ -131,7 +133,7 @@
 }
 
 // cheapestGroup returns the engine or the group of engines with the lowest cost for a prompt. It
-// reports false where none can hold the prompt.
+// reports false where no engine or group has enough memory for the prompt.
 func (b *Dispatcher) cheapestGroup(now time.Time, d Demand, candidates []candidate) (group, bool) {
 	s := b.newSearch(d, candidates)
 	best, found := s.bestSingle(now, d, candidates)
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -12,8 +12,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// The engine figures of the first deployments, and three demands after their kinds of prompt:
-// 5,000, 45,000 and 154,000 tokens.
+// The engine profile of the first deployments, and demands for their three kinds of prompt: 5,000,
+// 45,000 and 154,000 tokens.
 var (
 	testEngine = matcher.EngineProfile{
 		Slots: 16, MemoryTokens: 315000, StepsPerPass: 51, StepTime: 850 * time.Microsecond, TimePerSequence: 4250 * time.Nanosecond,
@@ -71,7 +71,7 @@
 	return used
 }
 
-// placeStreaming places n requests whose first byte has arrived.
+// placeStreaming places n requests and records the first byte of each.
 func placeStreaming(t *testing.T, b *Dispatcher, now time.Time, d Demand, n int) []*Placement {
 	t.Helper()
 	var out []*Placement
@@ -108,9 +108,9 @@
 	}
 }
 
-// The same with medium prompts, 14 a second, each prefilled by two engines. If each engine decoded
-// one of their answers, shards of long prompts would stop every answer. An engine counts as packed
-// with seven.
+// Medium prompts, 14 a second, are each prefilled by two engines, and their answers are decoded on
+// few engines. If each engine decoded one of these answers, shards of long prompts would stop every
+// answer. An engine counts as fully packed with seven answers.
 func TestMediumPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -123,8 +123,8 @@
 	is.True(len(decoding) <= 3) // engines that decode
 }
 
-// In a burst of 68 short prompts a second none waits for a slot while another engine has a free
-// one: 150 of 224 slots are taken.
+// In a burst of 68 short prompts a second, with 150 of 224 slots taken, no prompt waits for a slot
+// while another engine has a free one.
 func TestBurstFillsNoEngineBeyondItsSlots(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -153,9 +153,9 @@
 	is.True(first.request.prefilledAt().After(before.Add(150 * time.Millisecond))) // half of the prompt takes 0.3 s
 }
 
-// A prompt is not prefilled first where the work that it overtakes would become a gap in its own
-// answer. With 1.7 s of prefill left on all engines, a prompt that begins at once has a gap of 1.3
-// s after its first event, whereas one that waits is on time.
+// A prompt is not prefilled first, as shards are, where the work that it overtakes would become a
+// gap in its own answer. With 1.7 s of prefill left on all engines, a prompt that begins at once
+// has a gap of 1.3 s after its first event, whereas one that waits is on time.
 func TestPromptWaitsToAvoidGaps(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 4)
@@ -171,8 +171,8 @@
 	}
 }
 
-// A shard of a long prompt is not placed where it would cause a gap of two seconds, beyond the gap
-// target of an answer. That holds both before and after the first event of the answer.
+// A shard of a long prompt is not placed where it would cause a gap of two seconds in a long
+// answer, beyond the answer's gap target, whether or not the answer has had its first event.
 func TestShardsAvoidEnginesDecodingLongAnswers(t *testing.T) {
 	is := is.New(t)
 	for _, begun := range []bool{false, true} {
@@ -192,8 +192,9 @@
 }
 
 // Bursts of short prompts meet the rest of a burst of long ones. With 190 of 224 slots taken, each
-// shard of a long prompt keeps thirteen answers in their slots for longer. Long prompts that were
-// placed then filled all slots, and nine of ten short prompts were late for eight seconds.
+// shard of a long prompt keeps thirteen answers in their slots for longer. When long prompts were
+// placed in this state, all slots filled up, and nine of ten short prompts were late for eight
+// seconds.
 func TestLongPromptWaitsWhileSlotsAreScarce(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
@@ -202,7 +203,7 @@
 	short := withPrompt(longDemand, 100000) // each of 14 engines would prefill for 106 ms
 	_, refusal := b.Place(now, short)
 	is.True(refusal != nil && refusal.Deferrable)
-	// As many answers on a few of many engines are no reason to defer the prompt.
+	// The same number of answers on 40 engines is no reason to defer the prompt.
 	b = testDispatcher(t, 40)
 	placeStreaming(t, b, startTime, shortDemand, 190)
 	_, refusal = b.Place(now, short)
@@ -221,9 +222,9 @@
 	is.True(b.Accepts(startTime, Demand{Service: "app"}))
 }
 
-// A long prompt is deferred while engines have much to prefill, and placed once they have less, the
-// sooner the longer it has waited. Placed at once, it would leave engines busy with prefill to a
-// burst of short prompts.
+// A long prompt is deferred while engines have a long prefill backlog, and placed once the backlog
+// is shorter; the longer it has waited, the longer the backlog it is placed at. Placed at once, it
+// would keep the engines busy with prefill when a burst of short prompts arrives.
 func TestLongPromptWaitsWhileEnginesAreBusy(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 12)
@@ -504,8 +505,8 @@
 	}
 }
 
-// A request was moved away from an upstream that was silent for a while, although the other two
-// were known to accept no connections. It failed, and would have been answered.
+// A request is not moved away from a silent upstream while all others are known to accept no
+// connections. One that was moved failed, although the silent upstream would have answered it.
 func TestUnreachableUpstreamsAcceptNothing(t *testing.T) {
 	is := is.New(t)
 	b, now := testDispatcher(t, 1), time.Now()
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -6,8 +6,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Placement is the set of upstreams chosen for a request. Its owner reports the progress of the
-// request to it, and finally calls End.
+// Placement is the set of upstreams chosen for a request. The caller of Place reports the progress
+// of the request to it, and finally calls End.
 type Placement struct {
 	dispatcher *Dispatcher
 	request    *request
@@ -24,7 +24,7 @@
 	Load Load
 }
 
-// RecordFirstByte reports that the first byte of the answer has arrived.
+// RecordFirstByte records that the first byte of the answer has arrived.
 func (p *Placement) RecordFirstByte(now time.Time) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// RecordEvent reports that a further event of the answer has arrived, which shows that the engine has
-// just ended a pass.
+// RecordEvent records that a further event of the answer has arrived, which shows that the engine
+// has just ended a pass.
 func (p *Placement) RecordEvent(now time.Time) {
 	p.dispatcher.lock.Lock()
 	defer p.dispatcher.lock.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// recordFirstByte records that the first event of the answer has arrived, so that the prefill on
-// all of its engines is complete.
+// recordFirstByte records that the first byte of the answer has arrived, so that the prefill on all
+// engines of the request is complete.
 func (r *request) recordFirstByte(now time.Time) {
 	r.firstByteSeen = true
 	for _, a := range r.assignments {
@@ -65,8 +65,9 @@
 	}
 }
 
-// minReportedPrefill is the prefill time from which peers are sent an update at its end. They
-// expect a shorter prefill to have ended by the time the update reaches them.
+// minReportedPrefill is the prefill time from which the end of a prefill is reported to peers. By
+// the time the report of the end of a shorter one reached them, their own queue model would have
+// ended it as well.
 const minReportedPrefill = 100 * time.Millisecond
 
 // ExpectedSilence returns the time for which the request's upstream may send nothing because it is
@@ -94,29 +95,30 @@
 // network, scheduling and half a pass.
 const paceSlack = 60 * time.Millisecond
 
-// Result is the result of a placement at its first upstream.
+// Result is what an ended placement shows about its first upstream.
 type Result int
 
 // Results of a placement.
 const (
-	// Answered means that a complete answer came.
+	// Answered means that the upstream sent a complete answer.
 	Answered Result = iota
 	// Abandoned means that the request ended for a reason that says nothing about the upstream,
 	// such as its caller leaving.
 	Abandoned
 	// Failed means that the upstream answered with a failure.
 	Failed
-	// Incomplete means that no complete answer came.
+	// Incomplete means that the upstream received the request, but no complete answer came.
 	Incomplete
 	// Unreachable means that no connection could be opened.
 	Unreachable
-	// NotRun means that the upstream refused the request for lack of capacity.
+	// NotRun means that the upstream refused the request without running it, as for lack of
+	// capacity.
 	NotRun
 )
 
-// outcome returns what peers are sent of a result. An answer that this entry did not receive may
-// have been lost on its own links, and an upstream without capacity for one request shows in its
-// load.
+// outcome returns the outcome that peers are sent for a result. Only Answered and Failed are
+// reported: an answer that this entry did not receive may have been lost on its own links, and a
+// full upstream shows in its load.
 func (r Result) outcome() Outcome {
 	switch r {
 	case Answered:
@@ -128,7 +130,8 @@
 	}
 }
 
-// End removes the request from the dispatcher and reports its end to the peers.
+// End removes the request from the dispatcher, records its result, and queues its end for the next
+// Export.
 func (p *Placement) End(now time.Time, result Result) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -153,7 +156,7 @@
 }
 
 // OnRestart sets a function that is called once, when one of the request's upstreams is found to
-// have restarted and so to have lost the request. The call comes at once if that has happened
+// have restarted and so to have lost the request. It is called at once if that has happened
 // already. The function must not block or call the dispatcher.
 func (p *Placement) OnRestart(call func()) {
 	b, r := p.dispatcher, p.request
@@ -175,8 +178,8 @@
 	}
 }
 
-// RecordHelperFailure records that a helper failed a request. It does nothing if the helper has
-// restarted since.
+// RecordHelperFailure records that an engine failed a request as a helper. It does nothing if the
+// helper has restarted since.
 func (b *Dispatcher) RecordHelperFailure(now time.Time, helper Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -14,10 +14,10 @@
 	// firstByteTarget and gapTarget are the latency targets of the route; gapTarget is 0 for plain
 	// requests.
 	firstByteTarget, gapTarget time.Duration
-	// value is the value of the answer, in requests without a prompt.
+	// value is the value of the answer; the unit is the value of a request without a prompt.
 	value float64
 	// placedAt is the time of the placement, waitingSince the time at which the caller began to
-	// wait.
+	// wait for its first byte or next event.
 	placedAt, waitingSince time.Time
 	// remaining is the time from placedAt to the caller's deadline for the whole answer; 0 if
 	// unknown.
@@ -27,15 +27,16 @@
 	// assignments has an element for each upstream. For own requests the first is the upstream that
 	// answers; for those of peers the order is that in which the upstreams became known.
 	assignments []*assignment
-	// upstreamRestarted is true once one of the upstreams has restarted; onRestart is then called
-	// once. It is nil where no function is set.
+	// upstreamRestarted is true once one of the upstreams has restarted. onRestart is then called
+	// once; it is nil where no function is set.
 	upstreamRestarted bool
 	onRestart         func()
-	// upstreamCount is the number of upstreams of a peer's request, unknownUpstreams the work at
-	// those of them that are not listed here yet.
+	// upstreamCount is the number of upstreams of a peer's request, unknownUpstreams the load at
+	// those of them that are not in this entry's list yet. Both are unset for own requests.
 	upstreamCount    int
 	unknownUpstreams []AssignmentLoad
-	// lastPendingAt is the time at which a peer last reported the request as without a first byte.
+	// lastPendingAt is the time at which a peer last reported that the request has no first byte
+	// yet; zero for own requests.
 	lastPendingAt time.Time
 	// firstReportedAt is the time at which a peer first reported the request; zero for own
 	// requests.
@@ -49,9 +50,10 @@
 	upstream *upstream
 	request  *request
 	job      predictor.Job
-	// memoryTokens is the memory that the request uses there, in tokens.
+	// memoryTokens is the memory that the request uses at the upstream, in tokens.
 	memoryTokens int
-	// prefilledAt is the predicted end of the prefill there; zero until the first projection.
+	// prefilledAt is the predicted end of the prefill at the upstream; zero until the first
+	// projection.
 	prefilledAt time.Time
 }
 
@@ -78,9 +80,9 @@
 	return latest
 }
 
-// overdue returns the time by which the first event is late against its prediction; 0 where it has
-// arrived. For a peer's request the time counts up to the peer's last report only, since the event
-// may have arrived after it.
+// overdue returns the time by which the first event of the answer is already later than predicted,
+// less paceSlack; 0 if it has arrived, and for plain requests. For a peer's request the time counts
+// up to the peer's last report only, since the event may have arrived after it.
 func (a *assignment) overdue(now time.Time) time.Duration {
 	r := a.request
 	if r.firstByteSeen || r.gapTarget == 0 {
@@ -92,8 +94,9 @@
 	return max(0, now.Sub(r.prefilledAt())-paceSlack)
 }
 
-// loss returns the predicted loss of the request, in requests, if its job on this upstream proceeds
-// as projected and its other shards are prefilled by othersPrefilledAt. It is 0 for plain requests.
+// loss returns the predicted loss of the request, in requests, if its job at the assignment's
+// upstream proceeds as projected and its other shards are prefilled by othersPrefilledAt. It is 0
+// for plain requests.
 func (a *assignment) loss(projection predictor.Projection, othersPrefilledAt time.Time) float64 {
 	r := a.request
 	if r.gapTarget == 0 {
--- a/dispatcher/requestload.go
+++ b/dispatcher/requestload.go
@@ -11,7 +11,7 @@
 )
 
 // WireID identifies a request, or an incarnation of an entry or an upstream, in load updates. For
-// incarnations it is a hash of their name, as names would make up most of a message.
+// incarnations it is a hash of their name: the names themselves would make up most of a message.
 type WireID uint32
 
 // WireIDOf returns the wire ID of a name.
@@ -19,18 +19,20 @@
 
 // RequestLoad is the load of one request of an entry, as the entry reports it to its peers.
 type RequestLoad struct {
-	// ID is random for each placement.
+	// ID identifies the request among those of its entry. It is random, and new for each placement.
 	ID WireID
 	// Ended is true where the request has ended. Then only ID, Outcome and, for OutcomeFailed,
 	// Assignments are set.
 	Ended bool
-	// Outcome is what the end of the request shows about its first upstream.
+	// Outcome is what the end of the request shows about its first upstream; OutcomeUnknown unless
+	// Ended is true.
 	Outcome Outcome
 	// FirstByteSeen is true once the first byte of the answer has arrived.
 	FirstByteSeen bool
 	// Age is the time since the placement.
 	Age time.Duration
-	// Waited is the time for which the caller had waited at the placement.
+	// Waited is the time for which the caller had waited, at the placement, for its first byte or
+	// next event.
 	Waited time.Duration
 	// Remaining is the time from the placement to the caller's deadline for the whole answer; 0 if
 	// unknown.
@@ -41,13 +43,13 @@
 	// requests.
 	FirstByteTarget, GapTarget time.Duration
 	// LongPrefill is true where the prompt is long and the first byte has not arrived. It is not
-	// encoded.
+	// encoded, and so always false in a load received from a peer.
 	LongPrefill bool
 	// Assignments has an element for each upstream; the first upstream answers.
 	Assignments []AssignmentLoad
 }
 
-// Outcome is what the end of a request shows about the upstream that was to answer it.
+// Outcome is what the end of a request shows peers about the upstream that was to answer it.
 type Outcome byte
 
 // Outcomes of a request.
@@ -66,9 +68,11 @@
 type AssignmentLoad struct {
 	// Upstream identifies the incarnation of the upstream.
 	Upstream WireID
-	// MemoryTokens is the memory that the request uses there, in tokens.
+	// MemoryTokens is the memory that the request uses at the upstream, in tokens; on the wire
+	// rounded up to a multiple of memoryUnit.
 	MemoryTokens int
-	// Decodes is true for the first assignment, whose upstream answers. It is not encoded.
+	// Decodes is true for the first assignment, whose upstream answers. It is not encoded, as it
+	// follows from the order.
 	Decodes bool
 }
 
@@ -110,9 +114,10 @@
 	}
 }
 
-// Export returns the requests of this entry that changed or ended since the last call, or all of
-// them with all set. A full export also repeats the ends exported since the last full one, without
-// their outcome, since a failure that is reported twice would count twice.
+// Export returns the load of the requests of this entry that changed or ended since the last call,
+// or of all its requests with all set. A full export also drops the expired requests of peers, and
+// repeats the ends exported since the last full one, without their outcome, since a failure that is
+// reported twice would count twice.
 func (b *Dispatcher) Export(now time.Time, all bool) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -236,8 +241,7 @@
 	}
 }
 
-// newPeerRequest returns a peer's request without assignments; all of its upstreams are still
-// unknown.
+// newPeerRequest returns a peer's request without assignments; resolveUpstreams adds them.
 func newPeerRequest(now time.Time, load RequestLoad) *request {
 	return &request{
 		wireID: load.ID, firstReportedAt: now, promptTokens: load.PromptTokens, answerTokens: load.AnswerTokens, firstByteTarget: load.FirstByteTarget, gapTarget: load.GapTarget, value: promptValue(load.PromptTokens), remaining: load.Remaining, placedAt: now.Add(-load.Age), waitingSince: now.Add(-load.Age - load.Waited),
@@ -265,8 +269,8 @@
 	}
 }
 
-// newPeerJob returns the job of a peer's request at an upstream. The engine is nil for plain
-// services.
+// newPeerJob returns the job of a peer's request at an upstream. The engine profile is nil for
+// plain services.
 func newPeerJob(placedAt time.Time, d Demand, e *matcher.EngineProfile, shards int, decodes bool) predictor.Job {
 	if e == nil {
 		return predictor.Job{Decodes: decodes, Arrived: placedAt}
--- a/dispatcher/requestload_test.go
+++ b/dispatcher/requestload_test.go
@@ -12,7 +12,7 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Any number of request loads is the same after encoding and decoding.
+// Any request loads are the same after encoding and decoding.
 func TestLoadUpdatesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var loads []RequestLoad
@@ -43,16 +43,16 @@
 		var got []RequestLoad
 		for _, m := range EncodeLoadUpdates(WireIDOf("entry-1"), loads) {
 			if len(m) > maxLoadUpdate {
-				t.Fatalf("load update of %d bytes", len(m))
+				t.Fatalf("load update has %d bytes, more than maxLoadUpdate", len(m))
 			}
 			from, decoded, err := DecodeLoadUpdate(m)
 			if err != nil || from != WireIDOf("entry-1") {
-				t.Fatalf("from %d: %v", from, err)
+				t.Fatalf("decoding a load update from %d: %v", from, err)
 			}
 			got = append(got, decoded...)
 		}
 		if len(got) != len(loads) {
-			t.Fatalf("%d loads of %d", len(got), len(loads))
+			t.Fatalf("decoded %d of %d loads", len(got), len(loads))
 		}
 		for i, s := range loads {
 			if !reflect.DeepEqual(got[i], s) {
@@ -98,7 +98,7 @@
 	f.Fuzz(func(_ *testing.T, m []byte) { _, _, _ = DecodeLoadUpdate(m) })
 }
 
-// A dispatcher that nothing is exported from must not collect updates for ever.
+// The updates of a local dispatcher are never exported, so it must not collect any.
 func TestLocalDispatcherExportsNothing(t *testing.T) {
 	is := is.New(t)
 	b := NewLocal("dc", rand.New(rand.NewPCG(1, 2)))
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// helperRiskCost is the cost of each helper, in requests, for the risk that the helper is gone.
+	// helperRiskCost is the cost of each helper, in requests, for the risk that the helper fails.
 	helperRiskCost = 0.02
-	// maxHelpers is the maximum number of helpers that a request to the first engine may list.
+	// maxHelpers is the maximum number of helpers that a request to the answering engine may list.
 	maxHelpers = 16
-	// maxAnsweringCandidates is the number of engines that are considered as the one that answers.
+	// maxAnsweringCandidates is the maximum number of engines of a group that are considered as the
+	// one that answers.
 	maxAnsweringCandidates = 4
 )
 
-// groupSizes returns the numbers of engines to consider for a prompt. A prompt whose prefill takes
-// less than a quarter of its gap target gets one engine. Two are considered for it only where every
-// engine has a prefill backlog of half the first-byte target or more, since the shards of a group
-// are prefilled before other work.
+// groupSizes returns the group sizes to consider for a prompt, in ascending order; 1 stands for a
+// single engine. A prompt whose prefill takes less than a quarter of its gap target gets one
+// engine. Two are considered for it only where every engine has a prefill backlog of half the
+// first-byte target or more, since the shards of a group are prefilled before other work.
 func groupSizes(d Demand, e *matcher.EngineProfile, candidates []candidate) []int {
 	maxSize := min(len(candidates), maxHelpers+1)
 	if predictor.Prefill(e, d.PromptTokens) < d.GapTarget/4 {
@@ -41,14 +42,14 @@
 	return sizes
 }
 
-// maxCandidates is the number of engines that are considered for each size of a group: twice the
-// largest group. In a larger fleet the engines are left out that would cost most with the smallest
-// shard, and only some sizes are tried. For a long prompt and 112 engines that takes 0.9 ms of
-// processor time, instead of 3.3 ms (BenchmarkPlace).
+// maxCandidates is the maximum number of engines that are considered for each group size, those
+// that would answer not counted: twice the largest group. In a larger fleet the engines that would
+// cost most with the smallest shard are left out, and only some sizes are tried. For a long prompt
+// and 112 engines this reduces the processor time from 3.3 ms to 0.9 ms (BenchmarkPlace).
 const maxCandidates = 2 * (maxHelpers + 1)
 
-// shortlist returns the candidates that cost least with one of a number of shards, in the order of
-// the cost, and those that would answer.
+// shortlist returns the maxCandidates candidates that cost least with one of a number of shards,
+// cheapest first, followed by those not among them that are considered as the one that answers.
 func (s *search) shortlist(now time.Time, d Demand, candidates []candidate, shards int) []candidate {
 	s.estimateShards(now, d, candidates, shards)
 	chosen := slices.Clone(s.order[:maxCandidates])
@@ -65,7 +66,7 @@
 }
 
 // sparseSizes returns about half of the given group sizes: each up to six, then in steps of three
-// eighths, and the largest.
+// eighths of the size before, and the largest.
 func sparseSizes(sizes []int) []int {
 	var sparse []int
 	next := 1
@@ -89,20 +90,21 @@
 	prefillDelay           time.Duration
 }
 
-// search holds buffers that are reused for each size of a group.
+// search looks for the cheapest engines for one prompt. Its buffers are reused for each group size.
 type search struct {
 	forecast *predictor.Forecast
-	// packs is true where the prompt is packed onto few engines together with similar ones.
+	// packs is true where the prompt is packed onto few engines, together with answers that have as
+	// short a gap target.
 	packs     bool
 	estimates []estimate
-	// costs holds the cost of each estimate by itself, with the prompt's own loss; order holds the
-	// indexes of the estimates, the cheapest first.
+	// costs holds the cost of each estimate, including the prompt's own loss if no other engine
+	// took part. order holds the indexes of the estimates, the cheapest first.
 	costs []float64
 	order []int
 }
 
-// newSearch returns a search for the engines of a prompt. An isolated entry packs nothing, as all
-// isolated entries would fill the same engines.
+// newSearch returns a search for the engines of a prompt. Long prompts are not packed, nor are
+// those of an isolated entry, as all isolated entries would fill the same engines.
 func (b *Dispatcher) newSearch(d Demand, candidates []candidate) search {
 	return search{forecast: &b.forecast, packs: !b.isolated && !hasLongPrefill(candidates[0].upstream.engine, d.PromptTokens)}
 }
@@ -153,8 +155,8 @@
 	return group{estimates: []estimate{best}, cost: s.costs[s.order[0]], displacementCost: best.displacementCost, prefillDelay: best.prefillDelay}, true
 }
 
-// packingCost returns the cost of decoding an answer on an engine that decodes few similar ones, in
-// requests.
+// packingCost returns the cost, in requests, of decoding an answer on an engine that decodes few
+// answers with as short a gap target.
 func (s *search) packingCost(d Demand, c *candidate) float64 {
 	if !s.packs {
 		return 0
@@ -175,7 +177,8 @@
 	return slices.SortedStableFunc(slices.Values(s.order), byTotalCost)[:n]
 }
 
-// bestJoint returns the group of a given size with the lowest cost for a prompt.
+// bestJoint returns a group of a given size with a low cost for a prompt: the best of the answering
+// candidates, and the cheapest of the other engines as helpers.
 func (s *search) bestJoint(now time.Time, d Demand, candidates []candidate, size int) group {
 	s.estimateShards(now, d, candidates, size)
 	first, answering := -1, estimate{}
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -2,11 +2,10 @@
 
 import "time"
 
-// SettleDelay is the time between the placement of a long prompt and its sending, in which entries
-// that chose the same engines at the same moment receive each other's updates. It covers the delay
-// with which entries report a change, one transit between data centres and one within a data
-// centre, and as much again for the processor. It is 1% of the engine time of the shortest long
-// prompt.
+// SettleDelay is the time from placing a long prompt to sending it, in which entries that chose the
+// same engines at the same moment receive each other's load updates. It covers the delay with which
+// entries report a change, one transit between data centres and one within a data centre, and as
+// much again for processor time. It is 1% of the prefill time of the shortest long prompt.
 const SettleDelay = 12 * time.Millisecond
 
 // ShouldSettle reports whether the request must wait for SettleDelay before it is sent: its prompt
@@ -18,9 +17,9 @@
 	return b.peerCount > 0 && p.request.hasLongPrefill()
 }
 
-// ShouldYield reports whether the request should be placed again, since a peer placed a long prompt
-// on one of its engines that was not known at its placement. Where the engine lacks memory for
-// both, the later one would wait there until the other's answer ends, and then delay everything
+// ShouldYield reports whether the request should be placed again, because a peer's long prompt on
+// one of its engines was first reported after the request was placed. Where the engine lacks memory
+// for both, the later prompt would wait until the other's answer ends, and then delay everything
 // placed there since. Of two requests placed at the same moment one yields, and both entries agree
 // on which.
 func (p *Placement) ShouldYield(now time.Time) bool {
@@ -44,13 +43,14 @@
 	return e != nil && hasLongPrefill(e, r.promptTokens)
 }
 
-// isSent reports whether a request with a long prompt has been sent to its engines by now. It
-// allows SettleDelay for the wait, and as much for the transit of the load update.
+// isSent reports whether a peer's request with a long prompt must have been sent to its engines by
+// now: SettleDelay after its placement, with as much again allowed for the transit of the load
+// update.
 func (r *request) isSent(now time.Time) bool { return now.Sub(r.placedAt) > 2*SettleDelay }
 
 // precedes reports whether r has precedence over another request that was placed at the same
-// moment. The request whose caller had waited longer goes first, then the one with the lower ID, so
-// that all entries agree.
+// moment. The request whose caller had waited longer, in whole milliseconds, goes first, then the
+// one with the lower ID, so that all entries agree.
 func (r *request) precedes(o *request) bool {
 	a, b := r.placedAt.Sub(r.waitingSince).Milliseconds(), o.placedAt.Sub(o.waitingSince).Milliseconds()
 	if a != b {
--- a/dispatcher/settle_test.go
+++ b/dispatcher/settle_test.go
@@ -22,8 +22,8 @@
 	return dispatchers
 }
 
-// exchangeUpdates imports the changes of each dispatcher at all others, or its whole load with all
-// set.
+// exchangeUpdates imports the changes since the last export of each dispatcher at all others, or
+// with all set the load of all its requests.
 func exchangeUpdates(t *testing.T, now time.Time, dispatchers []*Dispatcher, all bool) {
 	t.Helper()
 	for i, from := range dispatchers {
@@ -50,10 +50,10 @@
 	return n
 }
 
-// When engines become less busy, two entries that each hold a long prompt can place them on the
-// same engines within a millisecond. In a scenario with bursts the second prompt then began four
-// seconds late, and 67 short answers broke off. The request that waited longer must keep its
-// placement, and the other must find free engines.
+// When engines become less busy, two entries that each hold a deferred long prompt can place both
+// on the same engines within a millisecond. In a scenario with bursts, the answer to the second
+// prompt then began four seconds late, and 67 short answers broke off. The request that waited
+// longer must keep its placement, and the other must find free engines.
 func TestOneOfTwoSimultaneousPlacementsYields(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 	is.True(p.ShouldYield(late.Add(SettleDelay)))
 }
 
-// A prompt that is not long is sent at once and never yields. Neither does a long prompt settle
+// A prompt that is not long is sent at once and never yields. A long prompt does not settle either
 // where no other entry places requests.
 func TestOnlyLongPromptsSettle(t *testing.T) {
 	is := is.New(t)
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// UpstreamStatus is a snapshot of one upstream.
+// UpstreamStatus is a snapshot of the state that the dispatcher keeps of one upstream.
 type UpstreamStatus struct {
 	Instance Instance
-	// Load is the load by the requests of all entries, as far as known here.
+	// Load is the load by the requests of this entry and those that peers report.
 	Load Load
 	// MemoryTokens is the total memory of the engine in tokens; 0 for plain services.
 	MemoryTokens int
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Where an answer must end before the entry that relays it, its maximum length counts and not the
-// expected one, which half of all answers exceed.
+// Where an answer must end before the entry that relays it exits, its maximum length decides
+// whether the request is placed. The expected length does not: half of all answers exceed it.
 func TestLongestAnswerEndsBeforeEntryStops(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -30,7 +30,7 @@
 	}
 }
 
-// The latest end of an answer is later on an engine with a slow pace.
+// The latest end of an answer is later on an engine that has been slower than predicted.
 func TestSlowEngineExtendsLatestEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -15,9 +15,9 @@
 	// engine and queue are nil where the upstream is not a model engine.
 	engine *matcher.EngineProfile
 	queue  *predictor.Queue
-	// assignments is the work of requests there, of this entry and of peers.
+	// assignments holds the work at the upstream of requests of this entry and of peers.
 	assignments map[*assignment]bool
-	// assignmentOf holds the assignments by their job in the queue.
+	// assignmentOf holds the assignments by their job in the queue; empty where there is no queue.
 	assignmentOf map[*predictor.Job]*assignment
 	health       health
 	// backpressure is what the incarnation has reported about accepting requests.
@@ -27,7 +27,8 @@
 	projections []predictor.Projection
 }
 
-// setEngine sets the engine figures from the configuration of the service, which is nil if unknown.
+// setEngine sets the engine profile from the configuration of the service; s is nil for an unknown
+// service.
 func (u *upstream) setEngine(s *matcher.Service) {
 	u.engine = nil
 	if s != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// add records an assignment that began now or a little earlier.
+// add records an assignment whose request was placed now or shortly before.
 func (u *upstream) add(now time.Time, a *assignment) {
 	u.assignments[a] = true
 	if u.queue != nil {
@@ -61,7 +62,8 @@
 	}
 }
 
-// project predicts the course of the assignments if nothing more is placed there.
+// project predicts the course of the assignments if nothing more is placed at the upstream, and
+// sets projections and the assignments' prefilledAt.
 func (u *upstream) project(now time.Time, forecast *predictor.Forecast) {
 	u.queue.SetSlowdown(u.health.pace(now))
 	u.queue.Advance(now)
@@ -73,7 +75,7 @@
 
 // updateJointJobs sets, for each answer of a group that the engine will decode, the time at which
 // the group's other engines are predicted to have prefilled their shards. It uses the last
-// projection of all upstreams and reports whether there was any such answer.
+// projections of all upstreams, and reports whether there is any such answer.
 func (u *upstream) updateJointJobs() bool {
 	found := false
 	for a := range u.assignments {
@@ -85,22 +87,23 @@
 	return found
 }
 
-// Load is the work of all entries at one upstream, as far as known here.
+// Load is the work at one upstream of requests of this entry and those that peers report.
 type Load struct {
 	// Running is the number of requests that the upstream answers, waiting ones included.
 	Running int
-	// PrefillBacklog is the time that the engine needs to prefill what it has.
+	// PrefillBacklog is the time that the engine needs to prefill what is left of the prompts
+	// placed on it; 0 for plain services.
 	PrefillBacklog time.Duration
 	// Overdue is the time by which the most overdue first event is late against its prediction. The
-	// engine has at least as much work that no entry has reported.
+	// engine must have at least as much work that no entry has reported.
 	Overdue time.Duration
-	// MemoryTokens is the memory in use, in tokens.
+	// MemoryTokens is the memory in use by requests, in tokens.
 	MemoryTokens int
-	// FailureRate is the fraction of requests that is expected to fail.
+	// FailureRate is the fraction of requests that is expected to fail, from 0 to 1.
 	FailureRate float64
 }
 
-// load returns the current load by the requests of all entries.
+// load returns the current load, which includes the requests that peers report.
 func (u *upstream) load(now time.Time) Load {
 	l := Load{FailureRate: u.health.failureRate(now)}
 	for a := range u.assignments {
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// loadUpdateFormat is the first byte of a load update and changes with its layout.
+	// loadUpdateFormat is the first byte of a load update. It changes whenever the layout of the
+	// message does.
 	loadUpdateFormat = 10
 	// maxLoadUpdate is the maximum size of a load update in bytes, so that it fits into one
-	// datagram of a common link.
+	// datagram on a link with the usual MTU.
 	maxLoadUpdate = 1300
 	// wireIDSize is the encoded size of a wire ID in bytes.
 	wireIDSize = 4
-	// memoryUnit is the unit that memory is rounded up to on the wire, in tokens.
+	// memoryUnit is the unit of memory on the wire, in tokens; amounts are rounded up.
 	memoryUnit = 64
 )
 
@@ -28,11 +29,12 @@
 	kindFailed
 )
 
-// ErrMalformedLoadUpdate is returned for a message that is no valid load update.
+// ErrMalformedLoadUpdate is returned by DecodeLoadUpdate for a message that is not a valid load
+// update.
 var ErrMalformedLoadUpdate = errors.New("load update is malformed")
 
-// EncodeLoadUpdates encodes request loads of an entry as load updates that fit into one datagram
-// each.
+// EncodeLoadUpdates encodes request loads of the entry with wire ID from as load updates that fit
+// into one datagram each.
 func EncodeLoadUpdates(from WireID, loads []RequestLoad) [][]byte {
 	var messages [][]byte
 	head := binary.LittleEndian.AppendUint32([]byte{loadUpdateFormat}, uint32(from))
@@ -81,15 +83,15 @@
 	return to
 }
 
-// RelayTarget selects the entries to which the receiver of a datagram relays the load update in it,
-// within the receiver's data centre. It is the first byte of such a datagram, before the complete
-// load update.
+// RelayTarget selects the entries of the receiver's own data centre to which the receiver of a
+// datagram relays the load update in it. It is the first byte of such a datagram, before the
+// complete load update.
 type RelayTarget byte
 
-// Relay targets. RelayToNone is not encoded: the load update is for the receiver alone.
-// RelayToPlacing selects the entries that place requests. The encoded values differ from all past
-// and present values of loadUpdateFormat, as entries of different versions would otherwise confuse
-// the two during an upgrade.
+// Relay targets. RelayToNone is not encoded: the load update is for the receiver alone. RelayToAll
+// selects all entries, RelayToPlacing those that place requests. The encoded values differ from all
+// past and present values of loadUpdateFormat, as entries of different versions would otherwise
+// confuse the two during an upgrade.
 const (
 	RelayToNone    RelayTarget = 0
 	RelayToAll     RelayTarget = 7
@@ -115,7 +117,8 @@
 	}
 }
 
-// loadReader decodes a load update. After the first error it returns only zeros.
+// loadReader decodes a load update. After the first error, failed is true and it decodes only
+// zeros.
 type loadReader struct {
 	rest   []byte
 	failed bool
@@ -137,7 +140,7 @@
 	return time.Duration(r.number()) * time.Millisecond
 }
 
-// kind decodes the kind of a request load; kindEnded after an error.
+// kind decodes the kind of a request load. It returns kindEnded after an error.
 func (r *loadReader) kind() byte {
 	if len(r.rest) == 0 || r.rest[0] > kindFailed {
 		r.failed, r.rest = true, nil
