--- a/assigner/example_test.go
+++ b/assigner/example_test.go
@@ -26,9 +26,9 @@
 		members = append(members, assigner.Member{Name: fmt.Sprint("m", i), DataCentre: "x"})
 	}
 	for i := range 500 {
-		thing := fmt.Sprint("engine-", i)
-		before := assigner.Owner(members, thing, "x")
-		after := assigner.Owner(members[1:], thing, "x")
+		key := fmt.Sprint("engine-", i)
+		before := assigner.Owner(members, key, "x")
+		after := assigner.Owner(members[1:], key, "x")
 		is.True(before == after || before == members[0].Name)
 	}
 }
