--- a/assigner/assigner.go
+++ b/assigner/assigner.go
@@ -1,6 +1,6 @@
-// Package assigner distributes keys among members by rendezvous hashing. Members with the same view
-// of the live members agree on each key's owner without communicating, and the departure of a
-// member moves only the keys that it owned.
+// Package assigner distributes keys among members by rendezvous hashing. Processes that pass the
+// same members agree on each key's owner without communicating, and the departure of a member
+// changes the owner of only those keys that it owned.
 package assigner
 
 import "github.com/cespare/xxhash/v2"
@@ -11,8 +11,8 @@
 	DataCentre string
 }
 
-// Weight returns the rendezvous weight of a member for a key: a hash of both, equal in all
-// processes.
+// Weight returns the rendezvous weight of a member for a key: a hash of the two strings, equal in
+// all processes.
 func Weight(member, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -23,8 +23,9 @@
 }
 
 // Owner returns the name of the member that owns a key of a data centre: the member with the
-// greatest weight in that data centre, or among all members where the data centre has none. Equal
-// weights go to the lower name. Owner returns an empty string when there are no members.
+// greatest weight in that data centre, or among all members where the data centre has none. Of
+// members with equal weights, the one with the lower name owns the key. Owner returns an empty
+// string when there are no members.
 func Owner(members []Member, key, dataCentre string) string {
 	best, bestWeight, bestIsLocal := "", uint64(0), false
 	for _, m := range members {
--- a/assigner/example_test.go
+++ b/assigner/example_test.go
@@ -18,7 +18,7 @@
 	// true
 }
 
-// The departure of a member moves only the keys that it owned.
+// The departure of a member changes the owner of only those keys that it owned.
 func TestOwnerChangesOnlyForKeysOfDepartedMember(t *testing.T) {
 	is := is.New(t)
 	var members []assigner.Member
