--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -74,8 +74,8 @@
 // project returns the projections of all tasks after a simulation, the candidate last.
 func (f *Forecast) project() []Projection {
 	f.projections = f.projections[:0]
-	var last Projection
-	found := false
+	var candidate Projection
+	hasCandidate := false
 	pass := f.queue.decodePassTime()
 	for i := range f.queue.tasks {
 		t := &f.queue.tasks[i]
@@ -88,13 +88,13 @@
 			projection.End = f.queue.projectedEnd(t, projection.PrefillDone, pass)
 		}
 		if t.isCandidate {
-			last, found = projection, true
+			candidate, hasCandidate = projection, true
 			continue
 		}
 		f.projections = append(f.projections, projection)
 	}
-	if found {
-		f.projections = append(f.projections, last)
+	if hasCandidate {
+		f.projections = append(f.projections, candidate)
 	}
 	return f.projections
 }
@@ -108,9 +108,9 @@
 // projectedEnd returns when the last event of a task's answer is expected, at one event per pass of
 // the given duration. The first event comes at the end of the running pass, or at the end of the
 // prefill (done) if that is later.
-func (q *Queue) projectedEnd(t *task, done time.Time, pass time.Duration) time.Time {
+func (q *Queue) projectedEnd(t *task, prefillDone time.Time, pass time.Duration) time.Time {
 	if t.eventsSent > 0 && !t.decoding {
 		return t.lastEvent
 	}
-	return later(done, q.passEnd).Add(time.Duration(max(0, t.eventsLeft-1)) * pass)
+	return later(prefillDone, q.passEnd).Add(time.Duration(max(0, t.eventsLeft-1)) * pass)
 }
