--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// Projection is the predicted course of a job.
+// Projection is the predicted course of a job on one engine.
 type Projection struct {
 	// Job is the job as it was passed to Queue.Add or Forecast.Simulate.
 	Job *Job
-	// PrefillDone is when this engine completes the prefill of the job; in the past if it is done.
-	// For a job not completed within the simulated passes, it is the end of the last of them.
+	// PrefillDone is the time at which the engine completes the prefill of the job; in the past if
+	// it is done. If the simulation ends before the prefill, it is the end of the last simulated
+	// pass.
 	PrefillDone time.Time
 	// MaxGap is the longest gap between two events of the answer, including past gaps.
 	MaxGap time.Duration
-	// Decoding is true if the engine is decoding the answer of the job.
+	// Decoding is true if the engine is decoding the answer of the job at the end of the
+	// simulation.
 	Decoding bool
-	// End is when the last event of the answer is expected if no further job arrives; zero for a
-	// job that doesn't decode.
+	// End is the time at which the last event of the answer is expected if no further job arrives;
+	// zero for a job that doesn't decode.
 	End time.Time
 }
 
-// Forecast simulates the queue of an engine forward. It can be reused, which saves allocations, but
-// is not safe for concurrent use.
+// Forecast simulates the queue of an engine forward in time. It can be reused, which saves
+// allocations, but is not safe for concurrent use.
 type Forecast struct {
 	queue       Queue
 	projections []Projection
 }
 
-// maxPasses limits a simulation; 100 passes last a few seconds.
+// maxPasses is the maximum number of passes in a simulation; 100 passes last a few seconds.
 const maxPasses = 100
 
-// minExtraEvents is the minimum number of further events that a simulation expects of an answer, in
-// addition to half of those already sent. The estimates of callers are right only at the median,
-// and an answer wrongly expected to have ended would not count when the delay that a new prompt
-// causes is assessed.
+// minExtraEvents plus half of the events already sent is the minimum number of further events that
+// a simulation expects of an answer. The estimates of callers are right only at the median, and an
+// answer wrongly expected to have ended would not count when the delay that a new prompt causes is
+// assessed.
 const minExtraEvents = 3
 
 // Simulate returns the projections of all jobs in a queue. A candidate that isn't nil is simulated
@@ -60,8 +62,8 @@
 	return f.project()
 }
 
-// isSettled reports whether no prefill is left, in the running pass either, and every answer has
-// had an event after its first. All passes after that only decode.
+// isSettled reports whether all prefill is complete and every answer being decoded has had an event
+// after its first. All passes after that only decode.
 func (q *Queue) isSettled() bool {
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.tokensLeft > 0 || t.decoding && t.eventsSent == 0 {
@@ -81,7 +83,8 @@
 		t := &f.queue.tasks[i]
 		projection := Projection{Job: t.job, PrefillDone: t.prefillDone, MaxGap: t.maxGap, Decoding: t.decoding}
 		if projection.PrefillDone.IsZero() {
-			// Not completed within maxPasses, so the end of the last pass is a lower bound.
+			// The simulation ended before the prefill, so the end of the last pass is a lower
+			// bound.
 			projection.PrefillDone = f.queue.passEnd
 		}
 		if t.job.Decodes {
@@ -105,9 +108,9 @@
 	return time.Duration(float64(DecodePass(q.engine, max(1, answers), context)) * q.slowdown)
 }
 
-// projectedEnd returns when the last event of a task's answer is expected, at one event per pass of
-// the given duration. The first event comes at the end of the running pass, or at the end of the
-// prefill (done) if that is later.
+// projectedEnd returns the time at which the last event of a task's answer is expected, at one
+// event per pass of the given duration. The first of the remaining events comes at the end of the
+// running pass, or at prefillDone if that is later.
 func (q *Queue) projectedEnd(t *task, prefillDone time.Time, pass time.Duration) time.Time {
 	if t.eventsSent > 0 && !t.decoding {
 		return t.lastEvent
--- a/predictor/pass.go
+++ b/predictor/pass.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// beginPass starts a pass at the given time. It decodes all current answers and schedules prefill;
-// without either, the engine becomes idle.
+// beginPass starts a pass at the given time. The pass decodes all current answers and prefills
+// waiting prompts; without either, the engine becomes idle.
 func (q *Queue) beginPass(now time.Time) {
 	q.passStart, q.passEnd, q.passDecodes = now, time.Time{}, false
 	answers, context := 0, 0
@@ -36,8 +36,8 @@
 }
 
 // schedulePrefill schedules waiting prompts for the running pass, up to the given number of tokens,
-// and returns how long their prefill takes. Prompts whose answer would exceed the engine's slots,
-// together with the given number of answers, stay waiting.
+// and returns how long their prefill takes. A prompt stays waiting if its answer, in addition to
+// the given number of answers, would exceed the engine's slots.
 func (q *Queue) schedulePrefill(tokens float64, answers int) time.Duration {
 	duration := time.Duration(0)
 	for i := range q.tasks {
@@ -61,8 +61,8 @@
 }
 
 // schedulePrefillPass schedules a pass of an engine that decodes nothing, and returns its duration.
-// The pass prefills the first waiting prompt; each token step has a fixed time in addition to that
-// of its tokens, and the last step is filled up with the prompts that follow. In a simulation, the
+// The pass prefills the first waiting prompt, and fills up the last token step with the prompts
+// that follow. Each step takes a fixed time in addition to that of its tokens. In a simulation, the
 // pass ends early when a sharded answer starts decoding.
 func (q *Queue) schedulePrefillPass(now time.Time) time.Duration {
 	until := q.nextShardedDecode()
@@ -85,11 +85,12 @@
 	return duration
 }
 
-// minPassTime is the shortest simulated pass, so that every pass advances the time.
+// minPassTime is the duration of the shortest pass, so that every pass of a simulation advances the
+// time.
 const minPassTime = time.Microsecond
 
-// nextShardedDecode returns when the next sharded answer starts decoding whose shard on this engine
-// is already prefilled; zero if there is none, and outside a simulation.
+// nextShardedDecode returns the time at which the next sharded answer starts decoding whose shard
+// on this engine is already prefilled; zero if there is none, and outside a simulation.
 func (q *Queue) nextShardedDecode() time.Time {
 	var next time.Time
 	if !q.isSimulation {
@@ -103,8 +104,8 @@
 	return next
 }
 
-// isAwaitingShards reports whether the shard on this engine is prefilled, and the decoding of the
-// answer waits for other engines of the group.
+// isAwaitingShards reports whether the shard on this engine is prefilled, but its answer can't be
+// decoded yet because other engines of the group are still prefilling theirs.
 func (t *task) isAwaitingShards() bool {
 	return t.job.Decodes && t.job.Sharded && t.tokensLeft <= 0 && !t.decoding && t.eventsSent == 0 && !t.prefillDone.IsZero()
 }
@@ -117,13 +118,14 @@
 	return b
 }
 
-// prefillTimeOf returns the prefill time of a number of the tokens that are left.
+// prefillTimeOf returns the prefill time of the given number of the tokens that are left, in
+// proportion to prefillTimeLeft.
 func (t *task) prefillTimeOf(tokens float64) time.Duration {
 	return time.Duration(float64(t.prefillTimeLeft) * tokens / t.tokensLeft)
 }
 
 // interruptAfterStep ends a pass that only prefills at the end of its current token step, and
-// returns that time.
+// returns the time of that end.
 func (q *Queue) interruptAfterStep(now time.Time) time.Time {
 	scheduled := 0.0
 	for i := range q.tasks {
@@ -141,8 +143,8 @@
 	return now
 }
 
-// interruptPass ends the running pass early. The prefill done until now counts; answers get no
-// event.
+// interruptPass ends the running pass early. The prefill done until now counts, but answers have no
+// event at this end.
 func (q *Queue) interruptPass(now time.Time) {
 	fraction := q.passFraction(now)
 	for i := range q.tasks {
@@ -165,8 +167,8 @@
 	t.tokensLeft -= tokens
 }
 
-// finishPass ends the running pass at passEnd and begins the next one. Each answer of the pass has
-// an event then.
+// finishPass ends the running pass at passEnd and begins the next one. Each answer that the pass
+// decoded has an event at passEnd.
 func (q *Queue) finishPass() {
 	now := q.passEnd
 	for i := range q.tasks {
@@ -194,13 +196,13 @@
 		return
 	}
 	t.tokensLeft, t.prefillTimeLeft, t.prefillDone = 0, 0, now
-	// A sharded answer starts decoding when all engines of the group are done, which the caller
-	// reports with RecordFirstEvent.
+	// A sharded answer starts decoding when all engines of the group have prefilled their shards.
+	// The owner of the queue reports that with RecordFirstEvent; a simulation uses OtherShardsDone.
 	if t.job.Decodes && !t.job.Sharded {
 		t.decoding, t.lastEvent = true, now
 	}
 }
 
-// maxRoundingTokens is the number of tokens left below which a prefill counts as done: rounding
-// errors.
+// maxRoundingTokens is the number of tokens left up to which a prefill counts as done, as so few
+// are a rounding error.
 const maxRoundingTokens = 0.5
--- a/predictor/predictor.go
+++ b/predictor/predictor.go
@@ -14,9 +14,9 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Prefill returns the time in which a single engine prefills a prompt of the given number of
+// Prefill returns the time that a single engine needs to prefill a prompt of the given number of
 // tokens: the time of the tokens at the engine's prefill rate, plus the attention time of all pairs
-// of a token and an earlier one.
+// of a token and an earlier one. It is 0 if the profile has no prefill rate.
 func Prefill(e *matcher.EngineProfile, tokens int) time.Duration {
 	if e.PrefillTokensPerSecond <= 0 || tokens <= 0 {
 		return 0
@@ -27,8 +27,8 @@
 	return time.Duration(seconds*float64(time.Second) + millionPairs*float64(e.TimePerMillionPairs))
 }
 
-// ShardPrefill returns the time in which each of k engines prefills its shard of a prompt. Shards
-// are equal in tokens and in pairs of tokens.
+// ShardPrefill returns the time that each of k engines needs to prefill its shard of a prompt of
+// the given number of tokens. All shards have as many tokens and as many pairs of tokens.
 func ShardPrefill(e *matcher.EngineProfile, tokens, k int) time.Duration {
 	return Prefill(e, tokens) / time.Duration(max(1, k))
 }
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -18,15 +18,16 @@
 	PrefillTime   time.Duration
 	// Decodes is true if the engine decodes the answer; false for the other engines of a group.
 	Decodes bool
-	// ContextTokens is the number of tokens that a decode step of the answer attends to.
+	// ContextTokens is the number of tokens that a decode step of the answer attends to on this
+	// engine.
 	ContextTokens int
-	// ExpectedEvents is the number of events that the answer is expected to have.
+	// ExpectedEvents is the number of events that the answer is expected to have in total.
 	ExpectedEvents int
-	// Arrived is when the engine received the job.
+	// Arrived is the time at which the engine received the job.
 	Arrived time.Time
-	// OtherShardsDone is when the other engines of the group are expected to have prefilled their
-	// shards. A simulation starts to decode the answer then. It may be changed at any time, and is
-	// ignored unless Sharded.
+	// OtherShardsDone is the time at which the other engines of the group are expected to have
+	// prefilled their shards, from which on a simulation decodes the answer. It may be changed at
+	// any time, and is ignored unless Sharded is true.
 	OtherShardsDone time.Time
 }
 
@@ -39,17 +40,18 @@
 	prefillTimeLeft time.Duration
 	// passTokens is the number of tokens that the running pass prefills.
 	passTokens float64
-	// decoding is true while the answer is decoded, from its first event on. inPass is true if it
-	// was so when the running pass began: an answer whose first event falls within a pass has its
-	// second event at the end of the next pass.
+	// decoding is true while the answer is decoded, from its first event on. inPass is true if the
+	// running pass decodes the answer: an answer whose first event falls within a pass is decoded
+	// from the next pass on, and has its second event at the end of that pass.
 	decoding, inPass bool
 	// eventsLeft is the number of events still expected; it is negative for an answer that exceeds
-	// its estimate. eventsSent is the number of events sent. The first event changes neither.
+	// its estimate. eventsSent is the number of events sent. The first event of the answer changes
+	// neither of them.
 	eventsLeft, eventsSent int
-	// prefillDone is when the prefill was completed, and lastEvent when the last event was sent;
-	// both zero before that.
+	// prefillDone is the time at which the prefill was completed, and lastEvent the time at which
+	// the last event was sent; both are zero before that.
 	prefillDone, lastEvent time.Time
-	// maxGap is the longest gap between two events so far.
+	// maxGap is the longest gap between two events of the answer so far.
 	maxGap time.Duration
 	// isCandidate is true for the job that a simulation adds.
 	isCandidate bool
@@ -63,10 +65,11 @@
 // Queue models the work of one engine, pass by pass. A pass that decodes answers executes
 // StepsPerPass token steps and prefills waiting prompts, up to ChunkTokens tokens per step; each
 // answer has an event at the end of the pass. While nothing is decoded, the engine prefills step by
-// step, and a new job can be put first after the current step.
+// step, and a new job that goes before the others is prefilled from the end of the current step on.
 //
 // Sharded jobs are prefilled before others, the newest first; all others are prefilled oldest
-// first. The prefill of a job is complete, and its first event sent, at the end of a pass.
+// first. The prefill of a job is complete at the end of a pass, at which its first event is sent
+// too unless it is sharded.
 //
 // A queue does no I/O and reads no clock: time advances only with its calls. It is not safe for
 // concurrent use.
@@ -74,14 +77,15 @@
 	engine *matcher.EngineProfile
 	// slowdown is the factor by which passes take longer than the profile says; at least 1.
 	slowdown float64
-	// tasks is sorted in the order of prefill.
+	// tasks is sorted in the order of prefill, and includes the tasks that are already prefilled.
 	tasks []task
 	// passStart and passEnd are the start and the predicted end of the running pass; passEnd is
 	// zero while the engine is idle.
 	passStart, passEnd time.Time
 	// passDecodes is true if the running pass decodes answers.
 	passDecodes bool
-	// lastObservedEnd is the end of the last pass for which an event was observed.
+	// lastObservedEnd is the time of the last event that RecordPassEnd took as the end of a pass;
+	// zero before the first.
 	lastObservedEnd time.Time
 	// isSimulation is true in the copy of a queue that a Forecast simulates: sharded answers start
 	// decoding at OtherShardsDone, and answers end after the expected number of events.
@@ -105,14 +109,14 @@
 	}
 }
 
-// Add adds a job that arrived at the given time or shortly before it.
+// Add adds a job that arrived at the given time or shortly before it. The queue keeps the pointer.
 func (q *Queue) Add(now time.Time, j *Job) {
 	q.Advance(now)
 	q.add(now, newTask(j))
 }
 
-// add adds a task. A pass that only prefills ends after its current step, so that a new task can go
-// first.
+// add adds a task. A running pass that only prefills is ended after its current token step, so that
+// the next pass can prefill the new task first.
 func (q *Queue) add(now time.Time, t task) {
 	if !q.passEnd.IsZero() && !q.passDecodes {
 		now = q.interruptAfterStep(now)
@@ -154,8 +158,9 @@
 	if i < 0 {
 		return
 	}
-	// The running pass goes on without the job, unless nothing else is left in a pass that only
-	// prefills, or no other answer is being decoded: that answer has just had its last event.
+	// The running pass goes on without the job, with two exceptions: a pass that only prefills ends
+	// if it prefills the job, and a pass ends if the job is the only answer being decoded, since
+	// that answer has just had its last event.
 	t := q.tasks[i]
 	answers, _ := q.decodeLoad()
 	ends := t.passTokens > 0 && !q.passDecodes || t.decoding && answers == 1
@@ -186,7 +191,7 @@
 }
 
 // RecordFirstEvent records that the first event of a job's answer was observed, which shows that
-// its prefill is complete on all engines. An unknown job is ignored.
+// the prefill is complete on all engines of the group. An unknown job is ignored.
 func (q *Queue) RecordFirstEvent(now time.Time, j *Job) {
 	q.Advance(now)
 	i := q.indexOf(j)
@@ -232,8 +237,8 @@
 	q.finishPass()
 }
 
-// RemainingPrefill returns the prefill time left on the engine, the slowdown included and the time
-// of decoding excluded.
+// RemainingPrefill returns the time that the prefill of all jobs still takes, the slowdown included
+// and the time of decoding excluded.
 func (q *Queue) RemainingPrefill(now time.Time) time.Duration {
 	left, inPass := time.Duration(0), time.Duration(0)
 	for i := range q.tasks {
--- a/predictor/queue_test.go
+++ b/predictor/queue_test.go
@@ -39,7 +39,7 @@
 
 // Seven short prompts on one engine, as observed in a lightly loaded deployment. Times are in ms
 // after the first arrival, less 5 ms of network transit. A prompt that arrives during a pass waits
-// for its end, and the first events of one pass come together.
+// for the end of the pass, and the first events of all prompts prefilled in one pass come together.
 func TestFirstEventsOfShortPrompts(t *testing.T) {
 	observed := []struct{ arrived, tokens, first int }{
 		{0, 2357, 26}, {12, 6007, 107}, {22, 1847, 108}, {87, 4348, 253}, {90, 1492, 254}, {92, 7271, 254}, {104, 3345, 253},
@@ -59,8 +59,9 @@
 	}
 }
 
-// Sharded prompts on idle engines, as observed in a deployment, less 5 ms of network transit. Each
-// token step has a fixed time in addition to that of its tokens.
+// Sharded prompts on idle engines, as observed in a deployment: the time of the first event is in
+// ms, less 5 ms of network transit. Each token step has a fixed time in addition to that of its
+// tokens.
 func TestFirstEventOfShardedPrompts(t *testing.T) {
 	for _, s := range []struct{ tokens, k, first int }{{70303, 3, 293}, {15527, 2, 61}, {26585, 2, 113}, {39910, 2, 194}, {228787, 10, 623}} {
 		q := predictor.NewQueue(engine())
@@ -107,9 +108,9 @@
 	is.Equal(len(forecast.Simulate(at(200), q, nil)), 1) // a simulation leaves the queue unchanged
 }
 
-// A sharded answer starts when the last engine of its group is done. Prefill that is running on its
-// own engine then delays its second event, also when that prefill is not over in the middle of a
-// pass.
+// A sharded answer starts when the last engine of its group is done. The prefill of another shard
+// that is running on its own engine at that time delays its second event, even if the answer starts
+// in the middle of a pass.
 func TestShardedAnswerStartsAfterOtherShards(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
@@ -159,7 +160,7 @@
 	is.True(forecast.Simulate(at(1000), q, prompt(at(1000), 100000, 2, false))[0].MaxGap > 500*time.Millisecond)
 }
 
-// An observed event ends the running pass, whatever its predicted end.
+// An observed event ends the running pass, whatever the pass's predicted end.
 func TestObservedEventsCorrectPasses(t *testing.T) {
 	is := is.New(t)
 	q := predictor.NewQueue(engine())
@@ -254,8 +255,8 @@
 	}
 }
 
-// An answer ends one pass per event after its start, and later by the time of what is prefilled
-// meanwhile.
+// An answer ends one pass per event after its start, delayed by the time of all prefill on the
+// engine in between.
 func TestProjectedEnd(t *testing.T) {
 	for _, long := range []int{0, 60000} {
 		q := predictor.NewQueue(engine())
