--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -36,8 +36,8 @@
 	significanceLevel = 1.0 / 300
 )
 
-// incarnationEnd is the exit of an upstream incarnation.
-type incarnationEnd struct {
+// incarnationExit is the exit of an upstream incarnation.
+type incarnationExit struct {
 	// at is when the responses of the incarnation broke off, as one of the reports has it.
 	at time.Time
 	// running holds the fingerprints that the incarnation ran, with the time each was first sent.
@@ -45,7 +45,7 @@
 }
 
 // hasFingerprint reports whether the incarnation ran a request with the fingerprint when it exited.
-func (e *incarnationEnd) hasFingerprint(fp Fingerprint) bool {
+func (e *incarnationExit) hasFingerprint(fp Fingerprint) bool {
 	_, ok := e.running[fp]
 	return ok
 }
@@ -63,11 +63,11 @@
 	if !q.needsEvaluation {
 		return nil
 	}
-	ends := q.collectEnds()
-	q.needsEvaluation = slices.ContainsFunc(ends.all, func(e *incarnationEnd) bool { return now.Sub(e.at) < settleDelay })
+	exits := q.collectExits()
+	q.needsEvaluation = slices.ContainsFunc(exits.all, func(e *incarnationExit) bool { return now.Sub(e.at) < settleDelay })
 	var out []Decision
 	for {
-		d, ok := q.mostSignificant(now, ends)
+		d, ok := q.mostSignificant(now, exits)
 		if !ok {
 			return out
 		}
@@ -78,38 +78,38 @@
 	}
 }
 
-// incarnationEnds holds the exits of all incarnations that are known to have run a request.
-type incarnationEnds struct {
+// incarnationExits holds the exits of all incarnations that are known to have run a request.
+type incarnationExits struct {
 	// all holds every exit, in no particular order.
-	all []*incarnationEnd
+	all []*incarnationExit
 	// byIncarnation holds the same exits by incarnation.
-	byIncarnation map[Incarnation][]*incarnationEnd
+	byIncarnation map[Incarnation][]*incarnationExit
 }
 
-// collectEnds groups the known crashes by the exit that they report. The caller holds the lock.
-func (q *Quarantiner) collectEnds() incarnationEnds {
-	ends := incarnationEnds{byIncarnation: map[Incarnation][]*incarnationEnd{}}
+// collectExits groups the known crashes by the exit that they report. The caller holds the lock.
+func (q *Quarantiner) collectExits() incarnationExits {
+	exits := incarnationExits{byIncarnation: map[Incarnation][]*incarnationExit{}}
 	for fp, p := range q.suspects {
 		for _, s := range p.crashes {
-			e := ends.find(s.Crash)
+			e := exits.find(s.Crash)
 			if e == nil {
-				e = &incarnationEnd{at: s.Ended, running: map[Fingerprint]time.Time{}}
-				ends.all = append(ends.all, e)
-				ends.byIncarnation[s.Incarnation] = append(ends.byIncarnation[s.Incarnation], e)
+				e = &incarnationExit{at: s.Ended, running: map[Fingerprint]time.Time{}}
+				exits.all = append(exits.all, e)
+				exits.byIncarnation[s.Incarnation] = append(exits.byIncarnation[s.Incarnation], e)
 			}
 			if since, ok := e.running[fp]; !ok || s.FirstSent.Before(since) {
 				e.running[fp] = s.FirstSent
 			}
 		}
 	}
-	return ends
+	return exits
 }
 
 // find returns the exit that a crash reports, or nil if there is none.
-func (e incarnationEnds) find(crash Crash) *incarnationEnd {
-	for _, end := range e.byIncarnation[crash.Incarnation] {
-		if crash.Ended.Sub(end.at).Abs() <= coincidenceWindow {
-			return end
+func (e incarnationExits) find(crash Crash) *incarnationExit {
+	for _, exit := range e.byIncarnation[crash.Incarnation] {
+		if crash.Ended.Sub(exit.at).Abs() <= coincidenceWindow {
+			return exit
 		}
 	}
 	return nil
@@ -117,13 +117,13 @@
 
 // mostSignificant returns the decision with the lowest probability among the fingerprints to
 // quarantine, and whether there is one.
-func (q *Quarantiner) mostSignificant(now time.Time, ends incarnationEnds) (Decision, bool) {
+func (q *Quarantiner) mostSignificant(now time.Time, exits incarnationExits) (Decision, bool) {
 	var found []Decision
 	for fp, p := range q.suspects {
 		if _, ok := q.quarantined[fp]; ok || len(p.crashes) < minCrashes || !p.lastActivity().After(p.releasedAt) {
 			continue
 		}
-		if d := q.assess(now, fp, p, ends); d.Crashes >= minCrashes && d.Probability <= significanceLevel {
+		if d := q.assess(now, fp, p, exits); d.Crashes >= minCrashes && d.Probability <= significanceLevel {
 			found = append(found, d)
 		}
 	}
@@ -137,29 +137,29 @@
 
 // assess counts the crashes that speak against a fingerprint, and estimates how probable they are
 // if the fingerprint causes none of them.
-func (q *Quarantiner) assess(now time.Time, fp Fingerprint, p *suspect, ends incarnationEnds) Decision {
+func (q *Quarantiner) assess(now time.Time, fp Fingerprint, p *suspect, exits incarnationExits) Decision {
 	d := Decision{Fingerprint: fp, Probability: 1, Until: now.Add(QuarantineDuration)}
-	var counted []*incarnationEnd
-	var lastEnded time.Time
+	var counted []*incarnationExit
+	var lastExit time.Time
 	settle := settleDelay
 	if len(p.crashes) >= conclusiveCrashes {
 		settle = conclusiveSettleDelay
 	}
 	for _, s := range p.crashes {
-		e := ends.find(s.Crash)
+		e := exits.find(s.Crash)
 		if now.Sub(s.Ended) < settle || q.isExplained(fp, e) {
 			continue
 		}
 		counted = append(counted, e)
 		// Requests that ran at the same time may have met the same outage: they count once.
-		if s.LastSent.Before(lastEnded.Add(-timestampSlack)) || q.hasRival(fp, p, e) {
+		if s.LastSent.Before(lastExit.Add(-timestampSlack)) || q.hasRival(fp, p, e) {
 			continue
 		}
-		lastEnded = s.Ended
+		lastExit = s.Ended
 		d.Crashes++
-		d.Probability *= q.outageProbability(fp, s.Crash, ends)
+		d.Probability *= q.outageProbability(fp, s.Crash, exits)
 	}
-	if d.Crashes < conclusiveCrashes && q.isOutage(counted, ends) {
+	if d.Crashes < conclusiveCrashes && q.isOutage(counted, exits) {
 		d.Crashes = 0
 	}
 	return d
@@ -167,23 +167,23 @@
 
 // isOutage reports whether at least half of all upstreams exited in the short period in which the
 // given incarnations did. The incarnations are sorted by the time of their exit.
-func (q *Quarantiner) isOutage(related []*incarnationEnd, ends incarnationEnds) bool {
-	if len(related) == 0 || related[len(related)-1].at.Sub(related[0].at) > maxOutageDuration {
+func (q *Quarantiner) isOutage(counted []*incarnationExit, exits incarnationExits) bool {
+	if len(counted) == 0 || counted[len(counted)-1].at.Sub(counted[0].at) > maxOutageDuration {
 		return false
 	}
-	from, to := related[0].at.Add(-coincidenceWindow), related[len(related)-1].at.Add(coincidenceWindow)
-	ended := 0
-	for _, e := range ends.all {
+	from, to := counted[0].at.Add(-coincidenceWindow), counted[len(counted)-1].at.Add(coincidenceWindow)
+	exitCount := 0
+	for _, e := range exits.all {
 		if !e.at.Before(from) && !e.at.After(to) {
-			ended++
+			exitCount++
 		}
 	}
-	return 2*ended >= q.upstreamCount
+	return 2*exitCount >= q.upstreamCount
 }
 
 // isExplained reports whether the incarnation also ran another fingerprint that is quarantined,
 // which explains its exit.
-func (q *Quarantiner) isExplained(fp Fingerprint, e *incarnationEnd) bool {
+func (q *Quarantiner) isExplained(fp Fingerprint, e *incarnationExit) bool {
 	for other := range e.running {
 		if _, ok := q.quarantined[other]; ok && other != fp {
 			return true
@@ -195,9 +195,9 @@
 // outageProbability estimates the probability that an incarnation exited at the time of the crash
 // for another reason, such as an outage. The estimate is the fraction of all upstreams that exited
 // at the same time without running the fingerprint.
-func (q *Quarantiner) outageProbability(fp Fingerprint, crash Crash, ends incarnationEnds) float64 {
+func (q *Quarantiner) outageProbability(fp Fingerprint, crash Crash, exits incarnationExits) float64 {
 	others := 0
-	for _, e := range ends.all {
+	for _, e := range exits.all {
 		if !e.hasFingerprint(fp) && e.at.Sub(crash.Ended).Abs() <= coincidenceWindow && !q.isExplained(fp, e) {
 			others++
 		}
@@ -209,7 +209,7 @@
 // equally well. It does if it has at least as many crashes, unless this fingerprint has
 // conclusiveCrashes, or if it has minSuspectCrashes and was sent later: a request that crashes an
 // upstream does so soon after it starts, so the one sent last is the more likely cause.
-func (q *Quarantiner) hasRival(fp Fingerprint, p *suspect, e *incarnationEnd) bool {
+func (q *Quarantiner) hasRival(fp Fingerprint, p *suspect, e *incarnationExit) bool {
 	for other, since := range e.running {
 		if other == fp {
 			continue
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -152,7 +152,7 @@
 		return
 	}
 	p := q.ensureSuspect(crash.Fingerprint)
-	if i := slices.IndexFunc(p.crashes, func(o knownCrash) bool { return crash.isSameEnd(o.Crash) }); i >= 0 {
+	if i := slices.IndexFunc(p.crashes, func(o knownCrash) bool { return crash.isSameExit(o.Crash) }); i >= 0 {
 		p.crashes[i].merge(crash)
 		return
 	}
@@ -169,10 +169,10 @@
 // crash came before it or within successTTL after it.
 func isCleared(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
 
-// isSameEnd reports whether two crashes of a fingerprint report the same exit of an incarnation.
+// isSameExit reports whether two crashes of a fingerprint report the same exit of an incarnation.
 // Comparing the incarnation alone is not enough: while the store is unavailable, entries know a
 // restarted upstream by its previous incarnation ID.
-func (c Crash) isSameEnd(o Crash) bool {
+func (c Crash) isSameExit(o Crash) bool {
 	return c.Incarnation == o.Incarnation && c.Ended.Sub(o.Ended).Abs() <= coincidenceWindow
 }
 
