--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// minCrashes is the number of incarnations that must have exited, one after the other, while
-	// they ran a fingerprint before it can be quarantined.
+	// minCrashes is the number of incarnations that must have exited one after the other, each
+	// while it ran requests with a fingerprint, before the fingerprint can be quarantined.
 	minCrashes = 3
 	// conclusiveCrashes is the number of crashes from which it no longer matters whether another
 	// fingerprint on the same incarnations has as many, or whether half of all upstreams exited at
 	// the time.
 	conclusiveCrashes = 4
-	// settleDelay is how old a crash must be before it counts: by then every entry has reported
-	// which other requests the incarnation ran. From conclusiveCrashes on the shorter delay
-	// applies, because other requests matter less and each further retry crashes one more upstream.
+	// settleDelay is the age from which a crash counts: by then every entry has reported which
+	// other requests the incarnation ran. From conclusiveCrashes on, conclusiveSettleDelay applies,
+	// because other requests matter less and each further retry crashes one more upstream.
 	settleDelay           = time.Second
 	conclusiveSettleDelay = 300 * time.Millisecond
 	// coincidenceWindow is the maximum time between two exits that count as part of one outage, or
@@ -28,8 +28,8 @@
 	// timestampSlack is the maximum error of the time between two crashes: entries send each other
 	// ages, not times.
 	timestampSlack = 50 * time.Millisecond
-	// minProbability and maxProbability limit the estimated probability that an incarnation exits
-	// for another reason while it runs a request.
+	// minProbability and maxProbability bound the estimated probability that an incarnation exits
+	// for a reason other than the request that it runs.
 	minProbability, maxProbability = 0.05, 0.95
 	// significanceLevel is the maximum probability of the crashes of a fingerprint, assuming that
 	// it caused none of them, at which the fingerprint is quarantined.
@@ -38,9 +38,11 @@
 
 // incarnationExit is the exit of an upstream incarnation.
 type incarnationExit struct {
-	// at is when the responses of the incarnation broke off, as one of the reports has it.
+	// at is the time at which the responses of the incarnation broke off, according to one of the
+	// crashes that report the exit.
 	at time.Time
-	// running holds the fingerprints that the incarnation ran, with the time each was first sent.
+	// running holds the fingerprints that the incarnation ran when it exited, with the time at
+	// which a request with the fingerprint was first sent to it.
 	running map[Fingerprint]time.Time
 }
 
@@ -50,12 +52,13 @@
 	return ok
 }
 
-// Evaluate drops expired state and returns the fingerprints that are quarantined from now on.
+// Evaluate drops expired state, quarantines the fingerprints that the known crashes speak against,
+// and returns the new quarantines.
 //
-// A fingerprint that was merely running when upstreams exited is told apart from one that crashes
-// them by three signs: a fingerprint that is already quarantined ran on the same incarnation; other
-// upstreams that didn't run the fingerprint exited at the same time, as in an outage; or another
-// fingerprint on the same incarnations has as many crashes.
+// A fingerprint that was merely running when upstreams exited is distinguished from one that
+// crashes them by three signs: a fingerprint that is already quarantined ran on the same
+// incarnation; upstreams that did not run the fingerprint exited at the same time, as in an outage;
+// or another fingerprint on the same incarnations has as many crashes.
 func (q *Quarantiner) Evaluate(now time.Time) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -105,7 +108,7 @@
 	return exits
 }
 
-// find returns the exit that a crash reports, or nil if there is none.
+// find returns the exit that a crash reports, or nil if it is not among them.
 func (e incarnationExits) find(crash Crash) *incarnationExit {
 	for _, exit := range e.byIncarnation[crash.Incarnation] {
 		if crash.Ended.Sub(exit.at).Abs() <= coincidenceWindow {
@@ -116,7 +119,7 @@
 }
 
 // mostSignificant returns the decision with the lowest probability among the fingerprints to
-// quarantine, and whether there is one.
+// quarantine, and whether there is any. The caller holds the lock.
 func (q *Quarantiner) mostSignificant(now time.Time, exits incarnationExits) (Decision, bool) {
 	var found []Decision
 	for fp, p := range q.suspects {
@@ -135,8 +138,8 @@
 	}), true
 }
 
-// assess counts the crashes that speak against a fingerprint, and estimates how probable they are
-// if the fingerprint causes none of them.
+// assess counts the crashes that speak against a fingerprint, and estimates how probable these
+// crashes are if the fingerprint causes none of them.
 func (q *Quarantiner) assess(now time.Time, fp Fingerprint, p *suspect, exits incarnationExits) Decision {
 	d := Decision{Fingerprint: fp, Probability: 1, Until: now.Add(QuarantineDuration)}
 	var counted []*incarnationExit
@@ -151,7 +154,8 @@
 			continue
 		}
 		counted = append(counted, e)
-		// Requests that ran at the same time may have met the same outage: they count once.
+		// Crashes of requests that ran at the same time may be due to one outage, so they count
+		// once.
 		if s.LastSent.Before(lastExit.Add(-timestampSlack)) || q.hasRival(fp, p, e) {
 			continue
 		}
@@ -165,8 +169,9 @@
 	return d
 }
 
-// isOutage reports whether at least half of all upstreams exited in the short period in which the
-// given incarnations did. The incarnations are sorted by the time of their exit.
+// isOutage reports whether the counted exits lie within maxOutageDuration, and at least half of all
+// upstreams exited between the first and the last of them, or within coincidenceWindow before or
+// after. The counted exits are sorted by time.
 func (q *Quarantiner) isOutage(counted []*incarnationExit, exits incarnationExits) bool {
 	if len(counted) == 0 || counted[len(counted)-1].at.Sub(counted[0].at) > maxOutageDuration {
 		return false
@@ -182,7 +187,7 @@
 }
 
 // isExplained reports whether the incarnation also ran another fingerprint that is quarantined,
-// which explains its exit.
+// which explains the exit.
 func (q *Quarantiner) isExplained(fp Fingerprint, e *incarnationExit) bool {
 	for other := range e.running {
 		if _, ok := q.quarantined[other]; ok && other != fp {
@@ -205,8 +210,8 @@
 	return math.Min(maxProbability, math.Max(minProbability, float64(others)/float64(max(1, q.upstreamCount))))
 }
 
-// hasRival reports whether another fingerprint that ran on the incarnation explains its exit
-// equally well. It does if it has at least as many crashes, unless this fingerprint has
+// hasRival reports whether another fingerprint that ran on the incarnation explains the exit
+// equally well. The other one does if it has at least as many crashes, unless this one has
 // conclusiveCrashes, or if it has minSuspectCrashes and was sent later: a request that crashes an
 // upstream does so soon after it starts, so the one sent last is the more likely cause.
 func (q *Quarantiner) hasRival(fp Fingerprint, p *suspect, e *incarnationExit) bool {
--- a/quarantiner/gossip.go
+++ b/quarantiner/gossip.go
@@ -11,12 +11,13 @@
 const (
 	// broadcastsPerItem is the number of heartbeats in which an entry broadcasts a crash or a
 	// success, whether it observed or received it. An item reaches the whole fleet in a number of
-	// rounds that grows with the logarithm of its size.
+	// rounds that grows with the logarithm of the fleet's size.
 	broadcastsPerItem = 8
-	// maxBroadcastAge is the age up to which a crash is broadcast. A success is broadcast again
-	// only if it is later than the known one by more than this.
+	// maxBroadcastAge is the age up to which a crash is broadcast. A further success of a
+	// fingerprint is broadcast only if it is later than the last known one by more than
+	// maxBroadcastAge.
 	maxBroadcastAge = 1500 * time.Millisecond
-	// maxItemsPerUpdate limits the crashes, and separately the successes, in one heartbeat.
+	// maxItemsPerUpdate is the maximum number of crashes, and also of successes, in one update.
 	maxItemsPerUpdate = 32
 )
 
@@ -29,8 +30,8 @@
 	return q.nextUpdate(now)
 }
 
-// ReplyUpdate returns the update with which to answer an update received from another entry. If the
-// other entry's quarantines differ, it includes all quarantines of this one.
+// ReplyUpdate returns the update to send in response to an update from another entry. If the other
+// entry's quarantines differ, it includes all quarantines of this entry.
 func (q *Quarantiner) ReplyUpdate(now time.Time, received api.QuarantineNews) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -44,7 +45,8 @@
 	return update
 }
 
-// nextUpdate implements HeartbeatUpdate. The caller holds the lock.
+// nextUpdate returns the next update without quarantines, and counts it as a broadcast of its
+// items. The caller holds the lock.
 func (q *Quarantiner) nextUpdate(now time.Time) api.QuarantineNews {
 	update := api.QuarantineNews{Digest: q.digest()}
 	for _, s := range q.crashesToBroadcast(now) {
@@ -60,8 +62,8 @@
 	return update
 }
 
-// crashesToBroadcast returns the crashes for the next heartbeat. If there are more than
-// maxItemsPerUpdate, crashes of the fingerprints with the most crashes go first.
+// crashesToBroadcast returns the crashes for the next update. If there are more than
+// maxItemsPerUpdate, those of the fingerprints with the most crashes are returned.
 func (q *Quarantiner) crashesToBroadcast(now time.Time) []*knownCrash {
 	var out []*knownCrash
 	for _, p := range q.suspects {
@@ -109,7 +111,7 @@
 	return out
 }
 
-// milliseconds converts an age to its form on the wire; a negative age becomes 0.
+// milliseconds returns an age in whole milliseconds, as it is sent; a negative age becomes 0.
 func milliseconds(d time.Duration) uint32 { return uint32(max(0, d/time.Millisecond)) }
 
 // ago returns the time that was the given number of milliseconds before now.
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -17,59 +17,60 @@
 	"go.uber.org/zap"
 )
 
-// Incarnation identifies one process lifetime of an upstream: a hash of its incarnation ID.
+// Incarnation identifies one process lifetime of an upstream. It is a hash of the incarnation ID.
 type Incarnation uint32
 
 // Crash is the exit of an upstream incarnation while it ran requests with a fingerprint.
 type Crash struct {
 	Fingerprint Fingerprint
 	Incarnation Incarnation
-	// FirstSent and LastSent are when the first and the last unanswered request with the
-	// fingerprint were sent to the incarnation; a zero FirstSent stands for LastSent. Ended is when
-	// its responses broke off.
+	// FirstSent and LastSent are the times at which the first and the last unanswered request with
+	// the fingerprint were sent to the incarnation; a zero FirstSent stands for LastSent. Ended is
+	// the time at which the responses of the incarnation broke off.
 	FirstSent, LastSent, Ended time.Time
 }
 
 const (
-	// ProvenAfter is how long an upstream must have streamed a response before the request counts
-	// as one that it can run: a request that crashes an upstream does so soon after it starts.
+	// ProvenAfter is the time for which an upstream must have streamed a response before the
+	// request counts as a success: a request that crashes an upstream does so soon after it starts.
 	ProvenAfter = 2 * time.Second
-	// QuarantineDuration is how long requests with a quarantined fingerprint are refused.
+	// QuarantineDuration is the time for which requests with a quarantined fingerprint are refused.
 	QuarantineDuration = 5 * time.Minute
 	// crashTTL is the age at which a crash is dropped. It spans several quarantines, because a
 	// fingerprint is quarantined again after a single new crash.
 	crashTTL = 30 * time.Minute
-	// successTTL is how long after a success crashes don't count against a fingerprint: in an
-	// outage, a popular request is running on almost every upstream that exits.
+	// successTTL is the time after a success of a fingerprint in which crashes don't count against
+	// it: in an outage, a popular request is running on almost every upstream that exits.
 	successTTL = time.Minute
 	// minAdoptedRemaining is the remaining time below which a quarantine isn't adopted from another
 	// entry. Entries end the same quarantine at slightly different times, and without this limit
 	// they would pass it back to each other forever.
 	minAdoptedRemaining = 10 * time.Second
 	// minSuspectCrashes is the number of crashes from which a request is not retried on a second
-	// upstream after its first one broke off: it would probably crash a third incarnation.
+	// upstream after the first one broke off: the retry would probably crash one more incarnation.
 	minSuspectCrashes = 2
-	// maxSuspects limits the fingerprints with crashes, maxCrashesPerSuspect the crashes kept for
-	// each, and maxQuarantined the fingerprints quarantined at once.
+	// maxSuspects is the maximum number of suspects, maxCrashesPerSuspect that of the crashes kept
+	// for each, and maxQuarantined that of the fingerprints quarantined at once.
 	maxSuspects          = 2048
 	maxCrashesPerSuspect = 8
 	maxQuarantined       = 256
 )
 
-// suspect is the state of a fingerprint that upstreams were running when they exited.
+// suspect is the state kept of a fingerprint that upstreams were running when they exited.
 type suspect struct {
-	// crashes is sorted by Ended and holds only crashes later than lastSuccess plus successTTL.
+	// crashes is sorted by Ended. It holds only crashes later than lastSuccess plus successTTL.
 	crashes []knownCrash
-	// lastSuccess is when an upstream last completed a request with the fingerprint; zero if never.
+	// lastSuccess is the time of the last known success of a request with the fingerprint; zero if
+	// there is none.
 	lastSuccess time.Time
-	// broadcastsLeft is the number of heartbeats that are still to carry lastSuccess.
+	// broadcastsLeft is the number of updates that are still to contain lastSuccess.
 	broadcastsLeft int
-	// releasedAt is when the last quarantine of the fingerprint expired; zero if there was none.
-	// Only a later crash can quarantine it again.
+	// releasedAt is the time at which the last quarantine of the fingerprint expired; zero if there
+	// was none. Only a later crash can quarantine the fingerprint again.
 	releasedAt time.Time
 }
 
-// knownCrash is a crash and the number of heartbeats that are still to carry it.
+// knownCrash is a crash and the number of updates that are still to contain it.
 type knownCrash struct {
 	Crash
 	broadcastsLeft int
@@ -86,17 +87,17 @@
 // Decision is the decision to quarantine a fingerprint.
 type Decision struct {
 	Fingerprint Fingerprint
-	// Crashes is the number of crashes that count against the fingerprint. Probability is how
-	// likely these crashes are if the fingerprint causes none of them. Both are zero for a
-	// quarantine adopted from another entry.
+	// Crashes is the number of crashes that count against the fingerprint. Probability is the
+	// estimated probability of these crashes if the fingerprint causes none of them. Both are zero
+	// for a quarantine adopted from another entry.
 	Crashes     int
 	Probability float64
-	// Until is when the quarantine expires.
+	// Until is the time at which the quarantine expires.
 	Until time.Time
 }
 
-// LogFields returns the log fields of a decision. Source is "own", or the name of the entry from
-// which the decision was adopted.
+// LogFields returns the log fields of a decision. The argument source is "own", or the name of the
+// entry from which the decision was adopted.
 func (d Decision) LogFields(now time.Time, source string) []zap.Field {
 	return []zap.Field{
 		zap.Stringer("content", d.Fingerprint), zap.Int("strikes", d.Crashes), zap.Float64("chance", d.Probability),
@@ -112,12 +113,13 @@
 	suspects map[Fingerprint]*suspect
 	// quarantined holds the time at which each active quarantine began.
 	quarantined map[Fingerprint]time.Time
-	// successes holds the requests that this entry saw complete, whether suspect or not.
+	// successes holds the times of the successes that this entry recorded itself, of all
+	// fingerprints.
 	successes successCache
 	// upstreamCount is the number of upstreams of the whole deployment.
 	upstreamCount int
 	// needsEvaluation is true if a crash was recorded since the last call of Evaluate, or was too
-	// recent to be counted then.
+	// recent to count in that call.
 	needsEvaluation bool
 }
 
@@ -133,15 +135,15 @@
 	q.upstreamCount = n
 }
 
-// RecordCrash records that an upstream exited while it ran a request. The crash is broadcast to the
-// other entries.
+// RecordCrash records that an upstream exited while it ran a request, as this entry observed. The
+// crash is broadcast to the other entries.
 func (q *Quarantiner) RecordCrash(now time.Time, crash Crash) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.recordCrash(now, crash)
 }
 
-// recordCrash adds a crash, or merges it with a known crash of the same incarnation. It ignores
+// recordCrash adds a crash, or merges it with a known crash that reports the same exit. It ignores
 // crashes that a success clears and crashes older than crashTTL. The caller holds the lock.
 func (q *Quarantiner) recordCrash(now time.Time, crash Crash) {
 	if crash.FirstSent.IsZero() {
@@ -170,14 +172,14 @@
 func isCleared(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
 
 // isSameExit reports whether two crashes of a fingerprint report the same exit of an incarnation.
-// Comparing the incarnation alone is not enough: while the store is unavailable, entries know a
-// restarted upstream by its previous incarnation ID.
+// Equal incarnations are not enough: while the store is unavailable, entries know a restarted
+// upstream by its previous incarnation ID.
 func (c Crash) isSameExit(o Crash) bool {
 	return c.Incarnation == o.Incarnation && c.Ended.Sub(o.Ended).Abs() <= coincidenceWindow
 }
 
-// merge adds another report of the same exit. If the report widens the time span by more than
-// timestampSlack, the crash is broadcast again.
+// merge adds another report of the same exit. If it extends the time from FirstSent to LastSent by
+// more than timestampSlack at either end, the crash is broadcast again.
 func (k *knownCrash) merge(crash Crash) {
 	if k.FirstSent.Sub(crash.FirstSent) > timestampSlack || crash.LastSent.Sub(k.LastSent) > timestampSlack {
 		k.broadcastsLeft = broadcastsPerItem
@@ -190,8 +192,8 @@
 	}
 }
 
-// ensureSuspect returns the state of a fingerprint and creates it if needed. At maxSuspects it
-// evicts the fingerprint with the fewest crashes, the least recently active first.
+// ensureSuspect returns the state of a fingerprint, and creates it if needed. At maxSuspects it
+// evicts the fingerprint with the fewest crashes, and of several the least recently active one.
 func (q *Quarantiner) ensureSuspect(fp Fingerprint) *suspect {
 	if p, ok := q.suspects[fp]; ok {
 		return p
@@ -211,9 +213,9 @@
 	return p
 }
 
-// RecordSuccess records that an upstream ran a request to its end, or for at least ProvenAfter.
-// This clears earlier crashes of the fingerprint and lifts its quarantine: a request that completes
-// doesn't crash the upstream that runs it.
+// RecordSuccess records a success of a fingerprint: that an upstream ran a request to its end, or
+// for at least ProvenAfter. This clears earlier crashes of the fingerprint and lifts its
+// quarantine: a request that completes doesn't crash the upstream that runs it.
 func (q *Quarantiner) RecordSuccess(now time.Time, fp Fingerprint) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -230,7 +232,7 @@
 	if !success.After(p.lastSuccess) {
 		return
 	}
-	if success.Sub(p.lastSuccess) > maxBroadcastAge { // a smaller step was already broadcast
+	if success.Sub(p.lastSuccess) > maxBroadcastAge { // a success almost as late was already broadcast
 		p.broadcastsLeft = broadcastsPerItem
 	}
 	p.lastSuccess = success
@@ -240,8 +242,8 @@
 	}
 }
 
-// QuarantinedUntil returns when the quarantine of a fingerprint expires; ok is false if the
-// fingerprint is not quarantined.
+// QuarantinedUntil returns the time at which the quarantine of a fingerprint expires; ok is false
+// if the fingerprint is not quarantined.
 func (q *Quarantiner) QuarantinedUntil(now time.Time, fp Fingerprint) (until time.Time, ok bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -284,7 +286,7 @@
 		q.applySuccess(fp, at)
 	}
 	if p, ok := q.suspects[fp]; ok && isCleared(p.lastSuccess, since) {
-		p.broadcastsLeft = broadcastsPerItem // the sender lacks this success
+		p.broadcastsLeft = broadcastsPerItem // the entry that sent the quarantine lacks this success
 		return false
 	}
 	if len(q.quarantined) >= maxQuarantined {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -22,7 +22,7 @@
 type fleet struct {
 	now     time.Time
 	entries []*Quarantiner
-	// random selects half of the neighbours in each round; if nil, each entry has only its
+	// random selects half of the neighbours in each round. If it is nil, each entry has only its
 	// successor in a ring as neighbour.
 	random *rand.Rand
 	// decisions counts the decisions of all entries.
@@ -85,8 +85,8 @@
 	return out
 }
 
-// crash simulates the exit of an incarnation that ran the given fingerprints, each reported to a
-// different entry.
+// crash simulates the exit of an incarnation that ran the given fingerprints for the time ran. The
+// crash of each fingerprint is recorded by a different entry.
 func (f *fleet) crash(incarnation Incarnation, ran time.Duration, fingerprints ...Fingerprint) {
 	for i, fp := range fingerprints {
 		f.entries[(int(incarnation)+i)%len(f.entries)].RecordCrash(f.now, Crash{Fingerprint: fp, Incarnation: incarnation, LastSent: f.now.Add(-ran), Ended: f.now})
@@ -102,7 +102,7 @@
 	}
 }
 
-// refusing returns the number of entries that refuse a fingerprint.
+// refusing returns the number of entries at which a fingerprint is quarantined.
 func (f *fleet) refusing(fp Fingerprint) int {
 	n := 0
 	for _, q := range f.entries {
@@ -140,8 +140,8 @@
 	is.Equal(f.refusing(fingerprint("unlucky")), 0)
 }
 
-// A request that ran beside the crashing one on all incarnations but one must not be quarantined
-// with it.
+// A request that ran on the same incarnations as the crashing one, except on one, must not be
+// quarantined with it.
 func TestConcurrentRequestsAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 14)
@@ -224,7 +224,8 @@
 	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
-// A success of an attempt sent before the quarantine lifts the quarantine at all entries.
+// The success of a request that was sent before its fingerprint was quarantined lifts the
+// quarantine at all entries.
 func TestSuccessLiftsQuarantine(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 117)
@@ -319,8 +320,8 @@
 	})
 }
 
-// A popular request is running wherever an upstream exits. A success that any entry saw shows that
-// it is not the cause.
+// A popular request is running on every upstream that exits. A success of it at any entry shows
+// that it is not the cause.
 func TestPopularFingerprintIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
@@ -336,8 +337,8 @@
 }
 
 // At 380 entries and 600 upstreams, all entries refuse a fingerprint within 3 s of its third crash,
-// sooner than is required even of entries in direct contact, and each entry sends less than 3 KB/s
-// for it.
+// sooner than is required even of entries that exchange heartbeats directly, and each entry sends
+// less than 3 KB/s of updates.
 func TestTrafficOfTargetFleet(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(380, 600)
@@ -441,7 +442,7 @@
 }
 
 // If half of all upstreams exit within two seconds, a popular request may have been running on each
-// of them without a success yet.
+// of them before its first success. It is quarantined only after a fourth crash.
 func TestOutageOfHalfOfUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
@@ -470,9 +471,9 @@
 	is.Equal(f.refusing(fingerprint("popular")), 0)
 }
 
-// A popular request ran wherever the cause crashed an upstream, each time for half a second
-// already. One crash of the cause was lost with the entry that recorded it, so the popular request
-// has more crashes.
+// A popular request had been running for half a second on every upstream that another request
+// crashed. One crash of that other request was lost with the entry that recorded it, so the popular
+// request has more crashes. Only the other request must be quarantined.
 func TestLongerRunningRequestIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
--- a/quarantiner/successes.go
+++ b/quarantiner/successes.go
@@ -5,11 +5,11 @@
 // maxGenerationSize is the maximum number of fingerprints in each map of a successCache.
 const maxGenerationSize = 4096
 
-// successCache holds when requests with a fingerprint last completed. A fingerprint is evicted
-// after at least maxGenerationSize others completed since.
+// successCache holds the time of the last success of recent fingerprints. A fingerprint is evicted
+// only after maxGenerationSize others have succeeded since.
 type successCache struct {
-	// current holds the most recent successes. When it is full it replaces previous, whose
-	// fingerprints are evicted.
+	// current holds the most recent successes. When current is full, it replaces previous, whose
+	// fingerprints are thereby evicted.
 	current, previous map[Fingerprint]time.Time
 }
 
