--- a/prober/prober.go
+++ b/prober/prober.go
@@ -167,8 +167,8 @@
 	if m, ok := p.members[name]; ok {
 		return m
 	}
-	own := assigner.Weight("ring", p.config.Name)
-	m := &Member{Name: name, State: Listed, ringPosition: assigner.Weight("ring", name) - own}
+	ownPosition := assigner.Weight("ring", p.config.Name)
+	m := &Member{Name: name, State: Listed, ringPosition: assigner.Weight("ring", name) - ownPosition}
 	p.members[name] = m
 	at, _ := slices.BinarySearchFunc(p.ring, m, comparePosition)
 	p.ring = slices.Insert(p.ring, at, m)
@@ -391,7 +391,7 @@
 
 // choose adds members that the filter accepts to those chosen, starting at an index of the ring. It
 // stops once enough chosen members are not dead, or twice as many are chosen.
-func (p *Prober) choose(from, enough int, chosen []*Member, accepts func(*Member) bool) []*Member {
+func (p *Prober) choose(start, wanted int, chosen []*Member, accepts func(*Member) bool) []*Member {
 	live := 0
 	for _, m := range chosen {
 		if m.State != Dead {
@@ -399,8 +399,8 @@
 		}
 	}
 	for i := range p.ring {
-		m := p.ring[(from+i)%len(p.ring)]
-		if live >= enough || len(chosen) >= 2*enough {
+		m := p.ring[(start+i)%len(p.ring)]
+		if live >= wanted || len(chosen) >= 2*wanted {
 			break
 		}
 		if !m.PeerAddress.IsValid() || !accepts(m) || slices.Contains(chosen, m) {
