--- a/prober/example_test.go
+++ b/prober/example_test.go
@@ -30,17 +30,17 @@
 type testFleet struct {
 	now     time.Time
 	probers []*prober.Prober
-	// silent holds the entries that neither send nor answer heartbeats.
+	// silent holds the indexes of the entries that neither send nor answer heartbeats.
 	silent map[int]bool
-	// restarts is the number of restarts of each entry, and stopping holds the entries that are
-	// shutting down.
+	// restarts holds the number of restarts of each entry, stopping the entries that are shutting
+	// down.
 	restarts map[int]uint64
 	stopping map[int]bool
-	// informed holds the entries that have received the revision of a new document.
+	// informed holds the entries that have received a piece of information carried by heartbeats.
 	informed map[int]bool
 	// dataCentre returns the data centre of an entry.
 	dataCentre func(int) string
-	// across and within count the heartbeats between data centres and inside one.
+	// across counts the heartbeats between data centres, within those inside one.
 	across, within int
 }
 
@@ -49,7 +49,7 @@
 	return newPlacedFleet(size, neighbours, func(int) string { return "" })
 }
 
-// newPlacedFleet returns a fleet whose entries are in the data centres that the function names.
+// newPlacedFleet returns a fleet whose entries are in the data centres that dataCentre returns.
 func newPlacedFleet(size, neighbours int, dataCentre func(int) string) *testFleet {
 	f := &testFleet{now: time.Now(), silent: map[int]bool{}, restarts: map[int]uint64{}, stopping: map[int]bool{}, informed: map[int]bool{}, dataCentre: dataCentre}
 	var list []api.Instance
@@ -116,8 +116,8 @@
 	return n
 }
 
-// In a fleet of the target size, with three neighbours each, a death and a return must reach all
-// entries within 60 rounds.
+// In a fleet of the target size, 380 entries with three neighbours each, the death and the return
+// of an entry must reach all others within 60 rounds.
 func TestDeathSpreads(t *testing.T) {
 	is := is.New(t)
 	const size = 380
@@ -148,8 +148,8 @@
 	is.Equal(f.countState(7, prober.Dead), 0)
 }
 
-// An entry of 380 shuts down and starts again, and all entries must be notified. If only its
-// neighbours are, the others give its address to callers and send it messages to pass on while it
+// One of 380 entries shuts down and starts again, and all others must be notified. If only its
+// neighbours are, the others give its address to callers, and send it messages to relay, while it
 // shuts down and while it is gone.
 func TestShutdownAndReturnSpread(t *testing.T) {
 	is := is.New(t)
@@ -192,8 +192,8 @@
 }
 
 // In a fault-free fleet of 120 entries in three data centres, some pairs exchange their first
-// heartbeat only after warmUpRounds. If each such entry announces the other, even one it knows from
-// a notice, the bytes between data centres grow by two fifths.
+// heartbeat only after warmUpRounds. If each entry of such a pair announces the other, even one
+// that a notice has announced already, the bytes between data centres grow by two fifths.
 func TestMemberIsAnnouncedOnce(t *testing.T) {
 	is := is.New(t)
 	const size, rounds = 120, 200
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -1,9 +1,9 @@
 // Package prober maintains one entry's view of which other entries are alive. Each entry sends
 // heartbeats to a few others, so its traffic does not grow with the fleet. Half of the heartbeats
 // go to its successors on a ring of hashed names, so that every entry is monitored by some other;
-// the rest go to members sampled at random in each round. Notices of deaths and shutdowns are
-// piggybacked on the heartbeats and reach the whole fleet in a number of rounds that grows with the
-// logarithm of its size.
+// the rest go to members sampled anew in each round. Notices of deaths, shutdowns and new members
+// are piggybacked on the heartbeats and reach the whole fleet in a number of rounds that grows with
+// the logarithm of the fleet's size.
 //
 // The view may be wrong during a network partition, so no invariant may depend on it. It is used to
 // select the keeper of each engine and the addresses that callers are given.
@@ -28,7 +28,7 @@
 	// Listed members are in the instance list, or were announced by a notice, but have sent no
 	// heartbeat yet.
 	Listed State = "listed"
-	// Live members respond to heartbeats.
+	// Live members have sent a heartbeat and are not known to be stopping or dead.
 	Live State = "live"
 	// Stopping members are alive but shutting down, and accept no new callers.
 	Stopping State = "stopping"
@@ -38,51 +38,53 @@
 )
 
 const (
-	// maxNotices limits the notices in one heartbeat.
+	// maxNotices is the maximum number of notices in one heartbeat.
 	maxNotices = 16
-	// noticeRounds is the number of heartbeats per neighbour that carry a notice.
+	// noticeRounds times Config.Neighbours is the number of heartbeats that carry a notice.
 	noticeRounds = 4
 	// minUnanswered is the minimum number of consecutive unanswered heartbeats before a member can
-	// be declared dead: a single one may have been lost.
+	// be declared dead: a single heartbeat may have been lost.
 	minUnanswered = 2
-	// warmUpRounds is the number of rounds after which most other members have sent a heartbeat.
-	// Only then is the first heartbeat of a member announced; earlier, the notices of all members
-	// would delay those of deaths.
+	// warmUpRounds is the number of rounds after which most other members have sent this entry a
+	// heartbeat. Only from then on is a member announced by a notice when its first heartbeat
+	// arrives; earlier, the notices about all members would delay those about deaths.
 	warmUpRounds = 50
-	// noticeTTL is how long after it was last received a notice is remembered, so that repetitions
-	// are ignored.
+	// noticeTTL is the time for which a notice is remembered after it was last received, so that
+	// repetitions are ignored.
 	noticeTTL = 5 * time.Minute
 )
 
-// Member is the view of another entry.
+// Member is this entry's view of another entry.
 type Member struct {
 	Name string
 	// Incarnation is the newest known incarnation; 0 if none is known.
 	Incarnation uint64
-	// Address is where the member accepts callers, PeerAddress where it accepts heartbeats.
+	// Address is the address at which the member accepts callers, PeerAddress that at which it
+	// accepts heartbeats.
 	Address     netip.AddrPort
 	PeerAddress netip.AddrPort
 	// DataCentre is the data centre of the member, from its heartbeat or the instance list.
 	DataCentre string
 	State      State
-	// Ready reports whether the member accepts callers.
+	// Ready is true if the member accepts callers.
 	Ready bool
-	// LastHeartbeat is when the last heartbeat of this incarnation was received; zero if none was.
-	// ResetSilence sets it to the current time.
+	// LastHeartbeat is the time at which the last heartbeat of this incarnation was received; zero
+	// if none was. For a live or stopping member, ResetSilence sets it to the current time.
 	LastHeartbeat time.Time
 
-	// ringPosition is the distance on the ring of hashed names from the prober's own entry.
+	// ringPosition is the distance of the member from the prober's own entry on the ring of hashed
+	// names.
 	ringPosition uint64
 	// isListed is true if the last instance list contained the member.
 	isListed bool
-	// unanswered is the number of heartbeats sent to the member since its last one was received,
-	// and firstUnanswered the time of the first of them.
+	// unanswered is the number of heartbeats sent to the member since its last heartbeat was
+	// received, and firstUnanswered the time at which the first of them was sent.
 	unanswered      int
 	firstUnanswered time.Time
 	// noticeSequence is the sequence number of the newest notice about this incarnation.
 	noticeSequence uint64
-	// announceWhenReady is true for a member that is new or live again, until it accepts callers;
-	// the others are notified only then.
+	// announceWhenReady is true for a member that is new or live again, until it accepts callers.
+	// The other entries are sent a notice about the member only then.
 	announceWhenReady bool
 }
 
@@ -92,11 +94,11 @@
 	Name        string
 	Incarnation uint64
 	// DataCentre is the data centre of the entry. If all data centres have enough members, most
-	// heartbeats stay within it. Empty if the data centres don't matter.
+	// heartbeats stay within it. It is empty if heartbeats need not stay within data centres.
 	DataCentre string
 	// Neighbours is the number of live members that are sent heartbeats in a round.
 	Neighbours int
-	// SuspectAfter is the time after the first unanswered heartbeat at which a silent member is
+	// SuspectAfter is the time since the first unanswered heartbeat after which a silent member is
 	// declared dead.
 	SuspectAfter time.Duration
 }
@@ -106,16 +108,16 @@
 	Name string
 	From State
 	To   State
-	// Reason is what caused the change: "heartbeat", "notice" or "silence".
+	// Reason is the cause of the change: "heartbeat", "notice" or "silence".
 	Reason string
 }
 
-// knownNotice is a notice that was received or created.
+// knownNotice is a notice that was received from another entry or created by this one.
 type knownNotice struct {
 	notice api.Notice
 	// sendsLeft is the number of heartbeats that are still to carry the notice.
 	sendsLeft int
-	// lastReceived is when the notice was last received, or was created.
+	// lastReceived is the time at which the notice was last received, or was created.
 	lastReceived time.Time
 }
 
@@ -123,7 +125,7 @@
 type Prober struct {
 	config  Config
 	members map[string]*Member
-	// ring holds all members, sorted by their distance from this entry.
+	// ring holds all members, sorted by ringPosition.
 	ring []*Member
 	// notices holds the notices received or created within noticeTTL.
 	notices map[api.Notice]*knownNotice
@@ -194,9 +196,9 @@
 }
 
 // ReceiveHeartbeat processes a heartbeat from another entry, or the response to one, and returns
-// the resulting changes. A heartbeat of an earlier incarnation arrived late and is ignored. If a
-// member begins to shut down or to accept callers, a notice is sent to all entries: in a large
-// fleet, most of them rarely exchange heartbeats with the member.
+// the resulting changes. A heartbeat of an earlier incarnation has arrived late and is ignored. If
+// a member begins to shut down, or a new or returned one to accept callers, a notice is sent to all
+// entries, since in a large fleet most of them rarely exchange heartbeats with the member.
 func (p *Prober) ReceiveHeartbeat(now time.Time, heartbeat api.Heartbeat) []Change {
 	if heartbeat.From == p.config.Name {
 		return nil
@@ -246,9 +248,8 @@
 }
 
 // ReceiveNotice processes a notice about an instance, and returns the resulting changes. A notice
-// that was not known is passed on with the next heartbeats; if it is about another kind of instance
-// or about this entry, nothing else is done. A notice about an entry that is not a member is
-// ignored.
+// that was not known is passed on with the next heartbeats; a notice about another kind of instance
+// or about this entry has no other effect. A notice about an entry that is not a member is ignored.
 func (p *Prober) ReceiveNotice(now time.Time, n api.Notice) []Change {
 	if k, known := p.notices[n]; known {
 		k.lastReceived = now
@@ -260,14 +261,14 @@
 	}
 	m, ok := p.members[n.Name]
 	if !ok {
-		return nil // a repetition is processed once the entry is a member
+		return nil // repeated notices are processed once the entry is a member
 	}
 	p.queueNotice(now, n)
 	if n.Incarnation < m.Incarnation {
 		return nil
 	}
 	if n.Incarnation > m.Incarnation {
-		// A new incarnation, from which this entry has received no heartbeat.
+		// The incarnation is new, and this entry has received no heartbeat from it.
 		m.Incarnation, m.noticeSequence, m.LastHeartbeat = n.Incarnation, 0, time.Time{}
 	} else if p.isOutdated(m, n) {
 		return nil
@@ -277,7 +278,7 @@
 		m.Ready = false
 		return p.setState(m, Stopping, "notice")
 	}
-	// A recent heartbeat counts for more than the notices of others.
+	// A recent heartbeat takes precedence over a notice of death, and is announced to refute it.
 	isRecent := !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < p.config.SuspectAfter
 	if isRecent && n.State == api.NoticeDead {
 		p.announce(now, m, api.NoticeLive)
@@ -295,10 +296,10 @@
 	return p.setState(m, Listed, "notice")
 }
 
-// isOutdated reports whether a newer notice about the member's incarnation was processed. Of two
-// notices with the same sequence number, one of a death takes precedence: a neighbour that still
-// receives heartbeats refutes it with the next sequence number. An incarnation that shuts down is
-// never live again.
+// isOutdated reports whether a notice about the member's current incarnation adds nothing to newer
+// ones processed before. Of two notices with the same sequence number, one of a death takes
+// precedence: a neighbour that still receives heartbeats refutes it with the next sequence number.
+// An incarnation that shuts down is never live again.
 func (p *Prober) isOutdated(m *Member, n api.Notice) bool {
 	if n.State == api.NoticeLeaving || m.State == Stopping && n.State == api.NoticeLive {
 		return m.State == Stopping
@@ -309,7 +310,7 @@
 	return n.Sequence < m.noticeSequence
 }
 
-// announce creates a notice about a member and queues it.
+// announce creates a notice that a member is in the given state, and queues it.
 func (p *Prober) announce(now time.Time, m *Member, state string) {
 	m.noticeSequence++
 	p.queueNotice(now, api.Notice{Kind: api.KindEntry, Name: m.Name, Incarnation: m.Incarnation, State: state, Sequence: m.noticeSequence, Ready: m.Ready})
@@ -327,7 +328,7 @@
 }
 
 // NextNotices returns up to maxNotices notices to send with the next heartbeat. Each call counts as
-// one sending of the notices that it returns.
+// one heartbeat that carries them.
 func (p *Prober) NextNotices() []api.Notice {
 	var out []api.Notice
 	for _, k := range p.notices {
@@ -364,15 +365,16 @@
 	return out
 }
 
-// minMembersPerCentre is the number of live members that every data centre must have before most
-// heartbeats stay within data centres: one more than the members that an entry exchanges heartbeats
-// with in a round. In a smaller data centre, members would be monitored by too few others.
+// minMembersPerCentre is the number of live members that every data centre must have for most
+// heartbeats to stay within data centres. It is one more than the 4 members to which an entry with
+// package controller sends heartbeats in a round: in a smaller data centre, members would be
+// monitored by too few others.
 const minMembersPerCentre = 5
 
 // localFilter returns a filter for the recipients of most heartbeats: members of the own data
-// centre, or all members if some data centre has fewer than minMembersPerCentre. In a fleet of 95
-// entries in five data centres, heartbeats made up half of the bytes between data centres, and four
-// in five heartbeats crossed; with this filter, a quarter of the heartbeats cross.
+// centre, or all members if some data centre has fewer than minMembersPerCentre. Without the
+// filter, four in five heartbeats of a fleet of 95 entries in five data centres crossed between
+// them and made up half of the bytes that did; with it, a quarter of the heartbeats cross.
 func (p *Prober) localFilter() func(*Member) bool {
 	live := map[string]int{}
 	for _, m := range p.ring {
@@ -390,7 +392,7 @@
 }
 
 // choose adds members that the filter accepts to those chosen, starting at an index of the ring. It
-// stops once enough chosen members are not dead, or twice as many are chosen.
+// stops once the wanted number of chosen members are not dead, or twice that number are chosen.
 func (p *Prober) choose(start, wanted int, chosen []*Member, accepts func(*Member) bool) []*Member {
 	live := 0
 	for _, m := range chosen {
@@ -415,8 +417,8 @@
 }
 
 // Tick declares members dead that have not answered heartbeats for SuspectAfter, and returns the
-// changes. Members to which this entry sends no heartbeats are covered by notices. Tick also drops
-// expired notices.
+// changes. The death of a member to which this entry sends no heartbeats is reported by notices of
+// others. Tick also drops expired notices.
 func (p *Prober) Tick(now time.Time) []Change {
 	var changes []Change
 	for _, m := range p.ring {
@@ -436,7 +438,8 @@
 }
 
 // ResetSilence restarts the detection of silent members. It is called after this process was
-// suspended for a while: that members were silent during that time doesn't show that they are dead.
+// suspended for a while, as heartbeats that it did not process in that time don't show that members
+// are dead.
 func (p *Prober) ResetSilence(now time.Time) {
 	for _, m := range p.members {
 		m.unanswered = 0
