--- a/matcher/config.go
+++ b/matcher/config.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// RouteKind determines how often a request of a route may be executed.
+// RouteKind determines how often a request of a route may be executed, and whether its answer is a
+// stream.
 type RouteKind int
 
 // Kinds of routes.
@@ -32,7 +33,8 @@
 // WeightedService is a service that receives a fraction of the requests of a route.
 type WeightedService struct {
 	Service string
-	// Weight divided by the sum of the weights of the route is that fraction. It is greater than 0.
+	// Weight is greater than 0. The service receives the fraction Weight / (sum of the route's
+	// weights) of the requests.
 	Weight int
 }
 
@@ -43,17 +45,19 @@
 	// Prefix is a path that begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the maximum time that a caller is kept waiting.
+	// Timeout is the maximum time from the arrival of a request until the end of its answer; 0
+	// stands for the default of the forwarder.
 	Timeout time.Duration
 	// FirstByteTarget is the latency up to which an answer is on time: the time until the first
 	// event of a stream, or until the end of any other answer.
 	FirstByteTarget time.Duration
-	// GapTarget is the longest gap between two events of a stream that is on time; 0 if the route
-	// has no such target.
+	// GapTarget is the longest gap between two events up to which a stream is on time; 0 if the
+	// route has no such target.
 	GapTarget time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Services has at least one element, and its service names are defined in the configuration.
+	// Services lists the services that the requests of the route are divided among by weight. There
+	// is at least one, and each is defined in the configuration.
 	Services []WeightedService
 	// MaxAttempts is the maximum number of upstreams that a request is sent to; at least 1.
 	MaxAttempts int
@@ -61,7 +65,7 @@
 	Public bool
 	// CarriesPrompts is true if requests carry prompts for model engines.
 	CarriesPrompts bool
-	// Resumable is true if another engine may resume a stream that broke off.
+	// Resumable is true if another engine may resume a stream of the route that broke off.
 	Resumable bool
 }
 
@@ -79,8 +83,9 @@
 	gapAbandonFactor       = 8
 )
 
-// AbandonAfter returns how long callers wait for the next event before they abandon a stream with
-// the given targets. A firstByteTarget of 0 stands for a stream whose first event was sent.
+// AbandonAfter returns the time for which callers wait for the next event before they abandon a
+// stream with the given targets. A firstByteTarget of 0 stands for a stream whose first event was
+// sent.
 func AbandonAfter(firstByteTarget, gapTarget time.Duration) time.Duration {
 	return max(minAbandonTime, firstByteAbandonFactor*firstByteTarget, gapAbandonFactor*gapTarget)
 }
@@ -122,15 +127,16 @@
 	// HeaderBytes and BodyBytes are the maximum sizes of the header and the body of a request.
 	HeaderBytes int
 	BodyBytes   int64
-	// IdleTimeout is how long an idle connection of a caller is kept open.
+	// IdleTimeout is the time for which an idle connection of a caller is kept open.
 	IdleTimeout time.Duration
 }
 
-// Organisation is a customer, identified by its API keys.
+// Organisation is a customer, identified by any of its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority ranks organisations; 0 is the most urgent. It takes precedence over that of routes.
+	// Priority ranks organisations; 0 is the most urgent. It takes precedence over the priority of
+	// routes.
 	Priority int
 }
 
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -35,8 +35,8 @@
 	services           map[string]*Service
 }
 
-// New validates the routes of a configuration and builds the indexes. It returns an InvalidError if
-// a route is invalid.
+// New validates the routes of a configuration and returns a table of it. It returns an InvalidError
+// if a route is invalid.
 func New(c Config) (*Table, error) {
 	t := &Table{
 		Config: c, routesByHost: map[string][]*Route{}, organisationsByKey: map[string]*Organisation{},
@@ -118,7 +118,7 @@
 }
 
 // PickService selects a service of the route by weight and returns its name. The argument is a
-// random number in the range [0, 1).
+// random number in the range [0, 1), which determines the service.
 func (r *Route) PickService(random float64) string {
 	sum := 0
 	for _, s := range r.Services {
