--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -41,10 +41,10 @@
 	// Version is the version of the offered document. It has only a digest if the document is
 	// invalid.
 	Version validator.DocumentVersion
-	// LoserDigest is the digest of a document that lost a tie, that is, a document with the same
+	// SupersededDigest is the digest of a document that lost a tie, that is, a document with the same
 	// revision and a greater digest is in force. It is empty if there was no tie. The publisher of
 	// the losing document must be notified.
-	LoserDigest string
+	SupersededDigest string
 	// Err says why the document is invalid, nil if it is valid.
 	Err error
 	// AdoptedAt is the time at which the document now in force was adopted.
@@ -153,14 +153,14 @@
 		a.current, a.adoptedAt = offered, now
 		result.Status, result.AdoptedAt = Adopted, now
 		if tied {
-			result.LoserDigest = old.Digest
+			result.SupersededDigest = old.Digest
 		}
 	case tied:
-		result.Status, result.LoserDigest = Superseded, offered.Version.Digest
+		result.Status, result.SupersededDigest = Superseded, offered.Version.Digest
 	default:
 		result.Status = Older
 	}
-	a.recordSuperseded(result.LoserDigest)
+	a.recordSuperseded(result.SupersededDigest)
 	return result
 }
 
--- a/adopter/adopter_test.go
+++ b/adopter/adopter_test.go
@@ -49,7 +49,7 @@
 	a.Offer(time.Time{}, first)
 	result := a.Offer(time.Time{}, second)
 	loser := min(validator.Digest(first), validator.Digest(second))
-	is.Equal(result.LoserDigest, loser)
+	is.Equal(result.SupersededDigest, loser)
 	is.Equal(a.SupersededDigests(), []string{loser})
 }
 
--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -23,8 +23,8 @@
 	Ratio float64
 	// Window is the time over which requests and retries are counted.
 	Window time.Duration
-	// Slack is the number of retries allowed in a window, over all entries, in addition to Ratio.
-	Slack int
+	// BaseRetries is the number of retries allowed in a window, over all entries, in addition to Ratio.
+	BaseRetries int
 }
 
 // Budgeter counts requests and retries by service. It is safe for concurrent use.
@@ -106,7 +106,7 @@
 
 // canRetry reports whether one more retry is within this entry's fraction of the budget.
 func (b *Budgeter) canRetry(w *slidingWindow, entries int) bool {
-	budget := b.config.Ratio*float64(sum(w.requests)) + float64(b.config.Slack)/float64(max(1, entries))
+	budget := b.config.Ratio*float64(sum(w.requests)) + float64(b.config.BaseRetries)/float64(max(1, entries))
 	return float64(sum(w.retries)+1) <= usableFraction*budget
 }
 
--- a/budgeter/budgeter_test.go
+++ b/budgeter/budgeter_test.go
@@ -9,7 +9,7 @@
 	"github.com/sapphireramp/sapphireramp/budgeter"
 )
 
-var config = budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 70}
+var config = budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, BaseRetries: 70}
 
 // Seven entries that retry as often as they are allowed to stay within the shared budget in every
 // window, however requests are distributed among them.
@@ -42,7 +42,7 @@
 	}
 	for tick := range 400 {
 		from := start.Add(time.Duration(tick) * 50 * time.Millisecond)
-		allowed := config.Ratio*float64(within(requested, from)) + float64(config.Slack)
+		allowed := config.Ratio*float64(within(requested, from)) + float64(config.BaseRetries)
 		is.True(float64(within(retried, from)) <= allowed) // retries in every window
 	}
 	is.True(len(retried) > 100)
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -94,7 +94,7 @@
 func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
 		Seeds: settings.Seeds, ShutdownGrace: settings.ShutdownGrace,
-		RetryBudget: budgeter.Config{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack},
+		RetryBudget: budgeter.Config{Ratio: settings.RetryRatio, Window: settings.RetryWindow, BaseRetries: settings.RetrySlack},
 	}
 }
 
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -245,7 +245,7 @@
 	storeClient := platform.NewStore(client, netip.AddrPortFrom(storeHost, 80))
 	settings := launcher.Settings{
 		Seeds:       []netip.AddrPort{netip.AddrPortFrom(entryHost(0), peerPort), netip.AddrPortFrom(entryHost(1), peerPort)},
-		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, ShutdownGrace: shutdownGrace,
+		RetryBudget: budgeter.Config{Ratio: 0.2, Window: 10 * time.Second, BaseRetries: 100}, ShutdownGrace: shutdownGrace,
 	}
 	e := &entry{host: host, reload: make(chan struct{}, 1), exited: make(chan struct{})}
 	l := launcher.New(launcher.Config{
--- a/server/control.go
+++ b/server/control.go
@@ -159,8 +159,8 @@
 		zap.String("verdict", result.Status.String()), zap.Uint64("revision", result.Version.Revision),
 		zap.String("digest", result.Version.Digest), zap.String("source", source),
 	}
-	if result.LoserDigest != "" {
-		fields = append(fields, zap.String("loser", result.LoserDigest))
+	if result.SupersededDigest != "" {
+		fields = append(fields, zap.String("loser", result.SupersededDigest))
 	}
 	switch {
 	case result.Err != nil:
