--- a/controller/callerentries.go
+++ b/controller/callerentries.go
@@ -72,15 +72,15 @@
 // The work per request takes five times as long on an instance with a fifth of a core as on
 // one with a whole core.
 func preferredEntries(ready []readyEntry) []readyEntry {
-	candidates := slices.DeleteFunc(slices.Clone(ready), func(t readyEntry) bool { return t.overloaded })
+	candidates := slices.DeleteFunc(slices.Clone(ready), func(e readyEntry) bool { return e.overloaded })
 	if len(candidates) == 0 {
 		return ready
 	}
 	fastest := 0.0
-	for _, t := range candidates {
-		fastest = max(fastest, t.speed)
+	for _, e := range candidates {
+		fastest = max(fastest, e.speed)
 	}
-	fast := slices.DeleteFunc(slices.Clone(candidates), func(t readyEntry) bool { return t.speed < fastFraction*fastest })
+	fast := slices.DeleteFunc(slices.Clone(candidates), func(e readyEntry) bool { return e.speed < fastFraction*fastest })
 	if len(fast) < minFastEntries || totalSpeed(fast) < minFastSpeedFraction*totalSpeed(ready) {
 		return candidates
 	}
@@ -90,11 +90,11 @@
 // withoutCallers returns the names of ready entries whose addresses callers are not given.
 func withoutCallers(ready, preferred []readyEntry) map[string]bool {
 	out := map[string]bool{}
-	for _, t := range ready {
-		out[t.name] = true
+	for _, e := range ready {
+		out[e.name] = true
 	}
-	for _, t := range preferred {
-		delete(out, t.name)
+	for _, e := range preferred {
+		delete(out, e.name)
 	}
 	return out
 }
@@ -102,8 +102,8 @@
 // totalSpeed returns the sum of the speeds of entries, in processor cores.
 func totalSpeed(entries []readyEntry) float64 {
 	sum := 0.0
-	for _, t := range entries {
-		sum += t.speed
+	for _, e := range entries {
+		sum += e.speed
 	}
 	return sum
 }
@@ -112,11 +112,11 @@
 // connect. Entries of that data centre come first.
 func (c *Controller) CallerAddresses(dataCentre string) []netip.AddrPort {
 	var local, remote []netip.AddrPort
-	for _, t := range c.current.Load().callerEntries {
-		if t.dataCentre == dataCentre {
-			local = append(local, t.address)
+	for _, e := range c.current.Load().callerEntries {
+		if e.dataCentre == dataCentre {
+			local = append(local, e.address)
 		} else {
-			remote = append(remote, t.address)
+			remote = append(remote, e.address)
 		}
 	}
 	all := append(local, remote...)
--- a/controller/callerentries_test.go
+++ b/controller/callerentries_test.go
@@ -13,11 +13,11 @@
 func readyEntries(fast, slow int) []readyEntry {
 	var out []readyEntry
 	for i := range fast + slow {
-		t := readyEntry{address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), capacity: capacity{speed: 0.8}}
+		e := readyEntry{address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), capacity: capacity{speed: 0.8}}
 		if i >= fast {
-			t.speed = 0.192
+			e.speed = 0.192
 		}
-		out = append(out, t)
+		out = append(out, e)
 	}
 	return out
 }
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -13,8 +13,8 @@
 
 // logQuarantined logs decisions to refuse requests that crash upstreams.
 func (s *state) logQuarantined(now time.Time, decisions []quarantiner.Decision, source string) {
-	for _, v := range decisions {
-		s.controller.config.Log.Warn("quarantined", v.LogFields(now, source)...)
+	for _, d := range decisions {
+		s.controller.config.Log.Warn("quarantined", d.LogFields(now, source)...)
 	}
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -100,14 +100,14 @@
 
 // metrics are the counters and gauges of a Controller.
 type metrics struct {
-	storeCalls, storeFailures             tally.Counter
-	revision, listAge, members, upstreams tally.Gauge
+	storeCalls, storeFailures                           tally.Counter
+	configRevision, confirmationAge, members, upstreams tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
 		storeCalls: scope.Counter("store_calls"), storeFailures: scope.Counter("store_failures"),
-		revision: scope.Gauge("configuration_revision"), listAge: scope.Gauge("list_age_seconds"),
+		configRevision: scope.Gauge("configuration_revision"), confirmationAge: scope.Gauge("list_age_seconds"),
 		members: scope.Gauge("members_live"), upstreams: scope.Gauge("upstreams"),
 	}
 }
@@ -253,7 +253,7 @@
 	s.logStoreChanges(s.follower.Tick(now), "hold_ended")
 	s.logQuarantined(now, s.controller.config.Quarantine.Evaluate(now), "own")
 	if age, ok := s.follower.ConfirmationAge(now); ok {
-		s.controller.metrics.listAge.Update(age.Seconds())
+		s.controller.metrics.confirmationAge.Update(age.Seconds())
 	}
 	publishedAt := s.controller.current.Load().ConfirmedAt
 	if s.follower.ConfirmedAt().Sub(publishedAt) > viewRefreshAge || now.Sub(s.started) < 2*settleTime {
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -113,31 +113,31 @@
 func (f *fleet) startEntry(i int) *entry {
 	host := hostOf(i)
 	f.started++
-	board := dispatcher.New(fmt.Sprintf("dc-%d", i%3), rand.New(rand.NewPCG(1, uint64(i))))
+	entryDispatcher := dispatcher.New(fmt.Sprintf("dc-%d", i%3), rand.New(rand.NewPCG(1, uint64(i))))
 	client := &http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(host), DisableKeepAlives: true}}
 	reader := platform.NewStore(client, storeAddress)
-	e := &entry{dispatcher: board, quarantine: quarantiner.New(), host: host, ended: make(chan struct{})}
+	e := &entry{dispatcher: entryDispatcher, quarantine: quarantiner.New(), host: host, ended: make(chan struct{})}
 	config := controller.Config{
 		Name: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%3), Incarnation: uint64(f.started),
 		CallerAddress: netip.AddrPortFrom(host, 80), PeerAddress: netip.AddrPortFrom(host, 81), LoadAddress: netip.AddrPortFrom(host, 82),
 		Store: controller.Store{Read: reader.Read, Watch: reader.Watch, DecodeConfig: platform.DecodeConfig}, MaxPropagation: 2 * time.Second,
-		SinceBoot: sinceEpoch, Dispatcher: board, Quarantine: e.quarantine, Dial: f.net.Dialer(host), Log: zap.NewNop(), Scope: tally.NoopScope,
+		SinceBoot: sinceEpoch, Dispatcher: entryDispatcher, Quarantine: e.quarantine, Dial: f.net.Dialer(host), Log: zap.NewNop(), Scope: tally.NoopScope,
 		Asserter: asserter.New(func(name, detail string) { f.t.Errorf("%s: %s", name, detail) }),
 	}
 	if f.speed != nil {
 		config.Speed = f.speed(i)
 	}
 	e.Controller = controller.New(config)
-	beats, err := f.net.Listen(netip.AddrPortFrom(host, 81))
+	peerListener, err := f.net.Listen(netip.AddrPortFrom(host, 81))
 	f.is.NoErr(err)
-	shares, err := f.net.ListenPacket(netip.AddrPortFrom(host, 82))
+	loadSocket, err := f.net.ListenPacket(netip.AddrPortFrom(host, 82))
 	f.is.NoErr(err)
 	var ctx context.Context
 	ctx, e.stop = context.WithCancel(context.Background())
 	seeds := []netip.AddrPort{netip.AddrPortFrom(hostOf(0), 81), netip.AddrPortFrom(hostOf(1), 81)}
 	go func() {
 		defer close(e.ended)
-		e.Run(ctx, seeds, beats, shares)
+		e.Run(ctx, seeds, peerListener, loadSocket)
 	}()
 	return e
 }
@@ -595,13 +595,13 @@
 		f.is.Equal(first.LoadNews.Relayed.Messages, int64(0)) // entries of its own data centre receive its updates directly
 		relayed, bytes := int64(0), int64(0)
 		for _, e := range f.entries[1:] {
-			news := e.Status().LoadNews
+			counts := e.Status().LoadNews
 			if e.Status().DataCentre != first.DataCentre {
-				relayed += news.Relayed.Messages
-				bytes += news.Relayed.Bytes
+				relayed += counts.Relayed.Messages
+				bytes += counts.Relayed.Bytes
 			}
-			f.is.True(news.Heard.Messages >= 20) // each change, and full updates
-			f.is.Equal(news.Malformed, int64(0))
+			f.is.True(counts.Heard.Messages >= 20) // each change, and full updates
+			f.is.Equal(counts.Malformed, int64(0))
 		}
 		f.is.True(relayed >= 20*2*7) // each change, relayed by one of eight entries to the others
 		f.is.True(bytes > relayed)
@@ -620,30 +620,30 @@
 			_, refusal := e.dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
 			f.is.True(refusal == nil)
 		}
-		hosts := map[netip.Addr]bool{}
+		slowHosts := map[netip.Addr]bool{}
 		for _, e := range all[fast:] {
-			hosts[e.host] = true
+			slowHosts[e.host] = true
 		}
 		var lock sync.Mutex
-		toSlow, counts := 0, false
+		toSlow, counting := 0, false
 		f.net.OnDatagram = func(_, to netip.Addr, _ int) {
 			lock.Lock()
 			defer lock.Unlock()
-			if counts && hosts[to] {
+			if counting && slowHosts[to] {
 				toSlow++
 			}
 		}
-		count := func(on bool) {
+		setCounting := func(on bool) {
 			lock.Lock()
 			defer lock.Unlock()
-			counts = on
+			counting = on
 		}
 		for n := 1; n <= 10; n++ {
 			f.entries = all[:fast]
-			count(true)
+			setCounting(true)
 			place(all[0])
 			f.eventually(20*time.Millisecond, "load received by placing entries", hasRequests(n))
-			count(false)
+			setCounting(false)
 			f.entries = all
 			f.eventually(900*time.Millisecond, "load received by all", hasRequests(n))
 		}
--- a/controller/loadcounts.go
+++ b/controller/loadcounts.go
@@ -33,15 +33,15 @@
 }
 
 // registerMetrics creates the metrics of the counts.
-func (n *loadCounts) registerMetrics(scope tally.Scope) {
-	n.sent.metric, n.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
-	n.received.metric = scope.Counter("load_bytes_heard")
+func (c *loadCounts) registerMetrics(scope tally.Scope) {
+	c.sent.metric, c.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
+	c.received.metric = scope.Counter("load_bytes_heard")
 }
 
 // status returns the counts and the numbers of peers in a view.
-func (n *loadCounts) status(v *view) *api.LoadUpdateCounts {
+func (c *loadCounts) status(v *view) *api.LoadUpdateCounts {
 	return &api.LoadUpdateCounts{
 		Peers: v.allPaths.count(), PlacingPeers: v.placingPaths.count(), RelayedCentres: len(v.allPaths.relayed),
-		Told: n.sent.status(), Relayed: n.relayed.status(), Heard: n.received.status(), Malformed: n.malformed.Load(),
+		Told: c.sent.status(), Relayed: c.relayed.status(), Heard: c.received.status(), Malformed: c.malformed.Load(),
 	}
 }
--- a/controller/loadpaths.go
+++ b/controller/loadpaths.go
@@ -21,12 +21,12 @@
 // buildLoadPaths returns the paths from a data centre to those peers that accepts selects.
 func buildLoadPaths(dataCentre string, peers []peer, accepts func(peer) bool) loadPaths {
 	var paths loadPaths
-	relays := map[string]int{}
-	listeners, nonRelays := map[string][]netip.AddrPort{}, map[string][]netip.AddrPort{}
+	relayCounts := map[string]int{}
+	relayCandidates, nonRelays := map[string][]netip.AddrPort{}, map[string][]netip.AddrPort{}
 	for _, p := range peers {
 		remote := p.dataCentre != dataCentre
 		if remote && p.canRelay() {
-			relays[p.dataCentre]++
+			relayCounts[p.dataCentre]++
 		}
 		switch {
 		case !accepts(p):
@@ -35,12 +35,12 @@
 		case !p.canRelay():
 			nonRelays[p.dataCentre] = append(nonRelays[p.dataCentre], p.loadAddress)
 		default:
-			listeners[p.dataCentre] = append(listeners[p.dataCentre], p.loadAddress)
+			relayCandidates[p.dataCentre] = append(relayCandidates[p.dataCentre], p.loadAddress)
 		}
 	}
 	paths.direct = append(paths.direct, paths.local...)
-	for name, group := range listeners {
-		if len(group) == 1 || relays[name] < minRelayEntries {
+	for name, group := range relayCandidates {
+		if len(group) == 1 || relayCounts[name] < minRelayEntries {
 			paths.direct = append(paths.direct, group...)
 			continue
 		}
--- a/controller/loadsenders.go
+++ b/controller/loadsenders.go
@@ -22,29 +22,29 @@
 
 // received records a load update of an entry's incarnation, and reports whether it is the
 // first in placingTime.
-func (t *loadSenders) received(now time.Time, sender dispatcher.WireID) bool {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	if t.lastReceived == nil {
-		t.lastReceived = map[dispatcher.WireID]time.Time{}
+func (l *loadSenders) received(now time.Time, sender dispatcher.WireID) bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.lastReceived == nil {
+		l.lastReceived = map[dispatcher.WireID]time.Time{}
 	}
-	last, known := t.lastReceived[sender]
-	t.lastReceived[sender] = now
+	last, known := l.lastReceived[sender]
+	l.lastReceived[sender] = now
 	return !known || now.Sub(last) > placingTime
 }
 
 // markPlacing sets placing on each peer. It is false for peers whose addresses callers are not
 // given and that sent no load update recently: changes of load need not be sent to them.
-func (t *loadSenders) markPlacing(now time.Time, peers []peer, withoutCallers map[string]bool) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	for sender, last := range t.lastReceived {
+func (l *loadSenders) markPlacing(now time.Time, peers []peer, withoutCallers map[string]bool) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	for sender, last := range l.lastReceived {
 		if now.Sub(last) > placingTime {
-			delete(t.lastReceived, sender)
+			delete(l.lastReceived, sender)
 		}
 	}
 	for i, p := range peers {
-		_, sentLately := t.lastReceived[incarnationToken(p.name, p.incarnation)]
+		_, sentLately := l.lastReceived[incarnationToken(p.name, p.incarnation)]
 		peers[i].placing = sentLately || !withoutCallers[p.name]
 	}
 }
--- a/controller/loadupdates.go
+++ b/controller/loadupdates.go
@@ -20,25 +20,25 @@
 	updateDelay = 5 * time.Millisecond
 	// fullUpdatePeriod is how often the full load is sent again, because datagrams get lost.
 	fullUpdatePeriod = 700 * time.Millisecond
-	// heavyPromptRelays is the number of relays in another data centre for the update about a
+	// longPromptRelays is the number of relays in another data centre for the update about a
 	// heavy prompt. If half of its entries have just died undetected, one update in sixteen is
 	// lost. Heavy prompts are rare enough for the extra messages.
-	heavyPromptRelays = 4
+	longPromptRelays = 4
 	// maxDatagram is the buffer size for a received load update, in bytes.
 	maxDatagram = 2048
 )
 
 // sendLoadUpdates sends this entry's load at upstreams to other entries until the context ends.
 func (c *Controller) sendLoadUpdates(ctx context.Context, socket net.PacketConn) {
-	fullUpdate := time.NewTicker(fullUpdatePeriod)
-	defer fullUpdate.Stop()
+	fullUpdateTicker := time.NewTicker(fullUpdatePeriod)
+	defer fullUpdateTicker.Stop()
 	sent := map[string]uint64{}
 	for {
 		all := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-fullUpdate.C:
+		case <-fullUpdateTicker.C:
 			all = true
 		case <-c.newPeers:
 			sent = c.sendAllToNewPeers(socket, sent)
@@ -61,16 +61,16 @@
 		c.sendAlong(socket, c.encodeUpdate(loads), c.current.Load().allPaths, dispatcher.RelayToAll, 1)
 		return
 	}
-	var heavy, others []dispatcher.RequestLoad
-	for _, s := range loads {
-		if s.LongPrefill {
-			heavy = append(heavy, s)
+	var longPrompts, others []dispatcher.RequestLoad
+	for _, l := range loads {
+		if l.LongPrefill {
+			longPrompts = append(longPrompts, l)
 		} else {
-			others = append(others, s)
+			others = append(others, l)
 		}
 	}
 	paths := c.current.Load().placingPaths
-	c.sendAlong(socket, c.encodeUpdate(heavy), paths, dispatcher.RelayToPlacing, heavyPromptRelays)
+	c.sendAlong(socket, c.encodeUpdate(longPrompts), paths, dispatcher.RelayToPlacing, longPromptRelays)
 	c.sendAlong(socket, c.encodeUpdate(others), paths, dispatcher.RelayToPlacing, 1)
 }
 
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -265,9 +265,9 @@
 	s.contacts[added.name] = added
 	s.dirty = true
 	var list []api.Instance
-	for _, added := range s.contacts {
+	for _, k := range s.contacts {
 		list = append(list, api.Instance{
-			Name: added.name, Kind: api.KindEntry, Address: added.callerAddress.String(), PeerAddress: added.peerAddress.String(), DataCentre: added.dataCentre,
+			Name: k.name, Kind: api.KindEntry, Address: k.callerAddress.String(), PeerAddress: k.peerAddress.String(), DataCentre: k.dataCentre,
 		})
 	}
 	s.prober.ApplyInstanceList(now, list)
--- a/controller/status.go
+++ b/controller/status.go
@@ -40,8 +40,8 @@
 		status.Confirmed = age
 	}
 	getsCallers := map[string]bool{}
-	for _, t := range s.controller.current.Load().callerEntries {
-		getsCallers[t.name] = true
+	for _, e := range s.controller.current.Load().callerEntries {
+		getsCallers[e.name] = true
 	}
 	for _, m := range s.prober.Members() {
 		reported := s.capacities[m.Name]
--- a/controller/view.go
+++ b/controller/view.go
@@ -67,7 +67,7 @@
 		c.config.Dispatcher.Update(s.table, usable)
 	}
 	c.config.Quarantine.SetUpstreamCount(len(usable))
-	c.metrics.revision.Update(float64(configRevision))
+	c.metrics.configRevision.Update(float64(configRevision))
 	c.metrics.members.Update(float64(live))
 	c.metrics.upstreams.Update(float64(len(usable)))
 	c.current.Store(v)
