--- a/controller/callerentries.go
+++ b/controller/callerentries.go
@@ -9,21 +9,22 @@
 const (
 	// maxAddresses limits the addresses in a reply of the directory.
 	maxAddresses = 64
-	// fastFraction is the fraction of the fastest entry's speed from which on an entry
-	// counts as fast.
+	// fastFraction is the fraction of the fastest entry's speed that an entry needs to
+	// count as fast.
 	fastFraction = 0.5
-	// minFastEntries is how many fast entries there must be, and minFastSpeedFraction
-	// which fraction of the total speed they must have, for callers to be sent only to
-	// them. The loss of one of them then affects few callers, and together they can carry
-	// the load of a whole fleet that is at a fifth of its capacity.
+	// Callers are sent only to fast entries if there are at least minFastEntries of them,
+	// so that the loss of one affects few callers, and if they have at least
+	// minFastSpeedFraction of the total speed, so that together they can carry the load
+	// of a whole fleet that is at a fifth of its capacity.
 	minFastEntries       = 6
 	minFastSpeedFraction = 0.2
-	// overloadedLag is the average delay of ticks above which an entry is overloaded;
-	// below recoveredLag it no longer is. A tick delayed by overloadedLag costs a tenth
-	// of a short prompt's latency target, and each request meets several such delays.
+	// overloadedLag is the average delay of ticks above which an entry counts as
+	// overloaded, recoveredLag that below which it no longer does. A tick delayed by
+	// overloadedLag costs a tenth of a short prompt's latency target, and each request
+	// meets several such delays.
 	overloadedLag, recoveredLag = 25 * time.Millisecond, 10 * time.Millisecond
-	// lagWeight is the weight of one tick in the average delay of ticks, which covers
-	// about a second.
+	// lagWeight is the weight of one tick in the average delay of ticks. The average
+	// thereby covers about a second.
 	lagWeight = 0.1
 	// maxTickDelay caps the delay counted for one tick, so that a process that was
 	// suspended for seconds is not taken for overloaded after it resumes.
@@ -33,7 +34,7 @@
 // readyEntry is an entry that accepts callers.
 type readyEntry struct {
 	name string
-	// address is the one for callers.
+	// address is the address that callers connect to.
 	address    netip.AddrPort
 	dataCentre string
 	capacity
@@ -41,7 +42,7 @@
 
 // capacity describes how much work an entry can do.
 type capacity struct {
-	// speed is in processor cores; 0 if the entry does not know it.
+	// speed is the processor capacity in cores; 0 if unknown.
 	speed float64
 	// overloaded is true if the entry's timers fire late.
 	overloaded bool
--- a/controller/callerentries_test.go
+++ b/controller/callerentries_test.go
@@ -30,7 +30,7 @@
 		unknown[i].speed = 0
 	}
 	mixed := readyEntries(0, 9)
-	mixed[0].speed = 0 // one that does not report its speed
+	mixed[0].speed = 0 // this entry does not report its speed
 	overload := func(entries []readyEntry, n int) []readyEntry {
 		for i := range n {
 			entries[i].overloaded = true
@@ -42,7 +42,7 @@
 		entries []readyEntry
 		want    int
 	}{
-		{"the large deployment", readyEntries(15, 80), 15},
+		{"15 fast of 95", readyEntries(15, 80), 15},
 		{"few fast ones", readyEntries(5, 20), 25},
 		{"a small fraction of the total speed", readyEntries(6, 160), 166},
 		{"six fast ones", readyEntries(6, 77), 6},
@@ -53,7 +53,7 @@
 		{"most fast ones overloaded", overload(readyEntries(15, 80), 12), 83},
 		{"one overloaded of equals", overload(readyEntries(0, 7), 1), 6},
 		{"all overloaded", overload(readyEntries(3, 4), 7), 7},
-		{"nobody", nil, 0},
+		{"no entry", nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -11,7 +11,8 @@
 	"github.com/sapphireramp/sapphireramp/quarantiner"
 )
 
-// logQuarantined logs decisions to refuse requests that crash upstreams.
+// logQuarantined logs decisions to refuse requests that crash upstreams. Source is the name of
+// the entry that reported them, or "own".
 func (s *state) logQuarantined(now time.Time, decisions []quarantiner.Decision, source string) {
 	for _, d := range decisions {
 		s.controller.config.Log.Warn("quarantined", d.LogFields(now, source)...)
@@ -31,11 +32,12 @@
 }
 
 // maxLoggedFaults is how many unreadable items from one reply of the store are logged
-// individually: enough to identify their writer.
+// individually: enough to identify the process that writes them.
 const maxLoggedFaults = 20
 
 // logStoreChanges logs changes of the state of the store and marks the view as dirty. Source
-// is where they come from: the store, the name of a peer, or the end of a retention.
+// is "store", the name of the peer that the changes come from, or "hold_ended" for the end of a
+// retention.
 func (s *state) logStoreChanges(changes []follower.Change, source string) {
 	unreadable := 0
 	for _, change := range changes {
@@ -57,7 +59,8 @@
 	}
 }
 
-// logUnreadableItems logs items of the store that could not be attributed to an upstream.
+// logUnreadableItems logs unreadable items of the store that can't be attributed to an
+// upstream.
 func (s *state) logUnreadableItems(faults []error) {
 	for i, err := range faults {
 		if i == maxLoggedFaults {
@@ -68,7 +71,7 @@
 	}
 }
 
-// checkRevision asserts that the revision of the configuration has not decreased.
+// checkRevision asserts that the revision of the configuration is not less than before.
 func (s *state) checkRevision(before int64) {
 	_, after := s.follower.Config()
 	s.controller.config.Asserter.Check(after >= before, asserter.RevisionWentBack, "configuration revision went back to %d from %d", after, before)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -3,7 +3,7 @@
 // other entries. One goroutine owns that state and publishes immutable views,
 // from which requests are served. Entries pass on to each other what they have
 // read from the store, so that a few of them read it on behalf of all. An entry
-// that receives no recent confirmation from its peers reads the store itself.
+// reads the store itself if no peer has confirmed its state recently.
 package controller
 
 import (
@@ -37,7 +37,8 @@
 	// Watch returns the changes after a revision. It waits for the first one for
 	// at most the given time.
 	Watch func(ctx context.Context, after int64, wait time.Duration) (follower.State, error)
-	// DecodeConfig parses a configuration from the bytes that the store holds.
+	// DecodeConfig parses a configuration from the bytes that the store holds. It
+	// returns an error if they are not a valid configuration.
 	DecodeConfig func([]byte) (*matcher.Table, error)
 }
 
@@ -84,7 +85,7 @@
 	// heartbeatPool carries heartbeats and fetchPool carries states: a heartbeat
 	// queued behind a large reply on the same connection would arrive late.
 	heartbeatPool, fetchPool *connector.Pool
-	// compressed is the configuration as sent to peers.
+	// compressed caches the configuration in the form in which it is sent to peers.
 	compressed  compressedConfig
 	loadSenders loadSenders
 	loadCounts  loadCounts
@@ -92,7 +93,7 @@
 	// requested. newPeers holds one while the view has peers to which this entry
 	// has not sent its full load yet.
 	heartbeatRequests, newPeers chan struct{}
-	// background counts the goroutines that Run waits for.
+	// background counts the goroutines that Run waits for before it returns.
 	background sync.WaitGroup
 
 	metrics metrics
@@ -133,7 +134,8 @@
 	// exitAt is when a stopping entry exits. Callers may use its address until
 	// addressValidUntil. Both are zero while the entry is not stopping.
 	exitAt, addressValidUntil time.Time
-	started                   time.Time
+	// started is when Run was called.
+	started time.Time
 	// lastTick and lastSinceBoot are the time and the value of Config.SinceBoot at
 	// the last tick.
 	lastTick      time.Time
@@ -155,11 +157,11 @@
 	// suspendThreshold is the gap between two ticks, ten periods, from which on
 	// this process counts as having been suspended.
 	suspendThreshold = time.Second
-	// viewRefreshAge is how much older the confirmation time in the published view
-	// may be than the newest one known.
+	// viewRefreshAge is by how much the time of the last confirmation in the
+	// published view may lag behind the follower's before a new view is published.
 	viewRefreshAge = 300 * time.Millisecond
-	// settleTime is the time after its start in which an entry may not yet know all
-	// others and their load: two heartbeats and one full load update.
+	// settleTime is how long after its start an entry may not yet know all other
+	// entries and their load: two heartbeats and one full load update.
 	settleTime = 2*heartbeatPeriod + fullUpdatePeriod
 	// heartbeatPeriod is the interval between heartbeats: a fifth of deadTimeout.
 	heartbeatPeriod = 200 * time.Millisecond
@@ -170,7 +172,7 @@
 	// declared dead: killed processes restart within seconds.
 	deadUpdateTime = 10 * time.Second
 	// neighbours is the number of live entries that each entry sends heartbeats to
-	// in a round.
+	// each heartbeatPeriod.
 	neighbours = 4
 )
 
@@ -230,8 +232,8 @@
 	}
 }
 
-// tick detects suspensions of this process, silent entries and upstreams whose
-// retention has expired.
+// tick detects overload and suspensions of this process, silent entries, upstreams whose
+// retention has expired and requests to quarantine.
 func (s *state) tick(now time.Time) {
 	sinceBoot := s.controller.config.SinceBoot()
 	// The monotonic clock stops while an instance is suspended; the time since
@@ -275,13 +277,13 @@
 	return dispatcher.WireIDOf(name + " " + strconv.FormatUint(incarnation, 10))
 }
 
-// capacity returns the capacity of this entry, as reported to the others.
+// capacity returns the capacity that this entry reports to the others.
 func (s *state) capacity() capacity {
 	return capacity{speed: s.controller.config.Speed, overloaded: s.lagMeter.overloaded}
 }
 
-// View returns the view published last. Requests are served from it, and it must not
-// be modified.
+// View returns the view published last, from which requests are served. The caller must
+// not modify the view.
 func (c *Controller) View() *forwarder.View { return &c.current.Load().View }
 
 // IsReady reports whether this entry accepts callers: it has a configuration and is
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -33,10 +33,10 @@
 	Have, HaveConfig int64
 }
 
-// FetchReply is an entry's state of the store.
+// FetchReply is an entry's state of the store, in reply to FetchArgs.
 type FetchReply struct {
-	// State comes without the configuration. Config holds it compressed; empty if
-	// the asking entry already has that revision.
+	// State comes without the configuration. Config is the configuration as stored,
+	// compressed with DEFLATE; empty if the asking entry already has its revision.
 	State  follower.State
 	Config []byte
 	// Whole is true if State is complete, false if it holds only the changes
@@ -93,7 +93,7 @@
 }
 
 // compressedConfig caches the configuration requested last in compressed form, so that it
-// is compressed once for all peers. Routes are much alike and compress to a tenth.
+// is compressed once for all peers. Routes resemble each other and compress to a tenth.
 type compressedConfig struct {
 	lock sync.Mutex
 	// revision is the revision of the configuration in data; 0 before the first.
@@ -101,8 +101,8 @@
 	data     []byte
 }
 
-// compress returns a configuration in compressed form. It holds the lock meanwhile, so that
-// concurrent requests wait for one compression.
+// compress returns a configuration compressed with DEFLATE. It holds the lock while it
+// compresses, so that concurrent requests wait for one compression.
 func (c *compressedConfig) compress(revision int64, config []byte) ([]byte, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -124,7 +124,7 @@
 	return c.data, nil
 }
 
-// decompress inflates a configuration. It fails if the result exceeds maxConfigSize.
+// decompress reverses compress. It fails if the result exceeds maxConfigSize.
 func decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
 	config, err := io.ReadAll(io.LimitReader(r, maxConfigSize+1))
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -52,10 +52,12 @@
 	speed func(int) float64
 }
 
+// withFleet runs a test on a fleet of the given size in which no speed is known.
 func withFleet(t *testing.T, size int, test func(f *fleet)) {
 	withSpeeds(t, size, nil, test)
 }
 
+// withSpeeds runs a test on a fleet of the given size, two seconds after its entries have started.
 func withSpeeds(t *testing.T, size int, speed func(int) float64, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, is: is.New(t), net: network.New(), store: store.New(), speed: speed}
@@ -76,7 +78,7 @@
 	})
 }
 
-// fastUpTo returns speeds for a fleet whose first entries are fast.
+// fastUpTo returns the speeds of a fleet whose first entries, as many as fast, are fast.
 func fastUpTo(fast int) func(int) float64 {
 	return func(i int) float64 {
 		if i < fast {
@@ -86,6 +88,7 @@
 	}
 }
 
+// end ends all entries and the store, and waits until their goroutines have ended.
 func (f *fleet) end() {
 	for _, e := range f.entries {
 		e.end()
@@ -110,6 +113,7 @@
 
 func hostOf(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(1 + i%3), 0, byte(10 + i)}) }
 
+// startEntry starts the entry of an index, with a greater incarnation than all started before.
 func (f *fleet) startEntry(i int) *entry {
 	host := hostOf(i)
 	f.started++
@@ -164,6 +168,7 @@
 
 func (f *fleet) register(id, state string) { f.registerAt("app", id, state) }
 
+// registerAt writes the registration of an upstream of a service to the store.
 func (f *fleet) registerAt(service, id, state string) {
 	u := store.NewUpstreamRecord(service, netip.MustParseAddrPort("10.1.0.200:80"))
 	u.Slots, u.State = 4, state
@@ -185,7 +190,7 @@
 			return
 		}
 		if time.Since(began) > limit {
-			f.t.Errorf("%s: not so at %d of %d entries after %s", what, failing, len(f.entries), limit)
+			f.t.Errorf("%s: condition not met at %d of %d entries after %s", what, failing, len(f.entries), limit)
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -531,9 +536,10 @@
 }
 
 // A burst of long prompts while three of the eight entries of each data centre have just been
-// killed: each prompt is known to all within 20 ms. With one relay per update, a lost update was
-// only made up by the next full one. An entry placed a prompt of 153,000 tokens on an engine
-// that had got one of 251,000 from another entry 0.4 s before, where it waited 5 s for memory.
+// killed: all entries know each prompt within 20 ms. With one relay per update, an update lost with
+// a dead relay was only repeated by the next full one. An entry placed a prompt of 153,000 tokens on
+// an engine that had got one of 251,000 from another entry 0.4 s before, where it waited 5 s for
+// memory.
 func TestHeavyPromptsReachAllDespiteDeadRelays(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i := range 20 {
@@ -549,7 +555,7 @@
 			d := dispatcher.Demand{Service: "lm", PromptTokens: 250000, AnswerTokens: 500, FirstByteTarget: 4 * time.Second, GapTarget: time.Second, MaxWait: 15 * time.Second, Admitted: true}
 			_, refusal := f.entries[0].dispatcher.Place(time.Now(), d)
 			f.is.True(refusal == nil)
-			f.eventually(20*time.Millisecond, "heavy prompt received", hasRequests(n))
+			f.eventually(20*time.Millisecond, "long prompt received", hasRequests(n))
 		}
 	})
 }
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -21,7 +21,8 @@
 	// watchTimeout is how long a watch waits for changes. It bounds the age of a
 	// confirmation, and how long a connection that fails silently goes undetected.
 	watchTimeout = 400 * time.Millisecond
-	// watchPause separates two watches, so that frequent changes cost few calls.
+	// watchPause is the time between two watches, so that frequent changes cause few
+	// calls.
 	watchPause = 250 * time.Millisecond
 	// staleFraction is the fraction of MaxPropagation after which a confirmation
 	// is stale, so that an entry reads the store itself. That read takes up to a
@@ -42,18 +43,18 @@
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	// retryDelayFleetSize is the number of live entries up to which maxRetryDelay applies
-	// to all. In larger fleets the limit grows in proportion, up to maxFleetRetryDelay, for
-	// entries that are not store readers: the fleet then detects the end of an outage as
-	// soon with as many calls. In an outage of 8 s 95 entries made 1,500 calls, 0.01 of
-	// those of a day.
+	// to all. In larger fleets the limit for entries that are not store readers grows in
+	// proportion to the fleet, up to maxFleetRetryDelay, so that an outage causes no more
+	// calls and its end is detected as soon. With maxRetryDelay for all, 95 entries made
+	// 1,500 calls in an outage of 8 s, a hundredth of a day's calls.
 	retryDelayFleetSize = 20
 	maxFleetRetryDelay  = 2 * time.Second
-	// maxDoublings limits the doublings of minRetryDelay. The delay exceeds every maximum
-	// before.
+	// maxDoublings limits the doublings of minRetryDelay, so that the delay does not
+	// overflow. Every maximum is reached after fewer doublings.
 	maxDoublings = 10
 )
 
-// followStore reads the store while shouldReadStore allows it, until the context ends.
+// followStore reads the store whenever shouldReadStore is true, until the context ends.
 func (c *Controller) followStore(ctx context.Context) {
 	readAll := true
 	failures := 0
@@ -135,7 +136,7 @@
 	return min(maxFleetRetryDelay, maxRetryDelay*time.Duration(max(retryDelayFleetSize, live))/retryDelayFleetSize)
 }
 
-// fractionOf returns the fraction p of a duration.
+// fractionOf returns p times a duration.
 func fractionOf(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
 
 // readStore makes one call to the store, a complete read or a watch for changes after a
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// recordStoreError records a failed store call. ErrHistoryGone is logged but is no sign of
-// an outage.
+// recordStoreError records a failed store call. ErrHistoryGone is only logged: the store
+// replies, so there is no outage.
 func (s *state) recordStoreError(now time.Time, err error) {
 	if errors.Is(err, follower.ErrHistoryGone) {
 		s.controller.config.Log.Info("store_history_gone", zap.Int64("revision", s.follower.Revision()))
@@ -193,8 +194,9 @@
 	}
 }
 
-// applyState merges a state by a method of the follower, and reports whether anything
-// changed. The configuration is decoded on the calling goroutine, not the control goroutine.
+// applyState merges a state by apply, which calls a method of the follower, and reports
+// whether anything changed. Source is "store" or the name of the peer that sent the state.
+// The configuration is decoded on the calling goroutine, not the control goroutine.
 func (c *Controller) applyState(got follower.State, source string, apply func(*state, time.Time, follower.State) []follower.Change) bool {
 	table := c.decodeConfig(&got, source)
 	changed := false
@@ -213,9 +215,9 @@
 	return changed
 }
 
-// decodeConfig decodes the configuration of a state. It returns nil and removes the
-// configuration from the state if it is not newer or not readable, so that the current one
-// stays in force.
+// decodeConfig decodes the configuration of a state. If the configuration is not newer than
+// the current one or not readable, it is removed from the state and nil is returned, so that
+// the current one stays in force.
 func (c *Controller) decodeConfig(got *follower.State, source string) *matcher.Table {
 	if got.Config == nil {
 		return nil
--- a/controller/loadpaths.go
+++ b/controller/loadpaths.go
@@ -2,23 +2,24 @@
 
 import "net/netip"
 
-// minRelayEntries is the number of live entries of another data centre from which on a load
-// update goes to one of them, chosen at random per message, that relays it to the others. With
-// fewer entries the messages saved do not outweigh those lost with a relay that has just died.
+// minRelayEntries is the number of live entries that another data centre must have for load
+// updates to be relayed there: each goes to one entry, chosen at random, which sends it on to the
+// others. With fewer entries the messages saved do not outweigh those lost with a relay that has
+// just died.
 const minRelayEntries = 4
 
 // loadPaths holds the destinations of a load update and how each is reached.
 type loadPaths struct {
-	// direct are the peers to send to directly: those in the own data centre, and those
-	// in data centres with few entries. local are those in the own data centre.
+	// direct are the addresses of the peers to send to directly: those in the own data
+	// centre and in data centres with few entries. local are those in the own data centre.
 	direct, local []netip.AddrPort
-	// relayed has an element for each other data centre with many entries: its peers that
-	// are live and not stopping. Any of them relays a message to the others of its data
-	// centre, about which it is informed best.
+	// relayed has an element for each other data centre with many entries: the peers there
+	// that are neither dead nor stopping. Any of them can relay a message to the rest of
+	// its data centre, whose entries it knows best.
 	relayed [][]netip.AddrPort
 }
 
-// buildLoadPaths returns the paths from a data centre to those peers that accepts selects.
+// buildLoadPaths returns the paths from a data centre to the peers for which accepts is true.
 func buildLoadPaths(dataCentre string, peers []peer, accepts func(peer) bool) loadPaths {
 	var paths loadPaths
 	relayCounts := map[string]int{}
--- a/controller/loadsenders.go
+++ b/controller/loadsenders.go
@@ -20,8 +20,8 @@
 	lastReceived map[dispatcher.WireID]time.Time
 }
 
-// received records a load update of an entry's incarnation, and reports whether it is the
-// first in placingTime.
+// received records that a load update of an entry's incarnation was received, and reports
+// whether none was within placingTime before.
 func (l *loadSenders) received(now time.Time, sender dispatcher.WireID) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -33,8 +33,9 @@
 	return !known || now.Sub(last) > placingTime
 }
 
-// markPlacing sets placing on each peer. It is false for peers whose addresses callers are not
-// given and that sent no load update recently: changes of load need not be sent to them.
+// markPlacing sets placing to false for each peer whose address callers are not given and that
+// sent no load update within placingTime, and to true for all others. Only placing peers need to
+// receive changes of load at once.
 func (l *loadSenders) markPlacing(now time.Time, peers []peer, withoutCallers map[string]bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/controller/loadupdates.go
+++ b/controller/loadupdates.go
@@ -21,10 +21,10 @@
 	// fullUpdatePeriod is how often the full load is sent again, because datagrams get lost.
 	fullUpdatePeriod = 700 * time.Millisecond
 	// longPromptRelays is the number of relays in another data centre for the update about a
-	// heavy prompt. If half of its entries have just died undetected, one update in sixteen is
-	// lost. Heavy prompts are rare enough for the extra messages.
+	// long prompt. If half of its entries have just died undetected, one update in sixteen is
+	// lost. Long prompts are rare enough for the extra messages.
 	longPromptRelays = 4
-	// maxDatagram is the buffer size for a received load update, in bytes.
+	// maxDatagram is the size in bytes of the buffer for one received load update.
 	maxDatagram = 2048
 )
 
@@ -52,9 +52,9 @@
 	}
 }
 
-// sendChanges sends the changes of load since the last call, or the full load. Updates about
-// heavy prompts go through several relays: an entry that does not know of a heavy prompt places
-// requests on the same engines, which delays them by seconds.
+// sendChanges sends the changes of load since the last call, or the full load if all is true.
+// Updates about long prompts that await their first byte go through several relays: an entry that
+// misses one places requests on the same engines, which delays them by seconds.
 func (c *Controller) sendChanges(socket net.PacketConn, all bool) {
 	loads := c.config.Dispatcher.Export(time.Now(), all)
 	if all {
@@ -74,7 +74,7 @@
 	c.sendAlong(socket, c.encodeUpdate(others), paths, dispatcher.RelayToPlacing, 1)
 }
 
-// encodeUpdate encodes load as messages from this incarnation; nil if there is none.
+// encodeUpdate encodes loads as messages from this entry's incarnation; nil if there are none.
 func (c *Controller) encodeUpdate(loads []dispatcher.RequestLoad) [][]byte {
 	if len(loads) == 0 {
 		return nil
@@ -98,7 +98,7 @@
 }
 
 // sendAllToNewPeers sends the full load to those peers that are not in sent, by name and
-// incarnation. It returns all current peers, as sent for the next call.
+// incarnation. It returns all current peers, to be passed as sent to the next call.
 func (c *Controller) sendAllToNewPeers(socket net.PacketConn, sent map[string]uint64) map[string]uint64 {
 	peers := c.current.Load().peers
 	var messages [][]byte
@@ -123,7 +123,7 @@
 	}
 }
 
-// send sends one message and counts it. Errors are only logged.
+// send sends one message and counts it, also if sending fails. Errors are only logged.
 func (c *Controller) send(socket net.PacketConn, message []byte, to netip.AddrPort, count *messageCount) {
 	count.add(len(message))
 	if _, err := socket.WriteTo(message, net.UDPAddrFromAddrPort(to)); err != nil {
--- a/controller/loglimiter.go
+++ b/controller/loglimiter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// logPeriod is the shortest interval between log lines about messages of another version.
-// While a hundred entries are upgraded, which takes minutes, a thousand such messages arrive
-// each second.
+// logPeriod is the shortest interval between log lines about malformed load updates. While a
+// hundred entries are upgraded, which takes minutes, a thousand messages of another version
+// arrive each second.
 const logPeriod = time.Second
 
 // logLimiter allows one log line per logPeriod.
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -21,13 +21,13 @@
 	rpcName = "Peer"
 	// heartbeatTimeout bounds an exchange of heartbeats: two periods.
 	heartbeatTimeout = 400 * time.Millisecond
-	// maxContacts is how many contacts a heartbeat lists for an entry that knows
-	// fewer entries than the sender, minContacts for any other. At least one is
-	// listed since two entries may know different ones.
+	// maxContacts is the number of contacts listed in a reply to an entry that knows
+	// fewer entries than the sender, minContacts the number in any other heartbeat.
+	// At least one is listed because two entries may know different ones.
 	maxContacts = 16
 	minContacts = 1
-	// maxImmediateHeartbeats limits the heartbeats sent at once after a change. Other
-	// entries receive the change with the periodic heartbeats.
+	// maxImmediateHeartbeats limits the heartbeats sent at once after a change. The
+	// remaining entries receive the change with the periodic heartbeats.
 	maxImmediateHeartbeats = 16
 )
 
@@ -50,7 +50,7 @@
 type Beat struct {
 	api.Heartbeat
 	// Contacts are some of the other entries that the sender knows, Knows is the
-	// number of all that it knows.
+	// number of all other entries that it knows.
 	Contacts []Contact
 	Knows    int
 	// Known is true if the sender has a confirmed state of the store. Content is
@@ -115,7 +115,8 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats each heartbeatPeriod and on request, until the context ends.
+// sendHeartbeats sends heartbeats each heartbeatPeriod and after requestHeartbeats, until the
+// context ends.
 func (c *Controller) sendHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatPeriod)
 	defer tick.Stop()
@@ -133,8 +134,8 @@
 	}
 }
 
-// exchangeHeartbeats sends a heartbeat to each of heartbeatTargets. It does not wait for the
-// replies, which are processed on arrival.
+// exchangeHeartbeats sends a heartbeat to each address that heartbeatTargets returns. It does
+// not wait for the replies, which are processed on arrival.
 func (c *Controller) exchangeHeartbeats(all bool) {
 	var targets []netip.AddrPort
 	var beat Beat
@@ -158,8 +159,8 @@
 }
 
 // heartbeatTargets returns the peers to send a heartbeat to: if all is true, up to
-// maxImmediateHeartbeats of the live entries, else the neighbours of this round and the seeds
-// at which no live entry is known.
+// maxImmediateHeartbeats of the live entries, chosen at random, else the neighbours of this
+// round and the seeds at which no live entry is known.
 func (s *state) heartbeatTargets(now time.Time, all bool) []netip.AddrPort {
 	live := map[netip.AddrPort]bool{s.controller.config.PeerAddress: true}
 	var out []netip.AddrPort
@@ -210,8 +211,8 @@
 	return b
 }
 
-// receiveHeartbeat processes a heartbeat or a reply, and starts a fetch if the sender has a
-// newer state of the store.
+// receiveHeartbeat processes a heartbeat or the reply to one, and starts a fetch if the sender
+// has a newer state of the store and fewer than maxFetches are in progress.
 func (c *Controller) receiveHeartbeat(b Beat) {
 	fetch := false
 	var have FetchArgs
@@ -254,7 +255,7 @@
 	}
 }
 
-// addContact records the addresses of another entry if it was not known before.
+// addContact records a contact unless an entry of its name is known already or it is this entry.
 func (s *state) addContact(now time.Time, added contact) {
 	if added.name == s.controller.config.Name {
 		return
--- a/controller/status.go
+++ b/controller/status.go
@@ -6,7 +6,7 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Status returns the state of this entry and its view of upstreams and other entries, for
+// Status returns the state of this entry and what it knows of upstreams and other entries, for
 // operators.
 func (c *Controller) Status() api.Status {
 	var status api.Status
--- a/controller/view.go
+++ b/controller/view.go
@@ -8,7 +8,7 @@
 	"github.com/sapphireramp/sapphireramp/prober"
 )
 
-// view is what the control goroutine publishes. It is immutable.
+// view is a snapshot of the control state, from which requests are served. It is immutable.
 type view struct {
 	forwarder.View
 	// ready is true if this entry accepts callers.
@@ -16,7 +16,7 @@
 	// callerEntries are the entries whose addresses callers are given.
 	callerEntries []readyEntry
 	peers         []peer
-	// allPaths lead to all peers, placingPaths to those that place requests.
+	// allPaths lead to all peers, placingPaths to the peers that place requests.
 	allPaths, placingPaths loadPaths
 }
 
@@ -24,12 +24,13 @@
 type peer struct {
 	name        string
 	incarnation uint64
-	// address is the one for heartbeats, loadAddress the one for load updates.
+	// address receives heartbeats, loadAddress receives load updates.
 	address     netip.AddrPort
 	loadAddress netip.AddrPort
 	dataCentre  string
-	// dead peers still receive load updates, but do not count as peers. stopping peers
-	// have announced their shutdown.
+	// dead is true for a peer that was declared dead recently. It still receives load
+	// updates, but is not counted in countLive. stopping is true for a peer that has
+	// announced its shutdown.
 	dead, stopping bool
 	// placing is false if the peer gets no new callers and sent no load update recently.
 	placing bool
@@ -72,7 +73,7 @@
 	c.metrics.upstreams.Update(float64(len(usable)))
 	c.current.Store(v)
 	if hasNewPeers {
-		// Only after the view is stored: the receiver of this request reads the peers from it.
+		// The request comes after Store because sendAllToNewPeers reads the peers of the view.
 		c.requestFullLoad()
 	}
 }
@@ -81,8 +82,8 @@
 func (s *state) addMembers(v *view) int {
 	c, live := s.controller, 0
 	for _, m := range s.prober.Members() {
-		// Entries whose readiness is known from others count even if this entry has received
-		// no heartbeat from them.
+		// Entries whose readiness other entries reported are included even if this entry has
+		// received no heartbeat from them.
 		if m.Ready && (m.State == prober.Live || m.State == prober.Listed) {
 			v.callerEntries = append(v.callerEntries, readyEntry{name: m.Name, address: m.Address, dataCentre: m.DataCentre, capacity: s.capacities[m.Name]})
 		}
@@ -104,7 +105,7 @@
 }
 
 // forgetRestarted drops the load of earlier incarnations of restarted entries, and reports whether
-// any peer is new, so that this entry's full load has to be sent to it. Without that, a restarted
+// any peer is new, in which case this entry's full load has to be sent to it. Otherwise a restarted
 // entry would not know for up to fullUpdatePeriod what others have placed, and would put long
 // prompts on the engines with the most responses in progress.
 func (s *state) forgetRestarted(peers []peer) bool {
