--- a/follower/outage_test.go
+++ b/follower/outage_test.go
@@ -145,8 +145,8 @@
 			if from == to || !confirmed {
 				continue
 			}
-			if disturbed, ever := from.FailureAge(o.now); ever {
-				to.RecordFailure(o.now.Add(-disturbed))
+			if failureAge, ever := from.FailureAge(o.now); ever {
+				to.RecordFailure(o.now.Add(-failureAge))
 			}
 			if from.NewestRevision() == to.NewestRevision() {
 				to.Confirm(o.now.Add(-age))
--- a/follower/since_test.go
+++ b/follower/since_test.go
@@ -58,8 +58,8 @@
 			if from.Revision() == 0 || to.Revision() > from.Revision() {
 				return
 			}
-			s, whole := from.ChangesSince(to.Revision(), 0)
-			if whole {
+			s, complete := from.ChangesSince(to.Revision(), 0)
+			if complete {
 				to.ApplySnapshot(now, s)
 				return
 			}
