--- a/connector/activeconns.go
+++ b/connector/activeconns.go
@@ -20,28 +20,28 @@
 func NewActiveConns() *ActiveConns { return &ActiveConns{conns: map[net.Conn]bool{}} }
 
 // OnStateChange updates the tracked connections. It is used as the ConnState of a http.Server.
-func (b *ActiveConns) OnStateChange(c net.Conn, s http.ConnState) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+func (a *ActiveConns) OnStateChange(c net.Conn, s http.ConnState) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
 	if s == http.StateNew || s == http.StateActive {
-		b.conns[c] = true
+		a.conns[c] = true
 		return
 	}
-	delete(b.conns, c)
+	delete(a.conns, c)
 }
 
 // Count returns the number of active connections.
-func (b *ActiveConns) Count() int {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	return len(b.conns)
+func (a *ActiveConns) Count() int {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	return len(a.conns)
 }
 
 // WaitIdle blocks until no connection is active or the deadline has passed; a zero deadline never
 // passes. It checks once per poll. It has to return before Shutdown of the server is called, which
 // drops requests that it reads after it has begun.
-func (b *ActiveConns) WaitIdle(deadline time.Time, poll time.Duration) {
-	for b.Count() > 0 && (deadline.IsZero() || time.Now().Before(deadline)) {
+func (a *ActiveConns) WaitIdle(deadline time.Time, poll time.Duration) {
+	for a.Count() > 0 && (deadline.IsZero() || time.Now().Before(deadline)) {
 		time.Sleep(poll)
 	}
 }
--- a/connector/exitdetector.go
+++ b/connector/exitdetector.go
@@ -33,12 +33,12 @@
 // HasExited reports whether connections to an address are refused. It is called after a connection
 // to the address broke, and blocks until the probe has ended. Concurrent calls for one address
 // share a probe.
-func (p *ExitDetector) HasExited(address string) bool {
-	refused, _, _ := p.probes.Do(address, func() (any, error) {
+func (d *ExitDetector) HasExited(address string) bool {
+	refused, _, _ := d.probes.Do(address, func() (any, error) {
 		sleeper.Sleep(context.Background(), probeDelay)
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		connection, err := p.dial(ctx, "tcp", address)
+		connection, err := d.dial(ctx, "tcp", address)
 		if err == nil {
 			_ = connection.Close()
 		}
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -65,8 +65,8 @@
 	case <-timer.C:
 		err = ErrTimeout
 	}
-	var refused rpc.ServerError
-	if err != nil && !errors.As(err, &refused) {
+	var serverError rpc.ServerError
+	if err != nil && !errors.As(err, &serverError) {
 		p.discard(address, c)
 	}
 	if err != nil {
@@ -91,11 +91,11 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.closeIdle(time.Now())
-	if other, raced := p.clients[address]; raced || p.closed {
+	if existing, raced := p.clients[address]; raced || p.closed {
 		_ = opened.Close()
 		if raced {
-			other.inFlight++
-			return other, nil
+			existing.inFlight++
+			return existing, nil
 		}
 		return nil, net.ErrClosed
 	}
