--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -25,7 +25,7 @@
 
 var resultNames = [...]string{"Deliver", "Drop", "Whole", "Broken"}
 
-func (v ChunkResult) String() string { return resultNames[v] }
+func (r ChunkResult) String() string { return resultNames[r] }
 
 // UndeliveredCounts counts the chunks that were not delivered, by reason.
 type UndeliveredCounts struct {
