--- a/spender/spender.go
+++ b/spender/spender.go
@@ -105,7 +105,7 @@
 
 var resultNames = [...]string{"Spent", "InProgress", "Repeat", "Ran", "Expired", "Forged"}
 
-func (f SpendResult) String() string { return resultNames[f] }
+func (r SpendResult) String() string { return resultNames[r] }
 
 // Answer is the response to a finished request, kept to be sent again.
 type Answer struct {
