--- a/keeper/example_test.go
+++ b/keeper/example_test.go
@@ -85,9 +85,9 @@
 	now := time.Now()
 	k := keeper.New(config)
 	k.RecordReport(now, load, nil)
-	a := newRequest("a", 500)
-	a.Remaining = 4 * time.Second
-	is.Equal(k.RequestGrant(now, a).Reason, keeper.TooLate)
+	r := newRequest("a", 500)
+	r.Remaining = 4 * time.Second
+	is.Equal(k.RequestGrant(now, r).Reason, keeper.TooLate)
 	is.Equal(k.FreeTokens(), 1000)
 }
 
