--- a/reserver/example_test.go
+++ b/reserver/example_test.go
@@ -77,28 +77,28 @@
 func runReservation(t *rapid.T, r *reserver.Reserver, shardCount int) {
 	held := map[string]bool{}
 	for {
-		e := r.Next()
+		action := r.Next()
 		switch {
-		case e.AllHeld:
+		case action.AllHeld:
 			if len(held) != shardCount {
 				t.Fatalf("held %d of %d", len(held), shardCount)
 			}
 			return
-		case e.Failed:
+		case action.Failed:
 			if len(held) != 0 {
 				t.Fatalf("failed with %v held", held)
 			}
 			return
-		case e.Release != nil:
-			delete(held, e.Release.HoldID)
+		case action.Release != nil:
+			delete(held, action.Release.HoldID)
 			r.RecordReleased()
 		case rapid.IntRange(0, 3).Draw(t, "answer") > 0:
-			held[e.Reserve.HoldID] = true
+			held[action.Reserve.HoldID] = true
 			r.RecordReserved()
 		default:
 			maybeHeld := rapid.Bool().Draw(t, "maybe")
 			if maybeHeld {
-				held[e.Reserve.HoldID] = true
+				held[action.Reserve.HoldID] = true
 			}
 			r.RecordRefused(maybeHeld)
 		}
