--- a/placer/placer.go
+++ b/placer/placer.go
@@ -83,12 +83,12 @@
 }
 
 // RecordReply records the keeper's reply to the last Ask step.
-func (p *Placer) RecordReply(a keeper.GrantReply) {
-	p.granted = a.Granted
-	if a.Granted {
+func (p *Placer) RecordReply(reply keeper.GrantReply) {
+	p.granted = reply.Granted
+	if reply.Granted {
 		return
 	}
-	if a.Reason == keeper.TooLate {
+	if reply.Reason == keeper.TooLate {
 		p.tooLate++
 	}
 	p.asked++
