--- a/router/router.go
+++ b/router/router.go
@@ -344,17 +344,17 @@
 // compared to the fastest candidate. This detects gray failures: engines that answer every report
 // in time but generate slowly.
 func addTokenDelay(now time.Time, choices []Choice, maxAnswerTokens int) {
-	fastest := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, c := range choices {
-		pace := c.Engine.Load.recentTimePerToken(now)
-		if pace > 0 && (fastest == 0 || pace < fastest) {
-			fastest = pace
+		timePerToken := c.Engine.Load.recentTimePerToken(now)
+		if timePerToken > 0 && (shortest == 0 || timePerToken < shortest) {
+			shortest = timePerToken
 		}
 	}
 	for i, c := range choices {
-		pace := c.Engine.Load.recentTimePerToken(now)
-		if pace > slowFactor*fastest {
-			choices[i].PredictedTime += time.Duration(maxAnswerTokens) * (pace - fastest)
+		timePerToken := c.Engine.Load.recentTimePerToken(now)
+		if timePerToken > slowFactor*shortest {
+			choices[i].PredictedTime += time.Duration(maxAnswerTokens) * (timePerToken - shortest)
 		}
 	}
 }
