--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -102,16 +102,16 @@
 // Release removes a request from those in flight. It reports whether the request was present, and
 // how long after its deadline it was released, 0 if in time.
 func (a *Admitter) Release(now time.Time, id string) (present bool, overdue time.Duration) {
-	f, ok := a.inFlight[id]
+	r, ok := a.inFlight[id]
 	if !ok {
 		return false, 0
 	}
 	delete(a.inFlight, id)
-	a.perOrganisation[f.organisation]--
-	if a.perOrganisation[f.organisation] == 0 {
-		delete(a.perOrganisation, f.organisation)
+	a.perOrganisation[r.organisation]--
+	if a.perOrganisation[r.organisation] == 0 {
+		delete(a.perOrganisation, r.organisation)
 	}
-	return true, max(0, now.Sub(f.deadline))
+	return true, max(0, now.Sub(r.deadline))
 }
 
 // InFlight returns the number of requests in flight.
