--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -33,7 +33,7 @@
 
 var statusNames = [...]string{"Adopted", "Same", "Older", "Superseded", "Refused"}
 
-func (v OfferStatus) String() string { return statusNames[v] }
+func (s OfferStatus) String() string { return statusNames[s] }
 
 // Result is the result of offering a document.
 type Result struct {
@@ -173,16 +173,16 @@
 }
 
 // recordSuperseded records a document that lost a tie, and discards the oldest beyond maxDigests.
-func (a *Adopter) recordSuperseded(loser string) {
-	if loser == "" {
+func (a *Adopter) recordSuperseded(digest string) {
+	if digest == "" {
 		return
 	}
 	for _, d := range a.superseded {
-		if d == loser {
+		if d == digest {
 			return
 		}
 	}
-	a.superseded = append(a.superseded, loser)
+	a.superseded = append(a.superseded, digest)
 	if len(a.superseded) > maxDigests {
 		a.superseded = a.superseded[1:]
 	}
