--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,5 +1,5 @@
-// Package follower tracks an entry's state of the platform's store: the
-// configuration in force and the upstreams that may be sent work. It merges
+// Package follower tracks the state of the platform's store as one entry knows it:
+// the configuration in force and the upstreams that may be sent work. It merges
 // complete reads, changes, and states that other entries have read, in any order,
 // and never replaces anything by an older revision. It does no I/O.
 package follower
@@ -17,17 +17,18 @@
 const (
 	// reregisterTime is how long after an outage of the store an upstream whose
 	// registration lapsed may take to register again. The platform's documentation
-	// promises about two seconds; 300 ms are added for the propagation to this entry.
+	// promises about two seconds; 300 ms are added for the propagation to the entry.
 	reregisterTime = 2300 * time.Millisecond
 	// removalTTL is how long the removal of a registration is remembered, so that an
-	// older state from a peer does not restore it. States of peers were confirmed more
-	// recently than this.
+	// older state from a peer does not restore the registration. Every state that a peer
+	// sends was confirmed by the store more recently than this.
 	removalTTL = 5 * time.Minute
 	// maxReadGap is the longest time between two reads of the store in which no outage
 	// can have gone undetected: a watch, its reply and the pause after it take 0.7 s,
 	// and every lease of an upstream is at least twice this long.
 	maxReadGap = 1500 * time.Millisecond
-	// defaultRemovalBound is the shortest bound on removals that a platform has set.
+	// defaultRemovalBound applies until SetRemovalBound is called. It is the shortest
+	// bound that a platform has set.
 	defaultRemovalBound = 2 * time.Second
 )
 
@@ -42,16 +43,17 @@
 	Revision int64
 	// Gone is true if the registration was removed; Instance then only has its ID.
 	Gone bool
-	// Doubtful is true if the removal may be a lapse in an outage of the store,
-	// because the entry that read it had not been served all along. An entry that
-	// receives it decides on retention by its own records.
+	// Doubtful is true if the registration may have lapsed in an outage of the store
+	// rather than been removed, because the entry that read the removal had failed or
+	// missed reads before. An entry that receives the removal decides by its own
+	// records whether to retain the upstream.
 	Doubtful bool
 	// Fault is why the registration could not be read, nil if it could. An
 	// unreadable upstream counts as leaving.
 	Fault error
 }
 
-// State is the complete content of the store or a part of it, such as changes.
+// State is the content of the store as of a revision: all of it, or only some changes.
 type State struct {
 	// Revision is the store revision up to which the state is current.
 	Revision int64
@@ -61,7 +63,7 @@
 	ConfigRevision int64
 	Instances      []Listed
 	// Faults are the errors of unreadable items that can't be attributed to an
-	// upstream.
+	// upstream; empty in a state from another entry.
 	Faults []error
 }
 
@@ -85,8 +87,8 @@
 	KindLeaving = "leaving"
 	// KindGone: a registration was removed, or the retention of its upstream ended.
 	KindGone = "gone"
-	// KindRetained: a registration was removed. Its upstream is retained, since the registration may
-	// have lapsed in an outage of the store.
+	// KindRetained: a registration was removed. Its upstream is retained, since the
+	// registration may have lapsed in an outage of the store.
 	KindRetained = "held_after_outage"
 	// KindConfig: the configuration has a new revision.
 	KindConfig = "configuration"
@@ -97,8 +99,9 @@
 // knownInstance is the last known registration of an instance, present or removed.
 type knownInstance struct {
 	listed Listed
-	// retainedUntil is until when an instance without registration is still used, since
-	// it may register again after an outage of the store; zero if it is not retained.
+	// retainedUntil is the time until which an instance without registration is still
+	// used, since it may register again after an outage of the store; zero if the
+	// instance is not retained.
 	retainedUntil time.Time
 	// removedAt is when the removal became known; zero if the registration is present.
 	removedAt time.Time
@@ -109,8 +112,8 @@
 type Follower struct {
 	// revision is the store revision up to which all changes are known.
 	revision int64
-	// baseRevision is the revision from which on every removal is remembered. Instances that
-	// came and went before the newest complete state are unknown.
+	// baseRevision is the revision after which every removal is remembered. Earlier removals
+	// may be forgotten, or unknown because they preceded a complete state.
 	baseRevision int64
 	// newestRevision is the revision of the newest change applied.
 	newestRevision int64
@@ -127,7 +130,7 @@
 	// removalBound is the longest time for which a removed upstream may still get work.
 	removalBound time.Duration
 	// confirmedAt is when the store last confirmed the state, to this entry or to the
-	// peer that reported it; zero if it never did.
+	// peer that reported the confirmation; zero if it never did.
 	confirmedAt time.Time
 }
 
@@ -136,7 +139,8 @@
 	return &Follower{instances: map[string]*knownInstance{}, removalBound: defaultRemovalBound}
 }
 
-// SetRemovalBound sets the longest time after its removal for which an upstream may get work.
+// SetRemovalBound sets the longest time for which an upstream may get work after the removal of
+// its registration.
 func (f *Follower) SetRemovalBound(bound time.Duration) { f.removalBound = bound }
 
 // ApplySnapshot merges a complete state from another entry. Upstreams missing from it count
@@ -194,8 +198,8 @@
 	return changes
 }
 
-// ApplyChanges merges changes from another entry. Each applies if it is newer than what is
-// known of the same upstream or the configuration.
+// ApplyChanges merges changes from another entry. A change applies if its revision is greater
+// than that of the last known change of the same upstream, or of the configuration.
 func (f *Follower) ApplyChanges(now time.Time, s State) []Change {
 	var changes []Change
 	if s.Config != nil && s.ConfigRevision > f.configRevision {
@@ -265,11 +269,10 @@
 }
 
 // retentionTime returns how much longer an upstream whose registration lapsed in the last outage
-// of the store may take to register again; 0 if the store confirmed the state since. If the
-// failures were only reported by other entries, it is limited by the bound on removals, which
-// takes precedence: the outage may affect only those entries. In a real outage, too short for
-// this entry to have read the store itself, an upstream dropped too early is used again as soon as it
-// registers.
+// of the store may take to register again; 0 if the store confirmed the state since. If only other
+// entries reported failures, the outage may affect only those, so removalBound limits the result.
+// If that was a real outage, too short for this entry to have called the store in it, an upstream
+// dropped too early is used again as soon as it registers.
 func (f *Follower) retentionTime(now time.Time) time.Duration {
 	if f.lastFailureAt.IsZero() || f.confirmedAt.After(f.lastFailureAt) {
 		return 0
@@ -303,8 +306,8 @@
 	return now.Sub(f.lastFailureAt), true
 }
 
-// ClearConfirmation discards the time of the last confirmation. After a suspension of this
-// process the age of its state is unknown.
+// ClearConfirmation discards the time of the last confirmation. It is called after a suspension
+// of this process, when the age of the state is unknown.
 func (f *Follower) ClearConfirmation() { f.confirmedAt = time.Time{} }
 
 // Confirm records that the store confirmed the present state at a time, to this entry or to
@@ -375,8 +378,8 @@
 func (f *Follower) HasState() bool { return f.configRevision > 0 }
 
 // ChangesSince returns the changes for an entry that has all changes up to a revision. If a
-// removal since then may be forgotten, it returns the complete state, and complete is true. The
-// configuration is omitted if the entry has that configRevision.
+// removal since then may have been forgotten, it returns the complete state, and complete is true.
+// The configuration is omitted if its revision is not greater than configRevision, the entry's own.
 func (f *Follower) ChangesSince(revision, configRevision int64) (s State, complete bool) {
 	s.Revision = f.revision
 	if f.configRevision > configRevision {
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -124,7 +124,7 @@
 
 // The store fails some entries and serves others. An entry to which a failed one reported this
 // retained an upstream for 2.3 s, although its removal had been read by an entry that the store
-// serves. That exceeded the two seconds for which a removed upstream may get new work.
+// served. That exceeded the two seconds for which a removed upstream may get new work.
 func TestRemovalTakesEffectWhenTheStoreFailsOnlyOthers(t *testing.T) {
 	is := is.New(t)
 	f := follower.New()
--- a/follower/outage_test.go
+++ b/follower/outage_test.go
@@ -19,17 +19,18 @@
 	staleAge = 1200 * time.Millisecond
 	// removalBound is the time for which a removed upstream may still get work.
 	removalBound = 2 * time.Second
-	// failureFreeTime is for how long neither the entry may have been failed by the store,
-	// nor all entries together, for removalBound to apply.
+	// failureFreeTime is the time since the store last failed the entry's calls, and since
+	// it last failed the calls of all entries at once, after which removalBound applies.
 	failureFreeTime = 3 * time.Second
 )
 
 // simEntry is one entry of a simulation.
 type simEntry struct {
 	*follower.Follower
+	// isReader is true if the entry reads the store even while its confirmation is fresh.
 	isReader bool
-	// failing is true while the store fails the entry's calls, failedAt is when it last
-	// did.
+	// failing is true while the store fails the entry's calls, failedAt is when a call of
+	// the entry last failed.
 	failing  bool
 	failedAt time.Time
 }
@@ -43,8 +44,10 @@
 	tick    int
 	changes []follower.Listed
 	entries []*simEntry
-	listed  bool
-	lapsed  bool
+	// listed is true while the upstream is registered, lapsed from the lapse of its
+	// registration in an outage until it registers again.
+	listed bool
+	lapsed bool
 	// removedAt is when the upstream was removed intentionally; zero before. allFailedAt is
 	// when the store last failed all entries. recoveredAt is when it served an entry again
 	// after a lapse; zero until then.
@@ -72,7 +75,7 @@
 		for i, e := range o.entries {
 			e.failing = failing[i]
 		}
-	case "mend":
+	case "recover":
 		for _, e := range o.entries {
 			e.failing = false
 		}
@@ -98,6 +101,7 @@
 	return true
 }
 
+// run advances the simulation by a number of ticks and checks the state after each.
 func (o *simulation) run(ticks int) {
 	for range ticks {
 		o.now = o.now.Add(tickPeriod)
@@ -121,6 +125,7 @@
 	}
 }
 
+// read makes a store call of an entry: a complete read if it has no state, else a watch.
 func (o *simulation) read(e *simEntry) {
 	if e.failing {
 		e.RecordOwnFailure(o.now)
@@ -165,6 +170,8 @@
 	}
 }
 
+// check fails the test if an entry uses a removed upstream for too long, or drops a lapsed one
+// too early.
 func (o *simulation) check() {
 	for i, e := range o.entries {
 		isUsable := usableIDs(e.Follower) == "a"
@@ -189,7 +196,7 @@
 // does an entry that saw the outage drop a lapsed upstream. After the store recovers, all
 // entries use a registered upstream within three seconds.
 func TestRemovalsAndLapsesInEveryOrder(t *testing.T) {
-	alphabet := []string{"fail all", "fail first", "fail second", "fail both", "mend", "lapse", "remove", "return"}
+	alphabet := []string{"fail all", "fail first", "fail second", "fail both", "recover", "lapse", "remove", "return"}
 	cases := 0
 	var extend func(prefix []string)
 	extend = func(prefix []string) {
@@ -224,7 +231,7 @@
 		}
 		o.run(ticks)
 	}
-	o.apply("mend")
+	o.apply("recover")
 	o.run(30)
 	for i, e := range o.entries {
 		if isUsable := usableIDs(e.Follower) == "a"; o.listed && !isUsable {
--- a/follower/since_test.go
+++ b/follower/since_test.go
@@ -47,8 +47,8 @@
 func (h *history) ids() string { return strings.Join(slices.Sorted(maps.Keys(h.listed)), "") }
 
 // Entries that receive only the changes since their own revision, from the store or from each
-// other, in any order and with restarts, end up with the state of the store. No removal is
-// missed, not even of an upstream that the entry asked never knew.
+// other, in any order and with restarts, end up with the state of the store. No removal is missed,
+// not even that of an upstream that the sender of the changes never knew.
 func TestChangesSinceARevisionMissNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
