--- a/connector/activeconns.go
+++ b/connector/activeconns.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// ActiveConns tracks the connections of a caller-facing server on which a request is being served
-// or may be on its way: a new connection counts until its first response is complete. It is safe
-// for concurrent use.
+// ActiveConns tracks the active connections of an http.Server: those on which a request is being
+// served or may be on its way. A new connection is active until its first response is complete. It
+// is safe for concurrent use.
 type ActiveConns struct {
 	lock sync.Mutex
 	// conns is the set of active connections.
@@ -19,7 +19,7 @@
 // NewActiveConns returns an ActiveConns that tracks no connection yet.
 func NewActiveConns() *ActiveConns { return &ActiveConns{conns: map[net.Conn]bool{}} }
 
-// OnStateChange updates the tracked connections. It is used as the ConnState of a http.Server.
+// OnStateChange updates the tracked connections. It is to be set as ConnState of the http.Server.
 func (a *ActiveConns) OnStateChange(c net.Conn, s http.ConnState) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -38,8 +38,8 @@
 }
 
 // WaitIdle blocks until no connection is active or the deadline has passed; a zero deadline never
-// passes. It checks once per poll. It has to return before Shutdown of the server is called, which
-// drops requests that it reads after it has begun.
+// passes. It checks at intervals of poll. It must return before Shutdown of the server is called,
+// because from then on the server drops the requests that it reads.
 func (a *ActiveConns) WaitIdle(deadline time.Time, poll time.Duration) {
 	for a.Count() > 0 && (deadline.IsZero() || time.Now().Before(deadline)) {
 		time.Sleep(poll)
--- a/connector/exitdetector.go
+++ b/connector/exitdetector.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// probeDelay is the wait after a connection broke until its address is probed. An exiting process
-	// closes its connections and its listener one after the other.
+	// probeDelay is the wait between the break of a connection and the probe of its address. An
+	// exiting process closes its connections and its listener one after the other.
 	probeDelay = 50 * time.Millisecond
 	// probeTimeout bounds the connection attempt of a probe.
 	probeTimeout = 250 * time.Millisecond
@@ -30,9 +30,9 @@
 // NewExitDetector returns an ExitDetector that connects by dial.
 func NewExitDetector(dial DialFunc) *ExitDetector { return &ExitDetector{dial: dial} }
 
-// HasExited reports whether connections to an address are refused. It is called after a connection
-// to the address broke, and blocks until the probe has ended. Concurrent calls for one address
-// share a probe.
+// HasExited reports whether the process at an address has exited, that is, whether connections to
+// the address are refused. It is called after a connection to the address broke, and blocks for at
+// most probeDelay plus probeTimeout. Concurrent calls for one address share a probe.
 func (d *ExitDetector) HasExited(address string) bool {
 	refused, _, _ := d.probes.Do(address, func() (any, error) {
 		sleeper.Sleep(context.Background(), probeDelay)
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -1,6 +1,6 @@
 // Package connector keeps net/rpc connections to other entries, with a timeout for
-// every call. It also tracks the active connections of callers and detects the exit of
-// processes whose connections broke.
+// every call. It also tracks the active connections of a server, and detects whether
+// the process behind a broken connection has exited.
 package connector
 
 import (
@@ -15,13 +15,13 @@
 )
 
 // ErrTimeout is returned by Pool.Call if the peer did not reply before the timeout.
-var ErrTimeout = errors.New("peer did not answer in time")
+var ErrTimeout = errors.New("peer did not reply before the timeout")
 
 // DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// idleTimeout is how long a connection is kept without a call. Entries call peers chosen at
-// random, so that a fleet would otherwise hold a connection between every two of them.
+// idleTimeout is how long a connection without a call is kept. Entries call peers chosen at
+// random, so that otherwise every two entries would end up with a connection between them.
 const idleTimeout = 30 * time.Second
 
 // Pool holds one connection to each peer called within idleTimeout. It is safe for
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// client returns the connection to a peer with one more call in flight, which the caller of
-// client releases. It connects if there is no connection.
+// client returns the connection to a peer, after opening one if there is none. It counts one more
+// call on the connection, which must be ended with release.
 func (p *Pool) client(address netip.AddrPort, timeout time.Duration) (*client, error) {
 	if c := p.acquire(address); c != nil {
 		return c, nil
@@ -103,7 +103,7 @@
 	return opened, nil
 }
 
-// acquire returns the connection to a peer with one more call in flight; nil if there is none.
+// acquire counts one more call on the connection to a peer and returns it; nil if there is none.
 func (p *Pool) acquire(address netip.AddrPort) *client {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -123,8 +123,9 @@
 	c.lastUsed = time.Now()
 }
 
-// closeIdle closes connections without a call for idleTimeout. It runs when another connection is
-// opened, so that their number is bounded by the number of peers called within idleTimeout.
+// closeIdle closes connections on which no call ended within idleTimeout or is in progress. It is
+// called before a connection is added, so that there are at most as many as peers called within
+// idleTimeout. The caller must hold the lock.
 func (p *Pool) closeIdle(now time.Time) {
 	for address, c := range p.clients {
 		if c.inFlight == 0 && now.Sub(c.lastUsed) >= idleTimeout {
@@ -134,7 +135,7 @@
 	}
 }
 
-// discard closes a connection and removes it from the pool.
+// discard closes a connection and removes it from the pool, if the pool still has it.
 func (p *Pool) discard(address netip.AddrPort, c *client) {
 	p.lock.Lock()
 	if p.clients[address] == c {
--- a/connector/pool_test.go
+++ b/connector/pool_test.go
@@ -50,9 +50,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 }
 
-// In a fleet of a thousand entries each calls another one every 0.1 s. Each held a connection to
-// every other one as long as it ran, with a queue, buffers and codecs of some 50 KB at either end,
-// which was most of its memory.
+// In a fleet of a thousand entries each calls another one every 0.1 s. When connections were never
+// closed, each entry held one to every other, with a queue, buffers and codecs of some 50 KB at
+// either end, which was most of its memory.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/connector/queue.go
+++ b/connector/queue.go
@@ -6,11 +6,12 @@
 	"sync"
 )
 
-// maxPendingWrites limits the writes that wait on a connection to a peer; beyond it the
-// connection is closed. One write is one message.
+// maxPendingWrites limits the writes queued on one connection to a peer; the connection is closed
+// when it is exceeded. One write is one message.
 const maxPendingWrites = 1024
 
-// errQueueFull is returned by Write if the peer reads too slowly or not at all.
+// errQueueFull is returned by Write if maxPendingWrites are queued, because the peer reads too
+// slowly or not at all.
 var errQueueFull = errors.New("write queue of peer connection is full")
 
 // queuedConn is a connection whose writes never block. net/rpc holds a lock while it writes, so
@@ -73,8 +74,8 @@
 	return pending
 }
 
-// Read reads from the connection and closes it after an error. A net/rpc client does not close
-// it when the peer has.
+// Read reads from the connection and closes it after an error, since a net/rpc client does not
+// close its connection when the peer has closed the other end.
 func (q *queuedConn) Read(p []byte) (int, error) {
 	n, err := q.Conn.Read(p)
 	if err != nil {
--- a/connector/queue_test.go
+++ b/connector/queue_test.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// At one heartbeat per 0.2 s a connection has at most one message in its queue. A thousand
-// connections without any message used 24 MB for queues of full size.
+// At one heartbeat per 0.2 s a connection has at most one message in its queue. When queues were
+// allocated at full size, a thousand connections without any message used 24 MB.
 func TestIdleQueueUsesLittleMemory(t *testing.T) {
 	is := is.New(t)
 	const connections, limit = 1000, 4 << 10
