--- a/sequencer/sequencer.go
+++ b/sequencer/sequencer.go
@@ -18,8 +18,8 @@
 	return &Sequencer[S]{commands: make(chan func(S)), stopped: make(chan struct{})}
 }
 
-// Do runs a command on the state and waits until it has run. After Run has returned, Do does
-// nothing.
+// Do runs a command on the state and waits until it has run. Before Run is called Do blocks, and
+// after Run has returned it does nothing.
 func (q *Sequencer[S]) Do(command func(S)) {
 	done := make(chan struct{})
 	wrapped := func(s S) {
