--- a/lister/lister.go
+++ b/lister/lister.go
@@ -13,15 +13,18 @@
 // neverConfirmed is the age of a missing list.
 const neverConfirmed = time.Duration(-1)
 
-// minAgeGain is how much younger than the own list a peer's list has to be to replace it.
+// minAgeGain is how much more recently than the list in use a peer's list must have been confirmed
+// to replace it.
 const minAgeGain = 2 * time.Second
 
 // Lister holds the instance list in use. It is not safe for concurrent use.
 type Lister struct {
-	// staleAfter is the age above which a peer's list may replace this one.
+	// staleAfter is the time since the last confirmation after which a peer's list may replace
+	// the list in use.
 	staleAfter time.Duration
 	// data is the list as the platform encoded it, nil if there is none.
-	data   []byte
+	data []byte
+	// digest is validator.Digest of data, empty if there is no list.
 	digest string
 	// confirmedAt is when the platform last confirmed the list, to this entry or to
 	// the peer that it came from; zero if there is no list.
@@ -50,8 +53,9 @@
 	return max(0, now.Sub(l.confirmedAt))
 }
 
-// ShouldFetch reports whether a peer's list with a digest is worth fetching, given the time
-// since the platform confirmed it to the peer; negative if it never did.
+// ShouldFetch reports whether a peer's list is recent enough to replace the list in use. Digest is
+// the digest of the peer's list, empty if it has none. Age is the time since the platform last
+// confirmed the peer's list, negative if it never did.
 func (l *Lister) ShouldFetch(now time.Time, digest string, age time.Duration) bool {
 	if age < 0 || digest == "" {
 		return false
@@ -62,10 +66,10 @@
 	return l.Age(now) > l.staleAfter && age+minAgeGain < l.Age(now)
 }
 
-// Offer replaces the list in use by data if that is preferable, and reports whether the list
-// has changed. Age is the time since the platform confirmed data: 0 if this entry has just
-// read it there, negative if it never did. With an age of 0, nil data confirms that the list in
-// use is unchanged.
+// Offer replaces the list in use by data if the platform confirmed data just now or ShouldFetch is
+// true of it, and reports whether the list has changed. Age is the time since the platform
+// confirmed data: 0 if this entry has just read it there, negative if it never did. Nil data with
+// an age of 0 means that the platform confirmed the list in use.
 func (l *Lister) Offer(now time.Time, data []byte, age time.Duration) bool {
 	if age < 0 {
 		return false
