--- a/asserter/asserter.go
+++ b/asserter/asserter.go
@@ -8,9 +8,11 @@
 	"sync"
 )
 
-// The names of the asserted invariants, as they appear in logs and the status.
+// The names of the asserted invariants, as they appear in logs and the status. The comment of each
+// states the invariant.
 const (
-	// OutlivedLimit: no admitted request outlasts its deadline by more than the slack.
+	// OutlivedLimit: no admitted request is released later after its deadline than the server
+	// allows, unless the process was suspended.
 	OutlivedLimit = "OutlivedLimit"
 	// NotRunAfterSend: a request is never reported as not run after a byte of it was sent to
 	// an upstream, unless that upstream reported that it did not run the request.
@@ -23,7 +25,7 @@
 	RevisionWentBack = "RevisionWentBack"
 	// LeakedFlight: a request is removed from the table of requests in flight exactly once.
 	LeakedFlight = "LeakedFlight"
-	// SentToLeaving: no request is sent to an upstream known to be leaving.
+	// SentToLeaving: no request is sent to an upstream that is known to be shutting down.
 	SentToLeaving = "SentToLeaving"
 )
 
