--- a/relayer/example_test.go
+++ b/relayer/example_test.go
@@ -43,8 +43,8 @@
 	// true
 }
 
-// Whatever chunks arrive, in whatever order, the delivered text is a prefix of the right answer,
-// and the answer is complete only when all of it was delivered.
+// Whatever chunks arrive, in whatever order, the delivered text is a prefix of the right answer, and
+// the relayer reports a complete answer only when all of it was delivered.
 func TestDeliveredTextIsPrefixOfAnswer(t *testing.T) {
 	const length = 6
 	rapid.Check(t, func(t *rapid.T) {
@@ -80,7 +80,7 @@
 			t.Fatalf("delivered %q, want %q", got.String(), want)
 		}
 		if r.IsWhole() && r.Delivered() != length {
-			t.Fatalf("whole after %d tokens", r.Delivered())
+			t.Fatalf("answer reported as complete after %d tokens", r.Delivered())
 		}
 	})
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -13,8 +13,8 @@
 const (
 	// Deliver means that the text must be sent to the caller.
 	Deliver ChunkResult = iota
-	// Drop means that the chunk is of another request, of an earlier attempt or a repetition. It
-	// must be ignored; the attempt continues.
+	// Drop means that the chunk belongs to another request or an earlier attempt, or repeats
+	// delivered tokens. It must be ignored; the attempt continues.
 	Drop
 	// Whole means that the answer is complete. The text, if any, must be sent to the caller.
 	Whole
@@ -35,9 +35,11 @@
 	Stale int
 	// Repeated counts chunks whose tokens were all delivered before.
 	Repeated int
-	// WrongOffset counts chunks that do not start at the next token, or without exactly one choice.
+	// WrongOffset counts chunks that do not start at the next token, and chunks that do not have
+	// exactly one choice.
 	WrongOffset int
-	// WrongTotal counts end markers whose token count differs from the tokens delivered.
+	// WrongTotal counts end markers that have no token count, or one that differs from the
+	// tokens delivered.
 	WrongTotal int
 }
 
@@ -72,7 +74,7 @@
 // was accepted.
 func (r *Relayer) IsWhole() bool { return r.whole }
 
-// Undelivered returns the counts of chunks that were not delivered.
+// Undelivered returns the counts of chunks that were not delivered, over all attempts.
 func (r *Relayer) Undelivered() UndeliveredCounts { return r.counts }
 
 // Accept checks a chunk and returns the text to send to the caller. The text is empty unless the
@@ -109,7 +111,8 @@
 	return r.acceptNext(c, choice)
 }
 
-// acceptNext accepts a chunk that starts at the next token.
+// acceptNext accepts a chunk that starts at the next token. If it is an end marker with a wrong
+// token count, the result is Broken.
 func (r *Relayer) acceptNext(c api.CompletionChunk, choice api.CompletionChoice) (string, ChunkResult) {
 	nextOffset := c.Offset + choice.Tokens
 	if choice.FinishReason == "" {
