--- a/spender/example_test.go
+++ b/spender/example_test.go
@@ -57,7 +57,7 @@
 	}
 	// A ticket is rejected by another incarnation of the same entry.
 	is.Equal(resultOf(newSpender(2), 0, issue(t, s)), spender.Forged)
-	// A ticket that was not spent within its TTL is refused as expired, not as run.
+	// A ticket that was not spent within its TTL gives Expired, not Ran.
 	is.Equal(resultOf(s, 2*time.Minute, issue(t, s)), spender.Expired)
 	// A spent ticket remains spent for the whole incarnation, even after its answer has expired.
 	ran := issue(t, s)
--- a/spender/spender.go
+++ b/spender/spender.go
@@ -1,7 +1,7 @@
-// Package spender runs a request at most once without stored state. A caller obtains a ticket and
-// sends it with the request. A ticket belongs to one incarnation of one entry: only that
-// incarnation can accept it, from its own memory, and the ticket becomes void when the incarnation
-// ends.
+// Package spender issues the tickets by which a request runs at most once, without stored state. A
+// caller obtains a ticket and sends it with the request. A ticket belongs to one incarnation of one
+// entry: only that incarnation can accept it, from its own memory, and the ticket becomes void when
+// the incarnation ends.
 //
 // Tickets are numbered and one bit per ticket records whether it was spent, for as long as the
 // incarnation lives. The answer to a finished request is kept for Config.TicketTTL, in bounded
@@ -31,11 +31,13 @@
 // Ticket is a ticket that a caller presented, decoded but not yet verified. Only the incarnation
 // that issued it can verify it.
 type Ticket struct {
-	// Owner is the name and Incarnation the number of the entry that issued the ticket.
+	// Owner is the name of the entry that issued the ticket, Incarnation the number of the entry's
+	// incarnation at that time.
 	Owner       string
 	Incarnation uint64
-	number      uint64
-	// issuedAt is the time of issue, since the start of the incarnation.
+	// number identifies the ticket among those of its incarnation, which are numbered from 0.
+	number uint64
+	// issuedAt is the time from the start of the incarnation to the issue of the ticket.
 	issuedAt time.Duration
 	mac      [macSize]byte
 }
@@ -83,7 +85,7 @@
 	Secret []byte
 }
 
-// SpendResult is the state of a ticket when it is presented with a request.
+// SpendResult is the result of presenting a ticket with a request.
 type SpendResult int
 
 // The results of Spend.
@@ -110,7 +112,8 @@
 // Answer is the response to a finished request, kept to be sent again.
 type Answer struct {
 	// Status is the HTTP status code.
-	Status      int
+	Status int
+	// ContentType is the value of the Content-Type header.
 	ContentType string
 	// Outcome is the value of the outcome header.
 	Outcome string
@@ -123,8 +126,8 @@
 	answer *Answer
 	// done is set when the request has ended.
 	done bool
-	// expires is the time at which the record is removed, since the start of the incarnation. It is
-	// set when the request ends.
+	// expires is the time from the start of the incarnation to the removal of the record. It
+	// is set when the request ends.
 	expires time.Duration
 	// digest identifies the request that the ticket was spent for.
 	digest [sha256.Size]byte
@@ -159,8 +162,8 @@
 	return fmt.Sprintf("all %d tickets of this incarnation have been issued", e.Limit)
 }
 
-// Issue creates a ticket and returns its text. It stores nothing per ticket but a bit. It fails
-// with ExhaustedError when no more tickets can be issued.
+// Issue creates a ticket and returns its text. Nothing is stored for a ticket until it is spent.
+// The error is an ExhaustedError when no more tickets can be issued.
 func (s *Spender) Issue(now time.Time) (string, error) {
 	if s.issuedCount >= maxTickets {
 		return "", ExhaustedError{Limit: maxTickets}
@@ -176,7 +179,7 @@
 	return s.config.Name + "." + base64.RawURLEncoding.EncodeToString(raw), nil
 }
 
-// sign returns the truncated HMAC of the entry's name and a ticket's payload.
+// sign returns the truncated HMAC-SHA256 of the entry's name and a ticket's payload.
 func (s *Spender) sign(raw []byte) [macSize]byte {
 	h := hmac.New(sha256.New, s.config.Secret)
 	h.Write([]byte(s.config.Name))
@@ -186,7 +189,7 @@
 	return mac
 }
 
-// isGenuine reports whether this incarnation issued the ticket.
+// isGenuine reports whether this incarnation issued the ticket, by its signature.
 func (s *Spender) isGenuine(t Ticket) bool {
 	if t.Owner != s.config.Name || t.Incarnation != s.config.Incarnation {
 		return false
@@ -251,8 +254,8 @@
 	s.evictAnswers()
 }
 
-// Unspend makes a spent ticket usable again after a request that is known not to have run, so that
-// the caller can present the ticket again.
+// Unspend makes a spent ticket usable again. It must be called only if the request is known not to
+// have run.
 func (s *Spender) Unspend(t Ticket) {
 	r, ok := s.records[t.number]
 	if !ok || r.done {
