--- a/keeper/example_test.go
+++ b/keeper/example_test.go
@@ -79,7 +79,7 @@
 	is.True(k.RequestGrant(now, newRequest("a", 1)).Granted)
 }
 
-// A prompt whose prefill can't end before its deadline is refused at once and takes no memory.
+// A prompt whose prefill can't end before its deadline is refused at once and no memory is granted.
 func TestRefusesPromptThatCannotBePrefilledInTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,11 +1,12 @@
 // Package keeper grants the memory of one engine. It decides which attempts may start on the
-// engine, estimates how long a prompt would queue there, and finds orphans: holds on its memory whose owner no longer
-// renews them.
+// engine, estimates how long a prompt would queue there, and finds orphans: holds on the engine's
+// memory that their owner no longer renews.
 //
 // The engine's own reports are authoritative. A keeper counts the memory that the engine reports as
-// used, and the grants that the report can't include yet, so a new keeper is right after one
-// listing of holds. Two keepers on the two sides of a network partition may grant the same memory
-// twice; the engine then refuses one of the attempts before it starts, and nothing else goes wrong.
+// used, and the grants that the report can't include yet, so a new keeper knows the free memory
+// after one listing of holds. Two keepers on the two sides of a network partition may grant the
+// same memory twice; the engine then refuses one of the attempts before it starts, and nothing else
+// goes wrong.
 package keeper
 
 import (
@@ -19,11 +20,12 @@
 type Config struct {
 	// Engine is the name of the engine.
 	Engine string
-	// Lease is the age beyond which a hold that was not renewed is an orphan, and the age beyond
-	// which the last report is too old to grant on.
+	// Lease is the time since its last renewal after which a hold is an orphan, and the age
+	// beyond which the engine's last report is too old for grants.
 	Lease time.Duration
-	// GrantTTL is how long a grant counts while the engine does not list a hold for it. It must
-	// exceed the lag of load reports, which include the attempt's memory afterwards.
+	// GrantTTL is how long a grant counts as used memory while the engine does not list a hold
+	// for it. It must exceed the lag of load reports, which include the attempt's memory
+	// afterwards.
 	GrantTTL time.Duration
 	// MemoryTokens is the engine's memory in tokens and PrefillRate its prefill rate in tokens a
 	// second, both as the configuration document states them.
@@ -91,11 +93,11 @@
 	lastLoad api.EngineLoad
 	// lastReportAt is the time of the engine's last report, zero if there is none.
 	lastReportAt time.Time
-	// holds maps the IDs of the holds that the engine listed last.
+	// holds are the holds that the engine listed last, by ID.
 	holds map[string]api.EngineHold
 	// usedTokens is the engine's used memory, from its last listing or report.
 	usedTokens int
-	// grants maps attempt IDs to grants. No ID is in both grants and holds.
+	// grants are the grants by attempt ID. No ID is in both grants and holds.
 	grants map[string]grant
 	// backlog is the estimated number of prompt tokens not yet prefilled, by length class, at the
 	// time backlogAt. No element is negative.
@@ -103,9 +105,9 @@
 	backlogAt time.Time
 	// lastGrantAt is the time of the last grant.
 	lastGrantAt time.Time
-	// listed is set once the engine's current incarnation has listed its holds.
+	// listed is true once the engine's current incarnation has listed its holds.
 	listed bool
-	// changing stops grants while an order waits for the engine's streams to end.
+	// changing is true while an order to the engine is pending. No grants are given then.
 	changing bool
 }
 
@@ -115,14 +117,15 @@
 	return &Keeper{config: config, holds: map[string]api.EngineHold{}, grants: map[string]grant{}}
 }
 
-// Configure replaces the configuration, after a new document changed it.
+// Configure replaces the configuration. It is called after a new configuration document is in
+// force.
 func (k *Keeper) Configure(config Config) { k.config = config }
 
-// SetChanging stops grants while an order to the engine is pending, or resumes them.
+// SetChanging sets whether an order to the engine is pending, during which no grants are given.
 func (k *Keeper) SetChanging(changing bool) { k.changing = changing }
 
-// Orphan is a hold to free because its owner has not renewed it. The engine frees it only if its
-// age is still at least MinAge, so a hold that was renewed in the meantime is kept.
+// Orphan is a hold to free because its owner has not renewed it. The engine frees the hold only if
+// its age is still at least MinAge, so a hold that was renewed in the meantime is kept.
 type Orphan struct {
 	Hold   api.EngineHold
 	MinAge time.Duration
@@ -148,7 +151,7 @@
 	}
 	k.listed = true
 	k.RecordLoad(now, load)
-	k.usedTokens = used // unlike load.UsedTokens, a listing does not lag
+	k.usedTokens = used // load.UsedTokens lags behind the listing of holds
 	return orphans
 }
 
@@ -217,7 +220,7 @@
 	}
 }
 
-// RequestGrant decides whether an attempt may start, and records the grant if so.
+// RequestGrant decides whether an attempt may start on the engine, and records the grant if so.
 func (k *Keeper) RequestGrant(now time.Time, r GrantRequest) GrantReply {
 	k.advanceBacklog(now)
 	k.removeExpiredGrants(now)
@@ -238,13 +241,14 @@
 	return GrantReply{Granted: true, QueueWait: wait, Reason: MemoryFree}
 }
 
-// prefillTime returns how long an engine takes to prefill the tokens, at a rate in tokens a second.
+// prefillTime returns how long an engine with a prefill rate in tokens a second takes for the
+// tokens.
 func prefillTime(tokens float64, rate int) time.Duration {
 	return time.Duration(tokens / float64(max(1, rate)) * float64(time.Second))
 }
 
-// refusalReason returns why the engine can't start any attempt at the request's model, or an empty
-// reason if it can.
+// refusalReason returns why the engine can't start any attempt for the request's model; empty if it
+// can.
 func (k *Keeper) refusalReason(now time.Time, r GrantRequest) Reason {
 	switch {
 	case k.lastReportAt.IsZero() || now.Sub(k.lastReportAt) > k.config.Lease:
@@ -313,12 +317,12 @@
 
 // LoadEstimate is the load of an engine as its keeper estimates it.
 type LoadEstimate struct {
-	// Engine is the name and Incarnation the current incarnation of the engine.
+	// Engine is the name of the engine, Incarnation the number of its current incarnation.
 	Engine      string
 	Incarnation uint64
 	// Leaving is set while the engine is shutting down.
 	Leaving bool
-	// QueuedTokens is the estimated prompt tokens not yet prefilled, by length class.
+	// QueuedTokens is the estimated number of prompt tokens not yet prefilled, by length class.
 	QueuedTokens router.TokensByClass
 	// FreeTokens is the engine's memory, in tokens, that is neither in use nor granted.
 	FreeTokens int
