--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -92,7 +92,7 @@
 	return keys
 }
 
-// sumLargest returns the sum of the n largest values.
+// sumLargest returns the sum of the n largest values of the candidates.
 func sumLargest(candidates []Candidate, n int, value func(Candidate) int) int {
 	values := make([]int, len(candidates))
 	for i, c := range candidates {
@@ -107,7 +107,8 @@
 	return sum
 }
 
-// fewestEngines returns the smallest set of candidates whose free memory holds the tokens, or nil.
+// fewestEngines returns the smallest set of candidates whose free memory holds the tokens; nil if
+// all of them together do not.
 func fewestEngines(candidates []Candidate, tokens int) []Candidate {
 	byFree := slices.Clone(candidates)
 	slices.SortFunc(byFree, func(a, b Candidate) int {
@@ -149,19 +150,20 @@
 	Reserve *Shard
 	// Release is the shard to release next.
 	Release *Shard
-	// AllHeld is set when every shard is held.
+	// AllHeld is true when every shard is held.
 	AllHeld bool
-	// Failed is set when no shard is held any more, after an engine refused one or the group was
-	// released.
+	// Failed is true when no shard is held any more, after an engine refused one or ReleaseAll
+	// was called.
 	Failed bool
 }
 
 // Reserver is the state of one reservation of a group. It is not safe for concurrent use.
 type Reserver struct {
 	shards []Shard
-	// heldCount is the number of shards, from the first on, that are held or may be held.
+	// heldCount is the number of shards that are held or may be held. They are the first ones of
+	// shards.
 	heldCount int
-	// releasing is set when all shards are to be released.
+	// releasing is true once all shards are to be released.
 	releasing bool
 }
 
@@ -187,9 +189,9 @@
 // RecordReserved records that the engine reserved the last requested shard.
 func (r *Reserver) RecordReserved() { r.heldCount++ }
 
-// RecordRefused records that the engine did not reserve the last requested shard, and starts to
-// release the others. If maybeHeld is set, it is not known whether the engine reserved it, so it is
-// released too.
+// RecordRefused records that the engine refused the last requested shard, or did not reply, and
+// starts to release the others. MaybeHeld is true if the engine may have reserved the shard, which
+// is then released too.
 func (r *Reserver) RecordRefused(maybeHeld bool) {
 	if maybeHeld {
 		r.heldCount++
@@ -201,7 +203,7 @@
 // not be reached, in which case the hold ends with its lease.
 func (r *Reserver) RecordReleased() { r.heldCount-- }
 
-// ReleaseAll starts to release a group of which all or some shards are held.
+// ReleaseAll starts to release all shards that are held. Next returns the Release actions.
 func (r *Reserver) ReleaseAll() { r.releasing = true }
 
 // Shards returns the shards of the group, in the order of reservation.
