--- a/placer/placer.go
+++ b/placer/placer.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// roomWaitDivisor divides a prompt's remaining time to give the time that it may wait for free
-	// memory.
+	// roomWaitDivisor is the divisor of a prompt's remaining time that gives the time for
+	// which the prompt may wait for free memory.
 	roomWaitDivisor = 4
-	// minPause and maxPause bound the random pause between two rounds of asking.
+	// minPause and maxPause bound the random pause between two rounds, in each of which all
+	// chosen engines are asked.
 	minPause = 20 * time.Millisecond
 	maxPause = 80 * time.Millisecond
 )
@@ -32,13 +33,15 @@
 	Choose
 	// Pause means that the caller must wait for Step.Pause, then call Next.
 	Pause
-	// Placed means that the keeper of Step.Choice's engine granted the prompt.
+	// Placed means that the keeper of Step.Choice's engine granted the prompt. The search ends.
 	Placed
-	// NoEngine means that there is no candidate engine.
+	// NoEngine means that there is no candidate engine. The search ends.
 	NoEngine
-	// TooLate means that every candidate engine would finish the prefill after the deadline.
+	// TooLate means that every candidate engine would finish the prefill after the deadline. The
+	// search ends.
 	TooLate
-	// NoRoom means that no engine had free memory during the time that the prompt may wait for it.
+	// NoRoom means that no engine had free memory during the time that the prompt may wait for
+	// it. The search ends.
 	NoRoom
 )
 
@@ -65,9 +68,9 @@
 	// asked is the number of choices that refused, and tooLate the number of those that refused
 	// with keeper.TooLate.
 	asked, tooLate int
-	// hasChoices is set while choices belongs to the current round.
+	// hasChoices is true from SetChoices until the round ends.
 	hasChoices bool
-	// granted is set when a keeper granted the prompt.
+	// granted is true once a keeper granted the prompt.
 	granted bool
 }
 
