--- a/planner/planner.go
+++ b/planner/planner.go
@@ -19,8 +19,8 @@
 // keepers do not use one number for different orders.
 const keeperBits = 16
 
-// NextFence returns the fencing number for the keeper's next order to an engine that has seen no
-// number greater than lastSeen.
+// NextFence returns the fencing number for a keeper's next order to an engine that has seen no
+// fencing number greater than lastSeen.
 func NextFence(lastSeen uint64, keeper string) uint64 {
 	next := lastSeen>>keeperBits + 1
 	id := assigner.Weight("fence", keeper) & (1<<keeperBits - 1)
@@ -33,21 +33,22 @@
 	return api.EngineOrder{Model: e.Model, Version: e.Version, Adapters: e.Adapters, Role: e.Role}
 }
 
-// Step is the next step towards an engine serving what it should.
+// Step is what a keeper must do next so that an engine serves what it should.
 type Step int
 
 // The steps of a Decision.
 const (
 	// Nothing means that the engine serves what it should.
 	Nothing Step = iota
-	// Drain means that the engine must get no grants until its streams have ended.
+	// Drain means that the engine must get no grants, until the wanted order has settled and the
+	// engine has no holds.
 	Drain
 	// Send means that the order must be sent.
 	Send
-	// Await means that an order was sent and the engine has not reported the change yet.
+	// Await means that the order was sent, but the engine has not reported the change yet.
 	Await
-	// Pace means that the order must wait, because too little time has passed since the last load
-	// from the weight store.
+	// Pace means that the order must wait, because too little time has passed since this entry
+	// last ordered an engine to load from the weight store.
 	Pace
 )
 
@@ -93,7 +94,8 @@
 // Planner tracks the orders to the engines that one entry is the keeper of. It is not safe for
 // concurrent use.
 type Planner struct {
-	config  Config
+	config Config
+	// engines are the states of the orders, by engine name.
 	engines map[string]*engineState
 	// lastWeightLoad is the time of the last order that made an engine load weights.
 	lastWeightLoad time.Time
@@ -104,8 +106,8 @@
 	return &Planner{config: config, engines: map[string]*engineState{}}
 }
 
-// Forget removes an engine that this entry is no longer the keeper of, with any order that was
-// awaited.
+// Forget removes the state of an engine that this entry is no longer the keeper of. An order that
+// was awaited is awaited no more.
 func (p *Planner) Forget(name string) { delete(p.engines, name) }
 
 // Plan decides the next step for an engine, given the order that it should follow and its last load
@@ -150,7 +152,7 @@
 	return a.Model == b.Model && a.Version == b.Version && a.Role == b.Role && sameSet(a.Adapters, b.Adapters)
 }
 
-// matchesOrder reports whether the engine already serves what it should.
+// matchesOrder reports whether an engine, by its load report, serves what an order asks for.
 func matchesOrder(load api.EngineLoad, wanted api.EngineOrder) bool {
 	reported := api.EngineOrder{Model: load.Model, Version: load.Version, Role: load.Role, Adapters: load.Adapters}
 	return sameTarget(reported, wanted)
