--- a/router/router.go
+++ b/router/router.go
@@ -12,8 +12,7 @@
 // Policy is the name of a way to order the candidate engines.
 type Policy string
 
-// The policies. Predicted is the product's own; the others are baselines to
-// measure it against.
+// The policies.
 const (
 	// Predicted orders engines by predicted time. Entries use this policy; the others are baselines
 	// for measurements.
@@ -32,7 +31,7 @@
 // LengthClass is the class of a prompt by its length. Engines prefill shorter classes first.
 type LengthClass int
 
-// The length classes, shortest first. ClassOf says how long the prompts of each are.
+// The length classes, shortest first. ClassOf defines their lengths.
 const (
 	Short LengthClass = iota
 	Medium
@@ -89,18 +88,18 @@
 // they would all choose the same one.
 const sampleSize = 8
 
-// Load is an entry's view of an engine's load. Any goroutine may update its fields, so a reader may
+// Load is an entry's view of an engine's load. Any goroutine may update the fields, so a reader may
 // see a mix of two successive updates.
 type Load struct {
-	// OwnPrefillTokens is the prompt tokens, by length class, of this entry's attempts that have
-	// not received a first token.
+	// OwnPrefillTokens is the number of prompt tokens, by length class, of this entry's attempts
+	// that have not received a first token.
 	OwnPrefillTokens [ClassCount]atomic.Int64
 	// OwnInFlight is the number of this entry's attempts in flight at the engine.
 	OwnInFlight atomic.Int64
-	// QueuedTokens is the prompt tokens queued at the engine, by length class, as its keeper last
-	// reported them.
+	// QueuedTokens is the number of prompt tokens queued at the engine, by length class, as the
+	// engine's keeper last reported it.
 	QueuedTokens [ClassCount]atomic.Int64
-	// FreeTokens is the engine's free memory in tokens, as its keeper last reported it.
+	// FreeTokens is the engine's free memory in tokens, as the engine's keeper last reported it.
 	FreeTokens atomic.Int64
 	// timePerToken is a moving average of the time between answer tokens, in nanoseconds, as this
 	// entry measured it; 0 before the first measurement.
@@ -133,7 +132,8 @@
 	Load *Load
 }
 
-// EngineIndex holds all engines that can be chosen, by model and by name. It is immutable.
+// EngineIndex holds all engines that can be chosen, by model and by name. It is immutable, but for
+// the loads of the engines and the position of RoundRobin.
 type EngineIndex struct {
 	byModel map[string][]*Engine
 	byName  map[string]*Engine
@@ -151,7 +151,7 @@
 	return x
 }
 
-// Engine returns the engine of a name and reports whether there is one.
+// Engine returns the engine with a name, and reports whether there is one.
 func (x *EngineIndex) Engine(name string) (*Engine, bool) {
 	e, ok := x.byName[name]
 	return e, ok
@@ -176,21 +176,22 @@
 	MemoryTokens int
 	// MaxAnswerTokens is the maximum length of the answer in tokens.
 	MaxAnswerTokens int
-	// Exclude is the names of engines that failed the request before.
+	// Exclude holds the names of engines that must not be chosen, because they failed the
+	// request before.
 	Exclude []string
 }
 
 // Choice is a candidate engine.
 type Choice struct {
 	Engine *Engine
-	// PredictedTime is the predicted time to first token. Under the Predicted policy, an engine
-	// that is much slower than the others at the tokens that follow also has the delay of these
-	// added.
+	// PredictedTime is the predicted time to first token. The Predicted policy adds, for an
+	// engine that generates much more slowly than the fastest candidate, by how much later it
+	// would end the answer.
 	PredictedTime time.Duration
 }
 
 // Choose returns up to maxChoices engines that satisfy the needs, in the order of the policy, best
-// first.
+// first. The Predicted policy compares at most sampleSize engines, from a random position on.
 func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxChoices int, random *rand.Rand) []Choice {
 	serving := x.byModel[needs.Model]
 	choices := make([]Choice, 0, min(len(serving), sampleSize))
@@ -313,15 +314,16 @@
 	// newSampleWeight is the weight of a new measurement in the moving average of the time per
 	// token.
 	newSampleWeight = 0.5
-	// timePerTokenTTL is how long a measured time per token counts. After that the engine is tried
-	// again.
+	// timePerTokenTTL is how long a measured time per token counts. After that a slow engine is
+	// chosen like any other, and measured again.
 	timePerTokenTTL = 2 * time.Minute
-	// slowFactor is how many times slower than the fastest candidate an engine must be for its time
-	// per token to count.
+	// slowFactor is the ratio to the shortest time per token of all candidates above which an
+	// engine's time per token counts.
 	slowFactor = 2
 )
 
-// RecordTimePerToken records the time between answer tokens that an attempt measured.
+// RecordTimePerToken adds the time between answer tokens that an attempt measured to the moving
+// average.
 func (l *Load) RecordTimePerToken(now time.Time, timePerToken time.Duration) {
 	if previous := l.recentTimePerToken(now); previous > 0 {
 		timePerToken = previous + time.Duration(newSampleWeight*float64(timePerToken-previous))
@@ -340,9 +342,9 @@
 	return time.Duration(l.timePerToken.Load())
 }
 
-// addTokenDelay adds to each much slower engine's predicted time the delay of the whole answer
-// compared to the fastest candidate. This detects gray failures: engines that answer every report
-// in time but generate slowly.
+// addTokenDelay adds to the predicted time of each engine slower than slowFactor allows by how much
+// later than the fastest candidate it would end the answer. This avoids engines with a gray
+// failure: they report their load in time but generate slowly.
 func addTokenDelay(now time.Time, choices []Choice, maxAnswerTokens int) {
 	shortest := time.Duration(0)
 	for _, c := range choices {
