--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -1,6 +1,6 @@
 // Package admitter decides whether a request is admitted, and tracks the requests in flight. Each
-// admitted request has one owner, which must release it, and a deadline on the monotonic clock. An
-// idle entry has no request in flight.
+// admitted request has one owner, which must release it, so that an idle entry has no request in
+// flight. Each has a deadline on the monotonic clock.
 package admitter
 
 import (
@@ -35,7 +35,8 @@
 // Refusal is the error for a request that was not admitted and so did not run.
 type Refusal struct {
 	// Code is an error code of package api.
-	Code    string
+	Code string
+	// Message says why the request was refused, for the caller.
 	Message string
 	// RetryAfter is the time after which the caller should retry, 0 if a retry would not help.
 	RetryAfter time.Duration
@@ -75,7 +76,7 @@
 	return minRetryAfter + time.Duration(a.random.Int64N(int64(maxRetryAfter-minRetryAfter)))
 }
 
-// Admit admits a request and returns its deadline, or returns why it is refused.
+// Admit admits a request and returns its deadline, or returns why the request is refused.
 func (a *Admitter) Admit(now time.Time, l Limits, r Request) (time.Time, *Refusal) {
 	timeout := r.Timeout
 	if !r.HasTimeout {
--- a/admitter/example_test.go
+++ b/admitter/example_test.go
@@ -36,10 +36,10 @@
 		code    string
 		retry   bool
 	}{
-		"past":    {-time.Second, "deadline_past", false},
-		"zero":    {0, "deadline_past", false},
-		"absurd":  {time.Hour, "bad_request", false},
-		"no room": {time.Second, "overloaded", true},
+		"negative timeout":        {-time.Second, "deadline_past", false},
+		"zero timeout":            {0, "deadline_past", false},
+		"timeout above the limit": {time.Hour, "bad_request", false},
+		"too many in flight":      {time.Second, "overloaded", true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
