--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -12,18 +12,20 @@
 	// bucketCount is the number of buckets that a service's counts are kept in. All but one of them
 	// cover Config.Window.
 	bucketCount = 20
-	// usableFraction is the fraction of the budget that entries use. The rest is a margin, as an
-	// entry may not know of all others and the windows of entries do not start at the same time.
+	// usableFraction is the fraction of the budget that entries use. The rest is a margin,
+	// because an entry may not know all others and the windows of entries do not start at the
+	// same time.
 	usableFraction = 0.8
 )
 
-// Config is the retry budget of each service, over all entries.
+// Config is the retry budget that every service has, over all entries.
 type Config struct {
 	// Ratio is the number of retries allowed for each request within a window.
 	Ratio float64
 	// Window is the time over which requests and retries are counted.
 	Window time.Duration
-	// BaseRetries is the number of retries allowed in a window, over all entries, in addition to Ratio.
+	// BaseRetries is the number of retries allowed within a window, over all entries, whatever
+	// the number of requests. It is added to what Ratio allows.
 	BaseRetries int
 }
 
@@ -34,7 +36,7 @@
 	services map[string]*slidingWindow
 }
 
-// New returns a budget with no requests or retries counted.
+// New returns a Budgeter that has counted no requests or retries.
 func New(c Config) *Budgeter {
 	return &Budgeter{config: c, services: map[string]*slidingWindow{}}
 }
@@ -65,7 +67,7 @@
 	}
 }
 
-// windowOf returns the window of a service, advanced to the time now.
+// windowOf returns the window of a service, advanced to the time now. The caller must hold the lock.
 func (b *Budgeter) windowOf(now time.Time, service string) *slidingWindow {
 	w, ok := b.services[service]
 	if !ok {
@@ -98,13 +100,14 @@
 }
 
 // HasRetry reports whether the budget of a service allows a retry now, without counting one.
+// Entries is the number of entries that share the budget.
 func (b *Budgeter) HasRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.canRetry(b.windowOf(now, service), entries)
 }
 
-// canRetry reports whether one more retry is within this entry's fraction of the budget.
+// canRetry reports whether one more retry is within what this entry may use of the budget.
 func (b *Budgeter) canRetry(w *slidingWindow, entries int) bool {
 	budget := b.config.Ratio*float64(sum(w.requests)) + float64(b.config.BaseRetries)/float64(max(1, entries))
 	return float64(sum(w.retries)+1) <= usableFraction*budget
