--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -10,7 +10,7 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxDigests bounds the number of digests kept of refused documents, and of superseded ones.
+// maxDigests bounds the number of digests kept of refused documents, and that of superseded ones.
 const maxDigests = 64
 
 // OfferStatus is the result of offering a document.
@@ -41,11 +41,11 @@
 	// Version is the version of the offered document. It has only a digest if the document is
 	// invalid.
 	Version validator.DocumentVersion
-	// SupersededDigest is the digest of a document that lost a tie, that is, a document with the same
-	// revision and a greater digest is in force. It is empty if there was no tie. The publisher of
-	// the losing document must be notified.
+	// SupersededDigest is set if the offered document and the one in force before have the
+	// same revision and different digests, and is the lower of the two digests. The publisher
+	// of the document with that digest must be notified.
 	SupersededDigest string
-	// Err says why the document is invalid, nil if it is valid.
+	// Err is why the document is invalid, nil if it is valid.
 	Err error
 	// AdoptedAt is the time at which the document now in force was adopted.
 	AdoptedAt time.Time
@@ -58,10 +58,10 @@
 	adoptedAt time.Time
 	// refused maps the digests of invalid documents to the errors.
 	refused map[string]error
-	// superseded is the digests of documents that lost a tie, oldest first.
+	// superseded holds the digests of superseded documents, oldest first.
 	superseded []string
-	// untriedSources are the sources of documents that have neither answered nor failed yet. The
-	// instance accepts no requests before the set is empty.
+	// untriedSources is the set of sources of documents that have neither replied nor failed
+	// yet. The instance accepts no requests before the set is empty.
 	untriedSources map[string]bool
 }
 
@@ -75,7 +75,7 @@
 	return a
 }
 
-// MarkSourceTried records that a source has answered, or could not be reached in time.
+// MarkSourceTried records that a source of documents has replied, or could not be reached in time.
 func (a *Adopter) MarkSourceTried(source string) {
 	delete(a.untriedSources, source)
 }
@@ -96,13 +96,16 @@
 	return a.current.Version
 }
 
-// SupersededDigests returns the digests of documents that lost a tie, oldest first.
+// SupersededDigests returns the digests of superseded documents, oldest first: those for which a
+// document with the same revision and a greater digest is in force or was. At most maxDigests are
+// kept.
 func (a *Adopter) SupersededDigests() []string {
 	return append([]string(nil), a.superseded...)
 }
 
-// ShouldFetch reports whether a document of a peer should be fetched: its version is greater than
-// the one in force and it was not refused before. The digest may be shortened.
+// ShouldFetch reports whether a peer's document with a version should be fetched: the version is
+// greater than that in force, and the document was not refused before. The version's digest may be
+// shortened.
 func (a *Adopter) ShouldFetch(v validator.DocumentVersion) bool {
 	for digest := range a.refused {
 		if v.Digest != "" && strings.HasPrefix(digest, v.Digest) {
@@ -136,8 +139,8 @@
 	return Result{}, false
 }
 
-// OfferParsed offers a document that was already parsed, on a goroutine other than the one that
-// owns the adopter. Err is the reason why the document is invalid, or nil.
+// OfferParsed is Offer for a document that was already parsed, for example on another goroutine than
+// the adopter's. Digest is the digest of the document, err why it is invalid, or nil.
 func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.ValidDocument, err error) Result {
 	if err != nil {
 		a.recordRefused(digest, err)
@@ -172,7 +175,8 @@
 	a.refused[digest] = err
 }
 
-// recordSuperseded records a document that lost a tie, and discards the oldest beyond maxDigests.
+// recordSuperseded records the digest of a superseded document, if not empty, and discards the
+// oldest digest beyond maxDigests.
 func (a *Adopter) recordSuperseded(digest string) {
 	if digest == "" {
 		return
--- a/adopter/adopter_test.go
+++ b/adopter/adopter_test.go
@@ -37,7 +37,7 @@
 			ends[a.Version()] = true
 		}
 		if len(ends) != 1 {
-			t.Fatalf("ended on %v", ends)
+			t.Fatalf("versions in force differ by the order of arrival: %v", ends)
 		}
 	})
 }
