--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -24,7 +24,8 @@
 
 func (MissingSealError) Error() string { return "Seal: missing: must be the document's last line" }
 
-// InvalidSealError reports that a seal can't be decoded or was made by none of the accepted keys.
+// InvalidSealError reports that a seal can't be decoded, or was made with none of the accepted keys
+// or for another text.
 type InvalidSealError struct{ Reason string }
 
 func (e InvalidSealError) Error() string { return "Seal: not valid: " + e.Reason }
@@ -59,7 +60,7 @@
 	return text[:start], strings.TrimPrefix(last, sealPrefix)
 }
 
-// Verify returns nil if any of the keys made the document's seal. Otherwise the error is a
+// Verify returns nil if the document's seal was made with any of the keys. Otherwise the error is a
 // MissingSealError or an InvalidSealError.
 func Verify(document []byte, keys []ed25519.PublicKey) error {
 	text, seal := split(document)
@@ -78,7 +79,7 @@
 	return InvalidSealError{Reason: "no accepted key made it, or the document was changed since"}
 }
 
-// KeyError reports that a text is not a key of WantBytes bytes in hex.
+// KeyError reports that a text is not the hex encoding of a key or seed of WantBytes bytes.
 type KeyError struct{ WantBytes int }
 
 func (e KeyError) Error() string { return fmt.Sprintf("must be %d bytes in hex", e.WantBytes) }
