--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -139,8 +139,8 @@
 	return Result{}, false
 }
 
-// OfferParsed is Offer for a document that was already parsed, for example on another goroutine than
-// the adopter's. Digest is the digest of the document, err why it is invalid, or nil.
+// OfferParsed is Offer for a document that was already parsed, for example on another goroutine
+// than the adopter's. Digest is the digest of the document, err why it is invalid, or nil.
 func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.ValidDocument, err error) Result {
 	if err != nil {
 		a.recordRefused(digest, err)
--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// windowOf returns the window of a service, advanced to the time now. The caller must hold the lock.
+// windowOf returns the window of a service, advanced to the time now. The caller must hold the
+// lock.
 func (b *Budgeter) windowOf(now time.Time, service string) *slidingWindow {
 	w, ok := b.services[service]
 	if !ok {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -50,7 +50,8 @@
 	// Incarnation is greater than that of every earlier process under this name.
 	Incarnation uint64
 	// CallerAddress is the address announced to callers. Other entries send
-	// heartbeats and fetches to PeerAddress and load updates to LoadAddress.
+	// heartbeats and fetches to PeerAddress and load updates to LoadAddress. The
+	// two have the same IP address, and LoadAddress the same port at all entries.
 	CallerAddress, PeerAddress, LoadAddress netip.AddrPort
 	Store                                   Store
 	// MaxPropagation is the longest time from a change in the store until this
@@ -171,7 +172,7 @@
 	// deadUpdateTime is how long load updates are still sent to an entry that was
 	// declared dead: killed processes restart within seconds.
 	deadUpdateTime = 10 * time.Second
-	// neighbours is the number of live entries that each entry sends heartbeats to
+	// neighbours is the number of live entries that an entry sends heartbeats to in
 	// each heartbeatPeriod.
 	neighbours = 4
 )
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -536,10 +536,9 @@
 }
 
 // A burst of long prompts while three of the eight entries of each data centre have just been
-// killed: all entries know each prompt within 20 ms. With one relay per update, an update lost with
-// a dead relay was only repeated by the next full one. An entry placed a prompt of 153,000 tokens on
-// an engine that had got one of 251,000 from another entry 0.4 s before, where it waited 5 s for
-// memory.
+// killed: all know each prompt within 20 ms. With one relay per update, a lost update was only made
+// up for by the next full one. Meanwhile an entry placed a prompt of 153,000 tokens on an engine
+// that had got one of 251,000 from another entry 0.4 s before, where it waited 5 s for memory.
 func TestHeavyPromptsReachAllDespiteDeadRelays(t *testing.T) {
 	withFleet(t, 24, func(f *fleet) {
 		for i := range 20 {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -36,7 +36,7 @@
 // given revision. The complete state has to be read instead.
 var ErrHistoryGone = errors.New("store dropped the history after the requested revision")
 
-// Listed is the registration of one upstream in the store.
+// Listed is the registration of one upstream in the store, or the removal of one.
 type Listed struct {
 	Instance dispatcher.Instance
 	// Revision is the store revision of the registration's last change.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -35,6 +35,7 @@
 
 // GrantRequest asks whether an attempt may start on the engine.
 type GrantRequest struct {
+	// AttemptID is the ID of the attempt, under which the engine will list its hold.
 	AttemptID string
 	// Model is the model that the engine must have loaded.
 	Model string
@@ -48,7 +49,7 @@
 	Remaining time.Duration
 }
 
-// GrantReply is the answer to a GrantRequest.
+// GrantReply is the reply to a GrantRequest.
 type GrantReply struct {
 	Granted bool
 	// QueueWait is the estimated time for which the prompt would queue before its prefill starts.
@@ -95,7 +96,7 @@
 	lastReportAt time.Time
 	// holds are the holds that the engine listed last, by ID.
 	holds map[string]api.EngineHold
-	// usedTokens is the engine's used memory, from its last listing or report.
+	// usedTokens is the engine's used memory in tokens, from its last listing or report.
 	usedTokens int
 	// grants are the grants by attempt ID. No ID is in both grants and holds.
 	grants map[string]grant
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -1,7 +1,7 @@
 // Package lister decides which instance list an entry uses. The platform's list
 // has no revision, so lists are compared by the time since the platform last
 // confirmed them. An entry that reaches the platform uses the list it reads there.
-// One that does not uses the most recently confirmed list among its peers.
+// Any other entry uses the most recently confirmed list of its peers.
 package lister
 
 import (
--- a/relayer/example_test.go
+++ b/relayer/example_test.go
@@ -43,8 +43,8 @@
 	// true
 }
 
-// Whatever chunks arrive, in whatever order, the delivered text is a prefix of the right answer, and
-// the relayer reports a complete answer only when all of it was delivered.
+// Whatever chunks arrive, in whatever order, the delivered text is a prefix of the right answer,
+// and the relayer reports a complete answer only when all of it was delivered.
 func TestDeliveredTextIsPrefixOfAnswer(t *testing.T) {
 	const length = 6
 	rapid.Check(t, func(t *rapid.T) {
--- a/reserver/example_test.go
+++ b/reserver/example_test.go
@@ -50,7 +50,7 @@
 	is.True(errors.As(err, &busy))
 }
 
-// Whatever the engines answer, in the end either all shards are held or none is.
+// Whatever the engines reply, in the end either all shards are held or none is.
 func TestReservesAllShardsOrNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []reserver.Candidate
