--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -62,7 +62,7 @@
 		})
 	}
 	c.applyInstanceList(now, list)
-	c.recordSourceAsked(sourcePlatform)
+	c.recordSourceTried(sourcePlatform)
 	c.publishView()
 	return c
 }
@@ -108,23 +108,23 @@
 func BenchmarkHeartbeatBytes(b *testing.B) {
 	for _, size := range [][2]int{{0, 0}, {4, 0}, {16, 0}, {0, 2}, {0, 6}} {
 		b.Run(fmt.Sprintf("notices=%d/loads=%d", size[0], size[1]), func(b *testing.B) {
-			beat := api.Heartbeat{
+			heartbeat := api.Heartbeat{
 				From: "entry-17", Incarnation: 1 << 60, PeerAddress: netip.MustParseAddrPort("10.20.30.40:7000"),
 				Address: netip.MustParseAddrPort("10.20.30.40:8000"), DataCentre: "region-1-dc-3", Ready: true,
 				Revision: 4711, Digest: "0123456789abcdef", ListDigest: "0123456789abcdef", ListAge: time.Second,
 			}
 			for i := range size[0] {
-				beat.Notices = append(beat.Notices, api.Notice{Kind: api.KindEntry, Name: fmt.Sprintf("entry-%d", i), Incarnation: 1 << 60, State: api.NoticeDead, Sequence: 2})
+				heartbeat.Notices = append(heartbeat.Notices, api.Notice{Kind: api.KindEntry, Name: fmt.Sprintf("entry-%d", i), Incarnation: 1 << 60, State: api.NoticeDead, Sequence: 2})
 			}
 			for i := range size[1] {
-				beat.Loads = append(beat.Loads, api.LoadDigest{Engine: fmt.Sprintf("engine-%d", i), Incarnation: 1 << 60, QueuedTokens: []int{10_000}, FreeTokens: 300_000})
+				heartbeat.Loads = append(heartbeat.Loads, api.LoadDigest{Engine: fmt.Sprintf("engine-%d", i), Incarnation: 1 << 60, QueuedTokens: []int{10_000}, FreeTokens: 300_000})
 			}
 			var wire bytes.Buffer
 			e := gob.NewEncoder(&wire)
-			_ = e.Encode(beat)
+			_ = e.Encode(heartbeat)
 			for b.Loop() {
 				wire.Reset()
-				if err := e.Encode(beat); err != nil {
+				if err := e.Encode(heartbeat); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/server/complete.go
+++ b/server/complete.go
@@ -169,11 +169,11 @@
 // chooseEngines returns the engines to ask, best first. If every engine has failed the request once, all
 // are eligible again, as a failed engine may have recovered.
 func (c *completion) chooseEngines(needs *router.Requirements) []router.Choice {
-	board := c.x.server.current.Load().board
-	choices := board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
+	index := c.x.server.current.Load().engineIndex
+	choices := index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	if len(choices) == 0 && len(c.triedEngines) > 0 {
 		needs.Exclude, c.triedEngines = nil, nil
-		choices = board.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
+		choices = index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	}
 	return choices
 }
--- a/server/control.go
+++ b/server/control.go
@@ -201,9 +201,9 @@
 	s.onControl(func(c *control) { c.offerDocument(time.Now(), digest, offered, err, source) })
 }
 
-// recordSourceAsked records that a source of documents has answered or could not be reached. The entry is
+// recordSourceTried records that a source of documents has answered or could not be reached. The entry is
 // ready once all sources are recorded and a document is in force.
-func (c *control) recordSourceAsked(source string) {
+func (c *control) recordSourceTried(source string) {
 	wasReady := c.adopter.IsReady()
 	c.adopter.MarkSourceTried(source)
 	if c.adopter.IsReady() != wasReady {
@@ -230,11 +230,11 @@
 }
 
 // recordLoadDigest updates an engine's load, incarnation and leaving state from its keeper's load digest.
-func (c *control) recordLoadDigest(now time.Time, digest api.LoadDigest) {
-	c.loadOf(digest.Engine).RecordReport(now, queueFromWire(digest.QueuedTokens), digest.FreeTokens)
-	c.recordIncarnation(digest.Engine, digest.Incarnation)
-	if digest.Leaving && c.drainer.MarkLeaving(digest.Engine, digest.Incarnation) {
-		c.announceLeaving(digest.Engine, drainer.FromPeer)
+func (c *control) recordLoadDigest(now time.Time, load api.LoadDigest) {
+	c.loadOf(load.Engine).RecordReport(now, queuedTokensFromWire(load.QueuedTokens), load.FreeTokens)
+	c.recordIncarnation(load.Engine, load.Incarnation)
+	if load.Leaving && c.drainer.MarkLeaving(load.Engine, load.Incarnation) {
+		c.announceLeaving(load.Engine, drainer.FromPeer)
 	}
 }
 
@@ -314,7 +314,7 @@
 	}
 	for _, k := range c.keepers {
 		if !k.LastReportAt().IsZero() {
-			heartbeat.Loads = append(heartbeat.Loads, digestToWire(k.EstimateLoad(now)))
+			heartbeat.Loads = append(heartbeat.Loads, loadEstimateToWire(k.EstimateLoad(now)))
 		}
 	}
 	return heartbeat
--- a/server/convert.go
+++ b/server/convert.go
@@ -6,11 +6,11 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// digestToWire converts a keeper's load digest to its wire form.
-func digestToWire(d keeper.LoadEstimate) api.LoadDigest {
-	out := api.LoadDigest{Engine: d.Engine, Incarnation: d.Incarnation, Leaving: d.Leaving, FreeTokens: d.FreeTokens}
+// loadEstimateToWire converts a keeper's load digest to its wire form.
+func loadEstimateToWire(estimate keeper.LoadEstimate) api.LoadDigest {
+	out := api.LoadDigest{Engine: estimate.Engine, Incarnation: estimate.Incarnation, Leaving: estimate.Leaving, FreeTokens: estimate.FreeTokens}
 	// Trailing zeros are omitted, as most engines have nothing queued.
-	for c, tokens := range d.QueuedTokens {
+	for c, tokens := range estimate.QueuedTokens {
 		if tokens == 0 {
 			continue
 		}
@@ -22,12 +22,12 @@
 	return out
 }
 
-// queueFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown to this
+// queuedTokensFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown to this
 // version are ignored.
-func queueFromWire(tokens []int) router.TokensByClass {
-	var q router.TokensByClass
-	copy(q[:], tokens)
-	return q
+func queuedTokensFromWire(tokens []int) router.TokensByClass {
+	var queued router.TokensByClass
+	copy(queued[:], tokens)
+	return queued
 }
 
 // classFromWire converts a prompt's length class from its wire form. An unknown class becomes Longest.
--- a/server/crash.go
+++ b/server/crash.go
@@ -58,7 +58,7 @@
 	x.interrupted = true
 	s, id, fingerprint, interruptedAt := x.server, x.id, x.fingerprint, time.Now()
 	go func() {
-		if !s.presence.HasExited(attempt.address) {
+		if !s.exitDetector.HasExited(attempt.address) {
 			return
 		}
 		s.logs.route.Warn("upstream_ended", zap.String("request", id), zap.Stringer("content", fingerprint), zap.String("upstream", attempt.upstream),
--- a/server/filters.go
+++ b/server/filters.go
@@ -174,15 +174,15 @@
 			for _, e := range x.view.acceptingEntries {
 				f.elsewhere = append(f.elsewhere, e.Address.String())
 			}
-			f.retryAfter = minRetryAfter
+			f.retryAfter = stoppingRetryAfter
 			return f
 		}
 		return next(x)
 	}
 }
 
-// minRetryAfter is the Retry-After of a refusal for which the caller can turn to another entry at once.
-const minRetryAfter = 100 * time.Millisecond
+// stoppingRetryAfter is the Retry-After of a refusal for which the caller can turn to another entry at once.
+const stoppingRetryAfter = 100 * time.Millisecond
 
 func (s *Server) retryAfter() time.Duration {
 	d := time.Second
--- a/server/group.go
+++ b/server/group.go
@@ -78,7 +78,7 @@
 
 func (c *completion) groupCandidates(needs router.Requirements) []reserver.Candidate {
 	var out []reserver.Candidate
-	for _, e := range c.x.server.current.Load().board.EnginesFor(needs.Model) {
+	for _, e := range c.x.server.current.Load().engineIndex.EnginesFor(needs.Model) {
 		if slices.Contains(needs.Exclude, e.Name) || (needs.Version != "" && e.Version != needs.Version) {
 			continue
 		}
@@ -98,17 +98,17 @@
 // false once none is.
 func (s *Server) runReservation(ctx context.Context, group *reserver.Reserver, onLost func()) bool {
 	for {
-		effect := group.Next()
+		action := group.Next()
 		switch {
-		case effect.AllHeld:
+		case action.AllHeld:
 			return true
-		case effect.Failed:
+		case action.Failed:
 			return false
-		case effect.Release != nil:
-			s.releaseShard(*effect.Release)
+		case action.Release != nil:
+			s.releaseShard(*action.Release)
 			group.RecordReleased()
 		default:
-			held, maybeHeld := s.reserveShard(ctx, *effect.Reserve, onLost)
+			held, maybeHeld := s.reserveShard(ctx, *action.Reserve, onLost)
 			if held {
 				group.RecordReserved()
 			} else {
@@ -121,7 +121,7 @@
 // reserveShard requests memory for a shard from an engine. If held is false, maybeHeld reports whether the
 // engine may have made the hold all the same.
 func (s *Server) reserveShard(ctx context.Context, shard reserver.Shard, onLost func()) (held, maybeHeld bool) {
-	engine, ok := s.current.Load().board.Engine(shard.Engine)
+	engine, ok := s.current.Load().engineIndex.Engine(shard.Engine)
 	if !ok {
 		return false, false
 	}
@@ -185,7 +185,7 @@
 		s.runReservation(context.Background(), group, nil)
 	}()
 	shards := group.Shards()
-	engine, ok := s.current.Load().board.Engine(shards[0].Engine)
+	engine, ok := s.current.Load().engineIndex.Engine(shards[0].Engine)
 	if !ok {
 		return newFailure(api.CodeUpstreamFailed, "engine %s is leaving", shards[0].Engine)
 	}
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -125,7 +125,7 @@
 			if address != s.settings.PeerAddress {
 				s.fetchFromPeer(address, address.String())
 			}
-			s.onControl(func(c *control) { c.recordSourceAsked(address.String()) })
+			s.onControl(func(c *control) { c.recordSourceTried(address.String()) })
 		}()
 	}
 	calls.Wait()
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -112,8 +112,8 @@
 	} else {
 		orphans = k.RecordReport(now, load, holds.Holds)
 	}
-	digest := k.EstimateLoad(now)
-	c.loadOf(name).RecordReport(now, digest.QueuedTokens, digest.FreeTokens)
+	estimate := k.EstimateLoad(now)
+	c.loadOf(name).RecordReport(now, estimate.QueuedTokens, estimate.FreeTokens)
 	return orphans, c.planOrder(now, name, k, load)
 }
 
--- a/server/peers.go
+++ b/server/peers.go
@@ -101,7 +101,7 @@
 		MemoryTokens: args.MemoryTokens, Remaining: args.Remaining,
 	})
 	reply.Granted, reply.Wait, reply.Reason = answer.Granted, answer.QueueWait, string(answer.Reason)
-	reply.Load = digestToWire(k.EstimateLoad(now))
+	reply.Load = loadEstimateToWire(k.EstimateLoad(now))
 	return reply
 }
 
@@ -124,7 +124,7 @@
 		return s.askEngineDirectly(ctx, engine, args)
 	}
 	if reply.Load.Engine == engine.Name {
-		engine.Load.RecordReport(now, queueFromWire(reply.Load.QueuedTokens), reply.Load.FreeTokens)
+		engine.Load.RecordReport(now, queuedTokensFromWire(reply.Load.QueuedTokens), reply.Load.FreeTokens)
 	}
 	if reply.Reason == string(keeper.Leaving) {
 		s.recordLeaving(engine.Name, 0)
--- a/server/server.go
+++ b/server/server.go
@@ -73,8 +73,8 @@
 	callDispatcher *dispatcher.Dispatcher
 	// quarantine decides which requests are refused because they crash upstreams. presence detects whether
 	// an upstream's process has ended.
-	quarantine *quarantiner.Quarantiner
-	presence   *connector.ExitDetector
+	quarantine   *quarantiner.Quarantiner
+	exitDetector *connector.ExitDetector
 
 	peerPool *connector.Pool
 	// engineClient makes short calls to engines; trafficClient sends attempts and reads the platform;
@@ -134,7 +134,7 @@
 		parseLock:      make(chan struct{}, 1),
 		peerPool:       connector.NewPool(dial),
 		callDispatcher: newCallDispatcher(c.Settings.DataCentre),
-		quarantine:     quarantiner.New(), presence: connector.NewExitDetector(dial),
+		quarantine:     quarantiner.New(), exitDetector: connector.NewExitDetector(dial),
 		engineClient:    &http.Client{Transport: newTransport(dial, false), Timeout: engineCallTimeout},
 		trafficClient:   &http.Client{Transport: newTransport(dial, false)},
 		singleUseClient: &http.Client{Transport: newTransport(dial, true)},
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -86,9 +86,9 @@
 // engines, an at-most-once call, and one that another entry forwarded to the entry that shuts down.
 func TestStoppingEntryFinishesAcceptedRequests(t *testing.T) {
 	long := api.CompletionRequest{Model: "model", Prompt: "a long answer", MaxTokens: 1000}
-	streamed, joint := long, long
+	streamed, grouped := long, long
 	streamed.Stream = true
-	joint.Prompt, joint.Stream = strings.Repeat("joint ", 20_000), true
+	grouped.Prompt, grouped.Stream = strings.Repeat("joint ", 20_000), true
 	complete := func(r api.CompletionRequest) func(*testFleet, *testEntry) (string, error) {
 		return func(f *testFleet, e *testEntry) (string, error) {
 			result, err := f.directClient(e, 1).Complete(context.Background(), r, client.Options{Timeout: time.Minute}, nil)
@@ -113,7 +113,7 @@
 	}{
 		{"stream", complete(streamed), wholeAnswer(streamed)},
 		{"whole answer", complete(long), wholeAnswer(long)},
-		{"group", complete(joint), wholeAnswer(joint)},
+		{"group", complete(grouped), wholeAnswer(grouped)},
 		{"at most once", call(func(f *testFleet) *testEntry { return f.entries[0] }), ""},
 		{"passed on", call(func(f *testFleet) *testEntry { return f.entries[1] }), ""},
 	} {
--- a/server/stream.go
+++ b/server/stream.go
@@ -60,14 +60,14 @@
 	class := c.class()
 	load.OwnPrefillTokens[class].Add(prefill)
 	defer load.OwnInFlight.Add(-1)
-	awaitingFirst := true
-	onFirstToken := func() {
-		if awaitingFirst {
+	isPrefilling := true
+	endPrefill := func() {
+		if isPrefilling {
 			load.OwnPrefillTokens[class].Add(-prefill)
-			awaitingFirst, c.answerStartedAt = false, time.Now()
+			isPrefilling, c.answerStartedAt = false, time.Now()
 		}
 	}
-	defer onFirstToken()
+	defer endPrefill()
 
 	sentAt, unresolvedBefore := time.Now(), x.unresolvedAttempts
 	x.interrupted, c.answerStartedAt = false, time.Time{}
@@ -79,7 +79,7 @@
 		return f
 	}
 	defer func() { _ = response.Body.Close() }()
-	f = c.relayChunks(ctx, cancel, attempt, response.Body, onFirstToken)
+	f = c.relayChunks(ctx, cancel, attempt, response.Body, endPrefill)
 	if f != nil {
 		x.detectCrash(ctx, c.attemptInfo(attempt, sentAt))
 		s.cancelStream(attempt.engine.Address, attempt.attemptID)
@@ -188,15 +188,15 @@
 
 // relayChunks relays the chunks of an attempt's answer to the caller. It returns nil once the answer is
 // complete, and otherwise why the attempt failed. It calls onFirstToken for every chunk that it accepts.
-func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onFirstToken func()) *failure {
+func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onChunk func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
 	prefill := router.Engine{PrefillRate: attempt.engine.PrefillRate * max(1, attempt.groupSize), Load: &router.Load{}}
 	estimated := prefill.PredictFirstToken(time.Now(), router.Longest, api.EstimatePromptTokens(len(c.x.completion.Prompt))) +
 		attempt.engine.PredictFirstToken(time.Now(), router.Longest, 0)
 	silenceTimer := time.AfterFunc(silence+prefillTimeoutFactor*estimated, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
-	pace := tokenPace{startOffset: c.relayer.Delivered()}
-	defer func() { pace.record(attempt.engine.Load, c.relayer.Delivered()) }()
+	timer := tokenTimer{startOffset: c.relayer.Delivered()}
+	defer func() { timer.reportTo(attempt.engine.Load, c.relayer.Delivered()) }()
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
@@ -218,8 +218,8 @@
 		}
 		c.x.server.asserter.Check(chunk.ID == c.x.id, asserter.ForeignChunk, "request %s received a chunk of request %s", c.x.id, chunk.ID)
 		silenceTimer.Reset(silence)
-		onFirstToken()
-		pace.start()
+		onChunk()
+		timer.recordFirst()
 		c.version = attempt.engine.Version
 		c.deliver(offset, text, chunk.Usage)
 		if verdict == relayer.Whole {
@@ -230,29 +230,29 @@
 	return c.streamFailure(attempt, contextCause(ctx, scanner.Err()))
 }
 
-// minPaceTokens is the minimum number of tokens from which an engine's pace is measured.
-const minPaceTokens = 8
+// minTimedTokens is the minimum number of tokens from which an engine's pace is measured.
+const minTimedTokens = 8
 
-// tokenPace measures the mean time between the answer tokens of one attempt.
-type tokenPace struct {
-	startOffset int
-	firstToken  time.Time
+// tokenTimer measures the mean time between the answer tokens of one attempt.
+type tokenTimer struct {
+	startOffset  int
+	firstTokenAt time.Time
 }
 
-// start records the time of the first token.
-func (p *tokenPace) start() {
-	if p.firstToken.IsZero() {
-		p.firstToken = time.Now()
+// recordFirst records the time of the first token.
+func (t *tokenTimer) recordFirst() {
+	if t.firstTokenAt.IsZero() {
+		t.firstTokenAt = time.Now()
 	}
 }
 
-// record adds the measured pace to the engine's load if the attempt delivered enough tokens.
-func (p *tokenPace) record(load *router.Load, delivered int) {
-	tokens := delivered - p.startOffset
-	if p.firstToken.IsZero() || tokens < minPaceTokens {
+// reportTo adds the measured pace to the engine's load if the attempt delivered enough tokens.
+func (t *tokenTimer) reportTo(load *router.Load, delivered int) {
+	tokens := delivered - t.startOffset
+	if t.firstTokenAt.IsZero() || tokens < minTimedTokens {
 		return
 	}
-	load.RecordTimePerToken(time.Now(), time.Since(p.firstToken)/time.Duration(tokens))
+	load.RecordTimePerToken(time.Now(), time.Since(t.firstTokenAt)/time.Duration(tokens))
 }
 
 // streamFailure returns the failure of an attempt whose stream ended early or was invalid. The engine may
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -75,18 +75,18 @@
 }
 
 func (s *Server) spendTicket(x *exchange, next handler) *failure {
-	var state spender.SpendResult
+	var result spender.SpendResult
 	var answer *spender.Answer
 	var err error
 	digest := x.requestDigest()
-	s.onControl(func(c *control) { state, answer, err = c.spender.Spend(time.Now(), x.ticket, digest) })
-	s.logs.route.Info("ticket", zap.String("request", x.id), zap.String("fate", state.String()))
+	s.onControl(func(c *control) { result, answer, err = c.spender.Spend(time.Now(), x.ticket, digest) })
+	s.logs.route.Info("ticket", zap.String("request", x.id), zap.String("fate", result.String()))
 	if err != nil {
 		f := newFailure(api.CodeTicketUnknown, "%s: %s", api.HeaderIdempotencyKey, err)
 		f.param = api.HeaderIdempotencyKey
 		return f
 	}
-	switch state {
+	switch result {
 	case spender.Spent:
 		return s.runWithTicket(x, next)
 	case spender.Repeat:
--- a/server/view.go
+++ b/server/view.go
@@ -28,8 +28,8 @@
 // view is an immutable snapshot of the control state for the goroutines that serve requests.
 type view struct {
 	// accepted is the configuration document in force; nil if there is none yet.
-	accepted *validator.ValidDocument
-	board    *router.EngineIndex
+	accepted    *validator.ValidDocument
+	engineIndex *router.EngineIndex
 	// engines holds the engines of the document that are in the instance list, by name.
 	engines map[string]upstream
 	members map[string]prober.Member
@@ -50,7 +50,7 @@
 }
 
 func emptyView() *view {
-	return &view{board: router.NewEngineIndex(nil)}
+	return &view{engineIndex: router.NewEngineIndex(nil)}
 }
 
 // publishView builds and publishes a new view, and starts or stops being the keeper of engines accordingly.
@@ -126,7 +126,7 @@
 			OneWayDelay: c.oneWayLatency(u.DataCentre), Load: c.loadOf(e.Name),
 		})
 	}
-	v.board = router.NewEngineIndex(engines)
+	v.engineIndex = router.NewEngineIndex(engines)
 }
 
 func (c *control) oneWayLatency(dataCentre string) time.Duration {
--- a/server/watch.go
+++ b/server/watch.go
@@ -31,7 +31,7 @@
 		if err == nil && data != nil {
 			s.receiveDocument(data, sourcePlatform)
 		}
-		s.onControl(func(c *control) { c.recordSourceAsked(sourcePlatform) })
+		s.onControl(func(c *control) { c.recordSourceTried(sourcePlatform) })
 	})
 }
 
