--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -133,6 +133,7 @@
 	}
 }
 
+// countingConn adds the number of bytes written to the connection to bytes.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
--- a/server/call.go
+++ b/server/call.go
@@ -82,8 +82,8 @@
 	return nil, f
 }
 
-// sendCall sends a service call to the selected instance and writes the answer to the caller. The Result
-// reports what the attempt shows about the instance, for the dispatcher's statistics.
+// sendCall sends a service call to the selected instance and writes the answer to the caller. The returned
+// dispatcher.Result is how the attempt ended, from which the dispatcher rates the instance.
 func (s *Server) sendCall(x *exchange, p *dispatcher.Placement) (dispatcher.Result, *failure) {
 	client := s.trafficClient
 	if !x.repeatable {
@@ -143,7 +143,7 @@
 }
 
 // unansweredResult returns the dispatcher result of a call that got no answer. If the caller disconnected,
-// the instance is not blamed.
+// the missing answer does not count as a failure of the instance.
 func (x *exchange) unansweredResult() dispatcher.Result {
 	if errors.Is(x.ctx.Err(), context.Canceled) {
 		return dispatcher.Abandoned
@@ -173,10 +173,12 @@
 // errAnswerTooLarge reports an answer that exceeds Callers.MaxBody and is therefore not relayed.
 var errAnswerTooLarge = errors.New("answer is too large")
 
+// readAnswer reads the response body of a service call. It returns errAnswerTooLarge if the body is longer
+// than limit bytes.
 func readAnswer(response *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return nil, fmt.Errorf("read answer: %w", err)
+		return nil, fmt.Errorf("read response: %w", err)
 	}
 	if int64(len(body)) > limit {
 		return nil, errAnswerTooLarge
--- a/server/complete.go
+++ b/server/complete.go
@@ -30,15 +30,24 @@
 
 // completion holds the state of one prompt across its attempts.
 type completion struct {
-	x            *exchange
-	relayer      *relayer.Relayer
-	random       *rand.Rand
-	text         strings.Builder
-	usage        *api.CompletionUsage
+	x *exchange
+	// relayer removes repeated and foreign chunks from the answer and counts the delivered tokens.
+	relayer *relayer.Relayer
+	random  *rand.Rand
+	// text collects the answer of a prompt that is not streamed.
+	text strings.Builder
+	// usage is the token count that the engine sent with the last chunk; nil before it.
+	usage *api.CompletionUsage
+	// triedEngines names the engines that attempts were sent to. They are not chosen again while another
+	// engine is left.
 	triedEngines []string
-	version      string
-	attempts     int
-	// answerStartedAt is the time of the first token of the last attempt; zero before it.
+	// version is the model version that generated the answer so far, which later attempts must use too;
+	// empty before the first chunk.
+	version string
+	// attempts is the number of attempts made.
+	attempts int
+	// answerStartedAt is the time of the first token of the last attempt, zero before it. If the attempt
+	// ends without a token, it is the time of the end.
 	answerStartedAt time.Time
 }
 
@@ -122,8 +131,8 @@
 	}
 }
 
-// class returns the length class by which engines schedule the prompt. All prompts are of class Longest if
-// the policy gives short prompts no weight.
+// class returns the prompt's length class, which determines its priority at engines. All prompts are of
+// class Longest if the policy gives short prompts no weight.
 func (c *completion) class() router.LengthClass {
 	policy := c.x.view.accepted.Document.Policy
 	if policy.ShortWeight == 0 {
@@ -132,7 +141,7 @@
 	return router.ClassOf(api.EstimatePromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
 }
 
-// needsGroup reports whether no single engine of the model has enough memory for the prompt.
+// needsGroup reports whether no single engine of the model has enough memory for the prompt and its answer.
 func (c *completion) needsGroup(needs router.Requirements) bool {
 	for _, e := range c.x.view.accepted.Document.Engines {
 		if e.Model == needs.Model && e.MemoryTokens >= needs.MemoryTokens {
@@ -142,7 +151,8 @@
 	return true
 }
 
-// placePrompt asks keepers in turn until one grants the attempt. It returns the engine and the ID of the attempt.
+// placePrompt asks keepers in turn until one grants memory for an attempt. It returns the engine and the ID
+// of the attempt.
 func (c *completion) placePrompt(needs router.Requirements) (*router.Engine, string, *failure) {
 	x := c.x
 	p := placer.New(time.Now(), x.remaining(), c.random)
@@ -188,7 +198,7 @@
 	return answer
 }
 
-// placementFailure returns the failure for a prompt that no engine could be found for.
+// placementFailure returns the failure for a prompt for which no engine could be found.
 func (c *completion) placementFailure(kind placer.StepKind, needs router.Requirements) *failure {
 	f := newFailure(api.CodeNoUpstream, "no engine serves model %s now", needs.Model)
 	switch kind {
--- a/server/control.go
+++ b/server/control.go
@@ -25,7 +25,8 @@
 )
 
 const (
-	// maxKeptAnswerBytes bounds the kept answers of at-most-once calls, both each one and all together.
+	// maxKeptAnswerBytes is the maximum size of each kept answer of an at-most-once request, and of all
+	// kept answers together.
 	maxKeptAnswerBytes = 8 << 20
 	// tickInterval is the period of the control goroutine's tick.
 	tickInterval = 100 * time.Millisecond
@@ -40,8 +41,8 @@
 	minWeightLoadInterval = 500 * time.Millisecond
 )
 
-// listSlack is added to Timing.Watch to get the age at which an instance list that the platform has not
-// confirmed again counts as old.
+// listSlack is added to Timing.Watch to get the time after which an instance list is stale unless the platform
+// confirms it again.
 const listSlack = 2 * time.Second
 
 // largeDocumentBytes is the document size from which memory is returned to the operating system after
@@ -66,15 +67,17 @@
 	planner  *planner.Planner
 	// keepers holds the ledger of each engine that this entry is the keeper of, by engine name.
 	keepers map[string]*keeper.Keeper
-	// lastSteps holds the planner's last decision for each kept engine, by engine name.
+	// lastSteps holds the step that the planner last decided on for each of these engines, by engine name.
 	lastSteps map[string]planner.Step
 	// instances is the instance list in use, by name; lister decides which list that is.
 	instances map[string]api.Instance
 	lister    *lister.Lister
-	// engineLoads holds the load of each engine, by engine name. Loads are shared by successive boards.
+	// engineLoads holds the load of each engine, by engine name. The engine indexes of successive views
+	// share them.
 	engineLoads map[string]*router.Load
 	// ownHolds holds this entry's holds, by engine name and hold ID.
 	ownHolds map[string]map[string]*ownHold
+	// stopping is true once this entry is shutting down.
 	stopping bool
 	lastTick time.Time
 	// resumedAt is when this process last resumed after a suspension; zero if it never did.
@@ -134,8 +137,8 @@
 	c.server.metrics.inFlight.Update(float64(c.admitter.InFlight()))
 }
 
-// hasJustResumed reports whether this process was suspended and resumed less than deadlineSlack ago, or has
-// not yet ticked since. Requests may then overrun their deadline.
+// hasJustResumed reports whether this process resumed from a suspension less than deadlineSlack ago, or has
+// not ticked since it resumed. Requests may then overrun their deadline.
 func (c *control) hasJustResumed(now time.Time) bool {
 	return now.Sub(c.lastTick) > suspendThreshold || now.Sub(c.resumedAt) < deadlineSlack
 }
@@ -201,8 +204,8 @@
 	s.onControl(func(c *control) { c.offerDocument(time.Now(), digest, offered, err, source) })
 }
 
-// recordSourceTried records that a source of documents has answered or could not be reached. The entry is
-// ready once all sources are recorded and a document is in force.
+// recordSourceTried records that a source of documents (the platform or a peer) has answered or could not be
+// reached. The entry is ready once all sources have been tried and a document is in force.
 func (c *control) recordSourceTried(source string) {
 	wasReady := c.adopter.IsReady()
 	c.adopter.MarkSourceTried(source)
@@ -211,7 +214,8 @@
 	}
 }
 
-// recordHeartbeat updates members, leaving upstreams and engine loads from another entry's heartbeat.
+// recordHeartbeat updates the state of members, the upstreams that are leaving and the loads of engines from
+// another entry's heartbeat.
 func (c *control) recordHeartbeat(now time.Time, heartbeat api.Heartbeat) {
 	before, wasKnown := c.prober.Find(heartbeat.From)
 	c.recordMemberChanges(c.prober.ReceiveHeartbeat(now, heartbeat))
@@ -229,7 +233,7 @@
 	}
 }
 
-// recordLoadDigest updates an engine's load, incarnation and leaving state from its keeper's load digest.
+// recordLoadDigest updates an engine's load, incarnation and leaving state from its keeper's report.
 func (c *control) recordLoadDigest(now time.Time, load api.LoadDigest) {
 	c.loadOf(load.Engine).RecordReport(now, queuedTokensFromWire(load.QueuedTokens), load.FreeTokens)
 	c.recordIncarnation(load.Engine, load.Incarnation)
@@ -248,7 +252,7 @@
 	}
 }
 
-// announceLeaving logs that an upstream is leaving and queues a notice of it for other entries.
+// announceLeaving logs that an upstream is leaving and queues a notice for other entries.
 func (c *control) announceLeaving(name string, source drainer.Source) {
 	c.server.logs.keep.Info("upstream_leaving", zap.String("name", name), zap.String("source", string(source)))
 	kind := api.KindEngine
@@ -260,9 +264,9 @@
 	c.dirty = true
 }
 
-// offerInstanceList passes an instance list to the lister and applies the list if it replaces the one in
-// use. Data is nil if the platform reported no change; age is the time since the platform confirmed the
-// list.
+// offerInstanceList passes an encoded instance list to the lister and applies the list if it replaces the
+// one in use. Data is nil if the platform reported no change. Age is the time since the platform confirmed
+// the list.
 func (c *control) offerInstanceList(now time.Time, data []byte, age time.Duration) {
 	if !c.lister.Offer(now, data, age) {
 		return
--- a/server/convert.go
+++ b/server/convert.go
@@ -6,7 +6,7 @@
 	"github.com/sapphireramp/sapphireramp/router"
 )
 
-// loadEstimateToWire converts a keeper's load digest to its wire form.
+// loadEstimateToWire converts a keeper's estimate of an engine's load to its wire form.
 func loadEstimateToWire(estimate keeper.LoadEstimate) api.LoadDigest {
 	out := api.LoadDigest{Engine: estimate.Engine, Incarnation: estimate.Incarnation, Leaving: estimate.Leaving, FreeTokens: estimate.FreeTokens}
 	// Trailing zeros are omitted, as most engines have nothing queued.
@@ -22,8 +22,8 @@
 	return out
 }
 
-// queuedTokensFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown to this
-// version are ignored.
+// queuedTokensFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown
+// to this version are ignored.
 func queuedTokensFromWire(tokens []int) router.TokensByClass {
 	var queued router.TokensByClass
 	copy(queued[:], tokens)
--- a/server/crash.go
+++ b/server/crash.go
@@ -33,24 +33,27 @@
 	return f
 }
 
-// isCrashSuspect reports whether the last attempt was interrupted and upstreams have crashed under the same
-// content before. Such a request is not retried, so that it can't crash another upstream.
+// isCrashSuspect reports whether the last attempt was interrupted and upstreams have crashed before while
+// they ran requests with the same fingerprint. Such a request is not retried, so that it can't crash another
+// upstream.
 func (x *exchange) isCrashSuspect() bool {
 	return x.interrupted && x.server.quarantine.IsSuspect(x.fingerprint)
 }
 
 // attemptInfo describes an attempt for crash detection.
 type attemptInfo struct {
+	// upstream is the name of the upstream, address its IP:port.
 	upstream string
 	address  string
-	// sentAt is when the attempt was sent. answerStartedAt is when its answer began: the first token of an
-	// engine, the response header of a service; zero if it did not begin.
+	// sentAt is the time at which the attempt was sent, answerStartedAt the time of an engine's first token
+	// or of a service's response header; zero if neither arrived.
 	sentAt, answerStartedAt time.Time
 }
 
-// detectCrash finds out in the background whether an interrupted attempt ended because its upstream
-// crashed, and records the crash for the quarantine. Ctx is the attempt's context: if this entry cancelled
-// it, the interruption shows nothing about the upstream and is ignored.
+// detectCrash checks in the background whether an interrupted attempt ended because its upstream crashed,
+// and records the crash for the quarantine. A request whose answer had lasted for quarantiner.ProvenAfter
+// counts as one that the upstream can run. If ctx, the attempt's context, has ended, the interruption shows
+// nothing about the upstream and is ignored.
 func (x *exchange) detectCrash(ctx context.Context, attempt attemptInfo) {
 	if context.Cause(ctx) != nil {
 		return
@@ -72,7 +75,8 @@
 	}()
 }
 
-// logQuarantineDecisions logs the requests that are quarantined from now on.
+// logQuarantineDecisions logs the fingerprints that are quarantined from now on. Source names the entry that
+// made the decisions, "own" for this one.
 func (s *Server) logQuarantineDecisions(now time.Time, decisions []quarantiner.Decision, source string) {
 	for _, d := range decisions {
 		s.logs.route.Warn("quarantined", d.LogFields(now, source)...)
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -35,13 +35,14 @@
 	fingerprint quarantiner.Fingerprint
 	interrupted bool
 
+	// timeout is the time limit that the caller stated; it is used only if timeoutGiven is true.
 	timeout      time.Duration
 	timeoutGiven bool
 	// deadline is when the request's time limit ends, on the monotonic clock; ctx expires at it.
 	deadline time.Time
 	ctx      context.Context
 
-	// repeatable is false for a request that may run at most once.
+	// repeatable is false for a request that may run at most once. Such a request has a ticket.
 	repeatable bool
 	ticket     spender.Ticket
 	// answerRecorder keeps the answer of an at-most-once request; nil for others.
@@ -61,13 +62,17 @@
 
 // failure describes why a request ends without a complete answer.
 type failure struct {
-	code       string
-	message    string
-	param      string
+	// code is one of the error codes of package api.
+	code    string
+	message string
+	// param names the header or field at fault; empty if there is none.
+	param string
+	// retryAfter is the time after which the caller may send the request again; 0 if none is stated.
 	retryAfter time.Duration
-	elsewhere  []string
+	// elsewhere lists the addresses of other entries that accept the request.
+	elsewhere []string
 	// outcome, if not empty, overrides the outcome derived from the attempts sent. It is set where an
-	// earlier presentation of the same ticket may have run although this one did not.
+	// earlier request with the same ticket may have run although this one did not.
 	outcome api.Outcome
 	// err is the cause; it is logged and not sent to the caller.
 	err error
@@ -84,10 +89,10 @@
 	return &failure{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// handler serves an exchange. It returns nil if the request was answered. filter wraps a handler to add one
-// concern, such as authentication.
+// handler serves an exchange. It returns nil if the request was answered.
 type handler func(*exchange) *failure
 
+// filter wraps a handler to add one concern, such as authentication.
 type filter func(handler) handler
 
 // chain wraps a handler in filters, the first one outermost.
@@ -98,8 +103,8 @@
 	return last
 }
 
-// outcome returns NotRun if a failed request is known not to have run and Unknown if it may have, unless the
-// failure states another outcome.
+// outcome returns api.OutcomeNotRun if a failed request is known not to have run and api.OutcomeUnknown if
+// it may have run, unless the failure states another outcome.
 func (x *exchange) outcome(f *failure) api.Outcome {
 	if f.outcome != "" {
 		return f.outcome
--- a/server/filters.go
+++ b/server/filters.go
@@ -92,7 +92,7 @@
 	}
 	x.failureWritten = true
 	// If this process was suspended, the deadline may be long past. The caller still gets the failure,
-	// within the slack from now.
+	// within deadlineSlack from now.
 	connection := http.NewResponseController(x.writer)
 	_ = connection.SetWriteDeadline(time.Now().Add(deadlineSlack))
 	detail := x.errorDetail(f)
@@ -181,9 +181,12 @@
 	}
 }
 
-// stoppingRetryAfter is the Retry-After of a refusal for which the caller can turn to another entry at once.
+// stoppingRetryAfter is the Retry-After of a refusal by an entry that is shutting down. It is short, as the
+// caller can turn to another entry at once.
 const stoppingRetryAfter = 100 * time.Millisecond
 
+// retryAfter returns a random Retry-After for a refused request, so that callers do not all retry at the same
+// time. It is 1 s if the control goroutine has ended.
 func (s *Server) retryAfter() time.Duration {
 	d := time.Second
 	s.onControl(func(c *control) { d = c.admitter.RetryAfter() })
@@ -261,7 +264,7 @@
 }
 
 // DecodePrompt decodes the JSON body of a completion request. Unknown fields and trailing data are errors.
-// Errors name the field concerned where there is one.
+// An error names the invalid field where there is one.
 func DecodePrompt(body []byte) (*api.CompletionRequest, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -352,9 +355,9 @@
 	}
 }
 
-// admit is a filter that adds the request to the table of requests in flight, sets its deadline and removes
-// it at the end. It precedes the filters that read the body, so that the number of bodies in memory is
-// bounded too.
+// admit is a filter that counts the request as in flight until it ends and sets its deadline, or refuses it
+// if too many requests are in flight. It precedes the filters that read the body, so that the number of
+// bodies in memory is bounded too.
 func (s *Server) admit(next handler) handler {
 	return func(x *exchange) *failure {
 		limits := x.view.accepted.Document.Limits
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -28,8 +28,8 @@
 
 const testKey = "test-key"
 
-// testFleet is a whole system of entries, engines, a service and the platform in one process and in virtual
-// time.
+// testFleet is a whole system of entries, engines, a service and the platform, which runs in one process and
+// in virtual time.
 type testFleet struct {
 	t               testing.TB
 	net             *network.Network
@@ -60,7 +60,8 @@
 	server     *engine.Server
 	stop       context.CancelFunc
 	httpServer *http.Server
-	dead       bool
+	// dead is true while the engine is killed and not yet restarted.
+	dead bool
 }
 
 func host(kind, number int) netip.Addr {
@@ -207,7 +208,8 @@
 	}(e.server)
 }
 
-// killEntry cuts all connections of an entry and ends it, so that nobody sees how its requests end.
+// killEntry cuts all connections of an entry and then ends it, so that no other process receives anything
+// from its shutdown.
 func (f *testFleet) killEntry(e *testEntry) {
 	e.dead = true
 	f.net.KillHost(e.host)
--- a/server/group.go
+++ b/server/group.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// reserveGroup reserves every shard of a group of engines, or none. OnLost is called if an engine later
-// turns out to have lost its shard's hold.
+// reserveGroup chooses a group of engines for the prompt and reserves memory for every shard, or for none.
+// OnLost is called if an engine later turns out to have lost its shard's hold.
 func (c *completion) reserveGroup(ctx context.Context, needs router.Requirements, onLost func()) (*reserver.Reserver, *failure) {
 	x := c.x
 	s := x.server
@@ -94,8 +94,8 @@
 	return out
 }
 
-// runReservation executes the steps of a reservation. It returns true once all shards are held and
-// false once none is.
+// runReservation executes the actions of a reservation. It returns true once all shards are held and false
+// once none is.
 func (s *Server) runReservation(ctx context.Context, group *reserver.Reserver, onLost func()) bool {
 	for {
 		action := group.Next()
@@ -118,8 +118,8 @@
 	}
 }
 
-// reserveShard requests memory for a shard from an engine. If held is false, maybeHeld reports whether the
-// engine may have made the hold all the same.
+// reserveShard requests a hold on memory for a shard from an engine. If held is false, maybeHeld reports
+// whether the engine may have made the hold all the same.
 func (s *Server) reserveShard(ctx context.Context, shard reserver.Shard, onLost func()) (held, maybeHeld bool) {
 	engine, ok := s.current.Load().engineIndex.Engine(shard.Engine)
 	if !ok {
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// heartbeatTargets returns the peer addresses to send a heartbeat to: the targets chosen by the prober, and
-// peers from the settings at whose address no member is known.
+// heartbeatTargets returns the peer addresses to send a heartbeat to: those of the members that the prober
+// selects, and those in the settings that belong to no known member.
 func (c *control) heartbeatTargets(now time.Time) []netip.AddrPort {
 	var out []netip.AddrPort
 	known := map[netip.AddrPort]bool{}
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -67,8 +67,8 @@
 	return out
 }
 
-// pollEngine reads a kept engine's load and, if listHolds is true, its holds, and carries out what follows
-// from them.
+// pollEngine reads a kept engine's load and, if listHolds is true, its holds. It then frees orphaned holds
+// and sends the engine an order if one is due.
 func (s *Server) pollEngine(ctx context.Context, engine keptEngine, listHolds bool) {
 	load, err := s.fetchEngineLoad(ctx, engine.address)
 	if err != nil {
@@ -117,7 +117,8 @@
 	return orphans, c.planOrder(now, name, k, load)
 }
 
-// planOrder returns the order to change what a kept engine serves, or nil if none is due.
+// planOrder returns the order that changes a kept engine's model, adapters or role to what the document
+// states, or nil if none is due.
 func (c *control) planOrder(now time.Time, name string, k *keeper.Keeper, load api.EngineLoad) *api.EngineOrder {
 	accepted := c.adopter.Current()
 	if accepted == nil || load.Leaving {
--- a/server/peers.go
+++ b/server/peers.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Beat records the caller's heartbeat and replies with this entry's own.
+// Beat records another entry's heartbeat and replies with this entry's own.
 func (e *PeerService) Beat(heartbeat api.Heartbeat, reply *api.Heartbeat) error {
 	e.server.receiveHeartbeat(heartbeat)
 	e.server.onControl(func(c *control) {
@@ -78,14 +78,14 @@
 	return nil
 }
 
-// Ask decides whether an attempt may start on an engine that this entry is the keeper of. Reply.Keeper is
-// false if this entry is not the keeper.
+// Ask decides for another entry whether an attempt may start on an engine that this entry is the keeper of.
+// Reply.Keeper is false if this entry is not the keeper.
 func (e *PeerService) Ask(args api.AskArgs, reply *api.AskReply) error {
 	e.server.onControl(func(c *control) { *reply = c.askLocalKeeper(time.Now(), args) })
 	return nil
 }
 
-// askLocalKeeper asks the local keeper of an engine whether an attempt may start.
+// askLocalKeeper asks this entry's keeper of an engine whether an attempt may start on the engine.
 func (c *control) askLocalKeeper(now time.Time, args api.AskArgs) api.AskReply {
 	k, ok := c.keepers[args.Engine]
 	if !ok {
@@ -132,7 +132,8 @@
 	return keeper.GrantReply{Granted: reply.Granted, QueueWait: reply.Wait, Reason: keeper.Reason(reply.Reason)}
 }
 
-// recordLeaving records that a keeper or an engine reported an engine as leaving.
+// recordLeaving records that an engine is leaving, as reported by its keeper or by the engine. Incarnation is
+// 0 if it was not reported; the latest known incarnation is used if it is greater.
 func (s *Server) recordLeaving(engine string, incarnation uint64) {
 	s.onControl(func(c *control) {
 		incarnation = max(incarnation, c.drainer.LatestIncarnation(engine))
--- a/server/server.go
+++ b/server/server.go
@@ -32,11 +32,12 @@
 
 // Config configures a Server. All fields but Dial, Listen and OnViolation are required.
 type Config struct {
-	// Settings are those of this entry, read by package loader.
+	// Settings are the settings of this entry, read by package loader.
 	Settings loader.Settings
-	// Incarnation is greater than that of every earlier process of the same name.
+	// Incarnation identifies this process. It is greater than that of every earlier process of the entry.
 	Incarnation uint64
-	Logs        *logger.Loggers
+	// Logs provides the logger of each layer.
+	Logs *logger.Loggers
 	// MetricScope receives the metrics of this entry; MetricsHandler serves them to callers at
 	// api.PathMetrics.
 	MetricScope    tally.Scope
@@ -71,11 +72,12 @@
 
 	// callDispatcher places service calls on instances.
 	callDispatcher *dispatcher.Dispatcher
-	// quarantine decides which requests are refused because they crash upstreams. presence detects whether
-	// an upstream's process has ended.
+	// quarantine decides which requests are refused because they crash upstreams. exitDetector detects
+	// whether an upstream's process has exited.
 	quarantine   *quarantiner.Quarantiner
 	exitDetector *connector.ExitDetector
 
+	// peerPool holds the connections for RPCs to other entries.
 	peerPool *connector.Pool
 	// engineClient makes short calls to engines; trafficClient sends attempts and reads the platform;
 	// singleUseClient sends attempts that may run at most once, each on a new connection.
@@ -85,7 +87,8 @@
 
 	callerListener net.Listener
 	peerListener   net.Listener
-	background     sync.WaitGroup
+	// background counts the running goroutines started by runInBackground.
+	background sync.WaitGroup
 }
 
 // logs holds one logger per layer, named as in package logger.
@@ -116,8 +119,8 @@
 	maxIdlePerUpstream = 32
 )
 
-// New returns an entry whose listeners are open and which serves nothing before Run. It returns an error if
-// a seal key is invalid or an address can't be listened on.
+// New returns an entry whose listeners are open. It serves no requests before Run. New returns an error if a
+// seal key is invalid or an address can't be listened on.
 func New(c Config) (*Server, error) {
 	dial := c.Dial
 	if dial == nil {
@@ -272,9 +275,9 @@
 	}()
 }
 
-// drain announces the shutdown to peers and callers, serves the requests in progress, and returns once
-// addresses given to callers have expired. http.Server.Shutdown is called last, as it gives no answer to a request
-// that it reads once called.
+// drain announces the shutdown to peers and callers, and returns once the addresses given to callers have
+// expired and no request is in progress. It calls http.Server.Shutdown last, as requests read after that
+// call get no answer.
 func (s *Server) drain(httpServer *http.Server, connections *connector.ActiveConns, serveErr <-chan error) {
 	s.onControl(func(c *control) {
 		c.stopping = true
@@ -288,7 +291,7 @@
 		time.Sleep(drainPollInterval)
 	}
 	_ = s.callerListener.Close()
-	<-serveErr // every accepted connection is counted by now
+	<-serveErr // connections has counted every accepted connection by now
 	connections.WaitIdle(time.Time{}, drainPollInterval)
 	if err := httpServer.Shutdown(context.Background()); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		s.logs.entry.Warn("shutdown", zap.Error(err))
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -36,8 +36,8 @@
 
 var soakSeconds = flag.Int("soak.seconds", 20, "virtual seconds of failures in each random run")
 
-// soak is one random run: callers send requests while a random schedule of faults is applied. Every answer
-// is checked, and the state of the system after all requests have ended.
+// soak is one random run: callers send requests while a random schedule of faults is applied. It checks
+// every answer, and the state of the system after all requests have ended.
 type soak struct {
 	*testFleet
 	lock sync.Mutex
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -115,7 +115,7 @@
 		{"whole answer", complete(long), wholeAnswer(long)},
 		{"group", complete(grouped), wholeAnswer(grouped)},
 		{"at most once", call(func(f *testFleet) *testEntry { return f.entries[0] }), ""},
-		{"passed on", call(func(f *testFleet) *testEntry { return f.entries[1] }), ""},
+		{"forwarded", call(func(f *testFleet) *testEntry { return f.entries[1] }), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withReadyFleet(t, func(f *testFleet) {
@@ -131,7 +131,7 @@
 				time.Sleep(500 * time.Millisecond)
 				is.True(e.server.inFlight() > 0)
 				e.stop()
-				is.True(!e.hasEnded(10 * time.Second)) // it waits for the answer
+				is.True(!e.hasEnded(10 * time.Second)) // the entry waits for the answer
 				<-answered
 				is.NoErr(err)
 				is.Equal(text, c.want)
--- a/server/stream.go
+++ b/server/stream.go
@@ -31,13 +31,14 @@
 type engineAttempt struct {
 	engine    *router.Engine
 	attemptID string
-	// holdIDs are the hold IDs of the group; empty for a single engine.
+	// holdIDs are the IDs of the holds of a group's shards; empty for a single engine.
 	holdIDs []string
 	// groupSize is the number of engines that prefill the prompt together; 0 for a single engine.
 	groupSize int
 }
 
-// errSilent reports that an engine sent nothing within the silence timeout.
+// errSilent reports that an engine sent nothing for Timing.Silence, or no first token for that time plus a
+// multiple of the estimated prefill time.
 var errSilent = errors.New("engine sent nothing for too long")
 
 // errHoldLost reports that the engine no longer has a hold that the attempt needs.
@@ -179,15 +180,15 @@
 	return request, nil
 }
 
-// priority returns the priority that engines schedule the prompt by. It is higher for shorter classes, as
-// weighted by the document's policy.
+// priority returns the prompt's scheduling priority at engines. It is higher for classes of shorter prompts,
+// as weighted by the document's policy.
 func (c *completion) priority() int {
 	policy := c.x.view.accepted.Document.Policy
 	return router.Priority(c.class(), policy.ShortWeight)
 }
 
 // relayChunks relays the chunks of an attempt's answer to the caller. It returns nil once the answer is
-// complete, and otherwise why the attempt failed. It calls onFirstToken for every chunk that it accepts.
+// complete, and otherwise why the attempt failed. It calls onChunk for every chunk that it accepts.
 func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onChunk func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
 	prefill := router.Engine{PrefillRate: attempt.engine.PrefillRate * max(1, attempt.groupSize), Load: &router.Load{}}
@@ -230,23 +231,25 @@
 	return c.streamFailure(attempt, contextCause(ctx, scanner.Err()))
 }
 
-// minTimedTokens is the minimum number of tokens from which an engine's pace is measured.
+// minTimedTokens is the minimum number of tokens from which an engine's time per token is measured.
 const minTimedTokens = 8
 
 // tokenTimer measures the mean time between the answer tokens of one attempt.
 type tokenTimer struct {
+	// startOffset is the number of tokens of the answer that earlier attempts delivered.
 	startOffset  int
 	firstTokenAt time.Time
 }
 
-// recordFirst records the time of the first token.
+// recordFirst records the time of the attempt's first token. Later calls do nothing.
 func (t *tokenTimer) recordFirst() {
 	if t.firstTokenAt.IsZero() {
 		t.firstTokenAt = time.Now()
 	}
 }
 
-// reportTo adds the measured pace to the engine's load if the attempt delivered enough tokens.
+// reportTo adds the measured time per token to the engine's load if the attempt delivered at least
+// minTimedTokens. Delivered is the number of tokens of the answer delivered by all attempts.
 func (t *tokenTimer) reportTo(load *router.Load, delivered int) {
 	tokens := delivered - t.startOffset
 	if t.firstTokenAt.IsZero() || tokens < minTimedTokens {
@@ -291,7 +294,7 @@
 	_ = http.NewResponseController(x.writer).Flush()
 }
 
-// cancelStream asks an engine in the background to end an attempt that was given up. Failures are ignored:
+// cancelStream asks an engine in the background to end an attempt that has failed. Errors are ignored, as
 // the engine's keeper frees holds that nobody renews.
 func (s *Server) cancelStream(address, attemptID string) {
 	go func() {
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// requestDigest returns the hash that binds a ticket to its request.
+// requestDigest returns the SHA-256 digest of the request's organisation, path and body. A spent ticket is
+// bound to it, so that no other request can use the ticket.
 func (x *exchange) requestDigest() [sha256.Size]byte {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%s\n%s\n", x.organisation.Name, x.request.URL.Path)
@@ -148,9 +149,11 @@
 // recorder is a ResponseWriter that also keeps what is written, up to limit bytes.
 type recorder struct {
 	http.ResponseWriter
-	limit    int
-	status   int
-	body     bytes.Buffer
+	limit int
+	// status is the HTTP status written; 0 before the header.
+	status int
+	body   bytes.Buffer
+	// overflow is true if the body is longer than limit bytes. The answer is then not kept.
 	overflow bool
 }
 
@@ -176,7 +179,7 @@
 	return len(p), nil
 }
 
-// Unwrap gives http.ResponseController access to the connection.
+// Unwrap returns the wrapped writer, which http.ResponseController needs to control the connection.
 func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 func (r *recorder) answer(outcome string) *spender.Answer {
@@ -241,7 +244,7 @@
 	return f
 }
 
-// errAnswerCutOff reports a forwarded answer that ended early.
+// errAnswerCutOff reports that the answer to a forwarded request ended early.
 var errAnswerCutOff = errors.New("answer was cut off")
 
 // relayResponse copies another entry's response to the caller as it arrives. If it is cut off, the caller's
--- a/server/view.go
+++ b/server/view.go
@@ -19,7 +19,7 @@
 )
 
 // localLatency and remoteLatency are the assumed one-way network latencies within a data centre and to
-// another one. They are not measured.
+// another one.
 const (
 	localLatency  = 200 * time.Microsecond
 	remoteLatency = 1500 * time.Microsecond
@@ -28,15 +28,19 @@
 // view is an immutable snapshot of the control state for the goroutines that serve requests.
 type view struct {
 	// accepted is the configuration document in force; nil if there is none yet.
-	accepted    *validator.ValidDocument
+	accepted *validator.ValidDocument
+	// engineIndex holds the usable engines, from which the engine of an attempt is chosen.
 	engineIndex *router.EngineIndex
 	// engines holds the engines of the document that are in the instance list, by name.
 	engines map[string]upstream
+	// members holds the other entries, by name.
 	members map[string]prober.Member
 	// acceptingEntries are the entries that accept new callers, sorted by name.
 	acceptingEntries []api.EntryAddress
-	ready            bool
-	stopping         bool
+	// ready is true once a document is in force and every source of documents has been tried.
+	ready bool
+	// stopping is true once this entry is shutting down.
+	stopping bool
 }
 
 // upstream is an engine or an instance of a service.
@@ -46,6 +50,7 @@
 	DataCentre string
 	// Keeper is the name of the entry that is the engine's keeper; empty for services.
 	Keeper string
+	// Usable is false if the upstream is leaving or the instance list does not show it as live.
 	Usable bool
 }
 
@@ -53,7 +58,7 @@
 	return &view{engineIndex: router.NewEngineIndex(nil)}
 }
 
-// publishView builds and publishes a new view, and starts or stops being the keeper of engines accordingly.
+// publishView builds and publishes a new view, and updates the engines that this entry is the keeper of.
 func (c *control) publishView() {
 	c.dirty = false
 	v := emptyView()
@@ -161,8 +166,8 @@
 	return len(engines) + len(others)
 }
 
-// updateKeepers makes this entry the keeper of the engines assigned to it and of no others. A new keeper grants
-// nothing until its engine has reported its holds.
+// updateKeepers makes this entry the keeper of the engines assigned to it and of no others. A new keeper
+// grants nothing until its engine has reported its holds.
 func (c *control) updateKeepers(v *view) {
 	for name := range c.keepers {
 		if u, ok := v.engines[name]; !ok || u.Keeper != c.server.settings.Name {
@@ -187,8 +192,8 @@
 	}
 }
 
-// grantTTL is how long a grant counts in addition to the memory that its engine reports. It is longer than
-// load reports lag.
+// grantTTL is how long a grant counts in addition to the memory in use that its engine reports. It is longer
+// than the lag of these reports.
 const grantTTL = 2 * time.Second
 
 func (s *Server) keeperConfig(engine string, memory, rate int) keeper.Config {
--- a/server/watch.go
+++ b/server/watch.go
@@ -20,8 +20,8 @@
 	// read is followed by minBackoff too, which limits each entry to a few reads per second.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// watchSlack is added to Timing.Watch to get the timeout of a read of the platform, so that the answer
-	// can arrive.
+	// watchSlack is added to Timing.Watch, the time that the platform waits for a change, to get the timeout
+	// of a read of the platform.
 	watchSlack = 2 * time.Second
 )
 
