--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -142,23 +142,23 @@
 // between requests are exponentially distributed with a mean of 1/rate seconds. Requests don't wait for
 // earlier responses. About once a second, run prints the number of requests sent to standard error.
 func (l *loadTest) run(ctx context.Context, random *rand.Rand, rate float64, duration time.Duration, lengths lengthRange) {
-	var sent sync.WaitGroup
+	var requests sync.WaitGroup
 	start := time.Now()
-	shown := start
+	lastShown := start
 	for n := 1; time.Since(start) < duration && ctx.Err() == nil; n++ {
 		class, tokens := randomLength(random, lengths)
-		sent.Add(1)
+		requests.Add(1)
 		go func() {
-			defer sent.Done()
+			defer requests.Done()
 			l.sendRequest(ctx, class, tokens)
 		}()
-		if time.Since(shown) > time.Second {
-			shown = time.Now()
+		if time.Since(lastShown) > time.Second {
+			lastShown = time.Now()
 			_, _ = fmt.Fprintf(os.Stderr, "sent=%d elapsed=%s\n", n, time.Since(start).Round(time.Second))
 		}
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 	}
-	sent.Wait()
+	requests.Wait()
 }
 
 // randomLength returns a random class, weighted by percent, and a random number of tokens within that class,
--- a/cmd/sapphireramp/plot.go
+++ b/cmd/sapphireramp/plot.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// xPosition returns the horizontal position, in pixels, of the element at index n of plotQuantiles.
-func xPosition(n int) float64 {
-	return plotMargin + float64(n)*(plotWidth-2*plotMargin)/float64(len(plotQuantiles)-1)
+// xPosition returns the horizontal position, in pixels, of the element at index i of plotQuantiles.
+func xPosition(i int) float64 {
+	return plotMargin + float64(i)*(plotWidth-2*plotMargin)/float64(len(plotQuantiles)-1)
 }
 
 // yPosition returns the vertical position, in pixels, of a time in milliseconds on a logarithmic scale. Times
@@ -73,8 +73,8 @@
 		p.printf(`<line x1="%d" x2="%d" y1="%.1f" y2="%.1f" stroke="#ccd"/><text x="%d" y="%.1f" text-anchor="end">%.0f</text>`,
 			plotMargin, plotWidth-plotMargin, y, y, plotMargin-6, y+4, millis)
 	}
-	for n, q := range plotQuantiles {
-		p.printf(`<text x="%.1f" y="%d" text-anchor="middle">p%g</text>`, xPosition(n), plotHeight-plotMargin+18, q)
+	for i, q := range plotQuantiles {
+		p.printf(`<text x="%.1f" y="%d" text-anchor="middle">p%g</text>`, xPosition(i), plotHeight-plotMargin+18, q)
 	}
 }
 
@@ -84,8 +84,8 @@
 		return
 	}
 	points := ""
-	for n, q := range plotQuantiles {
-		points += fmt.Sprintf("%.1f,%.1f ", xPosition(n), yPosition(quantileMillis(result.timeToFirstToken, q)))
+	for i, q := range plotQuantiles {
+		points += fmt.Sprintf("%.1f,%.1f ", xPosition(i), yPosition(quantileMillis(result.timeToFirstToken, q)))
 	}
 	p.printf(`<polyline points="%s" fill="none" stroke="%s" stroke-width="2"/>`, points, colour)
 	p.printf(`<text x="%d" y="%d" fill="%s">%s</text>`, plotMargin+8, plotMargin+14*(legendRow+1), colour, name)
