--- a/cmd/sapphireramp/ask.go
+++ b/cmd/sapphireramp/ask.go
@@ -20,12 +20,16 @@
 // clientOptions holds the flags that are common to all commands that send requests to entries.
 type clientOptions struct {
 	// seeds lists the addresses of entries, IP:port, separated by commas.
-	seeds      string
-	apiKey     string
+	seeds string
+	// apiKey identifies the organisation.
+	apiKey string
+	// dataCentre is the data centre whose entries are preferred; empty for none.
 	dataCentre string
-	timeout    time.Duration
-	// maxTries is at least 1; see client.Config.
-	maxTries  int
+	// timeout is the time limit of a request, retries included.
+	timeout time.Duration
+	// maxTries is the maximum number of times that a request is sent, at least 1.
+	maxTries int
+	// seedsOnly makes the client send requests only to the seeds.
 	seedsOnly bool
 }
 
@@ -118,8 +122,9 @@
 	}}
 }
 
-// reportResult prints a request's outcome, durations and entry as one line of key=value pairs, if
-// printSummary is set. It returns err. The outcome is unknown for an error that no entry reported.
+// reportResult prints a request's outcome, tokens, durations, entry and tries as one line of key=value pairs
+// if printSummary is set. An error that no entry reported is printed as an unknown outcome. reportResult
+// returns err.
 func reportResult(r client.Result, err error, printSummary bool) error {
 	outcome := api.OutcomeAnswered
 	if err != nil {
--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -23,8 +23,8 @@
 	Address netip.AddrPort `yaml:"Address"`
 	// Platform is the address of the platform, which serves the published configuration document.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Entries are addresses of entries whose status shows which document they have in force. A few
-	// of a fleet are enough. Empty disables the comparison with the platform's document.
+	// Entries are addresses of entries whose document in force the console compares with the platform's. A
+	// few of a fleet are enough. An empty list disables the comparison.
 	Entries []netip.AddrPort `yaml:"Entries"`
 	// SealSeed is the seed of the Ed25519 key that seals documents: 32 random bytes in hex.
 	SealSeed string `yaml:"SealSeed"`
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -26,9 +26,9 @@
 // directory request takes.
 const addressTTL = time.Second
 
-// leasePercent is the lease of reserved engine memory, in percent of platform.Settings.MaxUnused, the
-// longest time for which memory may stay reserved after the last request that used it. It is below 100 since
-// an entry that crashes can't release its memory, so the lease has to end within that limit.
+// leasePercent is the lease of reserved engine memory, in percent of platform.Settings.MaxReservedAfterUse,
+// the longest time for which memory may stay reserved after the last request that used it. It is below 100
+// since an entry that crashes can't release memory, so the lease has to end within that limit.
 const leasePercent = 80
 
 func gatewayCommand() command {
@@ -61,8 +61,8 @@
 	invariants := asserter.New(func(name, detail string) {
 		log.Error("invariant_violated", zap.String("invariant", name), zap.String("detail", detail))
 	})
-	// Each reservation uses a new connection: engines may close idle connections without notice, and an
-	// order sent on a closed connection can't be distinguished from one that the engine refused.
+	// Each reservation request uses a new connection: engines may close idle connections without notice, and
+	// a request sent on a closed connection can't be distinguished from one that the engine refused.
 	reservationHTTPClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	store := platform.NewStore(&http.Client{}, settings.StoreAddress)
 	config := launcher.Config{
@@ -90,7 +90,7 @@
 	return launcher.New(config).Run(ctx, reload)
 }
 
-// reloadableSettings returns the settings that may change while the entry runs.
+// reloadableSettings returns the settings that may change while the entry runs, as the launcher's settings.
 func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
 		Seeds: settings.Seeds, ShutdownGrace: settings.ShutdownGrace,
--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -16,17 +16,17 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// asEntryError returns the client.EntryError in err's chain, if there is one.
+// asEntryError returns the client.EntryError that err wraps, and whether there is one.
 func asEntryError(err error) (*client.EntryError, bool) {
 	var entryErr *client.EntryError
 	ok := errors.As(err, &entryErr)
 	return entryErr, ok
 }
 
-// lengthClass is a range of prompt lengths. Results are reported for each class.
+// lengthClass is a range of prompt lengths. The load test reports its results for each class.
 type lengthClass struct {
 	name string
-	// The range includes minTokens and excludes maxTokens.
+	// minTokens is the minimum length in tokens. All lengths of the class are below maxTokens.
 	minTokens, maxTokens int
 	// percent is the percentage of requests whose prompts are of this class.
 	percent int
@@ -45,9 +45,9 @@
 
 // classResult holds the measurements of one class of prompt lengths.
 type classResult struct {
-	// timeToFirstToken counts complete responses only, in microseconds.
+	// timeToFirstToken is the distribution, over complete responses only, in microseconds.
 	timeToFirstToken *hdrhistogram.Histogram
-	// outcomes counts requests.
+	// outcomes is the number of requests by outcome.
 	outcomes map[api.Outcome]int
 }
 
@@ -120,10 +120,12 @@
 	return nil
 }
 
-// Range in microseconds and precision in decimal digits of the histograms. The range ends at one hour.
+// Range and precision of the histograms of the time to first token.
 const (
-	minMicros         = 1
-	maxMicros         = 3_600_000_000
+	// minMicros and maxMicros are in microseconds; maxMicros is one hour.
+	minMicros = 1
+	maxMicros = 3_600_000_000
+	// significantDigits is the number of decimal digits of a value that a histogram keeps.
 	significantDigits = 3
 )
 
@@ -161,8 +163,8 @@
 	requests.Wait()
 }
 
-// randomLength returns a random class, weighted by percent, and a random number of tokens within that class,
-// limited to the given range.
+// randomLength returns the index in lengthClasses of a random class, weighted by percent, and a random number
+// of tokens within that class, limited to the given range.
 func randomLength(random *rand.Rand, lengths lengthRange) (class, tokens int) {
 	percent := random.IntN(100)
 	for i, c := range lengthClasses {
@@ -174,8 +176,8 @@
 	return 0, lengthClasses[0].minTokens
 }
 
-// sendRequest sends one prompt of the given number of tokens and records its outcome under class. The outcome
-// is unknown for an error that no entry reported.
+// sendRequest sends one prompt of the given number of tokens and records its outcome for the class with the
+// given index in lengthClasses. An error that no entry reported is recorded as an unknown outcome.
 func (l *loadTest) sendRequest(ctx context.Context, class, tokens int) {
 	r := l.request
 	r.Prompt = strings.Repeat(fillerToken, tokens)
--- a/cmd/sapphireramp/plot.go
+++ b/cmd/sapphireramp/plot.go
@@ -59,8 +59,8 @@
 	return plotMargin + float64(i)*(plotWidth-2*plotMargin)/float64(len(plotQuantiles)-1)
 }
 
-// yPosition returns the vertical position, in pixels, of a time in milliseconds on a logarithmic scale. Times
-// outside the axis's range are drawn at its nearer end.
+// yPosition returns the vertical position, in pixels, of a time in milliseconds on a logarithmic scale. A time
+// outside the range of the axis is drawn at the nearer end of the axis.
 func yPosition(millis float64) float64 {
 	fraction := math.Log(min(maxPlotMillis, max(minPlotMillis, millis))/minPlotMillis) / math.Log(maxPlotMillis/minPlotMillis)
 	return plotHeight - plotMargin - fraction*(plotHeight-2*plotMargin)
@@ -78,7 +78,8 @@
 	}
 }
 
-// drawSeries draws the line of one class and its legend. A class without measurements is omitted.
+// drawSeries draws the line of one class of prompt lengths, and its legend in the given row, counted from 0.
+// A class without measurements is omitted.
 func (p *plotter) drawSeries(result classResult, name, colour string, legendRow int) {
 	if result.timeToFirstToken.TotalCount() == 0 {
 		return
