--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -43,7 +43,7 @@
 // Explain reads the log lines of all entries, in any order, and explains the request with the given id. Lines that
 // can't be parsed are skipped. Lines may have a prefix before time=, as log collectors add one. Explain returns
 // ErrNoLines if no line has the id.
-func Explain(logs io.Reader, request string) (Explanation, error) {
+func Explain(logs io.Reader, requestID string) (Explanation, error) {
 	var requestLines []logLine
 	quarantineLines := map[string][]logLine{}
 	scanner := bufio.NewScanner(logs)
@@ -54,10 +54,10 @@
 			fingerprint := line.fields["content"]
 			quarantineLines[fingerprint] = append(quarantineLines[fingerprint], line)
 		}
-		if !strings.Contains(text, "request="+request) {
+		if !strings.Contains(text, "request="+requestID) {
 			continue
 		}
-		if line, ok := parseLine(text); ok && line.fields["request"] == request {
+		if line, ok := parseLine(text); ok && line.fields["request"] == requestID {
 			requestLines = append(requestLines, line)
 		}
 	}
@@ -119,14 +119,14 @@
 
 // cutPair splits the first key=value pair from a logfmt line and unquotes the value. It returns false if the text
 // has no "=" or an unterminated quote.
-func cutPair(text string) (name, value, rest string, ok bool) {
-	name, remaining, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
+func cutPair(text string) (key, value, rest string, ok bool) {
+	key, remaining, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
 	if !ok {
 		return "", "", "", false
 	}
 	if !strings.HasPrefix(remaining, `"`) {
 		value, rest, _ = strings.Cut(remaining, " ")
-		return name, value, rest, true
+		return key, value, rest, true
 	}
 	end := 1
 	for end < len(remaining) && remaining[end] != '"' {
@@ -138,11 +138,11 @@
 	if end >= len(remaining) {
 		return "", "", "", false
 	}
-	return name, strings.ReplaceAll(remaining[1:end], `\"`, `"`), strings.TrimLeft(remaining[end+1:], " "), true
+	return key, strings.ReplaceAll(remaining[1:end], `\"`, `"`), strings.TrimLeft(remaining[end+1:], " "), true
 }
 
-// causesByOutcome maps the outcome of a request, as logged, to its explanation.
-var causesByOutcome = map[string]string{
+// descriptionsByOutcome maps the outcome of a request, as logged, to its explanation.
+var descriptionsByOutcome = map[string]string{
 	"answered":                  "answered by an upstream",
 	"no_configuration":          "refused, not run: the entry had not received a configuration yet; look for event=store_lost after its start",
 	"no_route":                  "refused: no route of this configuration matches the host and path",
@@ -176,7 +176,7 @@
 		if line.fields["event"] != "request" {
 			continue
 		}
-		cause = causesByOutcome[line.fields["outcome"]]
+		cause = descriptionsByOutcome[line.fields["outcome"]]
 		if cause == "" {
 			cause = "ended as " + line.fields["outcome"]
 		}
