--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -16,7 +16,7 @@
 // maxLineBytes bounds the length of a log line. Explain fails on longer lines.
 const maxLineBytes = 1 << 20
 
-// ErrNoLines is returned by Explain if no log line has the id of the request.
+// ErrNoLines is returned by Explain if no log line has the ID of the request.
 var ErrNoLines = errors.New("no log line has this request id: the request reached none of the entries whose logs were read, or lines were dropped (look for event=log_lines_dropped)")
 
 // logLine is a parsed log line in logfmt.
@@ -33,16 +33,16 @@
 	// Lines are the log lines of the request, oldest first. For a request that was refused as quarantined they
 	// include the lines of other requests with the same fingerprint that led to the quarantine.
 	Lines []string
-	// Cause is one line of text: what the request's outcome means, its HTTP status and duration, and each
-	// attempt that failed.
+	// Cause is one line of text: what the request's outcome means, its HTTP status and duration, the revision of
+	// the configuration, and each attempt that failed.
 	Cause string
-	// MissingLines describes each log line that the request should have and that was not found.
+	// MissingLines describes each log line that the request should have but that was not found.
 	MissingLines []string
 }
 
-// Explain reads the log lines of all entries, in any order, and explains the request with the given id. Lines that
+// Explain reads the log lines of all entries, in any order, and explains the request with the given ID. Lines that
 // can't be parsed are skipped. Lines may have a prefix before time=, as log collectors add one. Explain returns
-// ErrNoLines if no line has the id.
+// ErrNoLines if no line has the ID.
 func Explain(logs io.Reader, requestID string) (Explanation, error) {
 	var requestLines []logLine
 	quarantineLines := map[string][]logLine{}
@@ -84,8 +84,8 @@
 // crashed upstreams.
 const outcomeQuarantined = "quarantined"
 
-// parseQuarantineLine parses a line about a fingerprint that was quarantined, or whose request ran on an upstream
-// when it crashed. It returns false for all other lines.
+// parseQuarantineLine parses a line about a fingerprint that was quarantined, or whose request an upstream was
+// running when it crashed. It returns false for all other lines.
 func parseQuarantineLine(text string) (logLine, bool) {
 	if !strings.Contains(text, "event=upstream_ended") && !strings.Contains(text, "event=quarantined") {
 		return logLine{}, false
@@ -152,7 +152,7 @@
 	"body_too_large":            "refused: the body exceeds the configuration's limit",
 	"body_not_read":             "refused, not run: the caller did not send the complete body in time",
 	"stopping":                  "refused, not run: the entry was shutting down, and the response might not have ended before the entry did; retry_after_ms is the time after which another entry can serve it",
-	"no_upstream":               "refused, not run: the list had no usable upstream of the service",
+	"no_upstream":               "refused, not run: the list of upstreams had no usable one of the service",
 	"no_memory":                 "refused, not run: no engine or group of engines had enough memory for this prompt",
 	outcomeQuarantined:          "refused, not run: upstreams crashed one after the other while they ran requests with the same fingerprint; see event=upstream_ended with the same content",
 	"upstreams_pause":           "refused, not run: every remaining upstream asked this entry to send no requests for some time; see event=upstream_pauses",
@@ -168,8 +168,7 @@
 	"internal_error":            "failed: internal error of the entry; look for event=panic",
 }
 
-// describeCause returns one line of text from a request's end, its HTTP status and duration, and each attempt that
-// failed.
+// describeCause returns the text of Explanation.Cause from the log lines of a request, oldest first.
 func describeCause(requestLines []logLine) string {
 	cause := "still in progress, or its end was not logged"
 	for _, line := range requestLines {
