--- a/console/console.go
+++ b/console/console.go
@@ -39,8 +39,8 @@
 type Config struct {
 	// Platform is the address of the platform, which serves the published document.
 	Platform netip.AddrPort
-	// Entries are addresses of entries whose status is compared with the platform's document: the platform may
-	// show a document that lost to another of the same revision. The list may be empty.
+	// Entries are addresses of entries whose document in force is compared with the platform's: the platform may
+	// show a document that another of the same revision has superseded. The list may be empty.
 	Entries []netip.AddrPort
 	// SealingKey seals the documents.
 	SealingKey ed25519.PrivateKey
@@ -100,13 +100,13 @@
 	Fields []field
 	// Errors lists why the request failed or the document is invalid.
 	Errors []string
-	// IsValid is true if the document passed the check. Changes and Effects are only shown then.
+	// IsValid is true if the document passed the check. Changes and Effects are shown only if it is true.
 	IsValid bool
 	// Changes are the differences between the document in force and the edited one.
 	Changes []change
 	// Effects describes in words what the changes do to running engines and to organisations.
 	Effects []string
-	// Warning is empty if there is none.
+	// Warning says that the document in force may have changed or is not known; empty for none.
 	Warning string
 	// SealedDocument is the document to publish, empty if it was not sealed.
 	SealedDocument string
@@ -140,7 +140,7 @@
 	return accepted, nil
 }
 
-// render writes the page. It logs an error, as the response has already begun.
+// render writes the page. It only logs errors, as the response has already begun.
 func (c *Console) render(w http.ResponseWriter, status int, content page) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.WriteHeader(status)
@@ -183,7 +183,7 @@
 	return ""
 }
 
-// errorLines splits the message of an error that combines several, one a line.
+// errorLines returns the lines of an error's message. An error that combines several has one line for each.
 func errorLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
 // draft is an edited document, as posted by the form.
@@ -259,7 +259,7 @@
 }
 
 // addComparison sets the page's changes and effects from the draft and the document in force. It sets a warning if
-// that document can't be read, differs from an entry's, or is no longer the draft's base.
+// the document in force can't be read, differs from that of an entry, or is no longer the draft's base.
 func (c *Console) addComparison(ctx context.Context, d draft, result *page) {
 	inForce, err := c.fetchInForce(ctx)
 	if err != nil {
@@ -277,7 +277,8 @@
 // errNotValid is shown when an operator tries to seal an invalid document.
 var errNotValid = errors.New("a document that does not pass the check can't be sealed")
 
-// handleSeal checks the draft and seals it. It shows the sealed document in a page, or sends it as a download.
+// handleSeal checks the draft and seals it. It shows the sealed document in a page, or sends the document as a
+// download if the button for that was pressed.
 func (c *Console) handleSeal(w http.ResponseWriter, r *http.Request) {
 	d, err := c.parseDraft(r)
 	if err != nil {
--- a/console/difference.go
+++ b/console/difference.go
@@ -14,7 +14,7 @@
 type change struct {
 	// Path names the value, such as Engines[engine-1].Role.
 	Path string
-	// Old and New are empty if the value exists only in the other document.
+	// Old and New are the formatted values. Each is empty if its document does not have the value.
 	Old, New string
 }
 
--- a/console/form.go
+++ b/console/form.go
@@ -27,7 +27,7 @@
 	Label string
 	// Value is empty for headings.
 	Value string
-	// Kind is text, bool, group, list or item.
+	// Kind is text or bool for inputs, and group, list or item for headings.
 	Kind string
 	// Count is the number of items of a list, and 0 for other kinds.
 	Count int
@@ -103,7 +103,8 @@
 	return document, fieldErrors.Err()
 }
 
-// setStructFields sets the fields of the struct v from the form, and collects the errors.
+// setStructFields sets the fields of the struct v at the given path from the form, and adds an error to fieldErrors for
+// each value that can't be parsed.
 func setStructFields(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -197,8 +198,8 @@
 	return nil
 }
 
-// findList returns the list of structs that the path leads to. If the path ends in an item's index, findList returns
-// it too, without checking its upper bound; otherwise the index is -1.
+// findList returns the list of structs that the path leads to. If the path ends in the index of an item, findList also
+// returns the index, which may be out of range; otherwise the returned index is -1.
 func findList(v reflect.Value, path string) (reflect.Value, int, error) {
 	notFound := decoder.FieldError{Field: path, Value: "", Requirement: "a list of the document"}
 	index := -1
