--- a/client/client.go
+++ b/client/client.go
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s (%s): %s", e.Detail.Code, e.Detail.Outcome, e.Detail.Message)
 }
 
-// errNoEntries is returned when no entry returned the addresses of any entries.
+// errNoEntries is returned if no seed is configured or the list of addresses from an entry is empty.
 var errNoEntries = errors.New("no entry returned addresses of entries")
 
 // Client sends requests to entries. It is safe for concurrent use.
@@ -74,8 +74,8 @@
 	cachedEntries []api.EntryAddress
 	// cacheExpiry is the time at which cachedEntries become invalid.
 	cacheExpiry time.Time
-	// avoidedEntries holds entries that did not respond, are stopping or are not ready. It is cleared when addresses
-	// are fetched, so never with SeedsOnly.
+	// avoidedEntries holds entries that did not respond, are shutting down or are not ready. It is cleared when
+	// addresses are fetched, which never happens with SeedsOnly.
 	avoidedEntries map[netip.AddrPort]bool
 }
 
@@ -87,9 +87,9 @@
 	return &Client{config: c, avoidedEntries: map[netip.AddrPort]bool{}}
 }
 
-// Addresses returns the entries to use. It asks entries for them only if there are none cached or the cache has
-// expired: first the seeds in random order, then the entries of the last list. It returns an error if none of them
-// returns addresses.
+// Addresses returns the entries to use. It returns the cached list until that expires, and then asks entries for a new
+// one: first the seeds in random order, then the entries of the cached list. It returns an error if none of these
+// entries returns addresses.
 func (c *Client) Addresses(ctx context.Context) ([]api.EntryAddress, error) {
 	if c.config.SeedsOnly {
 		return c.seedEntries(), nil
@@ -151,8 +151,8 @@
 	return addresses, nil
 }
 
-// pickEntry returns a random entry of the preferred data centre, or of any if the preferred one has no usable entry.
-// It only returns an avoided entry if all are avoided.
+// pickEntry returns the address of a random entry in the preferred data centre, or in any data centre if the preferred
+// one has no usable entry. It returns an avoided entry only if all entries are avoided.
 func (c *Client) pickEntry(ctx context.Context) (netip.AddrPort, error) {
 	entries, err := c.Addresses(ctx)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return usable[rand.IntN(len(usable))].Address, nil
 }
 
-// avoidEntry keeps pickEntry from returning the entry until the addresses are fetched again, while there are others.
+// avoidEntry marks an entry as avoided until the addresses are fetched again.
 func (c *Client) avoidEntry(address netip.AddrPort) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -185,12 +185,13 @@
 	Timeout time.Duration
 	// AtMostOnce prevents a request from running twice: the client obtains a ticket for it unless Ticket is set.
 	AtMostOnce bool
-	// Ticket is the ticket of an earlier request, to send it again. A ticket can only be used for one request.
+	// Ticket is the ticket of an earlier try of the same request, to send that request again; empty for none. A ticket
+	// can be used for one request only.
 	Ticket string
 }
 
-// Result is the response to a request. If the request failed, Text and Elapsed are empty, and Tokens counts what was
-// received of a streamed response.
+// Result is the response to a request. If the request failed, Text and Elapsed are zero, and Tokens is the number of
+// tokens received of a streamed response.
 type Result struct {
 	// Text is the text of a completion, or the response body of a call.
 	Text string
@@ -203,7 +204,7 @@
 	Elapsed time.Duration
 	// Entry is the address of the entry that the last try was sent to.
 	Entry netip.AddrPort
-	// Tries is the number of tries. A last one that found no entry to send the request to is counted too.
+	// Tries is the number of times that the request was sent, including a last try that found no entry to send to.
 	Tries int
 	// Ticket is the ticket of the request, empty if it has none. The request can be sent again with it.
 	Ticket string
@@ -229,7 +230,7 @@
 
 // post sends a POST request to an entry and returns a response with status 200, whose body the caller has to close. It
 // returns an EntryError if the entry reports an error. It marks the entry as avoided if the entry can't be reached, is
-// stopping or is not ready.
+// shutting down or is not ready.
 func (c *Client) post(ctx context.Context, entry netip.AddrPort, path string, body []byte, o Options) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.String()+path, bytes.NewReader(body))
 	if err != nil {
@@ -297,9 +298,8 @@
 	})
 }
 
-// sendWithRetries sends a request until it succeeds, MaxTries is reached, the time limit passes or the error is not
-// worth a retry. It sends a request that may have run again only with the request's ticket, which keeps it from
-// running twice.
+// sendWithRetries sends a request until it succeeds, MaxTries is reached, the time limit passes or the error does not
+// permit a retry. A request that may have run is sent again only with its ticket, which keeps it from running twice.
 func (c *Client) sendWithRetries(ctx context.Context, o Options, sendOnce func(context.Context, netip.AddrPort, Options) (Result, error)) (Result, error) {
 	if o.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -336,12 +336,12 @@
 	}
 }
 
-// connectionRetryDelay is the delay before a retry for which no entry stated a delay, since the connection failed or the
-// response was cut off.
+// connectionRetryDelay is the delay before a retry after a failed connection or an incomplete response, for which no
+// entry stated a delay.
 const connectionRetryDelay = 50 * time.Millisecond
 
-// retryDelay returns the delay before a retry, and whether the error permits a retry at all. A request that may have run
-// is only sent again with its ticket.
+// retryDelay returns the delay before a retry, and whether the error permits a retry at all. A request that may have
+// run is retried only if it has a ticket.
 func retryDelay(err error, o Options) (time.Duration, bool) {
 	var entryErr *EntryError
 	if !errors.As(err, &entryErr) {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -65,7 +65,7 @@
 
 const refusal = `{"error":{"code":"overloaded","outcome":"not_run","retry_after_seconds":0.001}}`
 
-// Retries of requests that an overloaded fleet refused are limited to a burst plus a tenth of the requests.
+// Retries of requests that an overloaded fleet refused are limited to maxRetryBurst plus a tenth of the requests.
 func TestRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	sent := 0
