--- a/validator/bench_test.go
+++ b/validator/bench_test.go
@@ -27,9 +27,9 @@
 	return []byte(b.String())
 }
 
-// BenchmarkParse measures the time to parse a document, as after each change of
-// the configuration, and reports the memory that the parsed document occupies as
-// kept-bytes.
+// BenchmarkParse measures the time to parse a document, which entries do after
+// each change of the configuration. It reports the memory that the parsed
+// document occupies as kept-bytes.
 func BenchmarkParse(b *testing.B) {
 	for _, size := range [][2]int{{10, 14}, {430, 60}, {4300, 14}, {4300, 600}} {
 		b.Run(fmt.Sprintf("organisations=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
--- a/validator/check.go
+++ b/validator/check.go
@@ -48,7 +48,7 @@
 }
 
 // check returns decoder.FieldErrors with all invalid fields of a document, or
-// nil.
+// nil if all fields are valid.
 func check(d Document) error {
 	c := &checker{models: map[string]Model{}}
 	c.fieldErrors.Require(d.Revision >= 1, "Revision", d.Revision, "at least 1")
@@ -73,7 +73,8 @@
 	return err == nil && len(raw) == 32 && strings.ToLower(text) == text
 }
 
-// checkName checks that a name is valid and not in seen, and adds it to seen.
+// checkName checks that a name is valid and not in seen, and adds the name to
+// seen. Field is the path of the field with the name.
 func (c *checker) checkName(field, name string, seen map[string]bool) {
 	valid := name != "" && len(name) <= maxNameLength && !strings.ContainsFunc(name, isInvalidNameRune)
 	c.fieldErrors.Require(valid, field, name, "1 to 64 of letters, digits, '-', '_', '.'")
@@ -187,9 +188,9 @@
 	c.fieldErrors.Require(p.ShortWeight == 0 || inRange, "Policy.ShortWeight", p.ShortWeight, fmt.Sprintf("0, or %d to %d", minShortWeight, maxShortWeight))
 }
 
-// checkAcrossSections checks the limits against the engines: for each model, a
-// group of at most MaxGroup engines must hold the longest prompt, and an engine
-// must serve each version.
+// checkAcrossSections checks the limits and the models against the engines: for
+// each model, a group of at most MaxGroup engines must hold the longest prompt,
+// and an engine must serve each version of the model.
 func (c *checker) checkAcrossSections(d Document) {
 	memoryTokens := map[string][]int{}
 	for _, e := range d.Engines {
--- a/validator/document.go
+++ b/validator/document.go
@@ -1,6 +1,6 @@
-// Package validator decodes and checks the configuration document, which is
-// written by operators. The command line, the entries and the console all use
-// this package, so they agree on which documents are valid.
+// Package validator decodes and checks the configuration document, which
+// operators write. The command line, the entries and the console all use this
+// package, so that they agree on which documents are valid.
 package validator
 
 import (
@@ -36,8 +36,9 @@
 // Model is a model that engines can load.
 type Model struct {
 	Name string `yaml:"Name"`
-	// Versions and Adapters name those that engines may load; an engine serves
-	// one version. At least one version is required.
+	// Versions and Adapters name the versions and adapters of the model that
+	// engines may load. An engine serves one version at a time. At least one
+	// version is required.
 	Versions []string `yaml:"Versions"`
 	Adapters []string `yaml:"Adapters,omitempty"`
 }
@@ -48,7 +49,8 @@
 	// KeyDigest is the SHA-256 digest, in lower-case hex, of the bearer key that
 	// identifies the organisation. No document contains the key itself.
 	KeyDigest string `yaml:"KeyDigest"`
-	// Models and Services are the names of those that the organisation may use.
+	// Models and Services name the models and services that the organisation may
+	// use. At least one of either is required.
 	Models   []string `yaml:"Models"`
 	Services []string `yaml:"Services,omitempty"`
 	// MaxInFlight is the maximum number of the organisation's requests in flight
@@ -73,15 +75,16 @@
 	// PrefillRate is the number of prompt tokens that the engine prefills per
 	// second.
 	PrefillRate int `yaml:"PrefillRate"`
-	// ChecksFences is true if the engine refuses orders with an old fencing
-	// number.
+	// ChecksFences is true if the engine refuses an order whose fencing number is
+	// not greater than that of every earlier order.
 	ChecksFences bool `yaml:"ChecksFences"`
-	// ChecksOrders is true if the engine checks the issuer of an order.
+	// ChecksOrders is true if the engine refuses an order of an issuer that it
+	// does not accept.
 	ChecksOrders bool `yaml:"ChecksOrders"`
 }
 
-// Roles of an engine: the part of the work on requests that an engine is
-// ordered to do.
+// Roles of an engine: the kind of requests, or the phase of a request, that an
+// engine is ordered to serve. RoleMixed means all of them.
 const (
 	RoleMixed   = "Mixed"
 	RoleShort   = "Short"
@@ -90,7 +93,7 @@
 	RoleDecode  = "Decode"
 )
 
-// Service is a service other than an engine. It answers plain requests.
+// Service is a back end other than an engine. Its instances answer calls.
 type Service struct {
 	Name string `yaml:"Name"`
 	// Instances are the names, in the instance list, of the instances that run
@@ -124,13 +127,13 @@
 	MaxInFlight int `yaml:"MaxInFlight"`
 }
 
-// Policy sets the priority of prompts by the class of their length.
+// Policy sets the priority of prompts by length class. See router.LengthClass.
 type Policy struct {
 	// ShortTokens is the maximum length in tokens of a prompt in the short class.
 	ShortTokens int `yaml:"ShortTokens"`
-	// ShortWeight is the priority of the short class at the engines; classes of
+	// ShortWeight is the priority of the short class at engines; classes of
 	// longer prompts have lower priorities. It is 3 to 10, or 0 for no priorities:
-	// engines then run requests in the order of their arrival.
+	// engines then run requests in the order of arrival.
 	ShortWeight int `yaml:"ShortWeight"`
 }
 
@@ -143,9 +146,9 @@
 // shortDigestLength is the number of hex digits in a shortened digest: 64 bits.
 const shortDigestLength = 16
 
-// ShortenDigest returns the first 64 bits of a digest in hex. That is enough for
-// entries to detect that their documents differ; they then fetch the whole
-// document and check its full digest.
+// ShortenDigest returns the first 64 bits of a digest in hex. These are enough
+// for entries to detect that their documents differ. An entry then fetches the
+// whole document and checks its full digest.
 func ShortenDigest(digest string) string {
 	return digest[:min(len(digest), shortDigestLength)]
 }
@@ -222,8 +225,8 @@
 	return false, false
 }
 
-// newValidDocument returns a document that has been checked, with its indexes.
-// It copies raw.
+// newValidDocument builds the indexes of a document that has been checked. Raw
+// is the document as published; it is copied.
 func newValidDocument(d Document, version DocumentVersion, raw []byte) *ValidDocument {
 	valid := &ValidDocument{
 		Document:      d,
