--- a/loader/loader.go
+++ b/loader/loader.go
@@ -18,7 +18,7 @@
 
 // Settings holds the settings of one entry.
 type Settings struct {
-	// Name is unique among the entries.
+	// Name identifies the entry. It is unique among all entries.
 	Name string `yaml:"Name"`
 	// DataCentre is the name of the data centre that the entry runs in.
 	DataCentre string `yaml:"DataCentre"`
@@ -54,7 +54,8 @@
 	Layers []string `yaml:"Layers"`
 }
 
-// Timing holds the periods and timeouts of an entry's control loops.
+// Timing holds the periods and timeouts of an entry's background tasks and of
+// its requests to engines and to the platform.
 type Timing struct {
 	// Heartbeat is the time between two heartbeats to a neighbour.
 	Heartbeat time.Duration `yaml:"Heartbeat"`
@@ -68,32 +69,33 @@
 	// List is the period at which a keeper lists the memory reservations (holds)
 	// at its engines.
 	List time.Duration `yaml:"List"`
-	// Lease is the time after which a hold that was not renewed counts as
-	// orphaned.
+	// Lease is the time without a renewal after which a hold counts as orphaned.
 	Lease time.Duration `yaml:"Lease"`
 	// Watch is how long a watch request to the platform waits for a change.
 	Watch time.Duration `yaml:"Watch"`
-	// Silence is the maximum time between two chunks of an engine's stream. After
-	// it, the attempt is cancelled and the stream is resumed at another engine.
+	// Silence is the maximum time between two chunks of an engine's stream. If it
+	// passes, the attempt is cancelled and the stream is resumed at another
+	// engine.
 	Silence time.Duration `yaml:"Silence"`
 }
 
-// CallerLimits bounds what callers may send and how long they may use what they
-// were given.
+// CallerLimits bounds the requests of callers and the time for which addresses
+// and tickets given to callers are valid.
 type CallerLimits struct {
 	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64 `yaml:"MaxBody"`
-	// AddressLife is how long a caller may use the entry addresses in a response.
+	// AddressLife is how long a caller may use the entry addresses that an entry
+	// returned.
 	AddressLife time.Duration `yaml:"AddressLife"`
 	// TicketLife is how long a ticket, which allows one request to run at most
 	// once, is valid.
 	TicketLife time.Duration `yaml:"TicketLife"`
-	// DrainSlack is the time for which an entry that shuts down accepts requests
-	// after AddressLife has passed.
+	// DrainSlack is the minimum time for which an entry that shuts down still
+	// accepts connections after AddressLife has passed.
 	DrainSlack time.Duration `yaml:"DrainSlack"`
 }
 
-// Defaults returns the default settings. The fields without a default are zero.
+// Defaults returns the default settings. Fields without a default are zero.
 func Defaults() Settings {
 	return Settings{
 		Log: Log{Level: "info"},
@@ -116,7 +118,7 @@
 	}
 }
 
-// Load reads and checks the settings file at path.
+// Load reads and checks the settings file at path. See Parse for the errors.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -148,7 +150,8 @@
 // logLevels lists the valid values of Log.Level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// check returns decoder.FieldErrors with all invalid fields, or nil.
+// check returns decoder.FieldErrors with all invalid fields, or nil if all fields
+// are valid.
 func (s Settings) check() error {
 	var fieldErrors decoder.FieldErrors
 	fieldErrors.Require(s.Name != "" && len(s.Name) <= 64 && !strings.ContainsAny(s.Name, " \t\n\"/=,."), "Name", s.Name, "1 to 64 characters without space, quote, '/', '=', ',' or '.'")
