--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter collects the product's metrics and serves them in the Prometheus
-// text format.
+// Package meter collects the metrics of a process and serves them in the
+// Prometheus text format.
 package meter
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportPeriod is the interval at which collected metrics are passed on to the
-// handler that serves them.
+// reportPeriod is the interval at which the handler receives the collected
+// metrics. The values that it serves are at most this old.
 const reportPeriod = time.Second
 
 // Meter holds the root scope of a process's metrics and the handler that serves
-// them.
+// these metrics.
 type Meter struct {
 	// Scope is the root scope: metrics are registered on it or on its subscopes.
 	Scope tally.Scope
 	// Handler serves the metrics in the Prometheus text format.
 	Handler http.Handler
-	// closer stops the scope.
+	// closer stops the periodic reports of the scope.
 	closer io.Closer
 }
 
-// New returns a meter. The names of its metrics start with "sapphireramp". It
-// must be closed.
+// New returns a meter whose metric names start with "sapphireramp". The caller
+// must close the meter.
 func New() *Meter {
 	reporter := prometheus.NewReporter(prometheus.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -40,5 +40,5 @@
 	return &Meter{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close passes the remaining metrics on to the handler and stops the meter.
+// Close sends the last values to the handler and stops the meter.
 func (m *Meter) Close() error { return m.closer.Close() }
