--- a/server/complete.go
+++ b/server/complete.go
@@ -51,7 +51,8 @@
 	answerStartedAt time.Time
 }
 
-// complete places a prompt on an engine, relays the answer, and resumes it on another engine if one fails.
+// complete places a prompt on an engine, relays the answer, and resumes the answer on another engine if the
+// engine fails.
 func (s *Server) complete(x *exchange) *failure {
 	x.body = nil // only the decoded prompt is needed from here on
 	x.fingerprint = fingerprintOf(x)
@@ -132,7 +133,7 @@
 }
 
 // class returns the prompt's length class, which determines its priority at engines. All prompts are of
-// class Longest if the policy gives short prompts no weight.
+// class Longest if Policy.ShortWeight is 0.
 func (c *completion) class() router.LengthClass {
 	policy := c.x.view.accepted.Document.Policy
 	if policy.ShortWeight == 0 {
@@ -236,8 +237,8 @@
 	return nil
 }
 
-// deliver passes a piece of the answer to the caller: as an event of a stream, or collected until the
-// answer is complete.
+// deliver passes the text of a chunk to the caller: as an event of a stream, or collected until the answer
+// is complete. Offset is the number of tokens of the answer before the chunk.
 func (c *completion) deliver(offset int, text string, usage *api.CompletionUsage) {
 	x := c.x
 	c.usage = usage
--- a/server/control.go
+++ b/server/control.go
@@ -65,7 +65,8 @@
 	admitter *admitter.Admitter
 	spender  *spender.Spender
 	planner  *planner.Planner
-	// keepers holds the ledger of each engine that this entry is the keeper of, by engine name.
+	// keepers holds the grants and reported holds of each engine that this entry is the keeper of, by engine
+	// name.
 	keepers map[string]*keeper.Keeper
 	// lastSteps holds the step that the planner last decided on for each of these engines, by engine name.
 	lastSteps map[string]planner.Step
@@ -153,7 +154,7 @@
 }
 
 // offerDocument passes a parsed document, or the error that made it invalid, to the adopter and logs the
-// result.
+// result. Source names the platform or the peer that the document came from.
 func (c *control) offerDocument(now time.Time, digest string, offered *validator.ValidDocument, err error, source string) {
 	before := c.adopter.Version()
 	result := c.adopter.OfferParsed(now, digest, offered, err)
--- a/server/crash_call_test.go
+++ b/server/crash_call_test.go
@@ -11,8 +11,9 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// Instances of a service crash one after the other under one call that is repeated through all
-// entries, as engines did under one prompt.
+// Instances of a service crash one after the other under one call that is sent repeatedly through all
+// entries, as engines did under one prompt on the users' platform. Guards against one call crashing instance
+// after instance.
 func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
 	withCrashingServices(t, 6, func(f *testFleet, c *crashingServices) {
 		is := is.New(t)
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -42,7 +42,7 @@
 	deadline time.Time
 	ctx      context.Context
 
-	// repeatable is false for a request that may run at most once. Such a request has a ticket.
+	// repeatable is false for a request that may run at most once. ticket is the ticket of such a request.
 	repeatable bool
 	ticket     spender.Ticket
 	// answerRecorder keeps the answer of an at-most-once request; nil for others.
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -249,7 +249,10 @@
 
 // engineReport is what the stand-in engine reports to tests about the requests that it ran.
 type engineReport struct {
-	Requests         map[string]int
+	// Requests is the number of streams started, by request ID.
+	Requests map[string]int
+	// LateAfterLeaving is the number of streams started later after the announcement of leaving than is
+	// expected of entries.
 	LateAfterLeaving int
 	UsedTokens       int
 }
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// fetchFromPeers fetches the document of each peer in the settings once. The entry accepts no callers
-// before that, so that an outdated answer of the platform does not come into force while a peer has a newer
-// document.
+// fetchFromPeers fetches the document and the instance list of each peer in the settings once. The entry
+// accepts no callers before all fetches have ended, so that an outdated document from the platform does not
+// come into force while a peer has a newer one.
 func (s *Server) fetchFromPeers(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, address := range s.settings.Peers {
--- a/server/peers.go
+++ b/server/peers.go
@@ -143,8 +143,9 @@
 	})
 }
 
-// askEngineDirectly decides without the keeper, from a load report requested from the engine now. Several
-// entries may decide so at once; the engine then refuses attempts beyond its memory limit.
+// askEngineDirectly decides without the keeper whether an attempt may start on an engine, from a load report
+// that it requests from the engine. Several entries may decide so at the same time; the engine then refuses
+// attempts beyond its memory limit.
 func (s *Server) askEngineDirectly(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.GrantReply {
 	ctx, cancel := context.WithTimeout(ctx, engineAskTimeout)
 	defer cancel()
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// fault is one random fault. Kind selects what fails, First and Second select the entries or engine that
-// are affected.
+// fault is one random fault. Delay is the time from the start of the run to the fault, Duration the time for
+// which the fault lasts. Kind selects what fails, First and Second select the affected entries or engine.
 type fault struct {
 	Delay         time.Duration
 	Kind          int
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -19,7 +19,7 @@
 // inProgressRetryAfter is the Retry-After for a request whose answer is not available yet.
 const inProgressRetryAfter = time.Second
 
-// issueTicket writes a new ticket to the caller. Only this incarnation of this entry can spend it.
+// issueTicket writes a new ticket to the caller. Only this incarnation of this entry can spend the ticket.
 func (s *Server) issueTicket(x *exchange) *failure {
 	if x.view.stopping {
 		return newFailure(api.CodeStopping, "this entry is shutting down")
@@ -247,8 +247,8 @@
 // errAnswerCutOff reports that the answer to a forwarded request ended early.
 var errAnswerCutOff = errors.New("answer was cut off")
 
-// relayResponse copies another entry's response to the caller as it arrives. If it is cut off, the caller's
-// connection is aborted too, so that the caller can't mistake the answer for complete.
+// relayResponse copies another entry's response to the caller as it arrives. If the response is cut off, the
+// caller's connection is aborted too, so that the caller can't mistake the answer for complete.
 func (x *exchange) relayResponse(response *http.Response) *failure {
 	h := x.writer.Header()
 	for _, name := range []string{"Content-Type", "Retry-After", api.HeaderOutcome, api.HeaderRequestID} {
--- a/server/watch.go
+++ b/server/watch.go
@@ -46,7 +46,7 @@
 }
 
 // watchPath reads a path of the platform repeatedly until the context ends. Each read waits at the platform
-// for a change. It calls handle with the data read, nil if nothing changed, or with the error.
+// for a change. watchPath calls handle with the data read, nil if nothing changed, or with the error.
 func (s *Server) watchPath(ctx context.Context, path string, handle func([]byte, error)) {
 	etag, backoff := "", minBackoff
 	for ctx.Err() == nil {
