--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -120,16 +120,16 @@
 // Offer parses a document and adopts it if it is valid and greater than the one in force.
 func (a *Adopter) Offer(now time.Time, data []byte) Result {
 	digest := validator.Digest(data)
-	if result, seen := a.KnownResult(digest); seen {
+	if result, seen := a.ResultForDigest(digest); seen {
 		return result
 	}
 	offered, err := validator.Parse(data)
-	return a.OfferParsed(now, digest, offered, err)
+	return a.OfferDocument(now, digest, offered, err)
 }
 
-// KnownResult returns the result for a document that is already in force or was refused before,
+// ResultForDigest returns the result for a document that is already in force or was refused before,
 // which need not be parsed again. It reports whether the document is one of these.
-func (a *Adopter) KnownResult(digest string) (Result, bool) {
+func (a *Adopter) ResultForDigest(digest string) (Result, bool) {
 	if a.current != nil && digest == a.current.Version.Digest {
 		return Result{Status: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
 	}
@@ -139,9 +139,9 @@
 	return Result{}, false
 }
 
-// OfferParsed is Offer for a document that was already parsed, for example on another goroutine
+// OfferDocument is Offer for a document that was already parsed, for example on another goroutine
 // than the adopter's. Digest is the digest of the document, err why it is invalid, or nil.
-func (a *Adopter) OfferParsed(now time.Time, digest string, offered *validator.ValidDocument, err error) Result {
+func (a *Adopter) OfferDocument(now time.Time, digest string, offered *validator.ValidDocument, err error) Result {
 	if err != nil {
 		a.recordRefused(digest, err)
 		return Result{Status: Refused, Version: validator.DocumentVersion{Digest: digest}, Err: err}
--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -100,9 +100,9 @@
 	return true
 }
 
-// HasRetry reports whether the budget of a service allows a retry now, without counting one.
+// AllowsRetry reports whether the budget of a service allows a retry now, without counting one.
 // Entries is the number of entries that share the budget.
-func (b *Budgeter) HasRetry(now time.Time, service string, entries int) bool {
+func (b *Budgeter) AllowsRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.canRetry(b.windowOf(now, service), entries)
--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -47,7 +47,7 @@
 	var fieldErrors decoder.FieldErrors
 	fieldErrors.Require(settings.Address.IsValid() && settings.Address.Port() != 0, "Address", settings.Address, "IP:port")
 	fieldErrors.Require(settings.Platform.IsValid() && settings.Platform.Port() != 0, "Platform", settings.Platform, "IP:port")
-	_, err = sealer.ParseSeed(settings.SealSeed)
+	_, err = sealer.ParsePrivateKey(settings.SealSeed)
 	fieldErrors.Require(err == nil, "SealSeed", "(not shown)", "32 bytes in hex")
 	return settings, fieldErrors.Err()
 }
@@ -66,8 +66,8 @@
 			return err
 		}
 		if printKey {
-			key, _ := sealer.ParseSeed(settings.SealSeed)
-			_, err := fmt.Println(sealer.FormatPublicKey(key))
+			key, _ := sealer.ParsePrivateKey(settings.SealSeed)
+			_, err := fmt.Println(sealer.PublicKeyHex(key))
 			return err
 		}
 		return runConsole(ctx, settings)
@@ -84,7 +84,7 @@
 		return fmt.Errorf("create loggers: %w", err)
 	}
 	log := logs.Layer(logger.LayerDocument)
-	key, err := sealer.ParseSeed(settings.SealSeed)
+	key, err := sealer.ParsePrivateKey(settings.SealSeed)
 	if err != nil {
 		return fmt.Errorf("parse SealSeed: %w", err)
 	}
@@ -95,7 +95,7 @@
 	httpServer := &http.Server{Addr: settings.Address.String(), Handler: c.Handler(), ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout}
 	serveErrors := make(chan error, 1)
 	go func() { serveErrors <- httpServer.ListenAndServe() }()
-	log.Info("console", zap.Stringer("address", settings.Address), zap.String("seal_key", sealer.FormatPublicKey(key)))
+	log.Info("console", zap.Stringer("address", settings.Address), zap.String("seal_key", sealer.PublicKeyHex(key)))
 	select {
 	case err := <-serveErrors:
 		return fmt.Errorf("serve console: %w", err)
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -407,7 +407,7 @@
 	if f.options["seal"] != "true" {
 		return "[]"
 	}
-	return "[" + sealer.FormatPublicKey(sealKey) + "]"
+	return "[" + sealer.PublicKeyHex(sealKey) + "]"
 }
 
 // publishInstances publishes the instance list through the platform.
--- a/sealer/example_test.go
+++ b/sealer/example_test.go
@@ -32,7 +32,7 @@
 	is := is.New(t)
 	sealed := sealer.Seal([]byte("Revision: 1"), key)
 	is.Equal(sealer.Seal(sealed, key), sealed)
-	is.Equal(string(sealer.Strip(sealed)), "Revision: 1\n")
+	is.Equal(string(sealer.StripSeal(sealed)), "Revision: 1\n")
 	is.True(sealer.Verify(sealer.Seal(sealed, other), public) != nil)
 	is.True(sealer.Verify(append(sealed, "Models: []\n"...), public) != nil)
 	is.True(sealer.Verify([]byte("Seal: %%%\n"), public) != nil)
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -32,7 +32,7 @@
 
 // Seal returns the document with a seal made with the key, in place of any earlier seal.
 func Seal(document []byte, key ed25519.PrivateKey) []byte {
-	text := Strip(document)
+	text := StripSeal(document)
 	signature := ed25519.Sign(key, signedMessage(text))
 	return fmt.Appendf(text, "%s%s\n", sealPrefix, base64.RawStdEncoding.EncodeToString(signature))
 }
@@ -42,8 +42,8 @@
 	return append([]byte(signatureDomain), text...)
 }
 
-// Strip returns a copy of the document without its seal, ending with a line break.
-func Strip(document []byte) []byte {
+// StripSeal returns a copy of the document without its seal, ending with a line break.
+func StripSeal(document []byte) []byte {
 	text, _ := split(document)
 	return text
 }
@@ -93,9 +93,9 @@
 	return raw, nil
 }
 
-// ParseSeed decodes the seed of a private key from hex and returns the key. The error is a
+// ParsePrivateKey decodes the seed of a private key from hex and returns the key. The error is a
 // KeyError.
-func ParseSeed(text string) (ed25519.PrivateKey, error) {
+func ParsePrivateKey(text string) (ed25519.PrivateKey, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != ed25519.SeedSize {
 		return nil, KeyError{WantBytes: ed25519.SeedSize}
@@ -103,7 +103,7 @@
 	return ed25519.NewKeyFromSeed(raw), nil
 }
 
-// FormatPublicKey returns the public key of a private key in hex.
-func FormatPublicKey(key ed25519.PrivateKey) string {
+// PublicKeyHex returns the public key of a private key in hex.
+func PublicKeyHex(key ed25519.PrivateKey) string {
 	return hex.EncodeToString(key.Public().(ed25519.PublicKey))
 }
--- a/server/control.go
+++ b/server/control.go
@@ -157,7 +157,7 @@
 // result. Source names the platform or the peer that the document came from.
 func (c *control) offerDocument(now time.Time, digest string, offered *validator.ValidDocument, err error, source string) {
 	before := c.adopter.Version()
-	result := c.adopter.OfferParsed(now, digest, offered, err)
+	result := c.adopter.OfferDocument(now, digest, offered, err)
 	c.server.asserter.Check(!c.adopter.Version().Less(before), asserter.RevisionWentBack, "revision %d after %d", c.adopter.Version().Revision, before.Revision)
 	fields := []zap.Field{
 		zap.String("verdict", result.Status.String()), zap.Uint64("revision", result.Version.Revision),
@@ -188,7 +188,7 @@
 	defer func() { <-s.parseLock }()
 	digest := validator.Digest(data)
 	seen := false
-	s.onControl(func(c *control) { _, seen = c.adopter.KnownResult(digest) })
+	s.onControl(func(c *control) { _, seen = c.adopter.ResultForDigest(digest) })
 	if seen {
 		return
 	}
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -40,9 +40,9 @@
 	// QueuesByClass makes entries and keepers estimate an engine's queue for each class of
 	// prompts, instead of as one queue in the order of arrival.
 	QueuesByClass bool
-	// MeasuresPace makes entries measure the time per answer token of each engine and
+	// MeasuresTokenTime makes entries measure the time per answer token of each engine and
 	// use it in predictions.
-	MeasuresPace bool
+	MeasuresTokenTime bool
 	// MaxRetries is the maximum number of times that a caller sends a request again that
 	// was refused or late.
 	MaxRetries int
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -184,5 +184,5 @@
 	{"classes-2", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, PriorityLevels: 2}},
 	{"classes-3", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, PriorityLevels: 3}},
 	{"classes-4", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true}},
-	{"classes-4+pace", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, MeasuresPace: true}},
+	{"classes-4+pace", Options{Policy: router.Predicted, AskKeepers: true, RefusesLate: true, SchedulesByPriority: true, QueuesByClass: true, MeasuresTokenTime: true}},
 }
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -262,7 +262,7 @@
 // if the policy measures the pace and the answer has at least minPacedTokens.
 func (f *fleet) recordPace(r *request) {
 	const minPacedTokens = 8
-	if f.options.MeasuresPace && r.generatedTokens >= minPacedTokens {
+	if f.options.MeasuresTokenTime && r.generatedTokens >= minPacedTokens {
 		r.entry.loads[r.engine.name].RecordTimePerToken(f.now, f.now.Sub(r.firstTokenAt)/time.Duration(r.generatedTokens))
 	}
 }
--- a/validator/check.go
+++ b/validator/check.go
@@ -182,7 +182,7 @@
 	c.fieldErrors.Require(l.DefaultTimeout >= time.Second && l.DefaultTimeout <= l.MaxTimeout, "Limits.DefaultTimeout", l.DefaultTimeout, "1s to MaxTimeout")
 }
 
-func (c *checker) checkPolicy(p Policy, l Limits) {
+func (c *checker) checkPolicy(p PriorityPolicy, l Limits) {
 	c.checkRange("Policy.ShortTokens", p.ShortTokens, 1, max(1, l.MaxPromptTokens))
 	inRange := p.ShortWeight >= minShortWeight && p.ShortWeight <= maxShortWeight
 	c.fieldErrors.Require(p.ShortWeight == 0 || inRange, "Policy.ShortWeight", p.ShortWeight, fmt.Sprintf("0, or %d to %d", minShortWeight, maxShortWeight))
--- a/validator/document.go
+++ b/validator/document.go
@@ -27,7 +27,7 @@
 	Engines       []Engine       `yaml:"Engines"`
 	Services      []Service      `yaml:"Services"`
 	Limits        Limits         `yaml:"Limits"`
-	Policy        Policy         `yaml:"Policy"`
+	Policy        PriorityPolicy `yaml:"Policy"`
 	// Seal is the signature that the console appends to a document that it has
 	// checked; empty if the document is not signed. See package sealer.
 	Seal string `yaml:"Seal,omitempty"`
@@ -127,8 +127,8 @@
 	MaxInFlight int `yaml:"MaxInFlight"`
 }
 
-// Policy sets the priority of prompts by length class. See router.LengthClass.
-type Policy struct {
+// PriorityPolicy sets the priority of prompts by length class. See router.LengthClass.
+type PriorityPolicy struct {
 	// ShortTokens is the maximum length in tokens of a prompt in the short class.
 	ShortTokens int `yaml:"ShortTokens"`
 	// ShortWeight is the priority of the short class at engines; classes of
