--- a/cmd/sapphireramp/ask.go
+++ b/cmd/sapphireramp/ask.go
@@ -21,15 +21,16 @@
 type clientOptions struct {
 	// seeds lists the addresses of entries, IP:port, separated by commas.
 	seeds string
-	// apiKey identifies the organisation.
+	// apiKey identifies the caller's organisation. It is sent as bearer token.
 	apiKey string
-	// dataCentre is the data centre whose entries are preferred; empty for none.
+	// dataCentre is the data centre whose entries are preferred; empty means no preference.
 	dataCentre string
-	// timeout is the time limit of a request, retries included.
+	// timeout is the time limit of a request including its retries; for a status request, that of each entry.
 	timeout time.Duration
 	// maxTries is the maximum number of times that a request is sent, at least 1.
 	maxTries int
-	// seedsOnly makes the client send requests only to the seeds.
+	// seedsOnly makes the client send requests to the entries in seeds, without asking them for other
+	// addresses.
 	seedsOnly bool
 }
 
@@ -46,7 +47,8 @@
 	return &clientOptions{timeout: time.Minute, maxTries: 3}
 }
 
-// parseSeeds parses --entry. It returns an error when the flag is empty or an address isn't IP:port.
+// parseSeeds returns the addresses given by the flag --entry. It returns an error if the flag is empty or an
+// address is not IP:port.
 func (o *clientOptions) parseSeeds() ([]netip.AddrPort, error) {
 	if o.seeds == "" {
 		return nil, fmt.Errorf("--entry: at least one IP:port is needed")
@@ -62,7 +64,7 @@
 	return out, nil
 }
 
-// newClient checks the flags and returns a client that is configured by them.
+// newClient returns a client with these options. It returns an error if a flag has an invalid value.
 func (o *clientOptions) newClient() (*client.Client, error) {
 	seeds, err := o.parseSeeds()
 	if err != nil {
@@ -77,8 +79,8 @@
 	return client.New(client.Config{Seeds: seeds, SeedsOnly: o.seedsOnly, APIKey: o.apiKey, DataCentre: o.dataCentre, MaxTries: o.maxTries, HTTPClient: &http.Client{}}), nil
 }
 
-// fillerToken is repeated to generate prompts of a given length. Its 4 bytes count as one token; see
-// api.BytesPerToken.
+// fillerToken is repeated to make a prompt of a given length. It has 4 bytes, which entries count as one
+// token (see api.BytesPerToken).
 const fillerToken = "abc "
 
 func askCommand() command {
@@ -122,9 +124,9 @@
 	}}
 }
 
-// reportResult prints a request's outcome, tokens, durations, entry and tries as one line of key=value pairs
-// if printSummary is set. An error that no entry reported is printed as an unknown outcome. reportResult
-// returns err.
+// reportResult returns err. If printSummary is set, it first prints the result of a request as one line of
+// key=value pairs. The outcome is the one that the entry reported, or unknown if the request failed without
+// such a report.
 func reportResult(r client.Result, err error, printSummary bool) error {
 	outcome := api.OutcomeAnswered
 	if err != nil {
--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -19,22 +19,22 @@
 
 // consoleSettings is the content of the console's settings file.
 type consoleSettings struct {
-	// Address is the listen address for operators' browsers.
+	// Address is the address on which the console listens for operators' browsers.
 	Address netip.AddrPort `yaml:"Address"`
 	// Platform is the address of the platform, which serves the published configuration document.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Entries are addresses of entries whose document in force the console compares with the platform's. A
-	// few of a fleet are enough. An empty list disables the comparison.
+	// Entries are the addresses that some entries announce to callers. The console warns if the document in
+	// force at one of them is not the one that the platform serves. An empty list disables the comparison.
 	Entries []netip.AddrPort `yaml:"Entries"`
-	// SealSeed is the seed of the Ed25519 key that seals documents: 32 random bytes in hex.
+	// SealSeed is the seed of the Ed25519 private key that signs documents: 32 random bytes in hex.
 	SealSeed string `yaml:"SealSeed"`
 }
 
 // maxConsoleSettingsBytes bounds the size of the console's settings file.
 const maxConsoleSettingsBytes = 64 << 10
 
-// loadConsoleSettings reads and checks the settings file. Its error lists every invalid field, but never
-// shows the seed.
+// loadConsoleSettings reads and checks the settings file at path. The error for invalid fields lists all of
+// them, but never shows SealSeed.
 func loadConsoleSettings(path string) (consoleSettings, error) {
 	var settings consoleSettings
 	data, err := os.ReadFile(path)
@@ -74,10 +74,12 @@
 	}}
 }
 
-// consoleTimeout bounds reading a request and, separately, writing its response.
+// consoleTimeout is the time limit for reading a request and, separately, for handling it and writing the
+// response.
 const consoleTimeout = 30 * time.Second
 
-// runConsole serves the console until ctx is done, and then waits for requests in progress.
+// runConsole serves the console until ctx is done, and then returns once the requests in progress have ended.
+// It returns an error if the console can't be created or served.
 func runConsole(ctx context.Context, settings consoleSettings) error {
 	logs, err := logger.New(logger.Config{Level: "info", Output: os.Stderr})
 	if err != nil {
--- a/cmd/sapphireramp/entry.go
+++ b/cmd/sapphireramp/entry.go
@@ -32,8 +32,8 @@
 	}}
 }
 
-// runEntry runs an entry until ctx is done or the entry fails. With strict set, the process exits with
-// exitInvariantViolated at the first violated invariant.
+// runEntry runs an entry until ctx is done and the entry has shut down, or until the entry fails. With strict
+// set, the process exits with exitInvariantViolated when an invariant check of the entry first fails.
 func runEntry(ctx context.Context, settings loader.Settings, strict bool) error {
 	logs, err := logger.New(logger.Config{Level: settings.Log.Level, Layers: settings.Log.Layers, Output: os.Stderr})
 	if err != nil {
@@ -57,11 +57,13 @@
 	return entry.Run(ctx)
 }
 
-// exitInvariantViolated is the exit code of an entry that runs with --strict and violated an invariant.
+// exitInvariantViolated is the exit code of an entry run with --strict when one of its invariant checks
+// fails.
 const exitInvariantViolated = 70
 
 // checkPlatformFiles checks a settings file and a configuration file in the formats of the users' platform,
-// and prints a line for each valid one. An empty file name is skipped.
+// and prints a line for each valid one. It returns an error for the first invalid or unreadable file. An
+// empty file name is skipped.
 func checkPlatformFiles(settingsFile, configFile string) error {
 	if settingsFile != "" {
 		data, err := os.ReadFile(settingsFile)
--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -21,14 +21,15 @@
 	"github.com/sapphireramp/sapphireramp/platform"
 )
 
-// addressTTL is how long callers may cache a list of entry addresses from the directory. It is short, so
-// that callers soon stop using an entry that shuts down, and long compared with the milliseconds that a
-// directory request takes.
+// addressTTL is how long callers may cache a list of entry addresses from the directory, unless
+// platform.Settings.MaxAddressTTL is shorter. It is short, so that callers soon stop using an entry that
+// shuts down, and long compared with the milliseconds that a directory request takes.
 const addressTTL = time.Second
 
-// leasePercent is the lease of reserved engine memory, in percent of platform.Settings.MaxReservedAfterUse,
-// the longest time for which memory may stay reserved after the last request that used it. It is below 100
-// since an entry that crashes can't release memory, so the lease has to end within that limit.
+// leasePercent limits the lease of reserved engine memory, in percent of
+// platform.Settings.MaxReservedAfterUse, the longest time for which memory may stay reserved after the last
+// request that used it. It is below 100 because an entry that crashes can't release memory: the lease must
+// end by itself within that time.
 const leasePercent = 80
 
 func gatewayCommand() command {
@@ -46,8 +47,9 @@
 	}}
 }
 
-// runGateway runs an entry on the users' platform until ctx is done. It serves metrics at the entry's caller
-// address and metricsPort, or none if the port is 0. SIGHUP reloads the settings file.
+// runGateway runs an entry on the users' platform until ctx is done and the entry has shut down, or until it
+// fails. It serves metrics on metricsPort of the entry's caller address, or none if the port is 0. SIGHUP
+// reloads the settings file.
 func runGateway(ctx context.Context, settings platform.Settings, metricsPort uint16, level string) error {
 	logQueue := logger.NewQueue(os.Stdout)
 	defer func() { _ = logQueue.Close() }()
@@ -90,7 +92,7 @@
 	return launcher.New(config).Run(ctx, reload)
 }
 
-// reloadableSettings returns the settings that may change while the entry runs, as the launcher's settings.
+// reloadableSettings returns the settings that may change while the entry runs, in the launcher's form.
 func reloadableSettings(settings platform.Settings) launcher.Settings {
 	return launcher.Settings{
 		Seeds: settings.Seeds, ShutdownGrace: settings.ShutdownGrace,
@@ -98,8 +100,8 @@
 	}
 }
 
-// forwardReloadSignals sends to reload on each SIGHUP. Signals that arrive while a reload is pending are
-// merged with it.
+// forwardReloadSignals sends a value to reload when the process receives SIGHUP. A signal that arrives while
+// an earlier value has not been received yet is dropped, as one reload covers both. It never returns.
 func forwardReloadSignals(reload chan<- struct{}) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/cmd/sapphireramp/load.go
+++ b/cmd/sapphireramp/load.go
@@ -16,19 +16,20 @@
 	"github.com/sapphireramp/sapphireramp/client"
 )
 
-// asEntryError returns the client.EntryError that err wraps, and whether there is one.
+// asEntryError returns the client.EntryError that err is or wraps, and whether there is one.
 func asEntryError(err error) (*client.EntryError, bool) {
 	var entryErr *client.EntryError
 	ok := errors.As(err, &entryErr)
 	return entryErr, ok
 }
 
-// lengthClass is a range of prompt lengths. The load test reports its results for each class.
+// lengthClass is a range of prompt lengths. The load test prints separate results for each class.
 type lengthClass struct {
 	name string
-	// minTokens is the minimum length in tokens. All lengths of the class are below maxTokens.
+	// minTokens and maxTokens are the bounds of the prompt length in tokens: minTokens is included, maxTokens
+	// is not.
 	minTokens, maxTokens int
-	// percent is the percentage of requests whose prompts are of this class.
+	// percent is the percentage of requests that get a prompt of this class.
 	percent int
 }
 
@@ -40,23 +41,23 @@
 	{"128k-1M", 128_000, 1_000_000, 2},
 }
 
-// lengthRange holds the inclusive bounds on the length of generated prompts, in tokens.
+// lengthRange holds the minimum and maximum length of generated prompts in tokens, both inclusive.
 type lengthRange struct{ min, max int }
 
 // classResult holds the measurements of one class of prompt lengths.
 type classResult struct {
-	// timeToFirstToken is the distribution, over complete responses only, in microseconds.
+	// timeToFirstToken holds the times to first token of the complete responses, in microseconds.
 	timeToFirstToken *hdrhistogram.Histogram
-	// outcomes is the number of requests by outcome.
+	// outcomes counts the requests by outcome.
 	outcomes map[api.Outcome]int
 }
 
 // loadTest sends generated prompts to a running system and collects the results.
 type loadTest struct {
 	client *client.Client
-	// request is the template of all requests; each gets its own prompt.
+	// request is the template of all requests; Prompt is replaced in each.
 	request api.CompletionRequest
-	// timeout is the time limit of each request.
+	// timeout is the time limit of each request, its retries included.
 	timeout time.Duration
 
 	// lock guards results.
@@ -101,7 +102,7 @@
 	}}
 }
 
-// savePlot writes the plot to the file at path. An empty path writes none.
+// savePlot writes an SVG plot of the results to the file at path. It does nothing if path is empty.
 func (l *loadTest) savePlot(path string) error {
 	if path == "" {
 		return nil
@@ -122,10 +123,10 @@
 
 // Range and precision of the histograms of the time to first token.
 const (
-	// minMicros and maxMicros are in microseconds; maxMicros is one hour.
+	// minMicros and maxMicros are the smallest and largest times in microseconds; maxMicros is one hour.
 	minMicros = 1
 	maxMicros = 3_600_000_000
-	// significantDigits is the number of decimal digits of a value that a histogram keeps.
+	// significantDigits is the number of decimal digits to which a histogram keeps each time.
 	significantDigits = 3
 )
 
@@ -141,8 +142,9 @@
 }
 
 // run sends requests for the given duration or until ctx is done, and waits for all responses. The times
-// between requests are exponentially distributed with a mean of 1/rate seconds. Requests don't wait for
-// earlier responses. About once a second, run prints the number of requests sent to standard error.
+// between requests are exponentially distributed with a mean of 1/rate seconds. A request is sent whether or
+// not earlier ones were answered. About once a second, run prints to standard error how many requests it has
+// sent.
 func (l *loadTest) run(ctx context.Context, random *rand.Rand, rate float64, duration time.Duration, lengths lengthRange) {
 	var requests sync.WaitGroup
 	start := time.Now()
@@ -163,8 +165,9 @@
 	requests.Wait()
 }
 
-// randomLength returns the index in lengthClasses of a random class, weighted by percent, and a random number
-// of tokens within that class, limited to the given range.
+// randomLength picks a random class, weighted by percent, and a random number of tokens within that class. It
+// returns the index of the class in lengthClasses and the number of tokens, limited to the given range. A
+// limited number may lie outside the class.
 func randomLength(random *rand.Rand, lengths lengthRange) (class, tokens int) {
 	percent := random.IntN(100)
 	for i, c := range lengthClasses {
@@ -176,8 +179,9 @@
 	return 0, lengthClasses[0].minTokens
 }
 
-// sendRequest sends one prompt of the given number of tokens and records its outcome for the class with the
-// given index in lengthClasses. An error that no entry reported is recorded as an unknown outcome.
+// sendRequest sends a prompt of the given number of tokens and records the outcome in the results of the
+// class with the given index in lengthClasses. The outcome is unknown if the request failed without an error
+// reported by an entry.
 func (l *loadTest) sendRequest(ctx context.Context, class, tokens int) {
 	r := l.request
 	r.Prompt = strings.Repeat(fillerToken, tokens)
@@ -197,8 +201,8 @@
 	}
 }
 
-// printTable prints a row for each class: the number of requests by outcome, and quantiles of the time to
-// first token in milliseconds.
+// printTable prints a row for each class of prompt lengths: the number of requests by outcome, and quantiles
+// of the time to first token in milliseconds.
 func (l *loadTest) printTable() {
 	_, _ = fmt.Printf("%-10s %8s %8s %8s %10s %10s %10s\n", "tokens", "answered", "not_run", "unknown", "p50_ms", "p95_ms", "p99_ms")
 	for i, c := range lengthClasses {
@@ -208,8 +212,8 @@
 	}
 }
 
-// quantileMillis returns the value at the given percentile, from 0 to 100, of a histogram in microseconds,
-// converted to milliseconds.
+// quantileMillis returns, in milliseconds, the value at a percentile (0 to 100) of a histogram in
+// microseconds.
 func quantileMillis(h *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
--- a/cmd/sapphireramp/main.go
+++ b/cmd/sapphireramp/main.go
@@ -18,13 +18,13 @@
 // version is the version of the program. Release builds set it by a linker flag.
 var version = "dev"
 
-// command is a subcommand: its flags, and the function that executes it once the flags are parsed.
+// command is a subcommand: its flags, and the function to call after the flags were parsed.
 type command struct {
 	flags *flaggy.Subcommand
 	run   func(context.Context) error
 }
 
-// errNoCommand is returned when the command line has no subcommand.
+// errNoCommand is the error for a command line without a subcommand.
 var errNoCommand = eris.New("command line: no command given: use one of entry, gateway, check, ask, call, addresses, status, load, console, explain, events, version; see --help")
 
 func main() {
@@ -37,7 +37,8 @@
 	}
 }
 
-// runCommand parses the command line and runs its subcommand.
+// runCommand parses the command line and runs the subcommand that it names. It returns the error of the
+// subcommand or of the parsing.
 func runCommand(ctx context.Context, args []string) error {
 	parser := flaggy.NewParser("sapphireramp")
 	parser.Description = "a serving layer for prompts of a thousand to a million tokens"
--- a/cmd/sapphireramp/plot.go
+++ b/cmd/sapphireramp/plot.go
@@ -20,14 +20,14 @@
 )
 
 var (
-	// plotColours has a colour for each of lengthClasses.
+	// plotColours holds the line colours of lengthClasses, in the same order.
 	plotColours = []string{"#1f4e9c", "#1e7b34", "#b26a00", "#b3261e"}
-	// plotQuantiles lists the percentiles on the horizontal axis, equally spaced.
+	// plotQuantiles lists the percentiles on the horizontal axis, which are drawn at equal distances.
 	plotQuantiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9}
 )
 
-// writePlot writes an SVG image of the quantiles of the time to first token, with one line for each class of
-// prompt lengths.
+// writePlot writes an SVG image that plots the time to first token against the percentile, with one line for
+// each class of prompt lengths.
 func (l *loadTest) writePlot(w io.Writer) error {
 	p := &plotter{w: w}
 	p.printf(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`, plotWidth, plotHeight)
@@ -40,14 +40,14 @@
 	return p.err
 }
 
-// plotter writes SVG elements. It keeps the first write error and ignores further writes.
+// plotter writes SVG elements to w. After the first write error it writes nothing more.
 type plotter struct {
 	w io.Writer
 	// err is the first write error, nil if none occurred.
 	err error
 }
 
-// printf writes one formatted line.
+// printf writes a formatted line, unless an earlier write failed.
 func (p *plotter) printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.w, format+"\n", args...)
@@ -78,8 +78,8 @@
 	}
 }
 
-// drawSeries draws the line of one class of prompt lengths, and its legend in the given row, counted from 0.
-// A class without measurements is omitted.
+// drawSeries draws the line of one class of prompt lengths, and the name of the class in the given row of the
+// legend, counted from 0. It draws nothing if the class has no measurements.
 func (p *plotter) drawSeries(result classResult, name, colour string, legendRow int) {
 	if result.timeToFirstToken.TotalCount() == 0 {
 		return
