--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer finds the log lines of one request in the logs of all entries, and derives from them why the
-// request ended as it did. It reports log lines that are missing.
+// Package explainer finds the log lines of one request in the logs of all entries. From these lines it derives why
+// the request ended as it did, and which lines are missing.
 package explainer
 
 import (
@@ -13,36 +13,37 @@
 	"time"
 )
 
-// maxLineBytes bounds the length of a log line. Explain fails on longer lines.
+// maxLineBytes is the maximum length of a log line. Explain returns an error if a line is longer.
 const maxLineBytes = 1 << 20
 
-// ErrNoLines is returned by Explain if no log line has the ID of the request.
+// ErrNoLines is the error of Explain if no log line has the ID of the request.
 var ErrNoLines = errors.New("no log line has this request id: the request reached none of the entries whose logs were read, or lines were dropped (look for event=log_lines_dropped)")
 
-// logLine is a parsed log line in logfmt.
+// logLine is a parsed log line in logfmt, a sequence of key=value pairs.
 type logLine struct {
 	timestamp time.Time
 	// fields maps keys to unquoted values.
 	fields map[string]string
-	// text is the line from time= on, without the prefix of a log collector.
+	// text is the line from its first "time=" on. A prefix that a log collector added before it is dropped.
 	text string
 }
 
-// Explanation describes one request by its log lines.
+// Explanation says why one request ended as it did, with the log lines that show it.
 type Explanation struct {
-	// Lines are the log lines of the request, oldest first. For a request that was refused as quarantined they
-	// include the lines of other requests with the same fingerprint that led to the quarantine.
+	// Lines are the log lines of the request, oldest first. If the request was refused because of a quarantine,
+	// they also include the lines of upstream crashes and quarantines for the same fingerprint (the hash that
+	// identifies requests with equal content).
 	Lines []string
-	// Cause is one line of text: what the request's outcome means, its HTTP status and duration, the revision of
-	// the configuration, and each attempt that failed.
+	// Cause is a text without line breaks: the meaning of the request's outcome, its HTTP status, its duration,
+	// the revision of the configuration that it used, and the verdict of each attempt that was logged.
 	Cause string
-	// MissingLines describes each log line that the request should have but that was not found.
+	// MissingLines has a text for each log line that the logs should contain for this request but don't.
 	MissingLines []string
 }
 
-// Explain reads the log lines of all entries, in any order, and explains the request with the given ID. Lines that
-// can't be parsed are skipped. Lines may have a prefix before time=, as log collectors add one. Explain returns
-// ErrNoLines if no line has the ID.
+// Explain reads log lines of all entries, in any order, and explains the request with the given ID. It ignores
+// lines that are malformed, and whatever precedes "time=" in a line, as log collectors add prefixes. It returns
+// ErrNoLines if no line has the ID, and an error if the logs can't be read or a line exceeds maxLineBytes.
 func Explain(logs io.Reader, requestID string) (Explanation, error) {
 	var requestLines []logLine
 	quarantineLines := map[string][]logLine{}
@@ -80,12 +81,13 @@
 	return explanation, nil
 }
 
-// outcomeQuarantined is the outcome of requests that are refused because requests with the same fingerprint
-// crashed upstreams.
+// outcomeQuarantined is the logged outcome of a request that was refused because upstreams crashed while they ran
+// requests with the same fingerprint.
 const outcomeQuarantined = "quarantined"
 
-// parseQuarantineLine parses a line about a fingerprint that was quarantined, or whose request an upstream was
-// running when it crashed. It returns false for all other lines.
+// parseQuarantineLine parses a line of the event upstream_ended (an upstream crashed while it ran requests with
+// the fingerprint in the line) or quarantined (entries refuse requests with the fingerprint). It returns false for
+// lines of other events and for malformed lines.
 func parseQuarantineLine(text string) (logLine, bool) {
 	if !strings.Contains(text, "event=upstream_ended") && !strings.Contains(text, "event=quarantined") {
 		return logLine{}, false
@@ -93,7 +95,8 @@
 	return parseLine(text)
 }
 
-// parseLine parses a logfmt line, from time= on. It returns false if the line is malformed or has no valid time.
+// parseLine parses a logfmt line from "time=" on. It returns false if the line has no "time=" pair with a valid
+// time, or is malformed.
 func parseLine(text string) (logLine, bool) {
 	begin := strings.Index(text, "time=")
 	if begin < 0 {
@@ -117,8 +120,8 @@
 	return line, true
 }
 
-// cutPair splits the first key=value pair from a logfmt line and unquotes the value. It returns false if the text
-// has no "=" or an unterminated quote.
+// cutPair splits the first key=value pair from a logfmt line. It returns the key, the value without quotes and the
+// text after the pair. It returns false if the text has no "=" or the value's closing quote is missing.
 func cutPair(text string) (key, value, rest string, ok bool) {
 	key, remaining, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
 	if !ok {
@@ -141,7 +144,7 @@
 	return key, strings.ReplaceAll(remaining[1:end], `\"`, `"`), strings.TrimLeft(remaining[end+1:], " "), true
 }
 
-// descriptionsByOutcome maps the outcome of a request, as logged, to its explanation.
+// descriptionsByOutcome maps each outcome of a request, as it is logged, to its meaning.
 var descriptionsByOutcome = map[string]string{
 	"answered":                  "answered by an upstream",
 	"no_configuration":          "refused, not run: the entry had not received a configuration yet; look for event=store_lost after its start",
@@ -168,7 +171,7 @@
 	"internal_error":            "failed: internal error of the entry; look for event=panic",
 }
 
-// describeCause returns the text of Explanation.Cause from the log lines of a request, oldest first.
+// describeCause returns the text of Explanation.Cause. It needs the log lines of one request, oldest first.
 func describeCause(requestLines []logLine) string {
 	cause := "still in progress, or its end was not logged"
 	for _, line := range requestLines {
@@ -192,8 +195,9 @@
 	return cause
 }
 
-// missingLines returns a description of each expected line that is absent: the line that ends the request, and a
-// line for an upstream's selection if the request had attempts.
+// missingLines returns a text for each line that is absent from the log lines of a request: the line
+// event=request, which is logged when the request ends, and, if that line counts any attempts, a line event=place,
+// which is logged when an upstream is selected.
 func missingLines(requestLines []logLine) []string {
 	count := map[string]int{}
 	attempts := ""
