--- a/console/console.go
+++ b/console/console.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	// maxFormBytes bounds the body of a request, in practice a posted form.
+	// maxFormBytes is the maximum size of a request body. Only posted forms have one.
 	maxFormBytes = 16 << 20
-	// platformTimeout bounds the fetch of the document from the platform and, separately, the requests for the
-	// status of all entries together.
+	// platformTimeout is the time limit for fetching the document from the platform and, separately, for
+	// requesting the status of all of Config.Entries, one after the other.
 	platformTimeout = 3 * time.Second
 )
 
@@ -39,18 +39,20 @@
 type Config struct {
 	// Platform is the address of the platform, which serves the published document.
 	Platform netip.AddrPort
-	// Entries are addresses of entries whose document in force is compared with the platform's: the platform may
-	// show a document that another of the same revision has superseded. The list may be empty.
+	// Entries are the addresses of entries whose document in force is compared with the platform's. The two
+	// differ, for example, if two documents with the same revision were published: entries use the one with the
+	// greater digest, but the platform may show the other. The list may be empty.
 	Entries []netip.AddrPort
-	// SealingKey seals the documents.
+	// SealingKey is the private key that signs checked documents.
 	SealingKey ed25519.PrivateKey
-	// HTTPClient sends the requests to the platform and the entries.
+	// HTTPClient sends the console's requests to the platform and to the entries.
 	HTTPClient *http.Client
-	// Log receives an event for each sealed document and for each page that could not be written.
+	// Log receives an event for each sealed document and for each page whose response could not be written
+	// completely.
 	Log *zap.Logger
 }
 
-// Console serves the operators' forms. It is safe for concurrent use.
+// Console serves the web forms in which operators edit the configuration document. It is safe for concurrent use.
 type Console struct {
 	config Config
 	pages  *template.Template
@@ -59,7 +61,8 @@
 //go:embed pages.html
 var pages string
 
-// New returns a console. All fields of the configuration but Entries are required.
+// New returns a console. All fields of the configuration but Entries are required. The error says that the
+// embedded page template can't be parsed.
 func New(c Config) (*Console, error) {
 	t, err := template.New("pages").Parse(pages)
 	if err != nil {
@@ -68,8 +71,8 @@
 	return &Console{config: c, pages: t}, nil
 }
 
-// Handler returns the handler of the console's pages. It refuses posts from other origins, so that other web sites
-// can't submit a form through an operator's browser.
+// Handler returns the HTTP handler of the console's pages. It refuses posts that a page of another origin sent, so
+// that other web sites can't submit a form through an operator's browser.
 func (c *Console) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", c.handleForm)
@@ -78,8 +81,9 @@
 	return http.NewCrossOriginProtection().Handler(withSecurityHeaders(mux))
 }
 
-// withSecurityHeaders bounds request bodies, and sets headers that forbid pages to run scripts, to be shown in
-// frames of other pages and to be cached.
+// withSecurityHeaders returns a handler that calls next with the request body limited to maxFormBytes. It sets
+// response headers that tell the browser not to run scripts in a page, not to show it in a frame and not to cache
+// it.
 func withSecurityHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
@@ -91,28 +95,32 @@
 	})
 }
 
-// page holds the data of the page template.
+// page holds the data that the page template shows.
 type page struct {
-	// Revision and Base are the revision and the digest of the document that was in force when editing began.
+	// Revision and Base are the revision and digest of the document that was in force when the operator opened the
+	// form.
 	Revision uint64
 	Base     string
-	// Fields are the form fields of the edited document. The page has no form if there are none.
+	// Fields are the form fields of the edited document. If the list is empty, the page shows no form.
 	Fields []field
-	// Errors lists why the request failed or the document is invalid.
+	// Errors holds a line for each reason why the request failed or the edited document is invalid.
 	Errors []string
-	// IsValid is true if the document passed the check. Changes and Effects are shown only if it is true.
+	// IsValid is true if the edited document passed the check. Changes and Effects are shown only then.
 	IsValid bool
-	// Changes are the differences between the document in force and the edited one.
+	// Changes lists the values that differ between the document in force and the edited one.
 	Changes []change
-	// Effects describes in words what the changes do to running engines and to organisations.
+	// Effects holds a sentence for each effect of the changes on running engines and on organisations.
 	Effects []string
-	// Warning says that the document in force may have changed or is not known; empty for none.
+	// Warning says that the document in force is unknown, differs between the platform and an entry, or is not the
+	// one that the operator opened. It is empty if none of these was found.
 	Warning string
-	// SealedDocument is the document to publish, empty if it was not sealed.
+	// SealedDocument is the text of the sealed document, which the operator has to publish. It is empty unless the
+	// document was just sealed.
 	SealedDocument string
 }
 
-// fetchInForce fetches the document in force from the platform and checks it.
+// fetchInForce fetches the published document from the platform and checks it. It returns an error if the platform
+// does not respond with HTTP status 200 within platformTimeout or the document is invalid.
 func (c *Console) fetchInForce(ctx context.Context) (*validator.ValidDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -140,7 +148,8 @@
 	return accepted, nil
 }
 
-// render writes the page. It only logs errors, as the response has already begun.
+// render responds with an HTTP status and the page. It logs an error of the template or the connection, because
+// the response can no longer be changed then.
 func (c *Console) render(w http.ResponseWriter, status int, content page) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.WriteHeader(status)
@@ -149,7 +158,8 @@
 	}
 }
 
-// handleForm shows a form with the document in force.
+// handleForm responds with a form that contains the document in force, or with status 502 and the error if that
+// document can't be fetched.
 func (c *Console) handleForm(w http.ResponseWriter, r *http.Request) {
 	inForce, err := c.fetchInForce(r.Context())
 	if err != nil {
@@ -162,8 +172,8 @@
 	})
 }
 
-// mismatchWarning returns a warning if an entry has another document in force than the platform shows, else an empty
-// string. It skips entries that don't respond.
+// mismatchWarning returns a warning about the first entry whose document in force is not the shown version. It
+// returns an empty string if there is none. Entries that don't respond or have no document are skipped.
 func (c *Console) mismatchWarning(ctx context.Context, shown validator.DocumentVersion) string {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -183,22 +193,23 @@
 	return ""
 }
 
-// errorLines returns the lines of an error's message. An error that combines several has one line for each.
+// errorLines splits an error's message into lines. Joined errors have a line for each error.
 func errorLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
-// draft is an edited document, as posted by the form.
+// draft is a document that an operator has edited and posted by the form.
 type draft struct {
 	document validator.Document
-	// text is the document in YAML; empty before validate.
+	// text is the document encoded as YAML. It is set by validate.
 	text []byte
-	// baseDigest is the digest of the document in force when editing began.
+	// baseDigest is the digest of the document that was in force when the operator opened the form.
 	baseDigest string
-	// validationErr says why the form or the document is invalid, nil if no error was found.
+	// validationErr is the error of parsing the form's fields or of validate, nil if none was found.
 	validationErr error
 }
 
-// parseDraft parses a posted form. It returns an error if the form or its revision is malformed; invalid fields of the
-// document are in the draft's validationErr. The draft's revision is one greater than that of its base.
+// parseDraft parses a posted form into a draft whose revision is one greater than that of the document it was
+// edited from. It returns an error if the form or that revision is malformed. Other fields that can't be parsed
+// are reported by the draft's validationErr.
 func (c *Console) parseDraft(r *http.Request) (draft, error) {
 	if err := r.ParseForm(); err != nil {
 		return draft{}, fmt.Errorf("form: must be complete and at most %d bytes: %w", maxFormBytes, err)
@@ -214,7 +225,8 @@
 	return d, nil
 }
 
-// validate encodes the draft as YAML and checks it by validator.Parse, the same check that entries use.
+// validate sets text to the YAML of the document, and validationErr to the error of validator.Parse, the check
+// that entries apply too. It does nothing if validationErr is set already.
 func (d *draft) validate() {
 	if d.validationErr != nil {
 		return
@@ -228,7 +240,9 @@
 	_, d.validationErr = validator.Parse(text)
 }
 
-// handleEdit executes the action of the pressed button: it adds or removes a list item, or checks the document.
+// handleEdit handles the buttons that add or remove a list item and the one that checks the document. It responds
+// with a form of the changed document or, after a check, also with its errors or its differences from the document
+// in force.
 func (c *Console) handleEdit(w http.ResponseWriter, r *http.Request) {
 	d, err := c.parseDraft(r)
 	if err != nil {
@@ -258,8 +272,9 @@
 	c.render(w, http.StatusOK, result)
 }
 
-// addComparison sets the page's changes and effects from the draft and the document in force. It sets a warning if
-// the document in force can't be read, differs from that of an entry, or is no longer the draft's base.
+// addComparison sets the page's Changes and Effects by comparing the draft with the document in force. It sets a
+// Warning if the document in force can't be fetched, differs from that of an entry, or is not the one that the
+// draft was edited from.
 func (c *Console) addComparison(ctx context.Context, d draft, result *page) {
 	inForce, err := c.fetchInForce(ctx)
 	if err != nil {
@@ -274,11 +289,12 @@
 	result.Effects = describeEffects(inForce.Document, d.document)
 }
 
-// errNotValid is shown when an operator tries to seal an invalid document.
+// errNotValid is the error shown to an operator who tries to seal an invalid document.
 var errNotValid = errors.New("a document that does not pass the check can't be sealed")
 
-// handleSeal checks the draft and seals it. It shows the sealed document in a page, or sends the document as a
-// download if the button for that was pressed.
+// handleSeal checks the posted draft, seals it and logs the event sealed. It responds with a page that shows the
+// sealed document, with the document itself if the download button was pressed, or with status 422 and the errors
+// if the document is invalid.
 func (c *Console) handleSeal(w http.ResponseWriter, r *http.Request) {
 	d, err := c.parseDraft(r)
 	if err != nil {
--- a/console/difference.go
+++ b/console/difference.go
@@ -10,16 +10,17 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// change is a value that differs between two documents.
+// change is a value of the document that differs between two documents.
 type change struct {
-	// Path names the value, such as Engines[engine-1].Role.
+	// Path identifies the value within the document, such as Engines[engine-1].Role.
 	Path string
-	// Old and New are the formatted values. Each is empty if its document does not have the value.
+	// Old and New are the value in the two documents, formatted by formatValue. One of them is empty if its
+	// document has no such value.
 	Old, New string
 }
 
-// listChanges returns the values that differ between two documents, sorted by path. List items are matched by their
-// names.
+// listChanges returns the values that differ between two documents, sorted by path. Items of lists are compared if
+// they have the same Name.
 func listChanges(old, updated validator.Document) []change {
 	oldValues, newValues := valuesByPath(old), valuesByPath(updated)
 	paths := maps.Clone(oldValues)
@@ -33,14 +34,16 @@
 	return changes
 }
 
-// valuesByPath maps the paths of all values of a document to the formatted values.
+// valuesByPath returns the values of a document, formatted by formatValue, with their paths as keys. Fields that
+// the form hides are left out.
 func valuesByPath(document validator.Document) map[string]string {
 	values := map[string]string{}
 	addValues(reflect.ValueOf(document), "", values)
 	return values
 }
 
-// addValues adds the values of the struct v at the given path to the map.
+// addValues adds the formatted values of the struct v to the map. Their paths start with path, the path of v in
+// the document.
 func addValues(v reflect.Value, path string, values map[string]string) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -61,16 +64,17 @@
 	}
 }
 
-// describeEffects returns a sentence for each effect that publishing the updated document has on running engines and on
-// organisations.
+// describeEffects returns a sentence for each effect that replacing the old document by the updated one has on
+// running engines and on organisations.
 func describeEffects(old, updated validator.Document) []string {
 	var effects []string
 	effects = append(effects, describeEngineEffects(old, updated)...)
 	return append(effects, describeOrganisationEffects(old, updated)...)
 }
 
-// describeEngineEffects returns the effects on engines of the old document, one for each engine that changes. New engines
-// have none.
+// describeEngineEffects returns a sentence for each engine of the old document that the updated one removes, or to
+// which it gives another model, version, adapters or role. Of several changes of an engine only the first in this
+// order is described.
 func describeEngineEffects(old, updated validator.Document) []string {
 	var effects []string
 	oldEngines := indexByName(old.Engines, func(e validator.Engine) string { return e.Name })
@@ -92,8 +96,8 @@
 	return effects
 }
 
-// describeModelUsers returns a phrase that names the organisations that may use a model, or their number if they are
-// more than three.
+// describeModelUsers returns a phrase such as "a, b may use" that names the organisations that may use a model. If
+// there are more than three, it gives their number instead.
 func describeModelUsers(document validator.Document, model string) string {
 	var users []string
 	for _, o := range document.Organisations {
@@ -111,7 +115,8 @@
 	return strings.Join(users, ", ") + " may use"
 }
 
-// describeOrganisationEffects returns what organisations of the old document lose: all access, a model, or their old key.
+// describeOrganisationEffects returns a sentence for each organisation that the updated document removes, for each
+// model that an organisation may no longer use, and for each organisation whose API key changes.
 func describeOrganisationEffects(old, updated validator.Document) []string {
 	var effects []string
 	oldOrganisations := indexByName(old.Organisations, func(o validator.Organisation) string { return o.Name })
@@ -134,7 +139,7 @@
 	return effects
 }
 
-// indexByName returns the items by their names.
+// indexByName returns a map of the items, keyed by the name that nameOf returns for each.
 func indexByName[T any](items []T, nameOf func(T) string) map[string]T {
 	byName := make(map[string]T, len(items))
 	for _, item := range items {
--- a/console/form.go
+++ b/console/form.go
@@ -13,36 +13,38 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxListItems bounds the number of items of a list, so that a posted form can't cause a huge allocation.
+// maxListItems is the maximum number of items of a list in a posted form, so that a form can't cause a huge
+// allocation.
 const maxListItems = 10_000
 
-// countSuffix is added to a list's path to name the hidden field that holds the list's length.
+// countSuffix follows a list's path in the name of the hidden input that holds the number of items.
 const countSuffix = ".#"
 
-// field is an input of the form, or the heading of a group, a list or a list item.
+// field describes an input of the form, or a heading: that of a struct, of a list or of an item of a list.
 type field struct {
-	// Path is the name of the field in the form, such as Engines.2.Role. List items are numbered from 0.
+	// Path is the name of the input in the form, such as Engines.2.Role. List items are numbered from 0.
 	Path string
-	// Label is the last element of the path; for a list item, the name of the list and the number from 1.
+	// Label is the text shown beside the input: the last element of Path or, for a list item, the name of the list
+	// and the item's number from 1.
 	Label string
-	// Value is empty for headings.
+	// Value is the formatted value of an input; empty for headings.
 	Value string
-	// Kind is text or bool for inputs, and group, list or item for headings.
+	// Kind is "text" or "bool" for inputs, and "group" (a struct), "list" or "item" for headings.
 	Kind string
-	// Count is the number of items of a list, and 0 for other kinds.
+	// Count is the number of items if Kind is "list", otherwise 0.
 	Count int
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// formFields returns the form fields of a document, in the order of its struct fields.
+// formFields returns the form's inputs and headings for a document, in the order of its struct fields.
 func formFields(document validator.Document) []field {
 	var fields []field
 	appendStructFields(reflect.ValueOf(document), "", &fields)
 	return fields
 }
 
-// appendStructFields appends the form fields of a struct at the given path.
+// appendStructFields appends the inputs and headings of the struct v, whose path in the document is given.
 func appendStructFields(v reflect.Value, path string, fields *[]field) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -53,18 +55,20 @@
 	}
 }
 
-// isHidden reports whether a top-level field of the document is left out of the form: operators can't edit it.
+// isHidden reports whether the form leaves out the top-level field of this name, because operators must not edit
+// it.
 func isHidden(name string) bool {
 	return slices.Contains([]string{"Revision", "Base", "Seal"}, name)
 }
 
-// joinPath returns the path of a field of the struct at path; the document's own path is empty.
+// joinPath returns the path of the field with the given name in the struct at path. The path of the document is
+// empty.
 func joinPath(path, name string) string {
 	return strings.TrimPrefix(path+"."+name, ".")
 }
 
-// appendField appends the form fields of a value: one for a simple value, a heading and the nested fields for a
-// struct or a list of structs.
+// appendField appends the form fields of the value v: an input for a simple value or a list of strings, or a
+// heading and all nested fields for a struct or a list of structs.
 func appendField(v reflect.Value, path, label string, fields *[]field) {
 	switch {
 	case v.Kind() == reflect.Struct:
@@ -84,7 +88,8 @@
 	}
 }
 
-// formatValue formats a simple value as in the form. Lists of strings are separated by commas.
+// formatValue returns a simple value or a list of strings as the form shows it. Strings of a list are separated by
+// commas.
 func formatValue(v reflect.Value) string {
 	switch {
 	case v.Type() == durationType:
@@ -95,7 +100,8 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// parseDocument builds a document from a posted form. Its error names each field that can't be parsed.
+// parseDocument returns the document that a posted form contains. The error is decoder.FieldErrors with all fields
+// that can't be parsed; the other fields of the document are set nevertheless.
 func parseDocument(form url.Values) (validator.Document, error) {
 	var document validator.Document
 	var fieldErrors decoder.FieldErrors
@@ -103,8 +109,8 @@
 	return document, fieldErrors.Err()
 }
 
-// setStructFields sets the fields of the struct v at the given path from the form, and adds an error to fieldErrors for
-// each value that can't be parsed.
+// setStructFields sets the fields of the struct v, whose path in the document is given, from the form. It adds an
+// error to fieldErrors for each value that can't be parsed.
 func setStructFields(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -115,8 +121,8 @@
 	}
 }
 
-// setField sets v from the form field at the given path. A value that can't be parsed adds an error that names the
-// path.
+// setField sets v from the form field with the given path. It adds an error to fieldErrors if the value, or one
+// nested in it, can't be parsed.
 func setField(v reflect.Value, path string, form url.Values, fieldErrors *decoder.FieldErrors) {
 	text := strings.TrimSpace(form.Get(path))
 	switch {
@@ -151,7 +157,7 @@
 	}
 }
 
-// splitList splits a list of strings at commas. Spaces around items and empty items are dropped.
+// splitList splits a text at commas. It removes spaces around items, and drops empty items.
 func splitList(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
@@ -162,8 +168,8 @@
 	return items
 }
 
-// restoreInput sets text fields to the operator's input, so that input that can't be parsed is shown again for
-// correction.
+// restoreInput sets the values of text inputs to what the operator entered and returns the fields. The page then
+// shows input that can't be parsed, so that the operator can correct it.
 func restoreInput(fields []field, form url.Values) []field {
 	for i, formField := range fields {
 		if formField.Kind == "text" && form.Has(formField.Path) {
@@ -173,8 +179,8 @@
 	return fields
 }
 
-// applyAction adds an empty item to a list of the document or removes an item. The action is the value of the pressed
-// button, such as add:Engines or remove:Engines.2.
+// applyAction adds an empty item to a list of the document or removes an item. The action is the value of the
+// pressed button, such as add:Engines or remove:Engines.2. The error is a decoder.FieldError.
 func applyAction(document *validator.Document, action string) error {
 	verb, path, _ := strings.Cut(action, ":")
 	list, index, err := findList(reflect.ValueOf(document).Elem(), path)
@@ -198,8 +204,9 @@
 	return nil
 }
 
-// findList returns the list of structs that the path leads to. If the path ends in the index of an item, findList also
-// returns the index, which may be out of range; otherwise the returned index is -1.
+// findList returns the list of structs at the given path below v. If the path ends with an item's number, findList
+// also returns that number, which may be out of range; otherwise it returns -1. The error is a decoder.FieldError
+// for a path that leads to no such list.
 func findList(v reflect.Value, path string) (reflect.Value, int, error) {
 	notFound := decoder.FieldError{Field: path, Value: "", Requirement: "a list of the document"}
 	index := -1
