--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,7 @@
-// Package client sends requests to entries on behalf of a caller. It asks entries for the addresses to use, caches
-// them for as long as the entries allow and connects to them directly. It retries failed requests where that is safe,
-// and checks that responses are complete.
+// Package client sends requests to entries on behalf of a caller. It asks entries for the addresses of the entries
+// to use, caches them for as long as the response permits, and sends requests directly to one of them. It retries
+// failed requests where that can't run a request twice against the caller's will, and checks that responses are
+// complete.
 package client
 
 import (
@@ -24,33 +25,35 @@
 )
 
 const (
-	// addressesTimeout bounds the request for addresses to one entry.
+	// addressesTimeout is the time limit of a request to one entry for addresses.
 	addressesTimeout = 2 * time.Second
-	// maxEventBytes bounds the size of a server-sent event, and of the body of an error response.
+	// maxEventBytes is the maximum size of a server-sent event, and of the body of an error response.
 	maxEventBytes = 1 << 20
-	// maxResponseBytes bounds the size of a response that is not streamed.
+	// maxResponseBytes is the maximum size of a response that is not streamed. The rest of a larger one is not
+	// read.
 	maxResponseBytes = 64 << 20
 )
 
 // Config configures a Client.
 type Config struct {
-	// Seeds are the addresses of entries that the client asks for the addresses to use.
+	// Seeds are the addresses of entries that the client asks first for the addresses of the entries to use.
 	Seeds []netip.AddrPort
-	// SeedsOnly makes the client send requests to the seeds themselves, without asking for addresses.
+	// SeedsOnly makes the client use the seeds themselves, without asking them for addresses.
 	SeedsOnly bool
-	// APIKey identifies the caller's organisation. The client sends it as bearer token.
+	// APIKey identifies the caller's organisation. It is sent as bearer token.
 	APIKey string
 	// DataCentre is the data centre whose entries the client prefers; empty means no preference.
 	DataCentre string
 	// HTTPClient sends the requests; nil means a client with default settings and no time limit of its own.
 	HTTPClient *http.Client
-	// MaxTries is the maximum number of times that a request is sent; 0 means 1.
+	// MaxTries is the maximum number of times that a request is sent, including the first; 0 means 1.
 	MaxTries int
 }
 
-// EntryError is an error that an entry reported for a request, in an error response or in the response stream.
+// EntryError is the error for a request that an entry refused or reported as failed, in an error response or
+// within a response stream.
 type EntryError struct {
-	// Detail is the error as the entry sent it. It includes the outcome: whether the request ran.
+	// Detail is the error as the entry sent it. Its Outcome says whether the request ran.
 	Detail api.ErrorDetail
 	// Entry is the address of the entry that reported the error.
 	Entry netip.AddrPort
@@ -60,7 +63,8 @@
 	return fmt.Sprintf("%s (%s): %s", e.Detail.Code, e.Detail.Outcome, e.Detail.Message)
 }
 
-// errNoEntries is returned if no seed is configured or the list of addresses from an entry is empty.
+// errNoEntries is the error of Addresses if there are no seeds to ask, or if the last entry asked returned an
+// empty list.
 var errNoEntries = errors.New("no entry returned addresses of entries")
 
 // Client sends requests to entries. It is safe for concurrent use.
@@ -70,16 +74,16 @@
 
 	// lock guards all fields below.
 	lock sync.Mutex
-	// cachedEntries is the list that an entry returned last.
+	// cachedEntries is the list of entries that was fetched last; empty if none was.
 	cachedEntries []api.EntryAddress
-	// cacheExpiry is the time at which cachedEntries become invalid.
+	// cacheExpiry is the time from which cachedEntries must be fetched again before use.
 	cacheExpiry time.Time
-	// avoidedEntries holds entries that did not respond, are shutting down or are not ready. It is cleared when
-	// addresses are fetched, which never happens with SeedsOnly.
+	// avoidedEntries is the set of entries that could not be reached, or responded that they are shutting down or
+	// not ready. It is emptied when addresses are fetched, and so never with SeedsOnly.
 	avoidedEntries map[netip.AddrPort]bool
 }
 
-// New returns a client. It sends no requests yet.
+// New returns a client. It sends no request.
 func New(c Config) *Client {
 	if c.HTTPClient == nil {
 		c.HTTPClient = &http.Client{}
@@ -87,9 +91,9 @@
 	return &Client{config: c, avoidedEntries: map[netip.AddrPort]bool{}}
 }
 
-// Addresses returns the entries to use. It returns the cached list until that expires, and then asks entries for a new
-// one: first the seeds in random order, then the entries of the cached list. It returns an error if none of these
-// entries returns addresses.
+// Addresses returns the entries to use: with SeedsOnly the seeds, otherwise the cached list. If that has expired,
+// Addresses fetches a new list from the first entry that returns one: it asks the seeds in random order and then
+// the entries of the expired list. It returns the last error if none of them returns a list.
 func (c *Client) Addresses(ctx context.Context) ([]api.EntryAddress, error) {
 	if c.config.SeedsOnly {
 		return c.seedEntries(), nil
@@ -119,7 +123,7 @@
 	return nil, fmt.Errorf("fetch addresses: %w", lastErr)
 }
 
-// seedEntries returns the seeds as entries without name and data centre.
+// seedEntries returns the seeds as entries with an address but without a name and a data centre.
 func (c *Client) seedEntries() []api.EntryAddress {
 	entries := make([]api.EntryAddress, len(c.config.Seeds))
 	for i, address := range c.config.Seeds {
@@ -128,7 +132,8 @@
 	return entries
 }
 
-// fetchAddresses asks the entry at the given address for the addresses to use. An empty list is an error.
+// fetchAddresses requests the list of entries to use from the entry at the given address. It returns errNoEntries
+// for an empty list.
 func (c *Client) fetchAddresses(ctx context.Context, address netip.AddrPort) (api.Addresses, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressesTimeout)
 	defer cancel()
@@ -151,8 +156,8 @@
 	return addresses, nil
 }
 
-// pickEntry returns the address of a random entry in the preferred data centre, or in any data centre if the preferred
-// one has no usable entry. It returns an avoided entry only if all entries are avoided.
+// pickEntry returns the address of a random entry. It prefers entries that are not in avoidedEntries and, among
+// the rest, those in the preferred data centre. It returns an error only if Addresses does.
 func (c *Client) pickEntry(ctx context.Context) (netip.AddrPort, error) {
 	entries, err := c.Addresses(ctx)
 	if err != nil {
@@ -171,7 +176,7 @@
 	return usable[rand.IntN(len(usable))].Address, nil
 }
 
-// avoidEntry marks an entry as avoided until the addresses are fetched again.
+// avoidEntry adds an entry to avoidedEntries.
 func (c *Client) avoidEntry(address netip.AddrPort) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -180,37 +185,40 @@
 
 // Options holds the options of a request.
 type Options struct {
-	// Timeout is the time limit of the request including retries. If it is 0, the configuration of the entries
-	// limits each try.
+	// Timeout is the time limit of the request including retries. If it is 0, there is none for the retries
+	// together, and each try has the default time limit of the entries' configuration.
 	Timeout time.Duration
-	// AtMostOnce prevents a request from running twice: the client obtains a ticket for it unless Ticket is set.
+	// AtMostOnce makes sure that the request runs at most once, however often it is sent. If Ticket is empty, the
+	// client first obtains a ticket from an entry.
 	AtMostOnce bool
-	// Ticket is the ticket of an earlier try of the same request, to send that request again; empty for none. A ticket
-	// can be used for one request only.
+	// Ticket is the ticket with which the same request was sent before, to send that request again; empty for
+	// none. A ticket must not be used for different requests.
 	Ticket string
 }
 
-// Result is the response to a request. If the request failed, Text and Elapsed are zero, and Tokens is the number of
-// tokens received of a streamed response.
+// Result is the response to a request. If the request failed, Text and Elapsed are zero, and Tokens is the number
+// of tokens that the last try received in a stream.
 type Result struct {
-	// Text is the text of a completion, or the response body of a call.
+	// Text is the text of a completion, or the response body of a call to a service.
 	Text string
-	// Tokens is the number of tokens of a completion; 0 for calls.
+	// Tokens is the number of tokens of a completion; 0 for calls to services.
 	Tokens int
-	// TimeToFirstToken is the time from sending the last try to its first chunk. It is 0 if the response was not
-	// streamed or had no chunk.
+	// TimeToFirstToken is the time from sending the last try until its first chunk arrived. It is 0 if the
+	// response was not streamed or no chunk arrived.
 	TimeToFirstToken time.Duration
-	// Elapsed is the time from sending the last try to the end of its response.
+	// Elapsed is the time from sending the last try until its response was complete.
 	Elapsed time.Duration
-	// Entry is the address of the entry that the last try was sent to.
+	// Entry is the address of the entry that was picked for the last try.
 	Entry netip.AddrPort
-	// Tries is the number of times that the request was sent, including a last try that found no entry to send to.
+	// Tries is the number of tries, including a last one that failed before the request was sent.
 	Tries int
-	// Ticket is the ticket of the request, empty if it has none. The request can be sent again with it.
+	// Ticket is the ticket of the request, empty if it has none. Options.Ticket takes it to send the request
+	// again.
 	Ticket string
 }
 
-// RequestTicket asks an entry to issue a ticket for a request that may run at most once.
+// RequestTicket obtains a ticket from an entry. A request that is sent with the ticket, even repeatedly, runs at
+// most once.
 func (c *Client) RequestTicket(ctx context.Context) (string, error) {
 	entry, err := c.pickEntry(ctx)
 	if err != nil {
@@ -228,9 +236,9 @@
 	return ticket.Ticket, nil
 }
 
-// post sends a POST request to an entry and returns a response with status 200, whose body the caller has to close. It
-// returns an EntryError if the entry reports an error. It marks the entry as avoided if the entry can't be reached, is
-// shutting down or is not ready.
+// post sends a POST request to an entry and returns a response with status 200, whose body must be closed. It
+// returns an EntryError if the entry reports an error. It adds the entry to avoidedEntries if no response arrives,
+// or if the entry reports that it is shutting down or not ready.
 func (c *Client) post(ctx context.Context, entry netip.AddrPort, path string, body []byte, o Options) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.String()+path, bytes.NewReader(body))
 	if err != nil {
@@ -265,10 +273,11 @@
 	return nil, &EntryError{Detail: apiError.Error, Entry: entry}
 }
 
-// Complete sends a prompt and returns the complete response. If the response is streamed, onText is called with the
-// text of each chunk; it may be nil. The error is an EntryError if an entry refused the request or reported its
-// failure, and a TruncatedError if the response was incomplete. The result's number of tries and ticket are set in
-// any case.
+// Complete sends a prompt, with retries, and returns the complete response. If the response is streamed, onText,
+// unless nil, is called with the text of each chunk in order; a retry starts again with the first chunk. The error
+// wraps an EntryError if an entry refused the request or reported its failure, and is a TruncatedError if the
+// response was incomplete. Tries and Ticket of the result are set also on errors, except if the request can't be
+// encoded.
 func (c *Client) Complete(ctx context.Context, r api.CompletionRequest, o Options, onText func(string)) (Result, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -279,8 +288,8 @@
 	})
 }
 
-// Call sends a call to a service and returns its response. The error is an EntryError if an entry refused the call or
-// reported its failure.
+// Call sends a call to a service, with retries, and returns its response. The error wraps an EntryError if an
+// entry refused the call or reported its failure.
 func (c *Client) Call(ctx context.Context, service, call string, body []byte, o Options) (Result, error) {
 	path := api.PathServices + service + "/" + call
 	return c.sendWithRetries(ctx, o, func(ctx context.Context, entry netip.AddrPort, o Options) (Result, error) {
@@ -298,8 +307,9 @@
 	})
 }
 
-// sendWithRetries sends a request until it succeeds, MaxTries is reached, the time limit passes or the error does not
-// permit a retry. A request that may have run is sent again only with its ticket, which keeps it from running twice.
+// sendWithRetries calls sendOnce with a random entry until it succeeds. It stops with the last error after
+// MaxTries, when ctx is done or o.Timeout has passed, if no address is known, if the error permits no retry (see
+// retryDelay), or if the retry has no ticket and the retry budget is used up.
 func (c *Client) sendWithRetries(ctx context.Context, o Options, sendOnce func(context.Context, netip.AddrPort, Options) (Result, error)) (Result, error) {
 	if o.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -327,8 +337,8 @@
 			return result, err
 		}
 		delay, isRetryable := retryDelay(err, o)
-		// A resend with a ticket asks for the response of one request; any other retry is additional load, which
-		// the budget limits.
+		// Sending a request again with its ticket does not run it again. A retry without a ticket is additional
+		// load, which the budget limits.
 		isRetryable = isRetryable && (o.Ticket != "" || c.budget.tryRetry())
 		if !isRetryable || !sleeper.Sleep(ctx, delay) {
 			return result, err
@@ -336,12 +346,13 @@
 	}
 }
 
-// connectionRetryDelay is the delay before a retry after a failed connection or an incomplete response, for which no
-// entry stated a delay.
+// connectionRetryDelay is the delay before a retry after an error that no entry reported, such as a failed
+// connection or an incomplete response.
 const connectionRetryDelay = 50 * time.Millisecond
 
-// retryDelay returns the delay before a retry, and whether the error permits a retry at all. A request that may have
-// run is retried only if it has a ticket.
+// retryDelay returns the delay before a retry, and whether the error permits a retry. An EntryError permits one if
+// it states a delay and either the request did not run or it has a ticket. Any other error permits one only if the
+// request has a ticket, since the request may have run.
 func retryDelay(err error, o Options) (time.Duration, bool) {
 	var entryErr *EntryError
 	if !errors.As(err, &entryErr) {
@@ -355,15 +366,16 @@
 	return time.Duration(detail.RetryAfterSeconds * float64(time.Second)), true
 }
 
-// TruncatedError is the error for a response that ended early, or whose chunks have gaps or a wrong token count. Tokens
-// is the number of tokens received.
+// TruncatedError is the error for a response that ended early, or whose chunks are not consecutive or don't add up
+// to the stated number of tokens. Tokens is the number of tokens received until then.
 type TruncatedError struct{ Tokens int }
 
 func (e TruncatedError) Error() string {
 	return fmt.Sprintf("response was incomplete: received %d tokens", e.Tokens)
 }
 
-// sendCompletion sends a prompt to the given entry once and reads the response.
+// sendCompletion sends the encoded completion request to an entry once and reads the response, as a stream if
+// stream is set.
 func (c *Client) sendCompletion(ctx context.Context, entry netip.AddrPort, body []byte, stream bool, o Options, onText func(string)) (Result, error) {
 	start := time.Now()
 	response, err := c.post(ctx, entry, api.PathCompletions, body, o)
@@ -386,8 +398,10 @@
 	return readStream(start, entry, response.Body, onText)
 }
 
-// readStream reads a streamed response that was requested at the time start. The response is only complete if its
-// chunks are consecutive, the last one has the right token count, and the end marker follows.
+// readStream reads the stream of a response to a request that was sent at the time start. The response is complete
+// if its chunks are consecutive, the last chunk states the number of tokens received, and the end marker follows.
+// Otherwise the error is a TruncatedError, an EntryError that the entry sent in the stream, or an error of reading
+// or decoding.
 func readStream(start time.Time, entry netip.AddrPort, body io.Reader, onText func(string)) (Result, error) {
 	var result Result
 	var text strings.Builder
