--- a/validator/check.go
+++ b/validator/check.go
@@ -12,7 +12,8 @@
 
 // Bounds of the values of single fields.
 const (
-	// maxNameLength is in bytes.
+	// maxNameLength is the maximum length of a name in bytes. maxTokens bounds
+	// every number of tokens and, in tokens per second, PrefillRate.
 	maxNameLength   = 64
 	maxTokens       = 100_000_000
 	maxGroupSize    = 64
@@ -25,9 +26,9 @@
 // roles lists the valid roles of an engine.
 var roles = []string{RoleMixed, RoleShort, RoleLong, RolePrefill, RoleDecode}
 
-// Parse decodes and checks a document. The error wraps decoder.FieldErrors with
-// all invalid fields if the document could be decoded, and otherwise a
-// decoder.TooLargeError or an error of the YAML decoder.
+// Parse decodes a document from YAML and checks it. The error wraps
+// decoder.FieldErrors with all invalid fields if the document could be decoded,
+// and otherwise a decoder.TooLargeError or an error of the YAML decoder.
 func Parse(data []byte) (*ValidDocument, error) {
 	var d Document
 	if err := decoder.Decode(data, MaxDocumentSize, &d); err != nil {
@@ -43,12 +44,13 @@
 // checker collects the invalid fields of a document.
 type checker struct {
 	fieldErrors decoder.FieldErrors
-	// models holds the models of the document by name; checkModels fills it.
+	// models holds the models of the document by name. checkModels fills it;
+	// the later checks use it.
 	models map[string]Model
 }
 
 // check returns decoder.FieldErrors with all invalid fields of a document, or
-// nil if all fields are valid.
+// nil if there are none.
 func check(d Document) error {
 	c := &checker{models: map[string]Model{}}
 	c.fieldErrors.Require(d.Revision >= 1, "Revision", d.Revision, "at least 1")
@@ -73,8 +75,8 @@
 	return err == nil && len(raw) == 32 && strings.ToLower(text) == text
 }
 
-// checkName checks that a name is valid and not in seen, and adds the name to
-// seen. Field is the path of the field with the name.
+// checkName adds a field error if a name is invalid or already in seen, and
+// adds the name to seen. Field is the path of the name in the document.
 func (c *checker) checkName(field, name string, seen map[string]bool) {
 	valid := name != "" && len(name) <= maxNameLength && !strings.ContainsFunc(name, isInvalidNameRune)
 	c.fieldErrors.Require(valid, field, name, "1 to 64 of letters, digits, '-', '_', '.'")
@@ -82,7 +84,7 @@
 	seen[name] = true
 }
 
-// isInvalidNameRune reports whether a name must not contain r.
+// isInvalidNameRune reports whether r is not allowed in a name.
 func isInvalidNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
@@ -91,7 +93,8 @@
 	return !strings.ContainsRune("-_.", r)
 }
 
-// checkRange checks that a value is between low and high, both inclusive.
+// checkRange adds a field error unless a value is between low and high, both
+// inclusive.
 func (c *checker) checkRange(field string, value, low, high int) {
 	c.fieldErrors.Require(value >= low && value <= high, field, value, fmt.Sprintf("%d to %d", low, high))
 }
@@ -188,9 +191,10 @@
 	c.fieldErrors.Require(p.ShortWeight == 0 || inRange, "Policy.ShortWeight", p.ShortWeight, fmt.Sprintf("0, or %d to %d", minShortWeight, maxShortWeight))
 }
 
-// checkAcrossSections checks the limits and the models against the engines: for
-// each model, a group of at most MaxGroup engines must hold the longest prompt,
-// and an engine must serve each version of the model.
+// checkAcrossSections checks fields that depend on the engines. MaxGroup must
+// not exceed the number of engines. Each model must have an engine, and enough
+// memory for a prompt of MaxPromptTokens on its MaxGroup largest engines
+// together. Each version of a model must have an engine.
 func (c *checker) checkAcrossSections(d Document) {
 	memoryTokens := map[string][]int{}
 	for _, e := range d.Engines {
@@ -216,7 +220,8 @@
 	c.checkVersionsServed(d)
 }
 
-// checkVersionsServed checks that an engine serves each version of each model.
+// checkVersionsServed adds a field error for each version of a model that no
+// engine serves.
 func (c *checker) checkVersionsServed(d Document) {
 	served := map[[2]string]bool{}
 	for _, e := range d.Engines {
--- a/validator/document.go
+++ b/validator/document.go
@@ -14,13 +14,16 @@
 // service stores values up to this size.
 const MaxDocumentSize = 1 << 20
 
-// Document is the configuration of all entries. It states which organisations
-// may use which models and services, and how each engine and service is used.
+// Document is the configuration that all entries share. It states which
+// organisations may use which models and services, and how each engine and
+// service is used.
 type Document struct {
-	// Revision is at least 1. Each publication raises it by one.
+	// Revision is at least 1. The console makes it one greater than that of the
+	// document that was edited. Entries replace a document only by one with a
+	// greater DocumentVersion.
 	Revision uint64 `yaml:"Revision"`
-	// Base is the digest of the document that this one was edited from; empty
-	// for the first document.
+	// Base is the SHA-256 digest, in lower-case hex, of the document that this
+	// one was edited from; empty for the first document.
 	Base          string         `yaml:"Base,omitempty"`
 	Models        []Model        `yaml:"Models"`
 	Organisations []Organisation `yaml:"Organisations"`
@@ -28,29 +31,30 @@
 	Services      []Service      `yaml:"Services"`
 	Limits        Limits         `yaml:"Limits"`
 	Policy        PriorityPolicy `yaml:"Policy"`
-	// Seal is the signature that the console appends to a document that it has
-	// checked; empty if the document is not signed. See package sealer.
+	// Seal is the signature that the console adds to a document that passed its
+	// check; empty if the document is not sealed. See package sealer.
 	Seal string `yaml:"Seal,omitempty"`
 }
 
 // Model is a model that engines can load.
 type Model struct {
 	Name string `yaml:"Name"`
-	// Versions and Adapters name the versions and adapters of the model that
-	// engines may load. An engine serves one version at a time. At least one
-	// version is required.
+	// Versions and Adapters are the names of the versions and adapters that
+	// engines may load. At least one version is required. An engine serves one
+	// version at a time.
 	Versions []string `yaml:"Versions"`
 	Adapters []string `yaml:"Adapters,omitempty"`
 }
 
-// Organisation is a customer whose callers use models and services.
+// Organisation is a customer, whose callers may use certain models and
+// services.
 type Organisation struct {
 	Name string `yaml:"Name"`
-	// KeyDigest is the SHA-256 digest, in lower-case hex, of the bearer key that
-	// identifies the organisation. No document contains the key itself.
+	// KeyDigest is the SHA-256 digest, in lower-case hex, of the API key that
+	// identifies the organisation. The document never contains the key itself.
 	KeyDigest string `yaml:"KeyDigest"`
-	// Models and Services name the models and services that the organisation may
-	// use. At least one of either is required.
+	// Models and Services are the names of the models and services that the
+	// organisation may use. At least one model or service is required.
 	Models   []string `yaml:"Models"`
 	Services []string `yaml:"Services,omitempty"`
 	// MaxInFlight is the maximum number of the organisation's requests in flight
@@ -58,33 +62,36 @@
 	MaxInFlight int `yaml:"MaxInFlight"`
 }
 
-// Engine states what one engine serves, and its capacity. The address of the
-// engine comes from the instance list.
+// Engine states what one engine is to serve, and its capacity. The address of
+// the engine is in the instance list.
 type Engine struct {
 	// Name is the name of the engine in the instance list.
 	Name string `yaml:"Name"`
-	// Model, Version and Adapters name the model, the version and the adapters
-	// that the engine is to load.
+	// Model, Version and Adapters are the names of the model, the version and
+	// the adapters that the engine is to load.
 	Model    string   `yaml:"Model"`
 	Version  string   `yaml:"Version"`
 	Adapters []string `yaml:"Adapters,omitempty"`
 	// Role is one of the Role constants.
 	Role string `yaml:"Role"`
-	// MemoryTokens is the size of the engine's KV memory in tokens.
+	// MemoryTokens is the number of tokens whose KV cache fits in the engine's
+	// memory.
 	MemoryTokens int `yaml:"MemoryTokens"`
 	// PrefillRate is the number of prompt tokens that the engine prefills per
 	// second.
 	PrefillRate int `yaml:"PrefillRate"`
-	// ChecksFences is true if the engine refuses an order whose fencing number is
-	// not greater than that of every earlier order.
+	// ChecksFences is true if the engine refuses an order whose fencing number
+	// is not greater than that of every earlier order. An order
+	// (api.EngineOrder) tells the engine what to load and which role to serve.
 	ChecksFences bool `yaml:"ChecksFences"`
-	// ChecksOrders is true if the engine refuses an order of an issuer that it
-	// does not accept.
+	// ChecksOrders is true if the engine refuses an order whose issuer is not
+	// on the engine's own list of accepted issuers.
 	ChecksOrders bool `yaml:"ChecksOrders"`
 }
 
-// Roles of an engine: the kind of requests, or the phase of a request, that an
-// engine is ordered to serve. RoleMixed means all of them.
+// Roles of an engine: the kind of requests that it is to serve (short or long
+// prompts), or the phase of requests (prefill or decode). RoleMixed means all
+// of them.
 const (
 	RoleMixed   = "Mixed"
 	RoleShort   = "Short"
@@ -93,51 +100,57 @@
 	RoleDecode  = "Decode"
 )
 
-// Service is a back end other than an engine. Its instances answer calls.
+// Service is a kind of upstream other than an engine. Its instances answer
+// calls.
 type Service struct {
 	Name string `yaml:"Name"`
-	// Instances are the names, in the instance list, of the instances that run
-	// the service.
+	// Instances are the names of the instances that run the service, as in the
+	// instance list.
 	Instances []string `yaml:"Instances"`
-	// Calls are the operations of the service that callers may request.
+	// Calls are the operations that callers may request of the service.
 	Calls []Call `yaml:"Calls"`
 }
 
 // Call is one operation of a service.
 type Call struct {
 	Name string `yaml:"Name"`
-	// Repeatable is true if the call may run more than once for one request. If
-	// it is false, the call runs at most once.
+	// Repeatable is true if one request may run the call more than once, as
+	// retries can do. If it is false, the call runs at most once for a request.
 	Repeatable bool `yaml:"Repeatable"`
 }
 
 // Limits bounds the requests of callers.
 type Limits struct {
-	// MaxPromptTokens is the maximum length of a prompt, MaxNewTokens the maximum
-	// number of tokens generated for it.
+	// MaxPromptTokens is the maximum length of a prompt. MaxNewTokens is the
+	// maximum number of tokens that a request may ask to generate.
 	MaxPromptTokens int `yaml:"MaxPromptTokens"`
 	MaxNewTokens    int `yaml:"MaxNewTokens"`
-	// MaxTimeout is the maximum timeout of a request. DefaultTimeout applies to
-	// requests that state none; it is at most MaxTimeout.
+	// MaxTimeout is the maximum timeout that a request may set. DefaultTimeout
+	// is that of requests that set none; it is at most MaxTimeout.
 	MaxTimeout     time.Duration `yaml:"MaxTimeout"`
 	DefaultTimeout time.Duration `yaml:"DefaultTimeout"`
-	// MaxGroup is the maximum number of engines that hold one prompt together.
+	// MaxGroup is the maximum number of engines that may share one long prompt,
+	// each prefilling and holding a shard of it.
 	MaxGroup int `yaml:"MaxGroup"`
-	// MaxInFlight is the maximum number of requests in flight at one entry.
+	// MaxInFlight is the maximum number of requests in flight at one entry,
+	// over all organisations.
 	MaxInFlight int `yaml:"MaxInFlight"`
 }
 
-// PriorityPolicy sets the priority of prompts by length class. See router.LengthClass.
+// PriorityPolicy sets the priorities of requests at engines by the length class
+// of the prompt. See router.LengthClass.
 type PriorityPolicy struct {
-	// ShortTokens is the maximum length in tokens of a prompt in the short class.
+	// ShortTokens is the maximum length in tokens of a prompt of the short
+	// class.
 	ShortTokens int `yaml:"ShortTokens"`
-	// ShortWeight is the priority of the short class at engines; classes of
-	// longer prompts have lower priorities. It is 3 to 10, or 0 for no priorities:
-	// engines then run requests in the order of arrival.
+	// ShortWeight is the priority of prompts of the short class; those of
+	// longer classes have lower priorities. It is 3 to 10, or 0 for no
+	// priorities: engines then run requests in the order of arrival.
 	ShortWeight int `yaml:"ShortWeight"`
 }
 
-// Digest returns the SHA-256 digest of a document's bytes in lower-case hex.
+// Digest returns the SHA-256 digest of a document, as published, in lower-case
+// hex.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
@@ -146,25 +159,26 @@
 // shortDigestLength is the number of hex digits in a shortened digest: 64 bits.
 const shortDigestLength = 16
 
-// ShortenDigest returns the first 64 bits of a digest in hex. These are enough
-// for entries to detect that their documents differ. An entry then fetches the
-// whole document and checks its full digest.
+// ShortenDigest returns the first 64 bits of a digest in hex. They are enough
+// for an entry to detect that a peer's document differs from its own. It then
+// fetches the whole document and computes the full digest.
 func ShortenDigest(digest string) string {
 	return digest[:min(len(digest), shortDigestLength)]
 }
 
 // DocumentVersion identifies a document and defines a total order of documents.
 // The order depends on the documents alone, so all entries agree on which of
-// two is newer, whichever documents each has received.
+// two documents is newer, in whichever order they received them.
 type DocumentVersion struct {
-	// Revision is the revision stated in the document.
+	// Revision is the value of the document's field Revision.
 	Revision uint64
-	// Digest is the full digest of the document. Of two documents with the same
-	// revision, the one with the greater digest is newer.
+	// Digest is the full digest of the document (see Digest). Of two documents
+	// with the same revision, the one with the greater digest counts as newer.
 	Digest string
 }
 
-// Less reports whether the document of v is older than that of o.
+// Less reports whether the document with version v is older than the one with
+// version o.
 func (v DocumentVersion) Less(o DocumentVersion) bool {
 	if v.Revision != o.Revision {
 		return v.Revision < o.Revision
@@ -172,23 +186,23 @@
 	return v.Digest < o.Digest
 }
 
-// ValidDocument is a document that passed all checks, with indexes by name. It
-// must not be modified.
+// ValidDocument is a document that passed all checks of Parse, with indexes by
+// name. It must not be modified.
 type ValidDocument struct {
 	Document Document
-	// Version holds the revision of the document and the digest of Raw.
+	// Version is the revision of the document and the digest of Raw.
 	Version DocumentVersion
-	// Raw is the document as published, seal included.
+	// Raw is the text of the document as published, including the seal.
 	Raw []byte
 
-	// organisations is indexed by KeyDigest, the other maps by name.
+	// organisations has KeyDigest as key, the other maps have names as keys.
 	organisations map[string]*Organisation
 	engines       map[string]*Engine
 	models        map[string]*Model
 	services      map[string]*Service
 }
 
-// OrganisationByKey returns the organisation that a bearer key belongs to, and
+// OrganisationByKey returns the organisation that an API key identifies, and
 // whether there is one.
 func (v *ValidDocument) OrganisationByKey(key string) (*Organisation, bool) {
 	sum := sha256.Sum256([]byte(key))
@@ -196,26 +210,26 @@
 	return o, ok
 }
 
-// Engine returns the engine with a name, and whether there is one.
+// Engine returns the engine with the given name, and whether there is one.
 func (v *ValidDocument) Engine(name string) (*Engine, bool) {
 	e, ok := v.engines[name]
 	return e, ok
 }
 
-// Model returns the model with a name, and whether there is one.
+// Model returns the model with the given name, and whether there is one.
 func (v *ValidDocument) Model(name string) (*Model, bool) {
 	m, ok := v.models[name]
 	return m, ok
 }
 
-// Service returns the service with a name, and whether there is one.
+// Service returns the service with the given name, and whether there is one.
 func (v *ValidDocument) Service(name string) (*Service, bool) {
 	s, ok := v.services[name]
 	return s, ok
 }
 
-// IsRepeatable reports whether a call of the service may run more than once for
-// one request. Found is false if the service has no call of that name.
+// IsRepeatable reports whether one request may run the named call of the
+// service more than once. Found is false if the service has no such call.
 func (s *Service) IsRepeatable(call string) (repeatable, found bool) {
 	for _, c := range s.Calls {
 		if c.Name == call {
@@ -225,8 +239,8 @@
 	return false, false
 }
 
-// newValidDocument builds the indexes of a document that has been checked. Raw
-// is the document as published; it is copied.
+// newValidDocument returns a document with its indexes. The document must have
+// passed check. Raw is the text as published; it is copied.
 func newValidDocument(d Document, version DocumentVersion, raw []byte) *ValidDocument {
 	valid := &ValidDocument{
 		Document:      d,
