--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader reads the YAML file with the settings of an entry daemon, sets
-// defaults and checks the values.
+// Package loader reads the YAML file with the settings of an entry, sets
+// default values and checks all values.
 package loader
 
 import (
@@ -18,84 +18,93 @@
 
 // Settings holds the settings of one entry.
 type Settings struct {
-	// Name identifies the entry. It is unique among all entries.
+	// Name identifies the entry. It must be unique among all entries.
 	Name string `yaml:"Name"`
-	// DataCentre is the name of the data centre that the entry runs in.
+	// DataCentre is the name of the data centre that the entry is in.
 	DataCentre string `yaml:"DataCentre"`
-	// Address is the address announced to callers, PeerAddress the one announced
-	// to other entries.
+	// Address and PeerAddress are the addresses that the entry announces to
+	// callers and to other entries.
 	Address     netip.AddrPort `yaml:"Address"`
 	PeerAddress netip.AddrPort `yaml:"PeerAddress"`
-	// Listen and PeerListen are the addresses that the entry listens on for
+	// Listen and PeerListen are the addresses on which the entry listens for
 	// callers and for other entries. They default to Address and PeerAddress.
 	Listen     netip.AddrPort `yaml:"Listen"`
 	PeerListen netip.AddrPort `yaml:"PeerListen"`
-	// Platform is the address of the platform's configuration service and
-	// instance list.
+	// Platform is the address of the platform, which serves the configuration
+	// document and the instance list.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Peers are addresses of other entries to contact at the start, when the
-	// instance list is not known yet or is unavailable.
+	// Peers are the PeerAddresses of other entries to contact after the start,
+	// while the instance list has not been received yet or is unavailable.
 	Peers []netip.AddrPort `yaml:"Peers"`
 
-	// SealKeys are the public keys, in hex, of the consoles whose seals this
-	// entry accepts. If it is empty, documents need no seal.
+	// SealKeys are the Ed25519 public keys, in hex, with which the entry
+	// verifies the seals of documents. It refuses documents without a valid
+	// seal; if the list is empty, documents need none.
 	SealKeys []string     `yaml:"SealKeys"`
 	Log      Log          `yaml:"Log"`
 	Timing   Timing       `yaml:"Timing"`
 	Callers  CallerLimits `yaml:"Callers"`
 }
 
-// Log selects the lines that are logged.
+// Log selects the lines that the entry logs.
 type Log struct {
 	// Level is the lowest level that is logged: debug, info, warn or error.
 	Level string `yaml:"Level"`
-	// Layers names the layers that are logged, as in logger.Layers; empty means
-	// all.
+	// Layers lists the layers whose lines are logged, out of logger.Layers;
+	// empty means all.
 	Layers []string `yaml:"Layers"`
 }
 
 // Timing holds the periods and timeouts of an entry's background tasks and of
 // its requests to engines and to the platform.
 type Timing struct {
-	// Heartbeat is the time between two heartbeats to a neighbour.
+	// Heartbeat is the time between two rounds of heartbeats to other entries.
 	Heartbeat time.Duration `yaml:"Heartbeat"`
-	// Neighbours is the number of entries that each entry sends heartbeats to.
+	// Neighbours is the number of other entries that this entry sends a
+	// heartbeat to in each round.
 	Neighbours int `yaml:"Neighbours"`
-	// Suspect is the time without a heartbeat after which a neighbour counts as
-	// dead.
+	// Suspect is the time since the first unanswered heartbeat after which this
+	// entry declares the other entry dead.
 	Suspect time.Duration `yaml:"Suspect"`
-	// Poll is the period at which a keeper requests the load of its engines.
+	// Poll is the period at which this entry requests the load of the engines
+	// whose keeper it is, that is, whose memory it grants.
 	Poll time.Duration `yaml:"Poll"`
-	// List is the period at which a keeper lists the memory reservations (holds)
-	// at its engines.
+	// List is the period at which a keeper lists the holds (memory
+	// reservations) of its engines.
 	List time.Duration `yaml:"List"`
-	// Lease is the time without a renewal after which a hold counts as orphaned.
+	// Lease is the time since the last renewal of a hold after which the keeper
+	// treats it as orphaned and frees it. It is also the age beyond which a
+	// load report of an engine is too old for grants.
 	Lease time.Duration `yaml:"Lease"`
-	// Watch is how long a watch request to the platform waits for a change.
+	// Watch is how long the platform may delay its response to a watch request
+	// while there is no change.
 	Watch time.Duration `yaml:"Watch"`
-	// Silence is the maximum time between two chunks of an engine's stream. If it
-	// passes, the attempt is cancelled and the stream is resumed at another
-	// engine.
+	// Silence is the maximum time between two chunks of an engine's stream. The
+	// first chunk may take longer, by a multiple of the predicted prefill time.
+	// If the time passes, the attempt is cancelled and the stream is resumed at
+	// another engine.
 	Silence time.Duration `yaml:"Silence"`
 }
 
-// CallerLimits bounds the requests of callers and the time for which addresses
+// CallerLimits bounds the size of requests, and the time for which addresses
 // and tickets given to callers are valid.
 type CallerLimits struct {
-	// MaxBody is the maximum size of a request body in bytes.
+	// MaxBody is the maximum size in bytes of a request body, and of a
+	// service's response to a call.
 	MaxBody int64 `yaml:"MaxBody"`
-	// AddressLife is how long a caller may use the entry addresses that an entry
-	// returned.
+	// AddressLife is how long a caller may use the addresses of entries that an
+	// entry has returned.
 	AddressLife time.Duration `yaml:"AddressLife"`
-	// TicketLife is how long a ticket, which allows one request to run at most
-	// once, is valid.
+	// TicketLife is how long a ticket is valid. A request sent with a ticket
+	// runs at most once.
 	TicketLife time.Duration `yaml:"TicketLife"`
-	// DrainSlack is the minimum time for which an entry that shuts down still
-	// accepts connections after AddressLife has passed.
+	// DrainSlack is the time for which an entry that shuts down accepts
+	// connections in addition to AddressLife, for callers that use an address a
+	// little too long.
 	DrainSlack time.Duration `yaml:"DrainSlack"`
 }
 
-// Defaults returns the default settings. Fields without a default are zero.
+// Defaults returns the default settings. Fields that have no default are zero.
 func Defaults() Settings {
 	return Settings{
 		Log: Log{Level: "info"},
@@ -118,7 +127,8 @@
 	}
 }
 
-// Load reads and checks the settings file at path. See Parse for the errors.
+// Load reads the settings file at path and returns what Parse returns for its
+// content. The error is that of reading the file or of Parse.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -127,9 +137,9 @@
 	return Parse(data)
 }
 
-// Parse decodes and checks settings, with Defaults for the fields that data does
-// not set. The error for invalid values wraps decoder.FieldErrors with all
-// invalid fields.
+// Parse decodes settings from YAML and checks them. Fields that data does not
+// set have the values of Defaults. The error for invalid values wraps
+// decoder.FieldErrors with all invalid fields.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
 	if err := decoder.Decode(data, maxSettingsSize, &s); err != nil {
@@ -147,11 +157,11 @@
 	return s, nil
 }
 
-// logLevels lists the valid values of Log.Level.
+// logLevels lists the valid values of Log.Level, in ascending order.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// check returns decoder.FieldErrors with all invalid fields, or nil if all fields
-// are valid.
+// check returns decoder.FieldErrors with all invalid fields, or nil if there
+// are none.
 func (s Settings) check() error {
 	var fieldErrors decoder.FieldErrors
 	fieldErrors.Require(s.Name != "" && len(s.Name) <= 64 && !strings.ContainsAny(s.Name, " \t\n\"/=,."), "Name", s.Name, "1 to 64 characters without space, quote, '/', '=', ',' or '.'")
@@ -181,7 +191,7 @@
 	fieldErrors.Require(d >= low && d <= high, field, d, fmt.Sprintf("%s to %s", low, high))
 }
 
-// check adds the invalid fields of t to fieldErrors.
+// check adds an error to fieldErrors for each invalid field of t.
 func (t Timing) check(fieldErrors *decoder.FieldErrors) {
 	checkDuration(fieldErrors, "Timing.Heartbeat", t.Heartbeat, 10*time.Millisecond, time.Minute)
 	checkDuration(fieldErrors, "Timing.Suspect", t.Suspect, 2*t.Heartbeat, 10*time.Minute)
@@ -193,7 +203,7 @@
 	fieldErrors.Require(t.Neighbours >= 1 && t.Neighbours <= 64, "Timing.Neighbours", t.Neighbours, "1 to 64")
 }
 
-// check adds the invalid fields of c to fieldErrors.
+// check adds an error to fieldErrors for each invalid field of c.
 func (c CallerLimits) check(fieldErrors *decoder.FieldErrors) {
 	fieldErrors.Require(c.MaxBody >= 1<<10 && c.MaxBody <= 1<<30, "Callers.MaxBody", c.MaxBody, "1024 to 1073741824 bytes")
 	checkDuration(fieldErrors, "Callers.AddressLife", c.AddressLife, 100*time.Millisecond, time.Hour)
