--- a/sleeper/sleeper.go
+++ b/sleeper/sleeper.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep blocks for the duration d or until ctx is done. It returns false if ctx
-// was done first.
+// Sleep blocks for the duration d or until ctx is done. It returns true if d
+// has passed and false if ctx was done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
