--- a/meter/meter.go
+++ b/meter/meter.go
@@ -11,23 +11,24 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportPeriod is the interval at which the handler receives the collected
-// metrics. The values that it serves are at most this old.
+// reportPeriod is the interval at which collected values are passed to the
+// handler. The handler serves values that are at most this old.
 const reportPeriod = time.Second
 
 // Meter holds the root scope of a process's metrics and the handler that serves
-// these metrics.
+// them.
 type Meter struct {
-	// Scope is the root scope: metrics are registered on it or on its subscopes.
+	// Scope is the root scope. Metrics are registered in it or in its
+	// subscopes.
 	Scope tally.Scope
 	// Handler serves the metrics in the Prometheus text format.
 	Handler http.Handler
-	// closer stops the periodic reports of the scope.
+	// closer stops passing values from Scope to Handler.
 	closer io.Closer
 }
 
-// New returns a meter whose metric names start with "sapphireramp". The caller
-// must close the meter.
+// New returns a meter whose metric names start with "sapphireramp". Close must
+// be called when the meter is no longer used.
 func New() *Meter {
 	reporter := prometheus.NewReporter(prometheus.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -40,5 +41,5 @@
 	return &Meter{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close sends the last values to the handler and stops the meter.
+// Close passes the last values to the handler and stops the meter.
 func (m *Meter) Close() error { return m.closer.Close() }
