--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -1,6 +1,6 @@
-// Package admitter decides whether a request is admitted, and tracks the requests in flight. Each
-// admitted request has one owner, which must release it, so that an idle entry has no request in
-// flight. Each has a deadline on the monotonic clock.
+// Package admitter decides whether a request is admitted, and tracks the requests in flight: those
+// that were admitted and not yet released. Each admitted request must be released once, so that an
+// idle entry has none in flight.
 package admitter
 
 import (
@@ -11,72 +11,77 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Limits are the limits of admission, from the configuration document.
+// Limits are the limits on requests in the configuration document.
 type Limits struct {
-	// MaxInFlight bounds the number of requests in flight at this entry.
+	// MaxInFlight is the maximum number of requests in flight at this entry.
 	MaxInFlight int
-	// MaxTimeout bounds the timeout that a caller can set. DefaultTimeout applies if the caller
-	// sets none.
+	// MaxTimeout is the maximum timeout that a caller may set. DefaultTimeout is that of a request
+	// for which the caller set none.
 	MaxTimeout     time.Duration
 	DefaultTimeout time.Duration
 }
 
-// Request describes a request to admit.
+// Request describes a request that is to be admitted.
 type Request struct {
 	ID           string
 	Organisation string
-	// OrganisationLimit bounds the number of the organisation's requests in flight at this entry.
+	// OrganisationLimit is the maximum number of the organisation's requests in flight at this
+	// entry.
 	OrganisationLimit int
-	// Timeout is the timeout that the caller set. HasTimeout is false if it set none.
+	// Timeout is the timeout that the caller set. HasTimeout is false if the caller set none.
 	Timeout    time.Duration
 	HasTimeout bool
 }
 
-// Refusal is the error for a request that was not admitted and so did not run.
+// Refusal is the error for a request that was not admitted, and so did not run.
 type Refusal struct {
-	// Code is an error code of package api.
+	// Code is one of the error codes of package api.
 	Code string
-	// Message says why the request was refused, for the caller.
+	// Message tells the caller why the request was refused.
 	Message string
-	// RetryAfter is the time after which the caller should retry, 0 if a retry would not help.
+	// RetryAfter is the time for which the caller should wait before a retry. It is 0 if the same
+	// request would be refused again.
 	RetryAfter time.Duration
 }
 
 func (r *Refusal) Error() string { return r.Code + ": " + r.Message }
 
-// minRetryAfter and maxRetryAfter bound the random time after which a refused caller should retry.
+// minRetryAfter and maxRetryAfter bound the random time that RetryAfter returns.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
 
-// Admitter tracks the requests in flight. It is not safe for concurrent use.
+// Admitter tracks the requests in flight at this entry. It is not safe for concurrent use.
 type Admitter struct {
 	random *rand.Rand
-	// inFlight maps request IDs to the requests in flight.
+	// inFlight holds the requests in flight by ID.
 	inFlight map[string]inFlightRequest
-	// perOrganisation counts the requests in flight by organisation. No count is zero.
+	// perOrganisation holds the number of requests in flight by organisation. An organisation
+	// without any has no element.
 	perOrganisation map[string]int
 }
 
-// inFlightRequest is a request that was admitted and not yet released.
+// inFlightRequest is a request that was admitted and has not been released.
 type inFlightRequest struct {
 	organisation string
 	deadline     time.Time
 }
 
-// New returns an admitter with no request in flight.
+// New returns an admitter with no request in flight. Random is used for RetryAfter.
 func New(random *rand.Rand) *Admitter {
 	return &Admitter{random: random, inFlight: map[string]inFlightRequest{}, perOrganisation: map[string]int{}}
 }
 
-// RetryAfter returns a random time for a refused caller to wait, so that callers do not all retry
-// at the same time.
+// RetryAfter returns a random time for which a refused caller should wait before a retry. It is
+// random so that refused callers don't all retry at the same time.
 func (a *Admitter) RetryAfter() time.Duration {
 	return minRetryAfter + time.Duration(a.random.Int64N(int64(maxRetryAfter-minRetryAfter)))
 }
 
-// Admit admits a request and returns its deadline, or returns why the request is refused.
+// Admit admits a request and returns its deadline, now plus its timeout. It refuses the request if
+// the timeout is not positive or exceeds MaxTimeout, or if the entry or the organisation has the
+// maximum number of requests in flight.
 func (a *Admitter) Admit(now time.Time, l Limits, r Request) (time.Time, *Refusal) {
 	timeout := r.Timeout
 	if !r.HasTimeout {
@@ -100,8 +105,8 @@
 	return deadline, nil
 }
 
-// Release removes a request from those in flight. It reports whether the request was present, and
-// how long after its deadline it was released, 0 if in time.
+// Release removes a request from those in flight. It returns whether the request was in flight, and
+// how long after its deadline it is released, 0 if before the deadline.
 func (a *Admitter) Release(now time.Time, id string) (present bool, overdue time.Duration) {
 	r, ok := a.inFlight[id]
 	if !ok {
@@ -115,5 +120,5 @@
 	return true, max(0, now.Sub(r.deadline))
 }
 
-// InFlight returns the number of requests in flight.
+// InFlight returns the number of requests in flight at this entry.
 func (a *Admitter) InFlight() int { return len(a.inFlight) }
