--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -1,6 +1,6 @@
-// Package budgeter limits retries. All entries share one retry budget for each service without
-// shared state: each entry uses a fraction of it, which depends on its own requests and on the
-// number of entries.
+// Package budgeter limits retries. All entries share a retry budget for each service, without
+// exchanging messages about it: each entry allows itself retries in proportion to its own requests,
+// and an equal fraction of the base number of retries.
 package budgeter
 
 import (
@@ -9,27 +9,30 @@
 )
 
 const (
-	// bucketCount is the number of buckets that a service's counts are kept in. All but one of them
-	// cover Config.Window.
+	// bucketCount is the number of buckets in which requests and retries of a service are counted.
+	// Config.Window is bucketCount-1 buckets long; the additional one is the newest bucket, which
+	// has not ended yet.
 	bucketCount = 20
-	// usableFraction is the fraction of the budget that entries use. The rest is a margin,
-	// because an entry may not know all others and the windows of entries do not start at the
-	// same time.
+	// usableFraction is the fraction of the budget that entries use. The rest is a margin, because
+	// an entry may not know all other entries, and the windows of entries don't start at the same
+	// time.
 	usableFraction = 0.8
 )
 
-// Config is the retry budget that every service has, over all entries.
+// Config is the retry budget that each service has, over all entries.
 type Config struct {
-	// Ratio is the number of retries allowed for each request within a window.
+	// Ratio is the number of retries that each request to the service adds to the budget of its
+	// window.
 	Ratio float64
-	// Window is the time over which requests and retries are counted.
+	// Window is the length of the sliding window in which requests and retries are counted.
 	Window time.Duration
-	// BaseRetries is the number of retries allowed within a window, over all entries, whatever
-	// the number of requests. It is added to what Ratio allows.
+	// BaseRetries is the number of retries allowed within a window, over all entries, in addition
+	// to those that requests add.
 	BaseRetries int
 }
 
-// Budgeter counts requests and retries by service. It is safe for concurrent use.
+// Budgeter counts this entry's requests and retries by service, and decides whether a retry is
+// allowed. It is safe for concurrent use.
 type Budgeter struct {
 	lock     sync.Mutex
 	config   Config
@@ -41,21 +44,24 @@
 	return &Budgeter{config: c, services: map[string]*slidingWindow{}}
 }
 
-// Configure replaces the configuration.
+// Configure replaces the configuration. Requests and retries already counted stay counted.
 func (b *Budgeter) Configure(c Config) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.config = c
 }
 
-// slidingWindow counts the requests and retries of a service in the latest bucketCount buckets.
+// slidingWindow holds the numbers of requests and retries of a service in the latest bucketCount
+// buckets.
 type slidingWindow struct {
 	requests, retries [bucketCount]int
-	// newest is the number of the latest bucket, counted from the Unix epoch.
+	// newest is the number of the latest bucket, counted from the Unix epoch in buckets. Its counts
+	// are at index newest%bucketCount.
 	newest int64
 }
 
-// advance moves the window forward so that the given bucket is the latest.
+// advance makes the given bucket the latest one, and sets the counts of buckets that were skipped
+// or reused to 0. An older bucket changes nothing.
 func (w *slidingWindow) advance(bucket int64) {
 	if bucket-w.newest >= bucketCount {
 		*w = slidingWindow{newest: bucket}
@@ -67,8 +73,7 @@
 	}
 }
 
-// windowOf returns the window of a service, advanced to the time now. The caller must hold the
-// lock.
+// windowOf returns the window of a service, advanced to the time now. The lock must be held.
 func (b *Budgeter) windowOf(now time.Time, service string) *slidingWindow {
 	w, ok := b.services[service]
 	if !ok {
@@ -79,7 +84,7 @@
 	return w
 }
 
-// RecordRequest counts a request to a service.
+// RecordRequest counts a request to a service at the time now.
 func (b *Budgeter) RecordRequest(now time.Time, service string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -87,8 +92,8 @@
 	w.requests[w.newest%bucketCount]++
 }
 
-// SpendRetry reports whether the budget of a service allows a retry, and counts the retry if so.
-// Entries is the number of entries that share the budget.
+// SpendRetry reports whether the budget of a service allows a retry at the time now, and counts the
+// retry if so. Entries is the number of entries that share the budget.
 func (b *Budgeter) SpendRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -100,15 +105,16 @@
 	return true
 }
 
-// AllowsRetry reports whether the budget of a service allows a retry now, without counting one.
-// Entries is the number of entries that share the budget.
+// AllowsRetry reports whether the budget of a service allows a retry at the time now. It does not
+// count a retry. Entries is the number of entries that share the budget.
 func (b *Budgeter) AllowsRetry(now time.Time, service string, entries int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.canRetry(b.windowOf(now, service), entries)
 }
 
-// canRetry reports whether one more retry is within what this entry may use of the budget.
+// canRetry reports whether this entry may make one more retry within the window w. The lock must be
+// held.
 func (b *Budgeter) canRetry(w *slidingWindow, entries int) bool {
 	budget := b.config.Ratio*float64(sum(w.requests)) + float64(b.config.BaseRetries)/float64(max(1, entries))
 	return float64(sum(w.retries)+1) <= usableFraction*budget
