--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -1,6 +1,7 @@
 // Package adopter decides which configuration document is in force at an instance. Documents arrive
 // from the configuration service and from peers in any order, late, repeated or damaged. The
-// adopter keeps the greatest valid document in the order of validator.Version and never goes back.
+// adopter puts the valid document with the greatest validator.DocumentVersion into force and never
+// replaces it by a lesser one.
 package adopter
 
 import (
@@ -10,22 +11,22 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// maxDigests bounds the number of digests kept of refused documents, and that of superseded ones.
+// maxDigests is the maximum number of digests of refused documents that are kept, and that of
+// digests of superseded documents.
 const maxDigests = 64
 
-// OfferStatus is the result of offering a document.
+// OfferStatus says what the adopter did with an offered document.
 type OfferStatus int
 
-// The statuses of an offered document.
+// The possible statuses of an offered document.
 const (
 	// Adopted means that the document is now in force.
 	Adopted OfferStatus = iota
 	// Same means that the document was already in force.
 	Same
-	// Older means that a document with a greater version is in force.
+	// Older means that a document with a greater revision is in force.
 	Older
-	// Superseded means that the document has the same revision as the one in force, but a lower
-	// digest.
+	// Superseded means that a document with the same revision and a greater digest is in force.
 	Superseded
 	// Refused means that the document is invalid.
 	Refused
@@ -35,38 +36,39 @@
 
 func (s OfferStatus) String() string { return statusNames[s] }
 
-// Result is the result of offering a document.
+// Result says what became of an offered document.
 type Result struct {
 	Status OfferStatus
-	// Version is the version of the offered document. It has only a digest if the document is
-	// invalid.
+	// Version is the version of the offered document. Its Revision is 0 if the document is invalid.
 	Version validator.DocumentVersion
-	// SupersededDigest is set if the offered document and the one in force before have the
-	// same revision and different digests, and is the lower of the two digests. The publisher
-	// of the document with that digest must be notified.
+	// SupersededDigest is set if the offered document and the one in force before have the same
+	// revision and different digests. It is the lower of the two digests; the publisher of that
+	// document must be informed that it is not in force.
 	SupersededDigest string
-	// Err is why the document is invalid, nil if it is valid.
+	// Err says why the document is invalid; nil if it is valid.
 	Err error
-	// AdoptedAt is the time at which the document now in force was adopted.
+	// AdoptedAt is the time at which the document now in force was adopted. It is zero if the
+	// offered document is invalid.
 	AdoptedAt time.Time
 }
 
-// Adopter holds the configuration document in force. It is not safe for concurrent use.
+// Adopter holds the configuration document in force at an instance. It is not safe for concurrent
+// use.
 type Adopter struct {
-	// current is the document in force, or nil. Its Version never decreases.
+	// current is the document in force, nil if there is none. Its Version never decreases.
 	current   *validator.ValidDocument
 	adoptedAt time.Time
-	// refused maps the digests of invalid documents to the errors.
+	// refused holds the errors of invalid documents by the digest of the document.
 	refused map[string]error
-	// superseded holds the digests of superseded documents, oldest first.
+	// superseded holds the digests that SupersededDigests returns, oldest first.
 	superseded []string
-	// untriedSources is the set of sources of documents that have neither replied nor failed
-	// yet. The instance accepts no requests before the set is empty.
+	// untriedSources is the set of sources of documents that have neither replied nor failed yet.
+	// The instance accepts no requests before the set is empty.
 	untriedSources map[string]bool
 }
 
-// New returns an adopter with no document in force. It is not ready before every named source has
-// been tried once.
+// New returns an adopter with no document in force. IsReady returns false until MarkSourceTried has
+// been called for each of the named sources.
 func New(sources ...string) *Adopter {
 	a := &Adopter{refused: map[string]error{}, untriedSources: map[string]bool{}}
 	for _, s := range sources {
@@ -76,6 +78,7 @@
 }
 
 // MarkSourceTried records that a source of documents has replied, or could not be reached in time.
+// Names that New was not given have no effect.
 func (a *Adopter) MarkSourceTried(source string) {
 	delete(a.untriedSources, source)
 }
@@ -85,10 +88,10 @@
 	return a.current != nil && len(a.untriedSources) == 0
 }
 
-// Current returns the document in force, or nil if there is none.
+// Current returns the document in force, nil if there is none.
 func (a *Adopter) Current() *validator.ValidDocument { return a.current }
 
-// Version returns the version of the document in force, or the zero version if there is none.
+// Version returns the version of the document in force, the zero version if there is none.
 func (a *Adopter) Version() validator.DocumentVersion {
 	if a.current == nil {
 		return validator.DocumentVersion{}
@@ -96,16 +99,15 @@
 	return a.current.Version
 }
 
-// SupersededDigests returns the digests of superseded documents, oldest first: those for which a
-// document with the same revision and a greater digest is in force or was. At most maxDigests are
-// kept.
+// SupersededDigests returns the digests of documents that lost to a document with the same revision
+// and a greater digest, oldest first. At most the last maxDigests are kept.
 func (a *Adopter) SupersededDigests() []string {
 	return append([]string(nil), a.superseded...)
 }
 
-// ShouldFetch reports whether a peer's document with a version should be fetched: the version is
-// greater than that in force, and the document was not refused before. The version's digest may be
-// shortened.
+// ShouldFetch reports whether a peer's document with the version v should be fetched: v is greater
+// than the version in force, and no document with v's digest was refused before. The digest of v
+// may be shortened; as much of the digest in force is compared with it.
 func (a *Adopter) ShouldFetch(v validator.DocumentVersion) bool {
 	for digest := range a.refused {
 		if v.Digest != "" && strings.HasPrefix(digest, v.Digest) {
@@ -117,7 +119,8 @@
 	return own.Less(v)
 }
 
-// Offer parses a document and adopts it if it is valid and greater than the one in force.
+// Offer parses a document and puts it into force if it is valid and its version is greater than the
+// one in force. A document that is in force or was refused before is not parsed again.
 func (a *Adopter) Offer(now time.Time, data []byte) Result {
 	digest := validator.Digest(data)
 	if result, seen := a.ResultForDigest(digest); seen {
@@ -127,8 +130,8 @@
 	return a.OfferDocument(now, digest, offered, err)
 }
 
-// ResultForDigest returns the result for a document that is already in force or was refused before,
-// which need not be parsed again. It reports whether the document is one of these.
+// ResultForDigest returns the result of offering a document that is in force or was refused before,
+// without parsing it. It returns false for any other document.
 func (a *Adopter) ResultForDigest(digest string) (Result, bool) {
 	if a.current != nil && digest == a.current.Version.Digest {
 		return Result{Status: Same, Version: a.current.Version, AdoptedAt: a.adoptedAt}, true
@@ -139,8 +142,9 @@
 	return Result{}, false
 }
 
-// OfferDocument is Offer for a document that was already parsed, for example on another goroutine
-// than the adopter's. Digest is the digest of the document, err why it is invalid, or nil.
+// OfferDocument does the same as Offer for a document that was parsed already, for example on
+// another goroutine. Digest is that of the document. Err says why the document is invalid; nil if
+// it is valid.
 func (a *Adopter) OfferDocument(now time.Time, digest string, offered *validator.ValidDocument, err error) Result {
 	if err != nil {
 		a.recordRefused(digest, err)
@@ -167,7 +171,8 @@
 	return result
 }
 
-// recordRefused records an invalid document. At maxDigests it first discards all earlier ones.
+// recordRefused records the digest and the error of an invalid document. If maxDigests are recorded
+// already, it first discards all of them.
 func (a *Adopter) recordRefused(digest string, err error) {
 	if len(a.refused) >= maxDigests {
 		clear(a.refused)
@@ -175,8 +180,8 @@
 	a.refused[digest] = err
 }
 
-// recordSuperseded records the digest of a superseded document, if not empty, and discards the
-// oldest digest beyond maxDigests.
+// recordSuperseded records the digest of a superseded document unless it is empty or recorded
+// already. It discards the oldest digest beyond maxDigests.
 func (a *Adopter) recordSuperseded(digest string) {
 	if digest == "" {
 		return
