--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -248,7 +248,7 @@
 	if r.engine == nil {
 		return
 	}
-	f.recordPace(r)
+	f.recordTokenTime(r)
 	load := r.entry.loads[r.engine.name]
 	load.OwnInFlight.Add(-1)
 	if r.isCounted {
@@ -258,11 +258,11 @@
 	r.engine = nil
 }
 
-// recordPace records the measured time per answer token in the entry's load of the engine,
-// if the policy measures the pace and the answer has at least minPacedTokens.
-func (f *fleet) recordPace(r *request) {
-	const minPacedTokens = 8
-	if f.options.MeasuresTokenTime && r.generatedTokens >= minPacedTokens {
+// recordTokenTime records the measured time per answer token in the entry's load of the engine,
+// if the policy measures the pace and the answer has at least minMeasuredTokens.
+func (f *fleet) recordTokenTime(r *request) {
+	const minMeasuredTokens = 8
+	if f.options.MeasuresTokenTime && r.generatedTokens >= minMeasuredTokens {
 		r.entry.loads[r.engine.name].RecordTimePerToken(f.now, f.now.Sub(r.firstTokenAt)/time.Duration(r.generatedTokens))
 	}
 }
