--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// leavingReactionTime is the time within which an entry that forwarded an answer of a
-	// leaving upstream stops sending new requests to that upstream.
+	// leavingReactionTime is the time after which an entry must no longer send new
+	// requests to an upstream, once it has forwarded an answer in which the upstream
+	// announced that it is leaving.
 	leavingReactionTime = 2 * time.Second
 	// backoffReactionTime is the time within which an entry applies a backoff that an
 	// upstream asked for. maxDuringBackoff is the number of the entry's requests that may
@@ -25,11 +26,12 @@
 	execution worker.Execution
 }
 
-// BackpressureViolations describes the requests of stopped traffics that an entry sent
-// to an upstream although the same incarnation of the upstream had announced to this
-// entry that it was leaving or had asked for a backoff. Requests are excused if the
-// entry was restarted, suspended or partitioned since then or, in the case of a backoff,
-// if connections to the upstream were cut.
+// BackpressureViolations returns a text for each request that an entry sent to an
+// upstream although the same incarnation of the upstream had announced to this entry that
+// it was leaving, or had asked it for a backoff. A few requests that arrive shortly
+// afterwards are allowed. The traffics must be stopped. No text is returned if the entry
+// was restarted, suspended or partitioned since then or, after a backoff, if connections
+// to the upstream were cut.
 func BackpressureViolations(observed Observations, traffics ...*Traffic) (violations []string) {
 	var results []Result
 	var arrivals, refusals []arrival
@@ -75,8 +77,9 @@
 	return violations
 }
 
-// forwardedExecution returns the execution or refusal of a request whose answer the entry
-// forwarded. It returns false if the upstream that answered has no record of the request.
+// forwardedExecution returns the record of a request at the upstream whose answer the
+// entry forwarded: an execution or a refusal. It returns false if that upstream has no
+// record of the request.
 func forwardedExecution(observed Observations, r Result) (worker.Execution, bool) {
 	for _, execution := range append(observed.Executions(r.ID), observed.Refusals(r.ID)...) {
 		if execution.WorkerID == r.Upstream {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -26,7 +26,8 @@
 const (
 	// addressTTL is the time for which a caller caches a response of the directory.
 	addressTTL = time.Second
-	// directoryTimeout limits a query to the directory service of one entry.
+	// directoryTimeout is the time limit of a query to the directory service of
+	// one entry.
 	directoryTimeout = time.Second
 	// maxIdleConnections is the number of idle connections kept open to each entry.
 	maxIdleConnections = 4
@@ -81,8 +82,8 @@
 }
 
 // MixedBody returns the request body for a request id: the same text for every id
-// whose length is a multiple of four, and the id itself for the others, so that a
-// part of the traffic consists of identical requests.
+// whose length is a multiple of four, and the id itself for the others, so that
+// some of the requests are identical.
 func MixedBody(id string) string {
 	if len(id)%4 == 0 {
 		return "popular"
@@ -143,8 +144,9 @@
 // IsServed reports whether a complete response with status 200 arrived.
 func (r Result) IsServed() bool { return r.Err == nil && r.Status == http.StatusOK }
 
-// resolve queries the directory service of up to three entries for addresses, unless
-// the cached ones are still valid. If all queries fail, the old addresses stay.
+// resolve updates the cached addresses if they are older than AddressTTL. It
+// queries the directory service of up to three entries; if all queries fail, the
+// old addresses stay.
 func (c *Caller) resolve() {
 	if c.hasFixedAddress || time.Since(c.resolvedAt) < c.AddressTTL {
 		return
--- a/standin/caller/faultlog.go
+++ b/standin/caller/faultlog.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// timeoutSlack is the time by which a request may end before its time limit and still
-	// count as timed out.
+	// timeoutSlack is the tolerance for timeouts: a request that ended less than this
+	// before its time limit is regarded as timed out.
 	timeoutSlack = 50 * time.Millisecond
-	// sameEndSlack is the maximum time between two events that count as simultaneous, such
-	// as the end of an execution and the end of its request at the caller.
+	// sameEndSlack is the maximum time between two events that are regarded as
+	// simultaneous, such as the end of an execution and the end of its request at the
+	// caller.
 	sameEndSlack = 200 * time.Millisecond
 	// unreadCloseTime is the time after sending a request within which its connection ends
 	// if the entry closed it without reading the request.
 	unreadCloseTime = 200 * time.Millisecond
-	// forcedExitSlack is the time before SIGKILL within which an exit counts as forced:
-	// the process may have had unfinished requests.
+	// forcedExitSlack is the tolerance for forced exits: a process that exits less than
+	// this before SIGKILL may have had unfinished requests.
 	forcedExitSlack = time.Second
 	// strayExecutionTime is the time within which an execution ends if its connection had
 	// been closed before it began.
@@ -137,9 +138,9 @@
 	x.cuts = append(x.cuts, &outage{upstream: upstream, from: time.Now(), to: time.Now().Add(restartDetectionTime), fromRestart: true})
 }
 
-// lossesByShutdown describes the shutdowns by which a request was lost. There must be
-// none: a request that an entry accepts gets a complete answer or a clean refusal, even
-// if the entry shuts down.
+// lossesByShutdown returns a text for each shutdown of an entry by which a request was
+// lost. There must be none: a request that an entry accepts gets a complete answer, or a
+// refusal with status 503 and a Retry-After header, even if the entry shuts down.
 //
 // A request without either is excused only in these cases, whether SIGTERM came before
 // the request or after it:
@@ -238,7 +239,8 @@
 }
 
 // plainCallSilence is the silence after which entries abandon an attempt at a repeatable
-// plain call: twice the latency target of its route, less the tolerance strayRunTime.
+// plain call: twice the latency target of its route, less the tolerance
+// strayExecutionTime.
 const plainCallSilence = 600*time.Millisecond - strayExecutionTime
 
 // upstreamIDPart returns a substring that the ids of all upstreams that serve a path have
@@ -291,7 +293,7 @@
 
 // hasCut reports whether, at any moment between from and to, connections were cut to an
 // upstream whose id contains idPart. If withRestarts is true, the time in which entries
-// may detect a restart of such an upstream counts as a cut. The caller holds the lock.
+// may detect a restart of such an upstream is treated as a cut. The lock must be held.
 func (x *FaultLog) hasCut(from, to time.Time, idPart string, withRestarts bool) bool {
 	for _, c := range x.cuts {
 		if c.fromRestart && !withRestarts {
--- a/standin/caller/repeat.go
+++ b/standin/caller/repeat.go
@@ -29,9 +29,10 @@
 }
 
 // RepeatViolations checks a stopped repeating traffic whose requests crash upstreams. It
-// returns a violation if too many of the requests reached upstreams after three
-// incarnations had crashed. A request doesn't count if its entry was stopped or killed, or
-// any entries were partitioned, at the time: the entry may not have received the crashes.
+// returns a violation if more than maxRequestsAfterQuarantine of the requests reached
+// upstreams after three incarnations had crashed. Requests are left out if their entry
+// was stopped or killed, or any entries were partitioned, at the time: the entry may not
+// have received the crashes.
 func (x *Traffic) RepeatViolations(observed Observations) (violations []string) {
 	var executions []worker.Execution
 	resultOf := map[string]Result{}
@@ -85,8 +86,8 @@
 }
 
 // wasDisturbed reports whether, between two times, an entry was stopped or killed, or a
-// partition of any entries was recorded. A stopped or killed entry counts as disturbed
-// for maxRestartTime after its exit.
+// partition of any entries was recorded. A stopped or killed entry is regarded as
+// disturbed for maxRestartTime after its exit.
 func (x *FaultLog) wasDisturbed(entry netip.AddrPort, from, to time.Time) bool {
 	x.lock.Lock()
 	defer x.lock.Unlock()
--- a/standin/caller/traffic.go
+++ b/standin/caller/traffic.go
@@ -12,10 +12,10 @@
 // requestPaths has one path for each kind of request.
 var requestPaths = []string{"/once/x", "/safe/x", "/stream/x", "/fixed/x"}
 
-// RouteTimeout returns the timeout that a test configures for the route of a path.
-// The route timeout of safe calls is shorter than the timeout of their callers, the
-// others are longer. That of safe calls allows for an execution that the entry abandons
-// and a second one.
+// RouteTimeout returns the timeout that a test configures for the route of a path. That
+// of safe calls is shorter than the timeout of their callers, but long enough for an
+// execution that the entry abandons and a second one. The others are longer than the
+// timeout of the callers.
 func RouteTimeout(path string) time.Duration {
 	if strings.HasPrefix(path, "/safe/") {
 		return 4 * time.Second
