--- a/standin/engine/batcher.go
+++ b/standin/engine/batcher.go
@@ -24,7 +24,7 @@
 	Version  string
 	Adapters []string
 	Role     string
-	// MemoryTokens is the size of the KV memory in tokens; a hold that exceeds
+	// MemoryTokens is the size of the KV memory in tokens. A hold that exceeds
 	// the free memory is refused.
 	MemoryTokens int
 	// PrefillRate is the number of prompt tokens prefilled a second, over all
@@ -55,8 +55,8 @@
 // of the prompt. Shorter prompts are not cached.
 const CachedPrefixBytes = 256
 
-// chunkBuffer is the number of chunks buffered for a slow reader; a stream with
-// a full buffer is not decoded further.
+// chunkBuffer is the number of chunks buffered for a slow reader. A stream whose
+// buffer is full decodes no further.
 const chunkBuffer = 256
 
 // leavingGrace is the time after SetLeaving in which new streams are still
@@ -388,9 +388,9 @@
 	return out
 }
 
-// decode sends the answer tokens that are due by now, one each TokenTime, as far
-// as the buffer has room. After the last token it sends the usage, closes the
-// stream and frees its memory.
+// decode sends the answer tokens that are due by now, one for each TokenTime, as
+// far as the chunk buffer has room. After the last token it sends the usage,
+// closes the stream's channel of chunks and frees its memory.
 func (b *Batcher) decode(now time.Time, s *stream) {
 	for now.Sub(s.lastTokenAt) >= b.config.TokenTime && len(s.chunks) < cap(s.chunks) {
 		s.lastTokenAt = s.lastTokenAt.Add(b.config.TokenTime)
@@ -465,7 +465,8 @@
 	b.load.Leaving = true
 }
 
-// IsIdle reports whether no stream is in progress. Shards of groups don't count.
+// IsIdle reports whether no stream is in progress. Prefills of a group's shards
+// are ignored.
 func (b *Batcher) IsIdle() bool { return len(b.streams) == 0 }
 
 // HandleOrder starts to carry out an order to change the model, version, adapters
@@ -489,7 +490,8 @@
 	return nil
 }
 
-// finishLoading puts the pending order into effect once its loading has ended.
+// finishLoading puts the pending order into effect once WeightLoadTime has passed
+// since it was accepted.
 func (b *Batcher) finishLoading(now time.Time) {
 	if b.pendingOrder == nil || now.Before(b.loadingEnds) {
 		return
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// collectCacheEvents moves the Batcher's new cache events to the server. The
-// caller holds the lock.
+// collectCacheEvents moves the Batcher's new cache events to the server. The lock
+// must be held.
 func (s *Server) collectCacheEvents(now time.Time, b *Batcher) {
 	for _, e := range b.cacheEvents {
 		s.cacheEvents = append(s.cacheEvents, timedCacheEvent{at: now, event: e})
@@ -134,7 +134,7 @@
 }
 
 // readStartParams reads the parameters of an attempt from the headers and the
-// body of r. Numbers that can't be parsed count as 0.
+// body of r. Numbers that can't be parsed are read as 0.
 func readStartParams(r *http.Request) (startParams, error) {
 	params := startParams{
 		requestID: r.Header.Get(api.HeaderRequestID),
