--- a/standin/measurer/deployment.go
+++ b/standin/measurer/deployment.go
@@ -30,7 +30,8 @@
 	PrefillRate int
 	// TokenTime is the time in which an engine generates one token of each stream.
 	TokenTime time.Duration
-	// MaxGroupEngines is the maximum number of engines that hold one prompt together.
+	// MaxGroupEngines is the maximum number of engines that may share one prompt, each
+	// holding a shard of it.
 	MaxGroupEngines int
 	// Organisations is the number of organisations. The simulation doesn't use it.
 	Organisations int
@@ -53,8 +54,8 @@
 const MaxShortTokens = 4000
 
 // classProfiles describe the requests of each class: the range of prompt lengths in
-// tokens, which are distributed log-uniformly, the share of the class in all requests in
-// percent, and the time limit after which callers give up.
+// tokens, which are distributed log-uniformly, the percentage of all requests that belong
+// to the class, and the time limit after which callers give up.
 var classProfiles = [...]struct {
 	minTokens, maxTokens float64
 	percent              int
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -24,8 +24,8 @@
 	listPeriod      = time.Second
 	heartbeatPeriod = 500 * time.Millisecond
 	holdLease       = 6 * time.Second
-	// grantTTL is the time for which a keeper counts a grant that the engine doesn't
-	// list, the same as in the product.
+	// grantTTL is the time for which a keeper treats the memory of a grant as used
+	// although the engine doesn't list a hold for it, the same as in the product.
 	grantTTL = 2 * time.Second
 )
 
@@ -40,8 +40,8 @@
 	// QueuesByClass makes entries and keepers estimate an engine's queue for each class of
 	// prompts, instead of as one queue in the order of arrival.
 	QueuesByClass bool
-	// MeasuresTokenTime makes entries measure the time per answer token of each engine and
-	// use it in predictions.
+	// MeasuresTokenTime makes entries measure the time per answer token of each engine
+	// and use it in predictions.
 	MeasuresTokenTime bool
 	// MaxRetries is the maximum number of times that a caller sends a request again that
 	// was refused or late.
@@ -130,8 +130,8 @@
 	promptFiller string
 	// lastID is the number of ids issued by newID.
 	lastID int
-	// retryBudgetUsed is the number of retries charged to the retry budget, which all
-	// callers share, less a tenth for each request sent for the first time; at least 0.
+	// retryBudgetUsed is the number of retries made, less a tenth for each request sent
+	// for the first time; at least 0. All callers share one retry budget.
 	retryBudgetUsed float64
 }
 
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// Policies lists the policies to compare, with their names: the baselines, then the
-// product's policy with its parts switched on one after the other.
+// Policies lists the policies to compare, with their names: first simple baselines, then
+// the product's policy with one more of its features in each step.
 var Policies = []struct {
 	Name    string
 	Options Options
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -187,7 +187,7 @@
 }
 
 // priorityClass returns the class that determines a request's priority. Classes that
-// share the last priority level count as the longest one.
+// share the last priority level are treated as the longest one.
 func (f *fleet) priorityClass(r *request) router.LengthClass {
 	if f.options.PriorityLevels > 0 && int(r.class) >= f.options.PriorityLevels-1 {
 		return router.Longest
@@ -243,7 +243,8 @@
 	f.schedule(groupRetryDelay/4, func() { f.advancePlacement(r) })
 }
 
-// releaseLoad removes a request from the load that its entry counts for its engine.
+// releaseLoad removes a request from the load that its entry records for the engine of
+// the current attempt. It does nothing if there is none.
 func (f *fleet) releaseLoad(r *request) {
 	if r.engine == nil {
 		return
@@ -258,8 +259,8 @@
 	r.engine = nil
 }
 
-// recordTokenTime records the measured time per answer token in the entry's load of the engine,
-// if the policy measures the pace and the answer has at least minMeasuredTokens.
+// recordTokenTime records the measured time per answer token in the entry's load of the
+// engine, if the policy measures it and the answer has at least minMeasuredTokens.
 func (f *fleet) recordTokenTime(r *request) {
 	const minMeasuredTokens = 8
 	if f.options.MeasuresTokenTime && r.generatedTokens >= minMeasuredTokens {
@@ -268,7 +269,7 @@
 }
 
 // recordFirstToken records when the first token reaches the caller. From then on the
-// prompt no longer counts in the entry's own load.
+// prompt is no longer part of the entry's own load.
 func (f *fleet) recordFirstToken(r *request) {
 	r.firstTokenAt = f.now.Add(f.deployment.Latency + f.deployment.CallerLatency)
 	if r.isCounted {
