--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -64,7 +64,8 @@
 // errRefused is the error of a connection to an address at which nothing listens.
 var errRefused = fmt.Errorf("network: %w", syscall.ECONNREFUSED)
 
-// New returns a network on which nothing listens.
+// New returns a network without listeners and datagram sockets, on which all hosts can
+// reach each other.
 func New() *Network {
 	n := &Network{
 		listeners: map[netip.AddrPort]*listener{}, cuts: map[[2]netip.Addr]bool{}, links: map[*link]bool{},
--- a/standin/network/packets.go
+++ b/standin/network/packets.go
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// closeLocked closes the socket. The caller holds the lock of the network.
+// closeLocked closes the socket. The lock of the network must be held.
 func (p *packetConn) closeLocked() {
 	if p.network.packetConns[p.address] == p {
 		delete(p.network.packetConns, p.address)
