--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -98,13 +98,13 @@
 	s.appendValue(target, data)
 }
 
-// appendValue publishes data as the latest value of h. The caller holds the lock.
+// appendValue publishes data as the latest value of h. The lock must be held.
 func (s *Server) appendValue(h *history, data []byte) {
 	h.values = append(h.values, publishedValue{publishedAt: time.Now(), data: data})
 	s.notifyReaders()
 }
 
-// notifyReaders wakes the reads that wait for a change. The caller holds the lock.
+// notifyReaders wakes the reads that wait for a change. The lock must be held.
 func (s *Server) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -180,7 +180,7 @@
 }
 
 // visibleValue returns the value that readers get in the current mode, or nil if
-// there is none. The caller holds the lock.
+// there is none. The lock must be held.
 func (s *Server) visibleValue(h *history, lag time.Duration) []byte {
 	switch s.mode {
 	case ModeStale:
