--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -118,8 +118,8 @@
 	return s.revision
 }
 
-// recordChange appends a change to the history and wakes all waiting watches. The caller
-// holds the lock.
+// recordChange appends a change to the history and wakes all waiting watches. The lock
+// must be held.
 func (s *Store) recordChange(i item) {
 	s.history = append(s.history, i)
 	close(s.changed)
--- a/standin/store/upstream.go
+++ b/standin/store/upstream.go
@@ -14,7 +14,7 @@
 	// Zone is the data centre of the upstream.
 	Zone    string `json:"zone"`
 	Version string `json:"version"`
-	// Slots is the number of requests that the upstream can run at the same time.
+	// Slots is the maximum number of requests that the upstream runs at the same time.
 	Slots int `json:"slots"`
 	// State is "ready" or "draining" in the records of this package.
 	State string `json:"state"`
