--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -425,9 +425,9 @@
 	w.executions[index].Ended = time.Now()
 }
 
-// wait waits for d and returns true, or returns false as soon as the client
-// disconnects. If the incarnation ends first, wait blocks until the client
-// disconnects and then aborts the handler by a panic.
+// wait returns true after d, or false as soon as the client disconnects. If the
+// incarnation ends first, wait blocks until the client disconnects and then
+// aborts the handler by a panic.
 func (i *incarnation) wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
