--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
 // Command standin runs an emulated model engine, plain service or platform, or
-// measures the routing policy in simulated time. It is for tests and the demo; the
+// measures routing policies in simulated time. It is for tests and the demo; the
 // product never uses it.
 package main
 
@@ -20,14 +20,15 @@
 	"github.com/sapphireramp/sapphireramp/standin/service"
 )
 
-// standIn is an emulated engine, service or platform, ready to be served.
+// standIn is an emulated engine, service or platform that serve can run.
 type standIn struct {
 	handler http.Handler
-	// runBackground emulates work that no HTTP request drives, until its context ends;
-	// nil if there is none.
+	// runBackground does the emulated work that goes on between HTTP requests, such
+	// as an engine's prefill and decoding, until its context ends; nil if there is
+	// none.
 	runBackground func(context.Context)
-	// drain waits until the work in progress has ended, so that the process may exit;
-	// nil if the process may exit at once.
+	// drain waits until the work in progress has ended or its context ends. It is
+	// called before the process exits; nil if there is nothing to wait for.
 	drain func(context.Context)
 }
 
@@ -104,7 +105,7 @@
 	return fmt.Errorf("no subcommand given: use engine, service, platform or measure")
 }
 
-// splitList splits a comma-separated list; an empty text is an empty list.
+// splitList splits a list at commas. An empty text is an empty list.
 func splitList(text string) []string {
 	if text == "" {
 		return nil
@@ -112,8 +113,9 @@
 	return strings.Split(text, ",")
 }
 
-// servePlatform serves a platform that starts with the contents of configFile and
-// listFile; an empty file name leaves the value unpublished.
+// servePlatform serves an emulated platform that publishes the contents of
+// configFile and listFile at the start. The value of an empty file name is not
+// published.
 func servePlatform(address string, listLag time.Duration, configFile, listFile string) error {
 	server := platform.New(listLag)
 	for file, list := range map[string]bool{configFile: false, listFile: true} {
@@ -129,8 +131,8 @@
 	return serve(address, standIn{handler: server.Handler()})
 }
 
-// serve serves p at address until SIGTERM or SIGINT, and then drains p. It returns an
-// error if it can't listen.
+// serve serves p at address until SIGTERM or SIGINT, drains p and closes the
+// server. It returns an error if it can't listen.
 func serve(address string, p standIn) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/standin/measure.go
+++ b/cmd/standin/measure.go
@@ -12,8 +12,9 @@
 	"github.com/sapphireramp/sapphireramp/standin/measurer"
 )
 
-// measureCommand is the subcommand that simulates deployments under load and
-// prints latency and goodput for each routing policy.
+// measureCommand is the subcommand measure, with the values of its flags. It
+// simulates deployments under load and prints latencies and goodput for each
+// routing policy.
 type measureCommand struct {
 	subcommand *flaggy.Subcommand
 	// deployments lists names of measurer.Deployments, separated by commas.
@@ -21,16 +22,18 @@
 	// policies lists names of measurer.Policies, separated by commas; empty means
 	// all.
 	policies string
-	// loads lists offered loads as fractions of the engines' prefill capacity,
-	// separated by commas.
+	// loads lists the rates of prompt tokens to simulate, as fractions of the
+	// engines' prefill rate, separated by commas.
 	loads string
-	// fault is a measurer.Fault; empty means none. It is not used with burst.
+	// fault is the measurer.Fault to inject; empty means none. It is ignored if
+	// burst is set.
 	fault string
 	// seed determines the random requests and the random choices of policies.
 	seed uint64
-	// full prints a table of all classes for each policy, instead of a line.
+	// full prints a table of all length classes for each policy, instead of a line.
 	full bool
-	// burst measures the recovery from a burst of a fixed size, instead of the loads.
+	// burst measures the recovery from a burst instead. The rates are then fixed,
+	// and the values of loads have no effect.
 	burst bool
 }
 
@@ -48,8 +51,9 @@
 	return m
 }
 
-// run measures every deployment at every load. It returns an error if a flag has an
-// invalid value, after printing the results for the values before it.
+// run measures every deployment at every load. It returns an error if deployments
+// or loads has an invalid value, after printing the results for the values before
+// it.
 func (m *measureCommand) run() error {
 	for name := range strings.SplitSeq(m.deployments, ",") {
 		d, ok := measurer.Deployments[name]
@@ -67,9 +71,10 @@
 	return nil
 }
 
-// comparePolicies simulates deployment d at a load and prints a line, or with --full a
-// table, for each policy. The line also compares the time to first token of short
-// prompts with that in a second simulation without the two longest classes.
+// comparePolicies simulates deployment d at a load for each policy and prints a
+// line, or with --full a table. The line also compares the time to first token of
+// short prompts with that in a second simulation without the two longest classes.
+// With --burst, comparePolicies measures the recovery instead.
 func (m *measureCommand) comparePolicies(d measurer.Deployment, load float64) {
 	fmt.Printf("deployment=%s load=%.2f fault=%q seed=%d\n", d.Name, load, m.fault, m.seed)
 	if m.burst {
@@ -101,9 +106,9 @@
 	}
 }
 
-// measureRecovery simulates deployment d through a burst, with callers that retry
-// requests that were refused or late. It prints the results of every half minute for
-// each policy.
+// measureRecovery simulates deployment d through a minute of overload, with callers
+// that retry requests that were refused or late. It prints the results of every
+// half minute for each policy.
 func (m *measureCommand) measureRecovery(d measurer.Deployment) {
 	const base, peak, retries = 0.7, 2.0, 5
 	for _, p := range measurer.Policies {
