--- a/standin/caller/backpressure.go
+++ b/standin/caller/backpressure.go
@@ -28,10 +28,10 @@
 
 // BackpressureViolations returns a text for each request that an entry sent to an
 // upstream although the same incarnation of the upstream had announced to this entry that
-// it was leaving, or had asked it for a backoff. A few requests that arrive shortly
-// afterwards are allowed. The traffics must be stopped. No text is returned if the entry
-// was restarted, suspended or partitioned since then or, after a backoff, if connections
-// to the upstream were cut.
+// it was leaving, and one for each backoff during which the entry sent more than
+// maxDuringBackoff requests. The traffics must be stopped. Requests within the reaction
+// times are allowed. No text is returned if the entry was restarted, suspended or
+// partitioned since then or, after a backoff, if connections to the upstream were cut.
 func BackpressureViolations(observed Observations, traffics ...*Traffic) (violations []string) {
 	var results []Result
 	var arrivals, refusals []arrival
