--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -67,14 +67,14 @@
 // entry is one entry of the fleet, which runs as a separate process.
 type entry struct {
 	fleet *fleet
-	// index is the entry's number in its name, from 0.
+	// index is the number in the entry's name, from 0.
 	index int
 	// host is the IP address on which the entry listens.
 	host         netip.Addr
 	settingsPath string
 	// mutex guards cmd and exited.
 	mutex sync.Mutex
-	// cmd is the process started last.
+	// cmd is the process that was started last.
 	cmd *exec.Cmd
 	// exited is closed once cmd has exited.
 	exited chan struct{}
@@ -92,7 +92,7 @@
 	store     *store.Store
 	// storeRelay carries the entries' connections to the store.
 	storeRelay *relay.Relay
-	// upstreams are keyed by instance ID, as are the next three maps.
+	// upstreams has instance IDs as keys, as have the next three maps.
 	upstreams map[string]*worker.Worker
 	// upstreamRelays carry the entries' connections to each upstream.
 	upstreamRelays map[string]*relay.Relay
@@ -105,10 +105,12 @@
 	servers []*http.Server
 	// configVersion is the version of the configuration written last.
 	configVersion int
-	// faultLog records the injected faults of entries, upstreams and the store with
-	// their times. checkGuarantees uses it to decide which requests may fail.
+	// faultLog records the faults injected into entries, upstreams and the store,
+	// with their times. checkGuarantees uses it to decide which requests may
+	// fail.
 	faultLog caller.FaultLog
-	// background tracks the goroutines that shut down entries and stop traffics.
+	// background tracks the goroutines that restart entries after a fault and
+	// those that stop traffics.
 	background sync.WaitGroup
 	// down holds the upstreams that have crashed and are not restarted yet.
 	down worker.DownSet
@@ -259,7 +261,7 @@
 	}()
 }
 
-// putConfiguration writes the configuration to the store under a new version.
+// putConfiguration writes the configuration to the store with a new version.
 func (f *fleet) putConfiguration(apiKeys ...string) {
 	f.configVersion++
 	route := func(name, kind, service string, attempts int, settings string) json.RawMessage {
@@ -428,15 +430,15 @@
 	})
 }
 
-// startCrashTraffic starts callers that repeat a request that crashes upstreams, each
-// with a pause of interval before every repetition.
+// startCrashTraffic starts callers that repeat a request that crashes upstreams,
+// each waiting for interval before every repetition.
 func (f *fleet) startCrashTraffic(callerCount int, interval time.Duration) *caller.Traffic {
 	name := fmt.Sprintf("repeat%d-%d", f.seed, len(f.crashTraffics))
 	return caller.NewRepeatingTraffic(name, callerCount, caller.CrashPath, interval, func(n int) *caller.Caller { return f.newCaller(50 + n) })
 }
 
-// observations returns the records of the upstreams and of the injected faults, against
-// which the results of requests are checked.
+// observations returns what the upstreams and the fault log have recorded. The
+// results of requests are checked against it.
 func (f *fleet) observations() caller.Observations {
 	return caller.Observations{
 		Executions: func(id string) []worker.Execution { return worker.ExecutionsOf(maps.Values(f.upstreams), id) },
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -277,8 +277,8 @@
 // upstreams that they avoided because of failures.
 const recoveryTime = 5 * time.Second
 
-// runSeed starts a fleet, injects the faults that the seed picks, and checks the
-// results.
+// runSeed starts a fleet, injects random faults that depend on the seed, and
+// checks the results of all requests sent during and after the faults.
 func runSeed(t *testing.T, seed int) {
 	r := rand.New(rand.NewPCG(uint64(seed), 7))
 	f := newFleet(t, seed, 6)
@@ -333,8 +333,8 @@
 	f.checkOperatorPages()
 }
 
-// checkOperatorPages checks that every entry is ready by its status and serves its
-// metrics.
+// checkOperatorPages fails the test for each entry whose status page does not
+// show it ready, or whose metrics page lacks one of the listed metrics.
 func (f *fleet) checkOperatorPages() {
 	for _, e := range f.entries {
 		status, err := exec.Command(binary, "status", "--entry", fmt.Sprintf("%s:%d", e.host, metricsPort)).CombinedOutput()
