--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -56,10 +56,12 @@
 	options map[string]string
 	// dataCentres is the number of data centres, at least 1 once processes are added.
 	dataCentres int
-	// jobs holds commands in the background, by the name the script gave them.
+	// jobs holds the commands that run in the background, by the names that the
+	// script gave them.
 	jobs map[string]*job
-	// posts delivers the status and body of the responses to POST requests in the
-	// background, by the name the script gave them.
+	// posts holds, for each POST request in the background, a channel that delivers
+	// the status and body of the response. Its keys are the names that the script
+	// gave the requests.
 	posts map[string]chan string
 	// forms holds the console form that each operator is editing, by operator name.
 	forms map[string]url.Values
@@ -90,7 +92,7 @@
 	// relays forward connections to the process, for callers and, at an entry, for
 	// peers. They are empty before the first start and after cmdUnplug.
 	relays []*relay.Relay
-	// cmd is the process started last; nil before the first start.
+	// cmd is the process that was started last; nil before the first start.
 	cmd *exec.Cmd
 	// exited delivers the result of cmd once the process has ended. A receiver
 	// sends it back if the result may be needed again.
@@ -99,7 +101,7 @@
 	starts int
 }
 
-// portsUsed counts the ports handed out by newAddress.
+// portsUsed is the number of ports that newAddress has handed out.
 var portsUsed atomic.Uint32
 
 // newAddress returns an address with a port that was not handed out before. It
@@ -123,7 +125,7 @@
 	return netip.AddrFrom4([4]byte{127, byte(1 + processID%250), kind, index})
 }
 
-// organisationKey is the bearer key of the only organisation.
+// organisationKey is the API key of the only organisation.
 const organisationKey = "scenario-key"
 
 // defaultOptions returns the options that a script may set with the fleet
@@ -156,7 +158,7 @@
 	return f.awaitReady()
 }
 
-// intOption returns an option's value as a number, 0 where it is not one.
+// intOption returns the value of an option as a number; 0 if it is not a number.
 func (f *fleet) intOption(option string) int {
 	n, _ := strconv.Atoi(f.options[option])
 	return n
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -234,8 +234,8 @@
 }
 
 // cmdOperator does what an operator does at the console:
-// operator load NAME loads the form with the document in force;
-// operator publish NAME [FIELD=VALUE ...] changes fields of the form, has the
+// operator load NAME fetches the form with the document in force;
+// operator publish NAME [FIELD=VALUE ...] changes fields of the form, lets the
 // console seal the document and publishes it.
 func cmdOperator(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetFrom(ts)
