--- a/cmd/sapphireramp/console.go
+++ b/cmd/sapphireramp/console.go
@@ -23,8 +23,9 @@
 	Address netip.AddrPort `yaml:"Address"`
 	// Platform is the address of the platform, which serves the published configuration document.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Entries are the addresses that some entries announce to callers. The console warns if the document in
-	// force at one of them is not the one that the platform serves. An empty list disables the comparison.
+	// Entries are the addresses that some entries announce to callers; a few of the fleet are enough. The
+	// console warns if the document in force at one of them is not the one that the platform serves. An empty
+	// list disables the comparison.
 	Entries []netip.AddrPort `yaml:"Entries"`
 	// SealSeed is the seed of the Ed25519 private key that signs documents: 32 random bytes in hex.
 	SealSeed string `yaml:"SealSeed"`
