--- a/console/console.go
+++ b/console/console.go
@@ -82,8 +82,8 @@
 }
 
 // withSecurityHeaders returns a handler that calls next with the request body limited to maxFormBytes. It sets
-// response headers that tell the browser not to run scripts in a page, not to show it in a frame and not to cache
-// it.
+// response headers that forbid the browser to run scripts in a page, to show it in a frame of another page and to
+// cache it.
 func withSecurityHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
