--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,6 @@
 // Package client sends requests to entries on behalf of a caller. It asks entries for the addresses of the entries
 // to use, caches them for as long as the response permits, and sends requests directly to one of them. It retries
-// failed requests where that can't run a request twice against the caller's will, and checks that responses are
-// complete.
+// a failed request only if the request did not run or has a ticket, and checks that responses are complete.
 package client
 
 import (
