--- a/validator/document.go
+++ b/validator/document.go
@@ -82,7 +82,8 @@
 	PrefillRate int `yaml:"PrefillRate"`
 	// ChecksFences is true if the engine refuses an order whose fencing number
 	// is not greater than that of every earlier order. An order
-	// (api.EngineOrder) tells the engine what to load and which role to serve.
+	// (api.EngineOrder) states the model, the adapters and the role that the
+	// engine has to serve.
 	ChecksFences bool `yaml:"ChecksFences"`
 	// ChecksOrders is true if the engine refuses an order whose issuer is not
 	// on the engine's own list of accepted issuers.
