--- a/loader/loader.go
+++ b/loader/loader.go
@@ -33,7 +33,7 @@
 	// Platform is the address of the platform, which serves the configuration
 	// document and the instance list.
 	Platform netip.AddrPort `yaml:"Platform"`
-	// Peers are the PeerAddresses of other entries to contact after the start,
+	// Peers are the peer addresses of other entries to contact after the start,
 	// while the instance list has not been received yet or is unavailable.
 	Peers []netip.AddrPort `yaml:"Peers"`
 
@@ -98,9 +98,9 @@
 	// TicketLife is how long a ticket is valid. A request sent with a ticket
 	// runs at most once.
 	TicketLife time.Duration `yaml:"TicketLife"`
-	// DrainSlack is the time for which an entry that shuts down accepts
-	// connections in addition to AddressLife, for callers that use an address a
-	// little too long.
+	// DrainSlack is the minimum time for which an entry that shuts down still
+	// accepts connections after the addresses that it gave to callers have
+	// expired (see AddressLife).
 	DrainSlack time.Duration `yaml:"DrainSlack"`
 }
 
