--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -1,6 +1,6 @@
 // Package admitter decides whether a request is admitted, and tracks the requests in flight: those
 // that were admitted and not yet released. Each admitted request must be released once, so that an
-// idle entry has none in flight.
+// idle entry has none in flight. Deadlines are times on the monotonic clock.
 package admitter
 
 import (
@@ -37,7 +37,7 @@
 type Refusal struct {
 	// Code is one of the error codes of package api.
 	Code string
-	// Message tells the caller why the request was refused.
+	// Message is a text for the caller that says why the request was refused.
 	Message string
 	// RetryAfter is the time for which the caller should wait before a retry. It is 0 if the same
 	// request would be refused again.
