--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -1,6 +1,6 @@
 // Package budgeter limits retries. All entries share a retry budget for each service, without
 // exchanging messages about it: each entry allows itself retries in proportion to its own requests,
-// and an equal fraction of the base number of retries.
+// and the base number of retries divided by the number of entries.
 package budgeter
 
 import (
@@ -44,7 +44,7 @@
 	return &Budgeter{config: c, services: map[string]*slidingWindow{}}
 }
 
-// Configure replaces the configuration. Requests and retries already counted stay counted.
+// Configure replaces the configuration.
 func (b *Budgeter) Configure(c Config) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
