--- a/adopter/adopter.go
+++ b/adopter/adopter.go
@@ -99,15 +99,16 @@
 	return a.current.Version
 }
 
-// SupersededDigests returns the digests of documents that lost to a document with the same revision
-// and a greater digest, oldest first. At most the last maxDigests are kept.
+// SupersededDigests returns the digests of superseded documents, oldest first: those that a
+// document with the same revision and a greater digest replaced or kept out of force. At most the
+// last maxDigests are kept.
 func (a *Adopter) SupersededDigests() []string {
 	return append([]string(nil), a.superseded...)
 }
 
 // ShouldFetch reports whether a peer's document with the version v should be fetched: v is greater
 // than the version in force, and no document with v's digest was refused before. The digest of v
-// may be shortened; as much of the digest in force is compared with it.
+// may be shortened; it is then compared with equally many digits of the other digests.
 func (a *Adopter) ShouldFetch(v validator.DocumentVersion) bool {
 	for digest := range a.refused {
 		if v.Digest != "" && strings.HasPrefix(digest, v.Digest) {
