--- a/controller/controller.go
+++ b/controller/controller.go
@@ -274,8 +274,8 @@
 
 // incarnationToken identifies one incarnation of an entry in load updates. It differs
 // between incarnations because the load reported by an earlier one has ended with it.
-func incarnationToken(name string, incarnation uint64) dispatcher.WireID {
-	return dispatcher.WireIDOf(name + " " + strconv.FormatUint(incarnation, 10))
+func incarnationToken(name string, incarnation uint64) dispatcher.CompactID {
+	return dispatcher.CompactIDOf(name + " " + strconv.FormatUint(incarnation, 10))
 }
 
 // capacity returns the capacity that this entry reports to the others.
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -551,7 +551,7 @@
 		}
 		f.entries = f.entries[:15]
 		for n := 1; n <= 20; n++ {
-			d := dispatcher.Demand{Service: "lm", PromptTokens: 250000, AnswerTokens: 500, FirstByteTarget: 4 * time.Second, GapTarget: time.Second, MaxWait: 15 * time.Second, Admitted: true}
+			d := dispatcher.Demand{Service: "lm", PromptTokens: 250000, AnswerTokens: 500, FirstByteTarget: 4 * time.Second, GapTarget: time.Second, MaxWait: 15 * time.Second, SentBefore: true}
 			_, refusal := f.entries[0].dispatcher.Place(time.Now(), d)
 			f.is.True(refusal == nil)
 			f.eventually(20*time.Millisecond, "long prompt received", hasRequests(n))
--- a/controller/loadsenders.go
+++ b/controller/loadsenders.go
@@ -17,16 +17,16 @@
 type loadSenders struct {
 	lock sync.Mutex
 	// lastReceived is when the last load update of an entry's incarnation was received.
-	lastReceived map[dispatcher.WireID]time.Time
+	lastReceived map[dispatcher.CompactID]time.Time
 }
 
 // received records that a load update of an entry's incarnation was received, and reports
 // whether none was within placingTime before.
-func (l *loadSenders) received(now time.Time, sender dispatcher.WireID) bool {
+func (l *loadSenders) received(now time.Time, sender dispatcher.CompactID) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.lastReceived == nil {
-		l.lastReceived = map[dispatcher.WireID]time.Time{}
+		l.lastReceived = map[dispatcher.CompactID]time.Time{}
 	}
 	last, known := l.lastReceived[sender]
 	l.lastReceived[sender] = now
--- a/controller/loadupdates.go
+++ b/controller/loadupdates.go
@@ -43,7 +43,7 @@
 		case <-c.newPeers:
 			sent = c.sendAllToNewPeers(socket, sent)
 			continue
-		case <-c.config.Dispatcher.Changed:
+		case <-c.config.Dispatcher.LoadChanged:
 			if !sleeper.Sleep(ctx, updateDelay) {
 				return
 			}
@@ -56,7 +56,7 @@
 // Updates about long prompts that await their first byte go through several relays: an entry that
 // misses one places requests on the same engines, which delays them by seconds.
 func (c *Controller) sendChanges(socket net.PacketConn, all bool) {
-	loads := c.config.Dispatcher.Export(time.Now(), all)
+	loads := c.config.Dispatcher.TakeLoadChanges(time.Now(), all)
 	if all {
 		c.sendAlong(socket, c.encodeUpdate(loads), c.current.Load().allPaths, dispatcher.RelayToAll, 1)
 		return
@@ -107,7 +107,7 @@
 			continue
 		}
 		if messages == nil {
-			messages = c.encodeUpdate(c.config.Dispatcher.RequestLoads(time.Now()))
+			messages = c.encodeUpdate(c.config.Dispatcher.OwnRequestLoads(time.Now()))
 		}
 		for _, m := range messages {
 			c.send(socket, m, p.loadAddress, &c.loadCounts.sent)
@@ -166,6 +166,6 @@
 		if c.loadSenders.received(now, peer) {
 			c.do(func(s *state) { s.dirty = true })
 		}
-		c.config.Dispatcher.Import(now, peer, loads)
+		c.config.Dispatcher.ApplyPeerLoads(now, peer, loads)
 	}
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -65,7 +65,7 @@
 	c.config.Dispatcher.SetPeers(countLive(v.peers), s.isLoadIncomplete(live))
 	usable := s.follower.UsableInstances()
 	if s.table != nil {
-		c.config.Dispatcher.Update(s.table, usable)
+		c.config.Dispatcher.UpdateUpstreams(s.table, usable)
 	}
 	c.config.Quarantine.SetUpstreamCount(len(usable))
 	c.metrics.configRevision.Update(float64(configRevision))
--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -22,7 +22,7 @@
 
 // hasLongPrefill reports whether one engine needs longPrefill or more for a prompt.
 func hasLongPrefill(e *matcher.EngineProfile, promptTokens int) bool {
-	return predictor.Prefill(e, promptTokens) >= longPrefill
+	return predictor.PrefillTime(e, promptTokens) >= longPrefill
 }
 
 // refuseTooCostly returns a refusal for a long prompt whose placement would cost more than the
@@ -30,11 +30,11 @@
 // totalCost is the cost of the prompt's best placement, in requests, the loss by its own lateness
 // included.
 func refuseTooCostly(d Demand, e *matcher.EngineProfile, candidates []candidate, totalCost float64) *Refusal {
-	if d.Admitted || !hasLongPrefill(e, d.PromptTokens) {
+	if d.SentBefore || !hasLongPrefill(e, d.PromptTokens) {
 		return nil
 	}
 	backlog := meanBacklog(candidates)
-	price := prefillTimePrice * backlog.Seconds() * predictor.Prefill(e, d.PromptTokens).Seconds()
+	price := prefillTimePrice * backlog.Seconds() * predictor.PrefillTime(e, d.PromptTokens).Seconds()
 	if promptValue(d.PromptTokens)-totalCost-price > 0 {
 		return nil
 	}
@@ -62,7 +62,7 @@
 // that waits at its entry delays no other. An entry that is shutting down (EndWithin is set) has no
 // time to defer a prompt.
 func refuseTooEarly(d Demand, e *matcher.EngineProfile, g group, backlog time.Duration) *Refusal {
-	if d.Admitted || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
+	if d.SentBefore || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
 		return nil
 	}
 	urgency := float64(d.Waited) / float64(d.FirstByteTarget)
@@ -115,6 +115,6 @@
 	answering := g.estimates[0]
 	engine := answering.upstream.engine
 	events := d.MaxAnswerTokens/max(1, engine.StepsPerPass) + 1
-	pass := float64(predictor.DecodePass(engine, engine.Slots, answering.load.MemoryTokens+d.PromptTokens)) * answering.upstream.health.pace(now)
+	pass := float64(predictor.DecodePassTime(engine, engine.Slots, answering.load.MemoryTokens+d.PromptTokens)) * answering.upstream.health.pace(now)
 	return time.Duration(endMargin * (float64(g.prefillDelay) + float64(events)*pass))
 }
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -24,14 +24,14 @@
 	for i := range 112 {
 		instances = append(instances, Instance{ID: fmt.Sprintf("e%03d", i), Service: "lm", DataCentre: "a", Slots: 10})
 	}
-	dispatcher.Update(table, instances)
+	dispatcher.UpdateUpstreams(table, instances)
 	dispatcher.SetPeers(94, false)
 	for i := range 112 * answers {
 		d := shortDemand
-		d.Admitted = true
+		d.SentBefore = true
 		if i%20 == 0 {
 			d = mediumDemand
-			d.Admitted = true
+			d.SentBefore = true
 		}
 		p, refusal := dispatcher.Place(startTime, d)
 		if refusal != nil {
@@ -60,10 +60,10 @@
 	}
 }
 
-// BenchmarkImport measures the decoding and import of a full export of a peer.
-func BenchmarkImport(b *testing.B) {
+// BenchmarkApplyPeerLoads measures the decoding and import of a full export of a peer.
+func BenchmarkApplyPeerLoads(b *testing.B) {
 	dispatcher, peer := loadedDispatcher(b, 6), loadedDispatcher(b, 1)
-	messages := EncodeLoadUpdates(WireIDOf("far"), peer.Export(startTime, true))
+	messages := EncodeLoadUpdates(CompactIDOf("far"), peer.TakeLoadChanges(startTime, true))
 	b.ResetTimer()
 	for range b.N {
 		for _, m := range messages {
@@ -71,7 +71,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			dispatcher.Import(startTime, peer, loads)
+			dispatcher.ApplyPeerLoads(startTime, peer, loads)
 		}
 	}
 	b.ReportMetric(float64(len(messages)), "messages/op")
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -134,12 +134,12 @@
 // estimate predicts the effect of placing one of a number of shards on the engine. With decodes
 // set, the engine also decodes the answer; otherwise it is a helper. The call overwrites the
 // projections that an earlier call left in forecast.
-func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, forecast *predictor.Forecast) estimate {
+func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, forecast *predictor.Simulator) estimate {
 	u, engine := c.upstream, c.upstream.engine
 	est := estimate{candidate: c, job: newJob(now, d, engine, shards, decodes), canDecode: shards > 1 || d.PromptTokens+d.AnswerTokens <= engine.MemoryTokens}
 	projections := forecast.Simulate(now, u.queue, &est.job)
 	own := projections[len(projections)-1]
-	est.prefillDelay, est.longestGap = own.PrefillDone.Sub(now)+c.load.Overdue+transitTime, own.MaxGap
+	est.prefillDelay, est.longestGap = own.PrefillDone.Sub(now)+c.load.FirstEventDelay+transitTime, own.MaxGap
 	if decodes {
 		est.unfinishedRisk = overProbability(own.End.Sub(now), d.Remaining, endFrom, endTo)
 	}
@@ -152,7 +152,7 @@
 	est.cost += value * failureLoss * c.load.FailureRate
 	usableSlots := engine.Slots - spareSlots
 	if waiting := c.load.Running + 1 - usableSlots; decodes && waiting > 0 {
-		pass := predictor.DecodePass(engine, c.load.Running, c.load.MemoryTokens)
+		pass := predictor.DecodePassTime(engine, c.load.Running, c.load.MemoryTokens)
 		est.prefillDelay += time.Duration(waiting) * slotWait(engine, pass)
 		est.cost += value * slotWaitCost * float64(waiting) / float64(max(1, engine.Slots))
 	}
@@ -166,7 +166,7 @@
 // set, the engine also decodes the answer.
 func newJob(now time.Time, d Demand, e *matcher.EngineProfile, shards int, decodes bool) predictor.Job {
 	return predictor.Job{
-		Sharded: shards > 1, PrefillTokens: d.PromptTokens / shards, PrefillTime: predictor.ShardPrefill(e, d.PromptTokens, shards), Decodes: decodes, ContextTokens: d.PromptTokens / shards,
+		Sharded: shards > 1, PrefillTokens: d.PromptTokens / shards, PrefillTime: predictor.ShardPrefillTime(e, d.PromptTokens, shards), Decodes: decodes, ContextTokens: d.PromptTokens / shards,
 		ExpectedEvents: d.AnswerTokens/max(1, e.StepsPerPass) + 1, Arrived: now,
 	}
 }
@@ -174,7 +174,7 @@
 // hasShortPrefill reports whether the prefill of a prompt fits into shortPrefillFraction of its gap
 // target.
 func hasShortPrefill(d Demand, e *matcher.EngineProfile) bool {
-	return float64(predictor.Prefill(e, d.PromptTokens)) <= shortPrefillFraction*float64(d.GapTarget)
+	return float64(predictor.PrefillTime(e, d.PromptTokens)) <= shortPrefillFraction*float64(d.GapTarget)
 }
 
 // slotWait returns the mean time until a slot of a full engine is free. A mean answer takes
--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -25,9 +25,9 @@
 	// Avoid lists the incarnations of upstreams that have failed the request; it is not placed on
 	// them.
 	Avoid []Instance
-	// Admitted is true for a request that was placed before. It is not refused for its cost or its
+	// SentBefore is true for a request that was placed before. It is not refused for its cost or its
 	// waiting time.
-	Admitted bool
+	SentBefore bool
 	// NoHelpers forbids placing the request on a group of engines, because a group has failed it
 	// before.
 	NoHelpers bool
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -28,10 +28,10 @@
 	lock      sync.Mutex
 	upstreams map[string]*upstream
 	// byWireID holds the upstreams by the wire ID of their incarnation.
-	byWireID map[WireID]*upstream
+	byWireID map[CompactID]*upstream
 	services map[string][]*upstream
 	// ownRequests holds the requests placed by this entry, peerRequests those that peers report.
-	ownRequests  map[WireID]*request
+	ownRequests  map[CompactID]*request
 	peerRequests map[peerRequestKey]*request
 	// peerCount is the number of other entries that place requests, as set by SetPeers.
 	peerCount int
@@ -47,34 +47,34 @@
 	// exported since the last full Export; the next full Export repeats these ends.
 	changed         map[*request]bool
 	endedLoads      []RequestLoad
-	previouslyEnded []WireID
-	// Changed is a channel of capacity 1 that holds an element while Export has something new to
+	previouslyEnded []CompactID
+	// LoadChanged is a channel of capacity 1 that holds an element while Export has something new to
 	// return.
-	Changed  chan struct{}
-	forecast predictor.Forecast
+	LoadChanged chan struct{}
+	forecast    predictor.Simulator
 }
 
 // New returns a dispatcher without upstreams, for an entry in a data centre. It uses random, which
 // need not be safe for concurrent use, for request IDs and jitter.
 func New(dataCentre string, random *rand.Rand) *Dispatcher {
 	return &Dispatcher{
-		dataCentre: dataCentre, random: random, upstreams: map[string]*upstream{}, byWireID: map[WireID]*upstream{}, services: map[string][]*upstream{},
-		ownRequests: map[WireID]*request{}, peerRequests: map[peerRequestKey]*request{}, rankSalt: sharedRankSalt, changed: map[*request]bool{}, Changed: make(chan struct{}, 1),
+		dataCentre: dataCentre, random: random, upstreams: map[string]*upstream{}, byWireID: map[CompactID]*upstream{}, services: map[string][]*upstream{},
+		ownRequests: map[CompactID]*request{}, peerRequests: map[peerRequestKey]*request{}, rankSalt: sharedRankSalt, changed: map[*request]bool{}, LoadChanged: make(chan struct{}, 1),
 	}
 }
 
-// NewLocal returns a dispatcher for requests that this entry does not report to its peers: it keeps
+// NewUnreported returns a dispatcher for requests that this entry does not report to its peers: it keeps
 // nothing to export, and Export returns nothing.
-func NewLocal(dataCentre string, random *rand.Rand) *Dispatcher {
+func NewUnreported(dataCentre string, random *rand.Rand) *Dispatcher {
 	b := New(dataCentre, random)
 	b.isLocal = true
 	return b
 }
 
-// Update replaces the services and the list of upstreams that may be sent requests. An upstream
+// UpdateUpstreams replaces the services and the list of upstreams that may be sent requests. An upstream
 // that is no longer listed is kept until its last request ends, and longer while its backpressure
 // must be remembered.
-func (b *Dispatcher) Update(table *matcher.Table, instances []Instance) {
+func (b *Dispatcher) UpdateUpstreams(table *matcher.Table, instances []Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
--- a/dispatcher/group_test.go
+++ b/dispatcher/group_test.go
@@ -18,7 +18,7 @@
 	worst := 0.0
 	for i := range 12 {
 		d := withPrompt(longDemand, 60000+40000*(i%6))
-		d.Admitted = true
+		d.SentBefore = true
 		candidates := dispatcher.newCandidates(now, d, dispatcher.usableUpstreams(now, d))
 		for j := range candidates {
 			candidates[j].jitter = 0
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Update(table, []Instance{
+	b.UpdateUpstreams(table, []Instance{
 		{ID: "e00", Started: started, Service: "lm", DataCentre: "a", Slots: 16},
 		{ID: "e01", Service: "lm", DataCentre: "a", Slots: 16},
 	})
@@ -50,7 +50,7 @@
 		placeOnFirst(t, b, shortDemand).RecordFirstByte(startTime)
 		placeOnFirst(t, peer, shortDemand)
 	}
-	b.Import(startTime, WireIDOf("far"), peer.Export(startTime, false))
+	b.ApplyPeerLoads(startTime, CompactIDOf("far"), peer.TakeLoadChanges(startTime, false))
 	u := b.upstreams["e00"]
 	is.Equal(u.load(startTime).Running, 10)
 	u.health.recordUnreachable(startTime)
@@ -72,11 +72,11 @@
 	placeOnFirst(t, b, shortDemand).OnRestart(func() { calls["alone"]++ })
 	late := placeOnFirst(t, b, shortDemand)
 	big := withPrompt(longDemand, 400000)
-	big.Admitted = true
+	big.SentBefore = true
 	joint := place(t, b, startTime, big)
 	is.Equal(len(joint.Helpers), 1)
 	joint.OnRestart(func() { calls["joint"]++ })
-	other := place(t, b, startTime, Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 100, Avoid: []Instance{{ID: "e00"}}, Admitted: true, GapTarget: time.Second})
+	other := place(t, b, startTime, Demand{Service: "lm", PromptTokens: 5000, AnswerTokens: 100, Avoid: []Instance{{ID: "e00"}}, SentBefore: true, GapTarget: time.Second})
 	other.OnRestart(func() { calls["elsewhere"]++ })
 	listIncarnation(t, b, firstIncarnation)
 	is.Equal(len(calls), 0) // listed again, the same incarnation
@@ -101,7 +101,7 @@
 	for i, p := range old {
 		p.RecordFirstByte(now)
 		p.RecordEvent(now)
-		p.End(now, []Result{Answered, Failed, Unreachable, NotRun}[i])
+		p.End(now, []PlacementResult{Answered, Failed, Unreachable, NotRun}[i])
 	}
 	b.RecordHelperFailure(now, old[0].First)
 	is.Equal(b.Upstreams(startTime), before)
@@ -117,11 +117,11 @@
 	is := is.New(t)
 	b, behind, ahead := dispatcherWithIncarnation(t, secondIncarnation), dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
 	placeOnFirst(t, behind, shortDemand)
-	b.Import(startTime, WireIDOf("behind"), behind.Export(startTime, false))
+	b.ApplyPeerLoads(startTime, CompactIDOf("behind"), behind.TakeLoadChanges(startTime, false))
 	is.Equal(b.upstreams["e00"].load(startTime).Running, 0)
 	listIncarnation(t, ahead, secondIncarnation.Add(time.Second))
 	placeOnFirst(t, ahead, shortDemand)
-	b.Import(startTime, WireIDOf("ahead"), ahead.Export(startTime, false))
+	b.ApplyPeerLoads(startTime, CompactIDOf("ahead"), ahead.TakeLoadChanges(startTime, false))
 	is.Equal(b.upstreams["e00"].load(startTime).Running, 0)
 	listIncarnation(t, b, secondIncarnation.Add(time.Second))
 	is.Equal(b.upstreams["e00"].load(startTime).Running, 1)
--- a/dispatcher/instance.go
+++ b/dispatcher/instance.go
@@ -33,9 +33,9 @@
 
 // IncarnationID returns the ID of the incarnation in load updates: a hash of ID and Started, or of
 // ID alone if Started is zero.
-func (i Instance) IncarnationID() WireID {
+func (i Instance) IncarnationID() CompactID {
 	if i.Started.IsZero() {
-		return WireIDOf(i.ID)
+		return CompactIDOf(i.ID)
 	}
-	return WireIDOf(i.ID + " " + strconv.FormatInt(i.Started.UnixMilli(), 10))
+	return CompactIDOf(i.ID + " " + strconv.FormatInt(i.Started.UnixMilli(), 10))
 }
--- a/dispatcher/loss.go
+++ b/dispatcher/loss.go
@@ -57,7 +57,7 @@
 // caller leaves.
 func lossFraction(wait, target, gap, gapTarget time.Duration, unfinishedRisk float64) float64 {
 	late := max(lateProbability(wait, target), overProbability(gap, gapTarget, gapFrom, gapTo))
-	abandoned := max(unfinishedRisk, lateProbability(wait, matcher.AbandonAfter(target, gapTarget)), lateProbability(gap, matcher.AbandonAfter(0, gapTarget)))
+	abandoned := max(unfinishedRisk, lateProbability(wait, matcher.CallerAbandonTime(target, gapTarget)), lateProbability(gap, matcher.CallerAbandonTime(0, gapTarget)))
 	return lateLoss*late + abandonLoss*abandoned + waitSlope*float64(wait)/float64(max(1, target))
 }
 
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -12,7 +12,7 @@
 
 // placeCall places a plain request at one entry, and exchanges load updates. The function end
 // returns how long the instance takes and with which result the request ends.
-func placeCall(t *testing.T, dispatchers []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, Result)) Result {
+func placeCall(t *testing.T, dispatchers []*Dispatcher, now time.Time, entry int, end func(Instance) (time.Duration, PlacementResult)) PlacementResult {
 	t.Helper()
 	p := place(t, dispatchers[entry], now, Demand{Service: "app"})
 	took, result := end(p.First)
@@ -40,7 +40,7 @@
 	now, failed, counts := time.Now(), 0, map[string]int{}
 	for i := range perSecond * seconds {
 		now = now.Add(time.Second / perSecond)
-		result := placeCall(t, dispatchers, now, i%entries, func(at Instance) (time.Duration, Result) {
+		result := placeCall(t, dispatchers, now, i%entries, func(at Instance) (time.Duration, PlacementResult) {
 			counts[at.ID]++
 			if at.ID == "s0" && random.IntN(2) == 0 {
 				return time.Millisecond, Failed
@@ -65,7 +65,7 @@
 	now, counts := time.Now(), map[string]int{}
 	for i := range calls {
 		now = now.Add(20 * time.Millisecond)
-		placeCall(t, dispatchers, now, i%entries, func(at Instance) (time.Duration, Result) {
+		placeCall(t, dispatchers, now, i%entries, func(at Instance) (time.Duration, PlacementResult) {
 			counts[at.ID]++
 			if random.IntN(7) == 0 {
 				return 17 * time.Millisecond, Failed
@@ -83,7 +83,7 @@
 func TestOutcomeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	for result, want := range map[Result]float64{Failed: failureWeight, Incomplete: 0, Unreachable: 0, NotRun: 0, Abandoned: 0, Answered: 0} {
+	for result, want := range map[PlacementResult]float64{Failed: failureWeight, Incomplete: 0, Unreachable: 0, NotRun: 0, Abandoned: 0, Answered: 0} {
 		dispatchers := newPeers(t, 2, 0)
 		p := place(t, dispatchers[0], now, Demand{Service: "app"})
 		p.End(now, result)
@@ -103,14 +103,14 @@
 	is.NoErr(err)
 	helper, first := Instance{ID: "helper", Service: "lm", Slots: 16}, Instance{ID: "first", Service: "lm", Slots: 16}
 	b := New("a", rand.New(rand.NewPCG(1, 2)))
-	b.Update(table, []Instance{helper})
+	b.UpdateUpstreams(table, []Instance{helper})
 	s := RequestLoad{ID: 7, PromptTokens: 60000, AnswerTokens: 500, FirstByteTarget: time.Second, GapTarget: time.Second, Assignments: []AssignmentLoad{{Upstream: first.IncarnationID(), Decodes: true}, {Upstream: helper.IncarnationID()}}}
-	b.Import(now, 1, []RequestLoad{s})
-	b.Update(table, []Instance{helper, first})
+	b.ApplyPeerLoads(now, 1, []RequestLoad{s})
+	b.UpdateUpstreams(table, []Instance{helper, first})
 	for _, u := range b.upstreams {
 		u.health.recordFailure(now)
 	}
-	b.Import(now, 1, []RequestLoad{{ID: 7, Ended: true, Outcome: OutcomeAnswered}})
+	b.ApplyPeerLoads(now, 1, []RequestLoad{{ID: 7, Ended: true, Outcome: OutcomeAnswered}})
 	is.Equal(b.upstreams["helper"].health.failureRate(now), failureWeight)
 	is.Equal(b.upstreams["first"].health.failureRate(now), failureWeight*(1-successWeight))
 }
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -82,7 +82,7 @@
 // newPlacement returns a placement of a request that has no assignments yet.
 func (b *Dispatcher) newPlacement(now time.Time, d Demand) *Placement {
 	return &Placement{dispatcher: b, HelperMemoryTokens: map[string]int{}, request: &request{
-		wireID: WireID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
+		wireID: CompactID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
 	}}
 }
 
@@ -160,7 +160,7 @@
 	if !found {
 		return nil, &Refusal{Reason: "no_memory", RetryAfter: minRetryAfter}
 	}
-	if !d.Admitted && d.MaxWait > 0 && best.prefillDelay > d.MaxWait {
+	if !d.SentBefore && d.MaxWait > 0 && best.prefillDelay > d.MaxWait {
 		return nil, &Refusal{Reason: "overloaded", Temporary: true, ExpectedFirstByte: best.prefillDelay, RetryAfter: min(maxRetryAfter, max(minRetryAfter, best.prefillDelay-d.MaxWait/2))}
 	}
 	memoryTokens, fits := splitMemory(d, best.estimates)
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -46,7 +46,7 @@
 	for i := range 3 {
 		instances = append(instances, Instance{ID: fmt.Sprintf("s%d", i), Service: "app", DataCentre: string(rune('a' + i)), Slots: 6})
 	}
-	b.Update(table, instances)
+	b.UpdateUpstreams(table, instances)
 	return b
 }
 
@@ -326,14 +326,14 @@
 	is := is.New(t)
 	local, peer := testDispatcher(t, 2), testDispatcher(t, 2)
 	placeStreaming(t, peer, startTime, shortDemand, 14)
-	local.Import(startTime, WireIDOf("far"), peer.Export(startTime, false))
+	local.ApplyPeerLoads(startTime, CompactIDOf("far"), peer.TakeLoadChanges(startTime, false))
 	loads := map[string]int{}
 	for id, u := range local.upstreams {
 		loads[id] = u.load(startTime).Running
 	}
 	is.Equal(loads["e00"]+loads["e01"], 14)
 	late := startTime.Add(requestLoadTTL + time.Second)
-	local.Export(late, true)
+	local.TakeLoadChanges(late, true)
 	is.Equal(local.upstreams["e00"].load(late).Running+local.upstreams["e01"].load(late).Running, 0)
 }
 
@@ -344,10 +344,10 @@
 	local, peer := New("a", rand.New(rand.NewPCG(3, 4))), testDispatcher(t, 2)
 	now := time.Now()
 	placeStreaming(t, peer, now, shortDemand, 9)
-	local.Import(now, WireIDOf("far"), peer.Export(now, false))
+	local.ApplyPeerLoads(now, CompactIDOf("far"), peer.TakeLoadChanges(now, false))
 	table, err := matcher.New(matcher.Config{Services: []matcher.Service{{Name: "lm", Engine: &testEngine}}})
 	is.NoErr(err)
-	local.Update(table, []Instance{{ID: "e00", Service: "lm"}, {ID: "e01", Service: "lm"}})
+	local.UpdateUpstreams(table, []Instance{{ID: "e00", Service: "lm"}, {ID: "e01", Service: "lm"}})
 	sum := 0
 	for _, row := range local.Upstreams(now) {
 		sum += row.Load.Running
@@ -434,7 +434,7 @@
 		if i%3 > 0 {
 			p.RecordFirstByte(startTime)
 		}
-		p.End(startTime, Result(i%4))
+		p.End(startTime, PlacementResult(i%4))
 	}
 	for _, u := range b.upstreams {
 		is.Equal(len(u.assignments), 0)
@@ -457,7 +457,7 @@
 	for i := range 54 {
 		instances = append(instances, Instance{ID: fmt.Sprintf("e%02d", i), Service: "lm", Slots: 16})
 	}
-	dispatcher.Update(table, instances)
+	dispatcher.UpdateUpstreams(table, instances)
 	b.ReportAllocs()
 	for b.Loop() {
 		p, refusal := dispatcher.Place(startTime, d)
@@ -483,7 +483,7 @@
 					d.Avoid = append(d.Avoid, Instance{ID: other})
 				}
 			}
-			d.NoHelpers, d.Admitted = true, true
+			d.NoHelpers, d.SentBefore = true, true
 			return place(t, b, now, d)
 		}
 		now := startTime.Add(2 * time.Second)
@@ -499,7 +499,7 @@
 			b.upstreams[id].queue.Advance(now)
 		}
 		d := withPrompt(longDemand, 130000)
-		d.NoHelpers, d.Admitted, d.Remaining = true, true, 15*time.Second
+		d.NoHelpers, d.SentBefore, d.Remaining = true, true, 15*time.Second
 		p := place(t, b, now, d)
 		is.True(p.First.ID != long)
 	}
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -87,21 +87,21 @@
 			prefill = max(prefill, a.upstream.load(now).PrefillBacklog)
 		}
 	}
-	pass := predictor.DecodePass(first.engine, l.Running, l.MemoryTokens)
-	return prefill + time.Duration(float64(pass)*first.health.pace(now)) + l.Overdue
+	pass := predictor.DecodePassTime(first.engine, l.Running, l.MemoryTokens)
+	return prefill + time.Duration(float64(pass)*first.health.pace(now)) + l.FirstEventDelay
 }
 
 // paceSlack is added to a predicted time before a measured one is compared with it. It covers the
 // network, scheduling and half a pass.
 const paceSlack = 60 * time.Millisecond
 
-// Result is what an ended placement shows about its first upstream.
-type Result int
+// PlacementResult is what an ended placement shows about its first upstream.
+type PlacementResult int
 
 // Results of a placement.
 const (
 	// Answered means that the upstream sent a complete answer.
-	Answered Result = iota
+	Answered PlacementResult = iota
 	// Abandoned means that the request ended for a reason that says nothing about the upstream,
 	// such as its caller leaving.
 	Abandoned
@@ -119,7 +119,7 @@
 // outcome returns the outcome that peers are sent for a result. Only Answered and Failed are
 // reported: an answer that this entry did not receive may have been lost on its own links, and a
 // full upstream shows in its load.
-func (r Result) outcome() Outcome {
+func (r PlacementResult) outcome() ReportedOutcome {
 	switch r {
 	case Answered:
 		return OutcomeAnswered
@@ -132,7 +132,7 @@
 
 // End removes the request from the dispatcher, records its result, and queues its end for the next
 // Export.
-func (p *Placement) End(now time.Time, result Result) {
+func (p *Placement) End(now time.Time, result PlacementResult) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -8,7 +8,7 @@
 
 // request is a request of this entry or of a peer, with its work at each upstream.
 type request struct {
-	wireID WireID
+	wireID CompactID
 	// promptTokens is the length of the prompt, answerTokens the expected length of the answer.
 	promptTokens, answerTokens int
 	// firstByteTarget and gapTarget are the latency targets of the route; gapTarget is 0 for plain
--- a/dispatcher/requestload.go
+++ b/dispatcher/requestload.go
@@ -10,23 +10,23 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// WireID identifies a request, or an incarnation of an entry or an upstream, in load updates. For
+// CompactID identifies a request, or an incarnation of an entry or an upstream, in load updates. For
 // incarnations it is a hash of their name: the names themselves would make up most of a message.
-type WireID uint32
+type CompactID uint32
 
-// WireIDOf returns the wire ID of a name.
-func WireIDOf(name string) WireID { return WireID(xxhash.Sum64String(name)) }
+// CompactIDOf returns the wire ID of a name.
+func CompactIDOf(name string) CompactID { return CompactID(xxhash.Sum64String(name)) }
 
 // RequestLoad is the load of one request of an entry, as the entry reports it to its peers.
 type RequestLoad struct {
 	// ID identifies the request among those of its entry. It is random, and new for each placement.
-	ID WireID
+	ID CompactID
 	// Ended is true where the request has ended. Then only ID, Outcome and, for OutcomeFailed,
 	// Assignments are set.
 	Ended bool
 	// Outcome is what the end of the request shows about its first upstream; OutcomeUnknown unless
 	// Ended is true.
-	Outcome Outcome
+	Outcome ReportedOutcome
 	// FirstByteSeen is true once the first byte of the answer has arrived.
 	FirstByteSeen bool
 	// Age is the time since the placement.
@@ -49,14 +49,14 @@
 	Assignments []AssignmentLoad
 }
 
-// Outcome is what the end of a request shows peers about the upstream that was to answer it.
-type Outcome byte
+// ReportedOutcome is what the end of a request shows peers about the upstream that was to answer it.
+type ReportedOutcome byte
 
 // Outcomes of a request.
 const (
 	// OutcomeUnknown means that the end shows nothing: an answer that an entry did not receive may
 	// have been lost on its own links.
-	OutcomeUnknown Outcome = iota
+	OutcomeUnknown ReportedOutcome = iota
 	// OutcomeAnswered means that the upstream sent a complete answer.
 	OutcomeAnswered
 	// OutcomeFailed means that the upstream answered with a failure. The first assignment names the
@@ -67,7 +67,7 @@
 // AssignmentLoad is the load of a request at one upstream.
 type AssignmentLoad struct {
 	// Upstream identifies the incarnation of the upstream.
-	Upstream WireID
+	Upstream CompactID
 	// MemoryTokens is the memory that the request uses at the upstream, in tokens; on the wire
 	// rounded up to a multiple of memoryUnit.
 	MemoryTokens int
@@ -77,7 +77,7 @@
 }
 
 // peerRequestKey identifies a request of a peer. IDs are unique within one peer only.
-type peerRequestKey struct{ peer, id WireID }
+type peerRequestKey struct{ peer, id CompactID }
 
 // requestLoadTTL is the time for which a peer's report of a request is valid. Peers repeat reports
 // several times within it.
@@ -93,7 +93,7 @@
 }
 
 // queueEnd marks the end of a request to be reported to peers with the next Export.
-func (b *Dispatcher) queueEnd(r *request, outcome Outcome) {
+func (b *Dispatcher) queueEnd(r *request, outcome ReportedOutcome) {
 	if b.isLocal {
 		return
 	}
@@ -109,16 +109,16 @@
 // signalChange puts an element into Changed unless there is one.
 func (b *Dispatcher) signalChange() {
 	select {
-	case b.Changed <- struct{}{}:
+	case b.LoadChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Export returns the load of the requests of this entry that changed or ended since the last call,
+// TakeLoadChanges returns the load of the requests of this entry that changed or ended since the last call,
 // or of all its requests with all set. A full export also drops the expired requests of peers, and
 // repeats the ends exported since the last full one, without their outcome, since a failure that is
 // reported twice would count twice.
-func (b *Dispatcher) Export(now time.Time, all bool) []RequestLoad {
+func (b *Dispatcher) TakeLoadChanges(now time.Time, all bool) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	out := slices.Clone(b.endedLoads)
@@ -142,8 +142,8 @@
 	return out
 }
 
-// RequestLoads returns the load of all requests of this entry, for a peer that has just joined.
-func (b *Dispatcher) RequestLoads(now time.Time) []RequestLoad {
+// OwnRequestLoads returns the load of all requests of this entry, for a peer that has just joined.
+func (b *Dispatcher) OwnRequestLoads(now time.Time) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	out := make([]RequestLoad, 0, len(b.ownRequests))
@@ -176,7 +176,7 @@
 }
 
 // ForgetPeer removes all requests of a peer that has restarted, as they ended with its incarnation.
-func (b *Dispatcher) ForgetPeer(now time.Time, peer WireID) {
+func (b *Dispatcher) ForgetPeer(now time.Time, peer CompactID) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	for key, r := range b.peerRequests {
@@ -187,8 +187,8 @@
 	}
 }
 
-// Import applies a load update of a peer.
-func (b *Dispatcher) Import(now time.Time, peer WireID, loads []RequestLoad) {
+// ApplyPeerLoads applies a load update of a peer.
+func (b *Dispatcher) ApplyPeerLoads(now time.Time, peer CompactID, loads []RequestLoad) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	for _, load := range loads {
--- a/dispatcher/requestload_test.go
+++ b/dispatcher/requestload_test.go
@@ -17,12 +17,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var loads []RequestLoad
 		for range rapid.IntRange(0, 40).Draw(t, "loads") {
-			s := RequestLoad{ID: WireID(rapid.Uint32().Draw(t, "request")), Ended: rapid.Bool().Draw(t, "ended")}
+			s := RequestLoad{ID: CompactID(rapid.Uint32().Draw(t, "request")), Ended: rapid.Bool().Draw(t, "ended")}
 			if s.Ended {
-				s.Outcome = rapid.SampledFrom([]Outcome{OutcomeUnknown, OutcomeAnswered, OutcomeFailed}).Draw(t, "outcome")
+				s.Outcome = rapid.SampledFrom([]ReportedOutcome{OutcomeUnknown, OutcomeAnswered, OutcomeFailed}).Draw(t, "outcome")
 			}
 			if s.Outcome == OutcomeFailed {
-				s.Assignments = []AssignmentLoad{{Upstream: WireID(rapid.Uint32().Draw(t, "failed")), Decodes: true}}
+				s.Assignments = []AssignmentLoad{{Upstream: CompactID(rapid.Uint32().Draw(t, "failed")), Decodes: true}}
 			}
 			if !s.Ended {
 				s.Waited = time.Duration(rapid.IntRange(0, 60000).Draw(t, "waited")) * time.Millisecond
@@ -34,19 +34,19 @@
 				s.GapTarget = time.Duration(rapid.IntRange(0, 5000).Draw(t, "gap target")) * time.Millisecond
 				for range rapid.IntRange(1, 17).Draw(t, "assignments") {
 					s.Assignments = append(s.Assignments, AssignmentLoad{
-						Upstream: WireIDOf(rapid.String().Draw(t, "id")), MemoryTokens: memoryUnit * rapid.IntRange(0, 1<<14).Draw(t, "memory"), Decodes: len(s.Assignments) == 0,
+						Upstream: CompactIDOf(rapid.String().Draw(t, "id")), MemoryTokens: memoryUnit * rapid.IntRange(0, 1<<14).Draw(t, "memory"), Decodes: len(s.Assignments) == 0,
 					})
 				}
 			}
 			loads = append(loads, s)
 		}
 		var got []RequestLoad
-		for _, m := range EncodeLoadUpdates(WireIDOf("entry-1"), loads) {
+		for _, m := range EncodeLoadUpdates(CompactIDOf("entry-1"), loads) {
 			if len(m) > maxLoadUpdate {
 				t.Fatalf("load update has %d bytes, more than maxLoadUpdate", len(m))
 			}
 			from, decoded, err := DecodeLoadUpdate(m)
-			if err != nil || from != WireIDOf("entry-1") {
+			if err != nil || from != CompactIDOf("entry-1") {
 				t.Fatalf("decoding a load update from %d: %v", from, err)
 			}
 			got = append(got, decoded...)
@@ -99,16 +99,16 @@
 }
 
 // The updates of a local dispatcher are never exported, so it must not collect any.
-func TestLocalDispatcherExportsNothing(t *testing.T) {
+func TestUnreportedDispatcherHasNoLoadChanges(t *testing.T) {
 	is := is.New(t)
-	b := NewLocal("dc", rand.New(rand.NewPCG(1, 2)))
-	b.Update(&matcher.Table{}, []Instance{{ID: "i-1", Service: "plain", Slots: 4}})
+	b := NewUnreported("dc", rand.New(rand.NewPCG(1, 2)))
+	b.UpdateUpstreams(&matcher.Table{}, []Instance{{ID: "i-1", Service: "plain", Slots: 4}})
 	for range 100 {
 		p, refusal := b.Place(time.Now(), Demand{Service: "plain"})
 		is.True(refusal == nil)
 		p.RecordFirstByte(time.Now())
 		p.End(time.Now(), Answered)
 	}
-	is.Equal(len(b.Changed), 0)
-	is.Equal(len(b.Export(time.Now(), true)), 0)
+	is.Equal(len(b.LoadChanged), 0)
+	is.Equal(len(b.TakeLoadChanges(time.Now(), true)), 0)
 }
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -25,7 +25,7 @@
 // first-byte target or more, since the shards of a group are prefilled before other work.
 func groupSizes(d Demand, e *matcher.EngineProfile, candidates []candidate) []int {
 	maxSize := min(len(candidates), maxHelpers+1)
-	if predictor.Prefill(e, d.PromptTokens) < d.GapTarget/4 {
+	if predictor.PrefillTime(e, d.PromptTokens) < d.GapTarget/4 {
 		hasShortBacklog := slices.ContainsFunc(candidates, func(c candidate) bool { return c.load.PrefillBacklog < d.FirstByteTarget/2 })
 		maxSize = min(maxSize, 2)
 		if hasShortBacklog {
@@ -92,7 +92,7 @@
 
 // search looks for the cheapest engines for one prompt. Its buffers are reused for each group size.
 type search struct {
-	forecast *predictor.Forecast
+	forecast *predictor.Simulator
 	// packs is true where the prompt is packed onto few engines, together with answers that have as
 	// short a gap target.
 	packs     bool
--- a/dispatcher/settle_test.go
+++ b/dispatcher/settle_test.go
@@ -27,14 +27,14 @@
 func exchangeUpdates(t *testing.T, now time.Time, dispatchers []*Dispatcher, all bool) {
 	t.Helper()
 	for i, from := range dispatchers {
-		for _, m := range EncodeLoadUpdates(WireIDOf(fmt.Sprint(i)), from.Export(now, all)) {
+		for _, m := range EncodeLoadUpdates(CompactIDOf(fmt.Sprint(i)), from.TakeLoadChanges(now, all)) {
 			peer, loads, err := DecodeLoadUpdate(m)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for j, to := range dispatchers {
 				if j != i {
-					to.Import(now, peer, loads)
+					to.ApplyPeerLoads(now, peer, loads)
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 		for i, b := range dispatchers {
 			d := withPrompt(longDemand, 180_000+random.IntN(300_000))
 			d.Waited = time.Duration(random.IntN(4)) * time.Second
-			d.Admitted = true
+			d.SentBefore = true
 			placed[i] = place(t, b, startTime.Add(time.Duration(random.IntN(5000))*time.Microsecond), d)
 		}
 		exchangeUpdates(t, startTime.Add(8*time.Millisecond), dispatchers, false)
@@ -128,7 +128,7 @@
 	d := withPrompt(longDemand, 250_000)
 	d.Waited = 2 * time.Second
 	p := place(t, dispatchers[1], late, d)
-	dispatchers[1].Import(late.Add(time.Millisecond), WireIDOf("0"), dispatchers[0].Export(late.Add(time.Millisecond), false))
+	dispatchers[1].ApplyPeerLoads(late.Add(time.Millisecond), CompactIDOf("0"), dispatchers[0].TakeLoadChanges(late.Add(time.Millisecond), false))
 	is.True(p.ShouldYield(late.Add(SettleDelay)))
 }
 
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -42,7 +42,7 @@
 		p.End(now, Answered)
 	}
 	d := shortDemand
-	d.MaxAnswerTokens, d.EndWithin, d.Admitted = 4500, 7*time.Second, true
+	d.MaxAnswerTokens, d.EndWithin, d.SentBefore = 4500, 7*time.Second, true
 	_, refusal := b.Place(now, d)
 	is.True(refusal != nil && refusal.OutlivesEntry)
 }
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -11,7 +11,7 @@
 type upstream struct {
 	instance Instance
 	// wireID identifies the incarnation in load updates.
-	wireID WireID
+	wireID CompactID
 	// engine and queue are nil where the upstream is not a model engine.
 	engine *matcher.EngineProfile
 	queue  *predictor.Queue
@@ -40,7 +40,7 @@
 	case u.queue == nil:
 		u.queue = predictor.NewQueue(u.engine)
 	default:
-		u.queue.SetEngine(u.engine)
+		u.queue.SetProfile(u.engine)
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // project predicts the course of the assignments if nothing more is placed at the upstream, and
 // sets projections and the assignments' prefilledAt.
-func (u *upstream) project(now time.Time, forecast *predictor.Forecast) {
+func (u *upstream) project(now time.Time, forecast *predictor.Simulator) {
 	u.queue.SetSlowdown(u.health.pace(now))
 	u.queue.Advance(now)
 	u.projections = append(u.projections[:0], forecast.Simulate(now, u.queue, nil)...)
@@ -94,9 +94,9 @@
 	// PrefillBacklog is the time that the engine needs to prefill what is left of the prompts
 	// placed on it; 0 for plain services.
 	PrefillBacklog time.Duration
-	// Overdue is the time by which the most overdue first event is late against its prediction. The
+	// FirstEventDelay is the time by which the most overdue first event is late against its prediction. The
 	// engine must have at least as much work that no entry has reported.
-	Overdue time.Duration
+	FirstEventDelay time.Duration
 	// MemoryTokens is the memory in use by requests, in tokens.
 	MemoryTokens int
 	// FailureRate is the fraction of requests that is expected to fail, from 0 to 1.
@@ -110,12 +110,12 @@
 		l.MemoryTokens += a.memoryTokens
 		if a.job.Decodes {
 			l.Running++
-			l.Overdue = max(l.Overdue, a.overdue(now))
+			l.FirstEventDelay = max(l.FirstEventDelay, a.overdue(now))
 		}
 	}
 	if u.queue != nil {
 		u.queue.Advance(now)
-		l.PrefillBacklog = u.queue.RemainingPrefill(now)
+		l.PrefillBacklog = u.queue.RemainingPrefillTime(now)
 	}
 	return l
 }
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -35,7 +35,7 @@
 
 // EncodeLoadUpdates encodes request loads of the entry with wire ID from as load updates that fit
 // into one datagram each.
-func EncodeLoadUpdates(from WireID, loads []RequestLoad) [][]byte {
+func EncodeLoadUpdates(from CompactID, loads []RequestLoad) [][]byte {
 	var messages [][]byte
 	head := binary.LittleEndian.AppendUint32([]byte{loadUpdateFormat}, uint32(from))
 	message := slices.Clone(head)
@@ -152,12 +152,12 @@
 }
 
 // wireID decodes a wire ID.
-func (r *loadReader) wireID() WireID {
+func (r *loadReader) wireID() CompactID {
 	if len(r.rest) < wireIDSize {
 		r.failed, r.rest = true, nil
 		return 0
 	}
-	id := WireID(binary.LittleEndian.Uint32(r.rest))
+	id := CompactID(binary.LittleEndian.Uint32(r.rest))
 	r.rest = r.rest[wireIDSize:]
 	return id
 }
@@ -189,7 +189,7 @@
 
 // DecodeLoadUpdate decodes a load update and returns the wire ID of the entry that sent it. The
 // error is ErrLoadUpdate for any malformed message.
-func DecodeLoadUpdate(message []byte) (WireID, []RequestLoad, error) {
+func DecodeLoadUpdate(message []byte) (CompactID, []RequestLoad, error) {
 	if len(message) == 0 || message[0] != loadUpdateFormat {
 		return 0, nil, ErrMalformedLoadUpdate
 	}
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -295,7 +295,7 @@
 
 // dispatchResult converts the verdict of an ended attempt to the result that the dispatcher records
 // for its upstream.
-func dispatchResult(x *exchange, a *attempt) dispatcher.Result {
+func dispatchResult(x *exchange, a *attempt) dispatcher.PlacementResult {
 	switch {
 	case x.hasCallerLeft(), a.isUpstreamBlameless():
 		return dispatcher.Abandoned
--- a/forwarder/backpressure_test.go
+++ b/forwarder/backpressure_test.go
@@ -28,7 +28,7 @@
 		f.is.Equal(refused.duration, time.Duration(0))
 		f.instances[0].Started = f.instances[0].Started.Add(time.Minute)
 		f.plain[0].Restart()
-		f.dispatcher.Update(f.table, f.instances)
+		f.dispatcher.UpdateUpstreams(f.table, f.instances)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "new"}).status, 200) // the new incarnation is not leaving
 	})
 }
@@ -49,8 +49,8 @@
 		f.is.Equal(len(f.engines[1].Executions()), 1)
 		f.is.Equal(stream("nowhere").status, 503)
 		// An upstream that disappears from the list and reappears is the same incarnation.
-		f.dispatcher.Update(f.table, f.instances[:2])
-		f.dispatcher.Update(f.table, f.instances)
+		f.dispatcher.UpdateUpstreams(f.table, f.instances[:2])
+		f.dispatcher.UpdateUpstreams(f.table, f.instances)
 		f.is.Equal(stream("listed").status, 503)
 		f.engines[2].SetFault(worker.FaultNone)
 		for n := range 12 {
@@ -112,7 +112,7 @@
 			w.SetFault(worker.FaultNone)
 			f.instances[i].Started = time.Now().Add(-5 * time.Second)
 		}
-		f.dispatcher.Update(f.table, f.instances)
+		f.dispatcher.UpdateUpstreams(f.table, f.instances)
 		f.is.Equal(f.ask(request{path: "/safe/x", id: "second"}).status, 503)
 		f.is.Equal(countExecutions(f.plain, "second"), 0)
 	})
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -96,7 +96,7 @@
 			f.instances = append(f.instances, dispatcher.Instance{ID: fmt.Sprintf("i-%d", i), Service: service, Address: address, DataCentre: "a", Slots: 6, Started: time.Now()})
 			servers = append(servers, f.serve(address, w))
 		}
-		f.dispatcher.Update(table, f.instances)
+		f.dispatcher.UpdateUpstreams(table, f.instances)
 		invariants := asserter.New(func(name, detail string) { t.Errorf("%s: %s", name, detail) })
 		handler := forwarder.New(forwarder.Config{
 			Protocol: platform.Protocol(), Reservations: platform.NewReservationClient(&http.Client{Transport: &http.Transport{DialContext: f.net.Dialer(entryHost), DisableKeepAlives: true}}),
@@ -451,10 +451,10 @@
 func TestSilenceDoesNotEndAttemptWithoutAlternative(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		setFaults(f.engines, worker.FaultSlow)
-		f.dispatcher.Update(f.table, f.instances[:4]) // two engines
+		f.dispatcher.UpdateUpstreams(f.table, f.instances[:4]) // two engines
 		block := func(id string) {
 			_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
-				Service: "lm", PromptTokens: 250000, Avoid: []dispatcher.Instance{{ID: id}}, FirstByteTarget: time.Hour, GapTarget: time.Hour, NoHelpers: true, Admitted: true,
+				Service: "lm", PromptTokens: 250000, Avoid: []dispatcher.Instance{{ID: id}}, FirstByteTarget: time.Hour, GapTarget: time.Hour, NoHelpers: true, SentBefore: true,
 			})
 			f.is.True(refusal == nil)
 		}
--- a/forwarder/place.go
+++ b/forwarder/place.go
@@ -40,7 +40,7 @@
 func (f *Forwarder) place(x *exchange, d dispatcher.Demand) (*dispatcher.Placement, *failure) {
 	d.Service, d.Avoid, d.NoHelpers = x.service, x.failedUpstreams, x.groupFailed
 	d.FirstByteTarget, d.GapTarget = x.route.FirstByteTarget, x.route.GapTarget
-	d.Admitted = x.sentCount > 0
+	d.SentBefore = x.sentCount > 0
 	p, refusal := f.awaitPlacement(x, d)
 	for yields := 0; refusal == nil && yields < maxYields && f.yieldsPlacement(x, p); yields++ {
 		p, refusal = f.awaitPlacement(x, d)
--- a/forwarder/restart_test.go
+++ b/forwarder/restart_test.go
@@ -14,7 +14,7 @@
 func (f *fixture) restartEngine(i int) {
 	f.engines[i].Restart()
 	f.instances[2+i].Started = time.Now().Add(time.Millisecond)
-	f.dispatcher.Update(f.table, f.instances)
+	f.dispatcher.UpdateUpstreams(f.table, f.instances)
 }
 
 // runningEngine returns the index of the engine that runs the request with an id.
@@ -56,7 +56,7 @@
 	withForwarder(t, func(f *fixture) {
 		other := f.instances[0]
 		other.ID = "i-9"
-		f.dispatcher.Update(f.table, append(slices.Clone(f.instances), other))
+		f.dispatcher.UpdateUpstreams(f.table, append(slices.Clone(f.instances), other))
 		for i := range 40 {
 			id := fmt.Sprintf("r%d", i)
 			f.is.Equal(f.ask(request{path: "/safe/x", id: id}).status, 200)
@@ -79,7 +79,7 @@
 				f.instances[i].Started = time.Now()
 			}
 		}
-		f.dispatcher.Update(f.table, f.instances)
+		f.dispatcher.UpdateUpstreams(f.table, f.instances)
 		a := <-done
 		f.is.Equal(a.status, 502)
 		f.is.True(a.duration < 250*time.Millisecond)
@@ -120,7 +120,7 @@
 			for i := range f.instances {
 				f.instances[i].Started = f.instances[i].Started.Add(time.Second)
 			}
-			f.dispatcher.Update(f.table, f.instances)
+			f.dispatcher.UpdateUpstreams(f.table, f.instances)
 		})
 		a := f.ask(request{path: "/fixed/x", id: "r", usage: "2000,200"})
 		f.is.NoErr(a.err)
@@ -139,7 +139,7 @@
 			for i := range f.instances {
 				f.instances[i].Started = time.Now().Add(-6 * time.Second)
 			}
-			f.dispatcher.Update(f.table, f.instances)
+			f.dispatcher.UpdateUpstreams(f.table, f.instances)
 		})
 		a := f.ask(request{path: "/once/x", id: "r1"})
 		f.is.Equal(a.status, 200)
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -51,7 +51,7 @@
 		withForwarder(t, func(f *fixture) {
 			for range 2 {
 				_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
-					Service: "lm", PromptTokens: 150000, FirstByteTarget: time.Hour, GapTarget: time.Hour, Admitted: true,
+					Service: "lm", PromptTokens: 150000, FirstByteTarget: time.Hour, GapTarget: time.Hour, SentBefore: true,
 				})
 				f.is.True(refusal == nil)
 			}
@@ -181,7 +181,7 @@
 		done := make(chan answer)
 		go func() { done <- f.ask(request{path: "/stream/x", id: "s1", usage: "1000,4500"}) }()
 		time.Sleep(100 * time.Millisecond)
-		loads := f.dispatcher.RequestLoads(time.Now())
+		loads := f.dispatcher.OwnRequestLoads(time.Now())
 		f.is.Equal(len(loads), 1)
 		f.is.True(loads[0].Remaining > 7*time.Second && loads[0].Remaining <= 7300*time.Millisecond)
 		f.is.Equal((<-done).status, 200)
@@ -252,7 +252,7 @@
 		withForwarder(t, func(f *fixture) {
 			for range 6 {
 				_, refusal := f.dispatcher.Place(time.Now(), dispatcher.Demand{
-					Service: "lm", PromptTokens: 300_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Admitted: true,
+					Service: "lm", PromptTokens: 300_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, SentBefore: true,
 				})
 				f.is.True(refusal == nil)
 			}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -90,7 +90,7 @@
 // eventMaxWait returns how long the caller still waits for the first or next event before it abandons
 // the stream, at least 1 ms.
 func eventMaxWait(x *exchange) time.Duration {
-	return max(time.Millisecond, min(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget)-waitedForEvent(x), time.Until(x.deadline)))
+	return max(time.Millisecond, min(matcher.CallerAbandonTime(x.route.FirstByteTarget, x.route.GapTarget)-waitedForEvent(x), time.Until(x.deadline)))
 }
 
 // waitedForEvent returns how long the caller has waited for the first event, or for the next one
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -65,7 +65,7 @@
 	w.silenceLimit = plainSilenceFactor * x.route.FirstByteTarget
 	w.busySilenceLimit = w.silenceLimit
 	if x.isStream() {
-		abandon := float64(matcher.AbandonAfter(x.route.FirstByteTarget, x.route.GapTarget))
+		abandon := float64(matcher.CallerAbandonTime(x.route.FirstByteTarget, x.route.GapTarget))
 		w.silenceLimit = time.Duration(silenceFraction * abandon)
 		w.busySilenceLimit = time.Duration(busySilenceFraction * abandon)
 		w.expectedBusy = p.ExpectedSilence
@@ -98,7 +98,7 @@
 func (f *Forwarder) isAcceptedElsewhere(x *exchange, p *dispatcher.Placement, begun bool) bool {
 	d := x.lastDemand
 	d.Avoid = append(slices.Clone(d.Avoid), p.First)
-	d.Admitted = false
+	d.SentBefore = false
 	now, v := time.Now(), f.view()
 	if x.mayOutlastEntry(v) && x.isStream() && !begun {
 		// A stream without events stays at its engine if no other engine could complete it before this
--- a/forwarder/yield_test.go
+++ b/forwarder/yield_test.go
@@ -15,7 +15,7 @@
 	withForwarder(t, func(f *fixture) {
 		f.dispatcher.SetPeers(1, false)
 		other := dispatcher.New("a", rand.New(rand.NewPCG(3, 4)))
-		other.Update(f.table, f.instances)
+		other.UpdateUpstreams(f.table, f.instances)
 		done := make(chan answer, 1)
 		go func() { done <- f.ask(request{path: "/long/x", id: "s1", usage: "110000,100"}) }()
 		time.Sleep(2 * time.Millisecond)
@@ -23,7 +23,9 @@
 			Service: "lm", PromptTokens: 100_000, AnswerTokens: 100, FirstByteTarget: 3 * time.Second, GapTarget: time.Second, Waited: time.Second, MaxWait: 9 * time.Second,
 		})
 		f.is.True(refusal == nil)
-		sendLoadUpdate := func() { f.dispatcher.Import(time.Now(), dispatcher.WireIDOf("other"), other.Export(time.Now(), false)) }
+		sendLoadUpdate := func() {
+			f.dispatcher.ApplyPeerLoads(time.Now(), dispatcher.CompactIDOf("other"), other.TakeLoadChanges(time.Now(), false))
+		}
 		sendLoadUpdate()
 		time.Sleep(100 * time.Millisecond)
 		f.is.Equal(countExecutions(f.engines, "s1"), 0)
--- a/matcher/config.go
+++ b/matcher/config.go
@@ -83,10 +83,10 @@
 	gapAbandonFactor       = 8
 )
 
-// AbandonAfter returns the time for which callers wait for the next event before they abandon a
+// CallerAbandonTime returns the time for which callers wait for the next event before they abandon a
 // stream with the given targets. A firstByteTarget of 0 stands for a stream whose first event was
 // sent.
-func AbandonAfter(firstByteTarget, gapTarget time.Duration) time.Duration {
+func CallerAbandonTime(firstByteTarget, gapTarget time.Duration) time.Duration {
 	return max(minAbandonTime, firstByteAbandonFactor*firstByteTarget, gapAbandonFactor*gapTarget)
 }
 
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -15,14 +15,14 @@
 // ErrUnknownKey is returned for an API key that belongs to no organisation.
 var ErrUnknownKey = errors.New("the API key belongs to no organisation")
 
-// InvalidError reports an invalid field of the configuration. Field names the field and its value,
+// InvalidConfigError reports an invalid field of the configuration. Field names the field and its value,
 // Requirement says what the value must be.
-type InvalidError struct {
+type InvalidConfigError struct {
 	Field       string
 	Requirement string
 }
 
-func (e InvalidError) Error() string {
+func (e InvalidConfigError) Error() string {
 	return fmt.Sprintf("configuration: %s: must be %s", e.Field, e.Requirement)
 }
 
@@ -68,17 +68,17 @@
 func (t *Table) checkRoute(r *Route) error {
 	field := "route " + r.Name
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return InvalidError{Field: field + " prefix " + r.Prefix, Requirement: "a path that begins and ends with a slash"}
+		return InvalidConfigError{Field: field + " prefix " + r.Prefix, Requirement: "a path that begins and ends with a slash"}
 	}
 	if len(r.Services) == 0 {
-		return InvalidError{Field: field + " services", Requirement: "at least one"}
+		return InvalidConfigError{Field: field + " services", Requirement: "at least one"}
 	}
 	for _, s := range r.Services {
 		if _, ok := t.services[s.Service]; !ok {
-			return InvalidError{Field: field + " service " + s.Service, Requirement: "one of the configuration's services"}
+			return InvalidConfigError{Field: field + " service " + s.Service, Requirement: "one of the configuration's services"}
 		}
 		if s.Weight <= 0 {
-			return InvalidError{Field: field + " weight", Requirement: "greater than 0"}
+			return InvalidConfigError{Field: field + " weight", Requirement: "greater than 0"}
 		}
 	}
 	return nil
--- a/matcher/table_test.go
+++ b/matcher/table_test.go
@@ -69,7 +69,7 @@
 	c := config()
 	c.Routes[2].Services = []matcher.WeightedService{{Service: "none", Weight: 1}}
 	_, err := matcher.New(c)
-	var invalid matcher.InvalidError
+	var invalid matcher.InvalidConfigError
 	is.True(errors.As(err, &invalid))
 	is.Equal(invalid.Field, "route x service none")
 }
--- a/predictor/forecast.go
+++ b/predictor/forecast.go
@@ -20,9 +20,9 @@
 	End time.Time
 }
 
-// Forecast simulates the queue of an engine forward in time. It can be reused, which saves
+// Simulator simulates the queue of an engine forward in time. It can be reused, which saves
 // allocations, but is not safe for concurrent use.
-type Forecast struct {
+type Simulator struct {
 	queue       Queue
 	projections []Projection
 }
@@ -40,7 +40,7 @@
 // as one more job, and its projection comes last. The projections are valid until the next call.
 // Jobs that arrive after now are not predicted. The queue must have been advanced to now, and is
 // not changed.
-func (f *Forecast) Simulate(now time.Time, q *Queue, candidate *Job) []Projection {
+func (f *Simulator) Simulate(now time.Time, q *Queue, candidate *Job) []Projection {
 	tasks := append(f.queue.tasks[:0], q.tasks...)
 	f.queue = *q
 	f.queue.tasks = tasks
@@ -74,7 +74,7 @@
 }
 
 // project returns the projections of all tasks after a simulation, the candidate last.
-func (f *Forecast) project() []Projection {
+func (f *Simulator) project() []Projection {
 	f.projections = f.projections[:0]
 	var candidate Projection
 	hasCandidate := false
@@ -105,7 +105,7 @@
 // decodePassTime returns the duration of a pass that only decodes the answers being decoded now.
 func (q *Queue) decodePassTime() time.Duration {
 	answers, context := q.decodeLoad()
-	return time.Duration(float64(DecodePass(q.engine, max(1, answers), context)) * q.slowdown)
+	return time.Duration(float64(DecodePassTime(q.engine, max(1, answers), context)) * q.slowdown)
 }
 
 // projectedEnd returns the time at which the last event of a task's answer is expected, at one
--- a/predictor/pass.go
+++ b/predictor/pass.go
@@ -26,7 +26,7 @@
 	var duration time.Duration
 	if answers > 0 {
 		q.passDecodes = true
-		duration = DecodePass(q.engine, answers, context) + q.schedulePrefill(float64(q.engine.StepsPerPass*q.engine.ChunkTokens), answers)
+		duration = DecodePassTime(q.engine, answers, context) + q.schedulePrefill(float64(q.engine.StepsPerPass*q.engine.ChunkTokens), answers)
 	} else {
 		duration = q.schedulePrefillPass(now)
 	}
--- a/predictor/predictor.go
+++ b/predictor/predictor.go
@@ -14,10 +14,10 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// Prefill returns the time that a single engine needs to prefill a prompt of the given number of
+// PrefillTime returns the time that a single engine needs to prefill a prompt of the given number of
 // tokens: the time of the tokens at the engine's prefill rate, plus the attention time of all pairs
 // of a token and an earlier one. It is 0 if the profile has no prefill rate.
-func Prefill(e *matcher.EngineProfile, tokens int) time.Duration {
+func PrefillTime(e *matcher.EngineProfile, tokens int) time.Duration {
 	if e.PrefillTokensPerSecond <= 0 || tokens <= 0 {
 		return 0
 	}
@@ -27,15 +27,15 @@
 	return time.Duration(seconds*float64(time.Second) + millionPairs*float64(e.TimePerMillionPairs))
 }
 
-// ShardPrefill returns the time that each of k engines needs to prefill its shard of a prompt of
+// ShardPrefillTime returns the time that each of k engines needs to prefill its shard of a prompt of
 // the given number of tokens. All shards have as many tokens and as many pairs of tokens.
-func ShardPrefill(e *matcher.EngineProfile, tokens, k int) time.Duration {
-	return Prefill(e, tokens) / time.Duration(max(1, k))
+func ShardPrefillTime(e *matcher.EngineProfile, tokens, k int) time.Duration {
+	return PrefillTime(e, tokens) / time.Duration(max(1, k))
 }
 
-// DecodePass returns the duration of a pass without prefill that decodes the given number of
+// DecodePassTime returns the duration of a pass without prefill that decodes the given number of
 // answers, which hold contextTokens tokens of context in total.
-func DecodePass(e *matcher.EngineProfile, answers, contextTokens int) time.Duration {
+func DecodePassTime(e *matcher.EngineProfile, answers, contextTokens int) time.Duration {
 	if answers <= 0 {
 		return 0
 	}
--- a/predictor/predictor_test.go
+++ b/predictor/predictor_test.go
@@ -23,18 +23,18 @@
 
 // The pairs of tokens dominate the prefill of a long prompt: 154,000 tokens take 0.87 s at the
 // prefill rate and 2.18 s for their pairs.
-func TestPrefill(t *testing.T) {
+func TestPrefillTime(t *testing.T) {
 	is := is.New(t)
 	e := engine()
-	is.True(near(predictor.Prefill(e, 4960), 30*time.Millisecond, 2*time.Millisecond))
-	is.True(near(predictor.Prefill(e, 154000), 3050*time.Millisecond, 20*time.Millisecond))
-	is.True(near(predictor.ShardPrefill(e, 154000, 10), 305*time.Millisecond, 5*time.Millisecond))
-	is.Equal(predictor.Prefill(e, 0), time.Duration(0))
+	is.True(near(predictor.PrefillTime(e, 4960), 30*time.Millisecond, 2*time.Millisecond))
+	is.True(near(predictor.PrefillTime(e, 154000), 3050*time.Millisecond, 20*time.Millisecond))
+	is.True(near(predictor.ShardPrefillTime(e, 154000, 10), 305*time.Millisecond, 5*time.Millisecond))
+	is.Equal(predictor.PrefillTime(e, 0), time.Duration(0))
 }
 
-func TestDecodePass(t *testing.T) {
+func TestDecodePassTime(t *testing.T) {
 	is := is.New(t)
 	e := engine()
-	is.Equal(predictor.DecodePass(e, 0, 0), time.Duration(0))
-	is.True(near(predictor.DecodePass(e, 10, 66000), 55*time.Millisecond, 2*time.Millisecond))
+	is.Equal(predictor.DecodePassTime(e, 0, 0), time.Duration(0))
+	is.True(near(predictor.DecodePassTime(e, 10, 66000), 55*time.Millisecond, 2*time.Millisecond))
 }
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -95,8 +95,8 @@
 // NewQueue returns the queue of an idle engine with the given profile.
 func NewQueue(e *matcher.EngineProfile) *Queue { return &Queue{engine: e, slowdown: 1} }
 
-// SetEngine replaces the profile of the engine.
-func (q *Queue) SetEngine(e *matcher.EngineProfile) { q.engine = e }
+// SetProfile replaces the profile of the engine.
+func (q *Queue) SetProfile(e *matcher.EngineProfile) { q.engine = e }
 
 // SetSlowdown sets the factor by which passes take longer than the profile says, from the next pass
 // on. Factors below 1 count as 1.
@@ -237,9 +237,9 @@
 	q.finishPass()
 }
 
-// RemainingPrefill returns the time that the prefill of all jobs still takes, the slowdown included
+// RemainingPrefillTime returns the time that the prefill of all jobs still takes, the slowdown included
 // and the time of decoding excluded.
-func (q *Queue) RemainingPrefill(now time.Time) time.Duration {
+func (q *Queue) RemainingPrefillTime(now time.Time) time.Duration {
 	left, inPass := time.Duration(0), time.Duration(0)
 	for i := range q.tasks {
 		t := &q.tasks[i]
--- a/predictor/queue_test.go
+++ b/predictor/queue_test.go
@@ -19,14 +19,14 @@
 func prompt(arrived time.Time, tokens, k int, decodes bool) *predictor.Job {
 	e := engine()
 	return &predictor.Job{
-		Sharded: k > 1, PrefillTokens: tokens / k, PrefillTime: predictor.ShardPrefill(e, tokens, k), Decodes: decodes, ContextTokens: tokens / k, ExpectedEvents: 20, Arrived: arrived,
+		Sharded: k > 1, PrefillTokens: tokens / k, PrefillTime: predictor.ShardPrefillTime(e, tokens, k), Decodes: decodes, ContextTokens: tokens / k, ExpectedEvents: 20, Arrived: arrived,
 	}
 }
 
 // projectionOf returns the projection of a job in a queue.
 func projectionOf(t *testing.T, q *predictor.Queue, now time.Time, job *predictor.Job) predictor.Projection {
 	t.Helper()
-	var forecast predictor.Forecast
+	var forecast predictor.Simulator
 	q.Advance(now)
 	for _, projection := range forecast.Simulate(now, q, nil) {
 		if projection.Job == job {
@@ -97,7 +97,7 @@
 	q.Add(start, answer)
 	q.Advance(at(200))
 	shard := prompt(at(200), 120000, 4, false)
-	var forecast predictor.Forecast
+	var forecast predictor.Simulator
 	before := forecast.Simulate(at(200), q, nil)[0]
 	is.True(before.Decoding)
 	is.True(before.MaxGap < 60*time.Millisecond)
@@ -120,7 +120,7 @@
 	q.Add(at(40), sharded)
 	q.Advance(at(700))
 	sharded.OtherShardsDone = at(1200)
-	var forecast predictor.Forecast
+	var forecast predictor.Simulator
 	for _, projection := range forecast.Simulate(at(700), q, prompt(at(700), 300000, 4, false)) {
 		if projection.Job == sharded {
 			is.True(projection.MaxGap > time.Second) // 0.5 s of the 2.7 s of prefill are over
@@ -156,7 +156,7 @@
 	answer.ExpectedEvents = 3
 	q.Add(start, answer)
 	q.Advance(at(1000))
-	var forecast predictor.Forecast
+	var forecast predictor.Simulator
 	is.True(forecast.Simulate(at(1000), q, prompt(at(1000), 100000, 2, false))[0].MaxGap > 500*time.Millisecond)
 }
 
@@ -192,7 +192,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := predictor.NewQueue(engine())
 		now := start
-		var forecast predictor.Forecast
+		var forecast predictor.Simulator
 		var jobs []*predictor.Job
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond)
@@ -217,13 +217,13 @@
 				q.Remove(now, jobs[i])
 				jobs = append(jobs[:i], jobs[i+1:]...)
 			}
-			left := q.RemainingPrefill(now)
+			left := q.RemainingPrefillTime(now)
 			for _, projection := range forecast.Simulate(now, q, nil) {
 				if projection.PrefillDone.IsZero() {
 					t.Fatalf("no end of the prefill is projected for job %+v", projection.Job)
 				}
 			}
-			if q.RemainingPrefill(now) != left {
+			if q.RemainingPrefillTime(now) != left {
 				t.Fatal("a simulation changed the queue")
 			}
 		}
@@ -234,20 +234,20 @@
 			}
 		}
 		q.Advance(now.Add(10 * time.Minute))
-		if left := q.RemainingPrefill(now.Add(10 * time.Minute)); decoders <= engine().Slots && left > 0 {
+		if left := q.RemainingPrefillTime(now.Add(10 * time.Minute)); decoders <= engine().Slots && left > 0 {
 			t.Fatalf("%v of prefill are left after 10 min", left)
 		}
 	})
 }
 
-func BenchmarkForecast(b *testing.B) {
+func BenchmarkSimulate(b *testing.B) {
 	q := predictor.NewQueue(engine())
 	for i := range 12 {
 		q.Add(at(10*i), prompt(at(10*i), 5000, 1, true))
 	}
 	q.Add(at(130), prompt(at(130), 150000, 8, false))
 	shard := prompt(at(140), 150000, 8, false)
-	var forecast predictor.Forecast
+	var forecast predictor.Simulator
 	q.Advance(at(140))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -269,8 +269,8 @@
 			answers, context = 3, context+long
 		}
 		projection := projectionOf(t, q, at(70), j)
-		passes := time.Duration(j.ExpectedEvents) * predictor.DecodePass(engine(), answers, context)
-		want := projection.PrefillDone.Add(passes + predictor.Prefill(engine(), long))
+		passes := time.Duration(j.ExpectedEvents) * predictor.DecodePassTime(engine(), answers, context)
+		want := projection.PrefillDone.Add(passes + predictor.PrefillTime(engine(), long))
 		if !near(projection.End.Sub(start), want.Sub(start), 120*time.Millisecond) {
 			t.Errorf("beside %d tokens: projected end after %v, want %v", long, projection.End.Sub(start), want.Sub(start))
 		}
--- a/server/call.go
+++ b/server/call.go
@@ -67,7 +67,7 @@
 
 // newCallDispatcher returns the dispatcher that places this entry's service calls.
 func newCallDispatcher(dataCentre string) *dispatcher.Dispatcher {
-	return dispatcher.NewLocal(dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	return dispatcher.NewUnreported(dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // placeCall selects an instance of the call's service. It prefers instances in this data centre, with few
@@ -84,7 +84,7 @@
 
 // sendCall sends a service call to the selected instance and writes the answer to the caller. The returned
 // dispatcher.Result is how the attempt ended, from which the dispatcher rates the instance.
-func (s *Server) sendCall(x *exchange, p *dispatcher.Placement) (dispatcher.Result, *failure) {
+func (s *Server) sendCall(x *exchange, p *dispatcher.Placement) (dispatcher.PlacementResult, *failure) {
 	client := s.trafficClient
 	if !x.repeatable {
 		client = s.singleUseClient
@@ -144,7 +144,7 @@
 
 // unansweredResult returns the dispatcher result of a call that got no answer. If the caller disconnected,
 // the missing answer does not count as a failure of the instance.
-func (x *exchange) unansweredResult() dispatcher.Result {
+func (x *exchange) unansweredResult() dispatcher.PlacementResult {
 	if errors.Is(x.ctx.Err(), context.Canceled) {
 		return dispatcher.Abandoned
 	}
--- a/server/view.go
+++ b/server/view.go
@@ -74,7 +74,7 @@
 	}
 	c.updateKeepers(v)
 	c.server.quarantine.SetUpstreamCount(countUpstreams(v.engines, services))
-	c.server.callDispatcher.Update(&matcher.Table{}, services)
+	c.server.callDispatcher.UpdateUpstreams(&matcher.Table{}, services)
 	c.server.current.Store(v)
 }
 
