--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -115,6 +115,6 @@
 	answering := g.estimates[0]
 	engine := answering.upstream.engine
 	events := d.MaxAnswerTokens/max(1, engine.StepsPerPass) + 1
-	pass := float64(predictor.DecodePassTime(engine, engine.Slots, answering.load.MemoryTokens+d.PromptTokens)) * answering.upstream.health.pace(now)
+	pass := float64(predictor.DecodePassTime(engine, engine.Slots, answering.load.MemoryTokens+d.PromptTokens)) * answering.upstream.health.slowdown(now)
 	return time.Duration(endMargin * (float64(g.prefillDelay) + float64(events)*pass))
 }
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -72,9 +72,9 @@
 	rank uint64
 	// jitter is the random cost added for short prompts, in requests.
 	jitter float64
-	// packed is the degree, from 0 to 1, to which the engine is packed with answers whose gap
+	// packedDegree is the degree, from 0 to 1, to which the engine is packed with answers whose gap
 	// target is as short as the prompt's or shorter.
-	packed float64
+	packedDegree float64
 	// othersPrefilledAt and baselineLoss have an element for each of the upstream's projections:
 	// the time at which the other shards of that request are expected to be prefilled, and what the
 	// request loses if the prompt is placed elsewhere.
@@ -128,16 +128,16 @@
 		}
 	}
 	full := max(1, int(packedFraction*float64(c.upstream.engine.Slots-spareSlots)))
-	c.packed = float64(min(similar, full)) / float64(full)
+	c.packedDegree = float64(min(similar, full)) / float64(full)
 }
 
 // estimate predicts the effect of placing one of a number of shards on the engine. With decodes
 // set, the engine also decodes the answer; otherwise it is a helper. The call overwrites the
-// projections that an earlier call left in forecast.
-func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, forecast *predictor.Simulator) estimate {
+// projections that an earlier call left in simulator.
+func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, simulator *predictor.Simulator) estimate {
 	u, engine := c.upstream, c.upstream.engine
 	est := estimate{candidate: c, job: newJob(now, d, engine, shards, decodes), canDecode: shards > 1 || d.PromptTokens+d.AnswerTokens <= engine.MemoryTokens}
-	projections := forecast.Simulate(now, u.queue, &est.job)
+	projections := simulator.Simulate(now, u.queue, &est.job)
 	own := projections[len(projections)-1]
 	est.prefillDelay, est.longestGap = own.PrefillDone.Sub(now)+c.load.FirstEventDelay+transitTime, own.MaxGap
 	if decodes {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -27,9 +27,9 @@
 
 	lock      sync.Mutex
 	upstreams map[string]*upstream
-	// byWireID holds the upstreams by the wire ID of their incarnation.
-	byWireID map[CompactID]*upstream
-	services map[string][]*upstream
+	// byCompactID holds the upstreams by the wire ID of their incarnation.
+	byCompactID map[CompactID]*upstream
+	services    map[string][]*upstream
 	// ownRequests holds the requests placed by this entry, peerRequests those that peers report.
 	ownRequests  map[CompactID]*request
 	peerRequests map[peerRequestKey]*request
@@ -40,34 +40,34 @@
 	// rankSalt determines the order of engines with equal costs. All entries share one salt, except
 	// isolated ones, which use a random salt each.
 	rankSalt string
-	// isLocal is true where the dispatcher reports nothing to peers (NewLocal).
-	isLocal bool
-	// changed holds own requests to report with the next Export, endedLoads the ends of own
-	// requests since the last Export. previouslyEnded holds the IDs of requests whose end was
-	// exported since the last full Export; the next full Export repeats these ends.
+	// isUnreported is true where the dispatcher reports nothing to peers (NewLocal).
+	isUnreported bool
+	// changed holds own requests to report with the next call of TakeLoadChanges, endedLoads the ends of own
+	// requests since the last call. previouslyEnded holds the IDs of requests whose end was
+	// exported since the last full call; the next full call repeats these ends.
 	changed         map[*request]bool
 	endedLoads      []RequestLoad
 	previouslyEnded []CompactID
-	// LoadChanged is a channel of capacity 1 that holds an element while Export has something new to
+	// LoadChanged is a channel of capacity 1 that holds an element while TakeLoadChanges has something new to
 	// return.
 	LoadChanged chan struct{}
-	forecast    predictor.Simulator
+	simulator   predictor.Simulator
 }
 
 // New returns a dispatcher without upstreams, for an entry in a data centre. It uses random, which
 // need not be safe for concurrent use, for request IDs and jitter.
 func New(dataCentre string, random *rand.Rand) *Dispatcher {
 	return &Dispatcher{
-		dataCentre: dataCentre, random: random, upstreams: map[string]*upstream{}, byWireID: map[CompactID]*upstream{}, services: map[string][]*upstream{},
+		dataCentre: dataCentre, random: random, upstreams: map[string]*upstream{}, byCompactID: map[CompactID]*upstream{}, services: map[string][]*upstream{},
 		ownRequests: map[CompactID]*request{}, peerRequests: map[peerRequestKey]*request{}, rankSalt: sharedRankSalt, changed: map[*request]bool{}, LoadChanged: make(chan struct{}, 1),
 	}
 }
 
 // NewUnreported returns a dispatcher for requests that this entry does not report to its peers: it keeps
-// nothing to export, and Export returns nothing.
+// no changes, and TakeLoadChanges returns nothing.
 func NewUnreported(dataCentre string, random *rand.Rand) *Dispatcher {
 	b := New(dataCentre, random)
-	b.isLocal = true
+	b.isUnreported = true
 	return b
 }
 
@@ -96,7 +96,7 @@
 	for id, u := range b.upstreams {
 		if !listed[id] && len(u.assignments) == 0 && !u.backpressure.isRetained(now) {
 			delete(b.upstreams, id)
-			delete(b.byWireID, u.wireID)
+			delete(b.byCompactID, u.compactID)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func (b *Dispatcher) upstreamFor(i Instance) *upstream {
 	u, ok := b.upstreams[i.ID]
 	if ok && !u.instance.SameIncarnation(i) {
-		delete(b.byWireID, u.wireID)
+		delete(b.byCompactID, u.compactID)
 		dropAssignmentsBefore(u, i.Started)
 		ok = false
 	}
@@ -119,9 +119,9 @@
 		b.upstreams[i.ID] = u
 	}
 	if u.instance.Started.IsZero() {
-		delete(b.byWireID, u.wireID)
-		u.wireID = i.IncarnationID()
-		b.byWireID[u.wireID] = u
+		delete(b.byCompactID, u.compactID)
+		u.compactID = i.IncarnationID()
+		b.byCompactID[u.compactID] = u
 	}
 	if i.Started.IsZero() {
 		i.Started = u.instance.Started
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -19,13 +19,13 @@
 	// is usually no longer listed.
 	minBlock = 250 * time.Millisecond
 	maxBlock = 4 * time.Second
-	// paceWeight is the weight of one observed pace in the moving average. paceHalfLife is the time
+	// slowdownWeight is the weight of one observed pace in the moving average. paceHalfLife is the time
 	// in which the excess of the average over 1 halves without new observations.
-	paceWeight   = 0.4
-	paceHalfLife = 3 * time.Second
-	// maxPace is the maximum pace that one observation counts as: beyond it, a stall is likelier
+	slowdownWeight   = 0.4
+	slowdownHalfLife = 3 * time.Second
+	// maxSlowdown is the maximum pace that one observation counts as: beyond it, a stall is likelier
 	// than slow work.
-	maxPace = 8
+	maxSlowdown = 8
 )
 
 // health tracks how often an upstream fails, by the requests of this entry and those that peers
@@ -38,9 +38,9 @@
 	// blockCount is the number of failed connections in a row, blockedUntil the end of the last block.
 	blockCount   int
 	blockedUntil time.Time
-	// slowdown is the pace minus 1, as of slowdownAt, from which it decays.
-	slowdown   float64
-	slowdownAt time.Time
+	// excessSlowdown is the pace minus 1, as of slowdownAt, from which it decays.
+	excessSlowdown   float64
+	excessSlowdownAt time.Time
 }
 
 // decayed returns what is left of a value of the given age that halves once per halfLife.
@@ -83,14 +83,14 @@
 // isBlocked reports whether the upstream is avoided because it accepted no connection.
 func (h *health) isBlocked(now time.Time) bool { return now.Before(h.blockedUntil) }
 
-// pace returns the recent ratio of actual to predicted time to the first byte, at least 1.
-func (h *health) pace(now time.Time) float64 {
-	return 1 + decayed(h.slowdown, now.Sub(h.slowdownAt), paceHalfLife)
+// slowdown returns the recent ratio of actual to predicted time to the first byte, at least 1.
+func (h *health) slowdown(now time.Time) float64 {
+	return 1 + decayed(h.excessSlowdown, now.Sub(h.excessSlowdownAt), slowdownHalfLife)
 }
 
-// recordPace records the ratio of actual to predicted time to the first byte of one answer.
-func (h *health) recordPace(now time.Time, ratio float64) {
-	before := h.pace(now) - 1
-	observed := min(maxPace, max(1, ratio)) - 1
-	h.slowdown, h.slowdownAt = before+paceWeight*(observed-before), now
+// recordSlowdown records the ratio of actual to predicted time to the first byte of one answer.
+func (h *health) recordSlowdown(now time.Time, ratio float64) {
+	before := h.slowdown(now) - 1
+	observed := min(maxSlowdown, max(1, ratio)) - 1
+	h.excessSlowdown, h.excessSlowdownAt = before+slowdownWeight*(observed-before), now
 }
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -54,13 +54,13 @@
 	u := b.upstreams["e00"]
 	is.Equal(u.load(startTime).Running, 10)
 	u.health.recordUnreachable(startTime)
-	u.health.recordPace(startTime, 4)
+	u.health.recordSlowdown(startTime, 4)
 	listIncarnation(t, b, secondIncarnation)
 	u = b.upstreams["e00"]
 	is.Equal(u.load(startTime), Load{})
 	is.True(!u.health.isBlocked(startTime))
 	is.Equal(u.health.failureRate(startTime), 0.0)
-	is.Equal(u.health.pace(startTime), 1.0)
+	is.Equal(u.health.slowdown(startTime), 1.0)
 }
 
 // The function set with OnRestart is called once when an engine of the placement restarts, whether
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -16,7 +16,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	b.ownRequests[p.request.wireID] = p.request
+	b.ownRequests[p.request.compactID] = p.request
 	for _, a := range p.request.assignments {
 		a.upstream.add(now, a)
 	}
@@ -64,7 +64,7 @@
 	best, lowestCost := upstreams[0], 0.0
 	for i, u := range upstreams {
 		l := u.load(now)
-		cost := float64(l.Running)/float64(max(1, u.instance.Slots)) + failingCost*l.FailureRate + slowCost*(u.health.pace(now)-1)
+		cost := float64(l.Running)/float64(max(1, u.instance.Slots)) + failingCost*l.FailureRate + slowCost*(u.health.slowdown(now)-1)
 		cost += plainJitter * b.random.Float64()
 		if u.instance.DataCentre != b.dataCentre {
 			cost += remoteCost
@@ -82,7 +82,7 @@
 // newPlacement returns a placement of a request that has no assignments yet.
 func (b *Dispatcher) newPlacement(now time.Time, d Demand) *Placement {
 	return &Placement{dispatcher: b, HelperMemoryTokens: map[string]int{}, request: &request{
-		wireID: CompactID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
+		compactID: CompactID(b.random.Uint32()), promptTokens: d.PromptTokens, answerTokens: d.AnswerTokens, firstByteTarget: d.FirstByteTarget, gapTarget: d.GapTarget, value: promptValue(d.PromptTokens), remaining: d.Remaining, placedAt: now, waitingSince: now.Add(-d.Waited),
 	}}
 }
 
@@ -111,13 +111,13 @@
 // projections of their requests.
 func (b *Dispatcher) newCandidates(now time.Time, d Demand, upstreams []*upstream) []candidate {
 	for _, u := range upstreams {
-		u.project(now, &b.forecast)
+		u.project(now, &b.simulator)
 	}
 	// The answer of a group starts only when all engines of the group have prefilled their shards.
 	// The projections above predict that time; those below use it.
 	for _, u := range upstreams {
 		if u.updateJointJobs() {
-			u.project(now, &b.forecast)
+			u.project(now, &b.simulator)
 		}
 	}
 	candidates := make([]candidate, len(upstreams))
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -143,7 +143,7 @@
 	before := first.request.prefilledAt()
 	now, d := startTime.Add(100*time.Millisecond), withPrompt(longDemand, 60000)
 	candidates := b.newCandidates(now, d, b.usableUpstreams(now, d))
-	s := search{forecast: &b.forecast}
+	s := search{simulator: &b.simulator}
 	joint := s.bestJoint(now, d, candidates, 2)
 	is.True(joint.prefillDelay < time.Second)
 	for _, o := range joint.estimates {
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -40,7 +40,7 @@
 	}
 	u.health.recordSuccess(now)
 	if p.ExpectedFirstByte > 0 && !isJoint {
-		u.health.recordPace(now, float64(now.Sub(r.placedAt))/float64(p.ExpectedFirstByte+paceSlack))
+		u.health.recordSlowdown(now, float64(now.Sub(r.placedAt))/float64(p.ExpectedFirstByte+predictionSlack))
 	}
 }
 
@@ -88,12 +88,12 @@
 		}
 	}
 	pass := predictor.DecodePassTime(first.engine, l.Running, l.MemoryTokens)
-	return prefill + time.Duration(float64(pass)*first.health.pace(now)) + l.FirstEventDelay
+	return prefill + time.Duration(float64(pass)*first.health.slowdown(now)) + l.FirstEventDelay
 }
 
-// paceSlack is added to a predicted time before a measured one is compared with it. It covers the
+// predictionSlack is added to a predicted time before a measured one is compared with it. It covers the
 // network, scheduling and half a pass.
-const paceSlack = 60 * time.Millisecond
+const predictionSlack = 60 * time.Millisecond
 
 // PlacementResult is what an ended placement shows about its first upstream.
 type PlacementResult int
@@ -131,7 +131,7 @@
 }
 
 // End removes the request from the dispatcher, records its result, and queues its end for the next
-// Export.
+// call of TakeLoadChanges.
 func (p *Placement) End(now time.Time, result PlacementResult) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -143,7 +143,7 @@
 	case Unreachable:
 		h.recordUnreachable(now)
 	}
-	delete(b.ownRequests, r.wireID)
+	delete(b.ownRequests, r.compactID)
 	b.unassign(now, r)
 	b.queueEnd(r, result.outcome())
 }
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -8,7 +8,7 @@
 
 // request is a request of this entry or of a peer, with its work at each upstream.
 type request struct {
-	wireID CompactID
+	compactID CompactID
 	// promptTokens is the length of the prompt, answerTokens the expected length of the answer.
 	promptTokens, answerTokens int
 	// firstByteTarget and gapTarget are the latency targets of the route; gapTarget is 0 for plain
@@ -80,10 +80,10 @@
 	return latest
 }
 
-// overdue returns the time by which the first event of the answer is already later than predicted,
+// firstEventDelay returns the time by which the first event of the answer is already later than predicted,
 // less paceSlack; 0 if it has arrived, and for plain requests. For a peer's request the time counts
 // up to the peer's last report only, since the event may have arrived after it.
-func (a *assignment) overdue(now time.Time) time.Duration {
+func (a *assignment) firstEventDelay(now time.Time) time.Duration {
 	r := a.request
 	if r.firstByteSeen || r.gapTarget == 0 {
 		return 0
@@ -91,7 +91,7 @@
 	if !r.expiresAt.IsZero() {
 		now = r.lastPendingAt
 	}
-	return max(0, now.Sub(r.prefilledAt())-paceSlack)
+	return max(0, now.Sub(r.prefilledAt())-predictionSlack)
 }
 
 // loss returns the predicted loss of the request, in requests, if its job at the assignment's
--- a/dispatcher/requestload.go
+++ b/dispatcher/requestload.go
@@ -83,24 +83,24 @@
 // several times within it.
 const requestLoadTTL = 3 * time.Second
 
-// queueUpdate marks a request to be reported to peers with the next Export.
+// queueUpdate marks a request to be reported to peers with the next call of TakeLoadChanges.
 func (b *Dispatcher) queueUpdate(r *request) {
-	if b.isLocal {
+	if b.isUnreported {
 		return
 	}
 	b.changed[r] = true
 	b.signalChange()
 }
 
-// queueEnd marks the end of a request to be reported to peers with the next Export.
+// queueEnd marks the end of a request to be reported to peers with the next call of TakeLoadChanges.
 func (b *Dispatcher) queueEnd(r *request, outcome ReportedOutcome) {
-	if b.isLocal {
+	if b.isUnreported {
 		return
 	}
 	delete(b.changed, r)
-	load := RequestLoad{ID: r.wireID, Ended: true, Outcome: outcome}
+	load := RequestLoad{ID: r.compactID, Ended: true, Outcome: outcome}
 	if outcome == OutcomeFailed {
-		load.Assignments = []AssignmentLoad{{Upstream: r.assignments[0].upstream.wireID, Decodes: true}}
+		load.Assignments = []AssignmentLoad{{Upstream: r.assignments[0].upstream.compactID, Decodes: true}}
 	}
 	b.endedLoads = append(b.endedLoads, load)
 	b.signalChange()
@@ -156,11 +156,11 @@
 // load returns the load of the request as it is reported to peers.
 func (r *request) load(now time.Time) RequestLoad {
 	load := RequestLoad{
-		ID: r.wireID, FirstByteSeen: r.firstByteSeen, Age: now.Sub(r.placedAt), Waited: r.placedAt.Sub(r.waitingSince), Remaining: r.remaining, PromptTokens: r.promptTokens, AnswerTokens: r.answerTokens, FirstByteTarget: r.firstByteTarget, GapTarget: r.gapTarget,
+		ID: r.compactID, FirstByteSeen: r.firstByteSeen, Age: now.Sub(r.placedAt), Waited: r.placedAt.Sub(r.waitingSince), Remaining: r.remaining, PromptTokens: r.promptTokens, AnswerTokens: r.answerTokens, FirstByteTarget: r.firstByteTarget, GapTarget: r.gapTarget,
 		LongPrefill: !r.firstByteSeen && r.hasLongPrefill(), Assignments: make([]AssignmentLoad, len(r.assignments)),
 	}
 	for i, a := range r.assignments {
-		load.Assignments[i] = AssignmentLoad{Upstream: a.upstream.wireID, MemoryTokens: a.memoryTokens, Decodes: i == 0}
+		load.Assignments[i] = AssignmentLoad{Upstream: a.upstream.compactID, MemoryTokens: a.memoryTokens, Decodes: i == 0}
 	}
 	return load
 }
@@ -223,7 +223,7 @@
 func (b *Dispatcher) recordOutcome(now time.Time, r *request, load RequestLoad) {
 	switch {
 	case load.Outcome == OutcomeFailed && len(load.Assignments) > 0:
-		if u, ok := b.byWireID[load.Assignments[0].Upstream]; ok {
+		if u, ok := b.byCompactID[load.Assignments[0].Upstream]; ok {
 			u.health.recordFailure(now)
 		}
 	case load.Outcome == OutcomeAnswered && r != nil:
@@ -244,7 +244,7 @@
 // newPeerRequest returns a peer's request without assignments; resolveUpstreams adds them.
 func newPeerRequest(now time.Time, load RequestLoad) *request {
 	return &request{
-		wireID: load.ID, firstReportedAt: now, promptTokens: load.PromptTokens, answerTokens: load.AnswerTokens, firstByteTarget: load.FirstByteTarget, gapTarget: load.GapTarget, value: promptValue(load.PromptTokens), remaining: load.Remaining, placedAt: now.Add(-load.Age), waitingSince: now.Add(-load.Age - load.Waited),
+		compactID: load.ID, firstReportedAt: now, promptTokens: load.PromptTokens, answerTokens: load.AnswerTokens, firstByteTarget: load.FirstByteTarget, gapTarget: load.GapTarget, value: promptValue(load.PromptTokens), remaining: load.Remaining, placedAt: now.Add(-load.Age), waitingSince: now.Add(-load.Age - load.Waited),
 		unknownUpstreams: load.Assignments, upstreamCount: len(load.Assignments),
 	}
 }
@@ -255,7 +255,7 @@
 	d := Demand{PromptTokens: r.promptTokens, AnswerTokens: r.answerTokens}
 	var unknown []AssignmentLoad
 	for _, load := range r.unknownUpstreams {
-		u, ok := b.byWireID[load.Upstream]
+		u, ok := b.byCompactID[load.Upstream]
 		if !ok {
 			unknown = append(unknown, load)
 			continue
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -92,10 +92,10 @@
 
 // search looks for the cheapest engines for one prompt. Its buffers are reused for each group size.
 type search struct {
-	forecast *predictor.Simulator
-	// packs is true where the prompt is packed onto few engines, together with answers that have as
+	simulator *predictor.Simulator
+	// isPacking is true where the prompt is packed onto few engines, together with answers that have as
 	// short a gap target.
-	packs     bool
+	isPacking bool
 	estimates []estimate
 	// costs holds the cost of each estimate, including the prompt's own loss if no other engine
 	// took part. order holds the indexes of the estimates, the cheapest first.
@@ -106,7 +106,7 @@
 // newSearch returns a search for the engines of a prompt. Long prompts are not packed, nor are
 // those of an isolated entry, as all isolated entries would fill the same engines.
 func (b *Dispatcher) newSearch(d Demand, candidates []candidate) search {
-	return search{forecast: &b.forecast, packs: !b.isolated && !hasLongPrefill(candidates[0].upstream.engine, d.PromptTokens)}
+	return search{simulator: &b.simulator, isPacking: !b.isolated && !hasLongPrefill(candidates[0].upstream.engine, d.PromptTokens)}
 }
 
 // estimateShards estimates each candidate as a helper with one of a number of shards, and sorts the
@@ -114,7 +114,7 @@
 func (s *search) estimateShards(now time.Time, d Demand, candidates []candidate, shards int) {
 	s.estimates = s.estimates[:0]
 	for i := range candidates {
-		s.estimates = append(s.estimates, candidates[i].estimate(now, d, shards, false, s.forecast))
+		s.estimates = append(s.estimates, candidates[i].estimate(now, d, shards, false, s.simulator))
 	}
 	s.sortByCost(d)
 }
@@ -135,9 +135,9 @@
 // engine has enough memory in total.
 func (s *search) bestSingle(now time.Time, d Demand, candidates []candidate) (group, bool) {
 	s.estimates = s.estimates[:0]
-	addsJitter := s.packs && hasShortPrefill(d, candidates[0].upstream.engine)
+	addsJitter := s.isPacking && hasShortPrefill(d, candidates[0].upstream.engine)
 	for i := range candidates {
-		est := candidates[i].estimate(now, d, 1, true, s.forecast)
+		est := candidates[i].estimate(now, d, 1, true, s.simulator)
 		if !est.canDecode {
 			continue
 		}
@@ -158,17 +158,17 @@
 // packingCost returns the cost, in requests, of decoding an answer on an engine that decodes few
 // answers with as short a gap target.
 func (s *search) packingCost(d Demand, c *candidate) float64 {
-	if !s.packs {
+	if !s.isPacking {
 		return 0
 	}
-	return unpackedCost * promptValue(d.PromptTokens) * (1 - c.packed)
+	return unpackedCost * promptValue(d.PromptTokens) * (1 - c.packedDegree)
 }
 
 // answeringCandidates returns the indexes of the estimates that are considered as the engine that
 // answers: those with the lowest cost as helpers, the packing cost included.
 func (s *search) answeringCandidates(d Demand) []int {
 	n := min(len(s.order), maxAnsweringCandidates)
-	if !s.packs {
+	if !s.isPacking {
 		return s.order[:n]
 	}
 	byTotalCost := func(i, j int) int {
@@ -184,7 +184,7 @@
 	first, answering := -1, estimate{}
 	lowestCost := 0.0
 	for _, i := range s.answeringCandidates(d) {
-		est := s.estimates[i].estimate(now, d, size, true, s.forecast)
+		est := s.estimates[i].estimate(now, d, size, true, s.simulator)
 		est.cost += s.packingCost(d, est.candidate)
 		cost := est.cost - s.estimates[i].cost + d.loss(est.prefillDelay, est.longestGap, est.unfinishedRisk)
 		if first < 0 || cost < lowestCost {
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -56,5 +56,5 @@
 	if a != b {
 		return a > b
 	}
-	return r.wireID < o.wireID
+	return r.compactID < o.compactID
 }
--- a/dispatcher/stop_test.go
+++ b/dispatcher/stop_test.go
@@ -37,7 +37,7 @@
 	b := testDispatcher(t, 1)
 	for range 20 {
 		p := place(t, b, now, shortDemand)
-		now = now.Add(3 * (p.ExpectedFirstByte + paceSlack))
+		now = now.Add(3 * (p.ExpectedFirstByte + predictionSlack))
 		p.RecordFirstByte(now)
 		p.End(now, Answered)
 	}
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -10,8 +10,8 @@
 // upstream is one incarnation of an upstream, with the work of all entries there.
 type upstream struct {
 	instance Instance
-	// wireID identifies the incarnation in load updates.
-	wireID CompactID
+	// compactID identifies the incarnation in load updates.
+	compactID CompactID
 	// engine and queue are nil where the upstream is not a model engine.
 	engine *matcher.EngineProfile
 	queue  *predictor.Queue
@@ -64,10 +64,10 @@
 
 // project predicts the course of the assignments if nothing more is placed at the upstream, and
 // sets projections and the assignments' prefilledAt.
-func (u *upstream) project(now time.Time, forecast *predictor.Simulator) {
-	u.queue.SetSlowdown(u.health.pace(now))
+func (u *upstream) project(now time.Time, simulator *predictor.Simulator) {
+	u.queue.SetSlowdown(u.health.slowdown(now))
 	u.queue.Advance(now)
-	u.projections = append(u.projections[:0], forecast.Simulate(now, u.queue, nil)...)
+	u.projections = append(u.projections[:0], simulator.Simulate(now, u.queue, nil)...)
 	for _, projection := range u.projections {
 		u.assignmentOf[projection.Job].prefilledAt = projection.PrefillDone
 	}
@@ -110,7 +110,7 @@
 		l.MemoryTokens += a.memoryTokens
 		if a.job.Decodes {
 			l.Running++
-			l.FirstEventDelay = max(l.FirstEventDelay, a.overdue(now))
+			l.FirstEventDelay = max(l.FirstEventDelay, a.firstEventDelay(now))
 		}
 	}
 	if u.queue != nil {
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -14,8 +14,8 @@
 	// maxLoadUpdate is the maximum size of a load update in bytes, so that it fits into one
 	// datagram on a link with the usual MTU.
 	maxLoadUpdate = 1300
-	// wireIDSize is the encoded size of a wire ID in bytes.
-	wireIDSize = 4
+	// compactIDSize is the encoded size of a wire ID in bytes.
+	compactIDSize = 4
 	// memoryUnit is the unit of memory on the wire, in tokens; amounts are rounded up.
 	memoryUnit = 64
 )
@@ -151,24 +151,24 @@
 	return k
 }
 
-// wireID decodes a wire ID.
-func (r *loadReader) wireID() CompactID {
-	if len(r.rest) < wireIDSize {
+// compactID decodes a wire ID.
+func (r *loadReader) compactID() CompactID {
+	if len(r.rest) < compactIDSize {
 		r.failed, r.rest = true, nil
 		return 0
 	}
 	id := CompactID(binary.LittleEndian.Uint32(r.rest))
-	r.rest = r.rest[wireIDSize:]
+	r.rest = r.rest[compactIDSize:]
 	return id
 }
 
 // load decodes one request load.
 func (r *loadReader) load() RequestLoad {
-	load := RequestLoad{ID: r.wireID()}
+	load := RequestLoad{ID: r.compactID()}
 	kind := r.kind()
 	switch kind {
 	case kindFailed:
-		load.Ended, load.Outcome, load.Assignments = true, OutcomeFailed, []AssignmentLoad{{Upstream: r.wireID(), Decodes: true}}
+		load.Ended, load.Outcome, load.Assignments = true, OutcomeFailed, []AssignmentLoad{{Upstream: r.compactID(), Decodes: true}}
 		return load
 	case kindAnswered:
 		load.Ended, load.Outcome = true, OutcomeAnswered
@@ -182,7 +182,7 @@
 	load.PromptTokens, load.AnswerTokens = r.number(), r.number()
 	load.FirstByteTarget, load.GapTarget = r.milliseconds(), r.milliseconds()
 	for range min(r.number(), len(r.rest)) {
-		load.Assignments = append(load.Assignments, AssignmentLoad{Upstream: r.wireID(), MemoryTokens: r.number() * memoryUnit, Decodes: len(load.Assignments) == 0})
+		load.Assignments = append(load.Assignments, AssignmentLoad{Upstream: r.compactID(), MemoryTokens: r.number() * memoryUnit, Decodes: len(load.Assignments) == 0})
 	}
 	return load
 }
@@ -194,7 +194,7 @@
 		return 0, nil, ErrMalformedLoadUpdate
 	}
 	r := loadReader{rest: message[1:]}
-	from := r.wireID()
+	from := r.compactID()
 	var loads []RequestLoad
 	for len(r.rest) > 0 {
 		loads = append(loads, r.load())
