--- a/dispatcher/admit.go
+++ b/dispatcher/admit.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// prefillTimePrice is the price of a second of prefill for each second of mean prefill backlog,
-	// in requests per second squared. As the price grows with the backlog, ever shorter prompts
-	// displace more than their own value.
+	// prefillTimePrice is the price that a long prompt is charged per second of its prefill and per
+	// second of the engines' mean prefill backlog, in requests per second squared. The longer the
+	// backlog, the shorter the prompts whose price exceeds their value.
 	prefillTimePrice = 4.0
 	// longPrefill is the prefill time on one engine from which a prompt counts as long. Only long
 	// prompts are refused for their cost to other requests or deferred.
 	longPrefill = time.Second
-	// backlogRetryFactor is the retry delay of a refused caller in multiples of the mean prefill
-	// backlog.
+	// backlogRetryFactor times the mean prefill backlog is the RetryAfter of a prompt refused as
+	// too costly, within minRetryAfter and maxRetryAfter.
 	backlogRetryFactor = 4
 )
 
@@ -25,10 +25,10 @@
 	return predictor.PrefillTime(e, promptTokens) >= longPrefill
 }
 
-// refuseTooCostly returns a refusal for a long prompt whose placement would cost more than the
-// prompt's value, and nil for all others, such as prompts that were placed before. The argument
-// totalCost is the cost of the prompt's best placement, in requests, the loss by its own lateness
-// included.
+// refuseTooCostly returns a refusal for a long prompt whose value is not greater than totalCost
+// plus the price of its prefill time (see prefillTimePrice). It returns nil for other prompts, and
+// for any that was sent to an upstream before. totalCost is the cost of the prompt's best placement
+// in requests, including the prompt's own loss by lateness.
 func refuseTooCostly(d Demand, e *matcher.EngineProfile, candidates []candidate, totalCost float64) *Refusal {
 	if d.SentBefore || !hasLongPrefill(e, d.PromptTokens) {
 		return nil
@@ -42,25 +42,26 @@
 }
 
 const (
-	// maxDisplacementFraction is the displacement cost, as a fraction of a prompt's own value, from
-	// which a prompt that can still wait is deferred. The limit doubles as its waiting time runs
-	// out.
+	// maxDisplacementFraction times a prompt's value is the displacement cost from which a long
+	// prompt that can still wait is deferred. The limit rises to twice that as the time for which
+	// its caller waits runs out.
 	maxDisplacementFraction = 0.3
 	// minBacklogLimit and maxBacklogLimit bound the mean prefill backlog, at the engines that a
-	// long prompt would use, up to which the prompt is placed. The limit rises from the first on
-	// arrival to the second when its waiting time has run out, so that of the prompts waiting at
-	// all entries the one that has waited longest is placed first.
+	// long prompt would use, from which the prompt is deferred. The limit rises from the first on
+	// arrival to the second when the time for which its caller waits has run out, so that of the
+	// prompts waiting at all entries the one that has waited longest is placed first.
 	minBacklogLimit, maxBacklogLimit = 100 * time.Millisecond, 1500 * time.Millisecond
-	// deferralWaitFactor is the caller's remaining wait, in multiples of the predicted prefill
-	// delay, below which a prompt is not deferred.
+	// A prompt is deferred only if its caller still waits for at least deferralWaitFactor times the
+	// predicted delay until it is prefilled.
 	deferralWaitFactor = 3
 )
 
-// refuseTooEarly returns a refusal that defers a long prompt while the engines it would use have a
-// long backlog, or while it would delay other requests too much, and nil otherwise. Engines prefill
-// new shards before older ones, and the gaps between events grow with the queue, whereas a prompt
-// that waits at its entry delays no other. An entry that is shutting down (EndWithin is set) has no
-// time to defer a prompt.
+// refuseTooEarly returns a refusal that defers a long prompt while the engines that it would use
+// have a long prefill backlog, or while it would delay other requests too much: engines prefill new
+// shards before older ones, and the gaps between events grow with the queue, whereas a prompt that
+// waits at its entry delays no other. It returns nil otherwise, and always for a prompt that was
+// sent before or whose caller soon stops waiting, and in an entry that is shutting down (EndWithin
+// is set).
 func refuseTooEarly(d Demand, e *matcher.EngineProfile, g group, backlog time.Duration) *Refusal {
 	if d.SentBefore || d.EndWithin > 0 || !hasLongPrefill(e, d.PromptTokens) || d.MaxWait < deferralWaitFactor*g.prefillDelay {
 		return nil
--- a/dispatcher/backpressure.go
+++ b/dispatcher/backpressure.go
@@ -7,8 +7,8 @@
 const leavingTTL = 5 * time.Minute
 
 // backpressure is what an incarnation of an upstream has reported in its responses about accepting
-// requests. It takes precedence over the list in the store, which may be unavailable, and holds
-// even where no other upstream is usable.
+// requests. It takes precedence over the instance list from the store, which may be outdated while
+// the store is unavailable, and applies even where no other upstream is usable.
 type backpressure struct {
 	// leaving is true once the incarnation has reported that it accepts no more requests.
 	leaving bool
@@ -31,7 +31,8 @@
 }
 
 // MarkLeaving records that an incarnation of an upstream reported that it is leaving. It returns
-// true if that was not known before.
+// true for the first such report, and false for later ones and where the incarnation is unknown or
+// has ended.
 func (b *Dispatcher) MarkLeaving(i Instance) bool {
 	return b.updateBackpressure(i, func(p *backpressure) bool {
 		isNew := !p.leaving
@@ -40,8 +41,9 @@
 	})
 }
 
-// SetBackoff records that an incarnation of an upstream asked this entry to send nothing until a
-// time. It returns true if that extends a known backoff.
+// SetBackoff records that an incarnation of an upstream asked this entry to send nothing until the
+// given time. It returns true if that time is later than any that the incarnation asked for before,
+// and false where the incarnation is unknown or has ended.
 func (b *Dispatcher) SetBackoff(i Instance, until time.Time) bool {
 	return b.updateBackpressure(i, func(p *backpressure) bool {
 		isNew := until.After(p.backoffUntil)
@@ -65,9 +67,9 @@
 	return change(&u.backpressure)
 }
 
-// afterRestart returns the backpressure that applies to the incarnation that replaced this one at
-// restartedAt: all of it if the last report came after that time, since then the new incarnation
-// sent it, whose listing this entry received late; none otherwise.
+// afterRestart returns the backpressure of the incarnation that replaced this one at restartedAt.
+// If the last report came after that time, the new incarnation sent it before this entry's instance
+// list contained that incarnation, so all of the backpressure is kept; otherwise none is.
 func (p backpressure) afterRestart(restartedAt time.Time) backpressure {
 	if p.reportedAt.After(restartedAt) {
 		return p
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// BenchmarkApplyPeerLoads measures the decoding and import of a full export of a peer.
+// BenchmarkApplyPeerLoads measures the decoding and application of the load of all requests of a
+// peer.
 func BenchmarkApplyPeerLoads(b *testing.B) {
 	dispatcher, peer := loadedDispatcher(b, 6), loadedDispatcher(b, 1)
 	messages := EncodeLoadUpdates(CompactIDOf("far"), peer.TakeLoadChanges(startTime, true))
--- a/dispatcher/candidate.go
+++ b/dispatcher/candidate.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// failureLoss is the fraction of an answer's value lost when its upstream fails: the whole
-	// value, and half as much again for the time until the failure is detected.
+	// failureLoss is the fraction of an answer's value that is lost when its upstream fails the
+	// request: the whole value, and half as much again for the time until the failure is detected.
 	failureLoss = 1.5
-	// unpackedCost is the cost, as a fraction of a prompt's value, of placing the prompt on an
-	// engine that decodes no answer whose gap target is as short as the prompt's. The cost falls to
-	// 0 as the engine is packed with such answers. Prompts that are not long are packed onto few
-	// engines, since a shard of a long prompt stops all answers of its engine.
+	// unpackedCost is the maximum packing cost of an engine, as a fraction of a prompt's value. It
+	// applies where the engine decodes no answer with a gap target as short as the prompt's, and
+	// falls to 0 as the engine decodes more of them. So prompts that are not long use few engines
+	// together: a shard of a long prompt, which stops all answers of its engine, then finds engines
+	// without answers.
 	unpackedCost = 0.2
-	// packedFraction is the fraction of an engine's slots from which the engine counts as fully
-	// packed. Further answers lower the cost of the engine no more, so that requests that arrive at
-	// all entries at the same moment find several engines equally cheap.
+	// packedFraction is the fraction of an engine's slots, less spareSlots, from which on answers
+	// with such gap targets lower the packing cost no further, as it is 0. It is well below 1 so
+	// that requests that arrive at all entries at the same moment find several engines equally
+	// cheap.
 	packedFraction = 0.5
-	// shortPromptJitter is the maximum random cost of a short prompt where many entries place
-	// requests, in requests: as much as four answers more or less on an engine that is not yet
-	// packed. Entries receive each other's placements only milliseconds later, and without jitter
-	// would all choose the same engine.
+	// shortPromptJitter is the limit that the maximum random cost of a short prompt approaches
+	// where many entries place requests, in requests: about as much as four answers on an engine
+	// change its packing cost. Entries receive each other's placements only milliseconds later, and
+	// without jitter would all choose the same engine.
 	shortPromptJitter = 0.2
-	// halfJitterPeers is the number of other entries at which half of shortPromptJitter applies.
-	// Where there are few entries, two seldom place requests at the same moment.
+	// halfJitterPeers is the number of other entries at which the maximum random cost is half of
+	// shortPromptJitter. Where there are few entries, two seldom place requests at the same moment.
 	halfJitterPeers = 20
-	// shortPrefillFraction is the fraction of a prompt's own gap target up to which its prefill
-	// counts as short.
+	// shortPrefillFraction times the gap target of a prompt's route is the prefill time up to which
+	// a prompt gets a random cost.
 	shortPrefillFraction = 0.5
 	// spareSlots is the number of slots of an engine that are kept free for requests that other
-	// entries have not reported yet.
+	// entries have placed but this entry has received no report of yet.
 	spareSlots = 2
 	// slotWaitCost is the cost of waiting for a slot, as a multiple of a request's value, when as
 	// many requests wait as the engine has slots. The cost is proportional to the number that wait.
@@ -43,17 +45,19 @@
 )
 
 const (
-	// slotPriceFrom and slotPriceTo are the fractions of all slots taken between which the price of
-	// slot time rises from 0 to maxSlotPrice.
+	// slotPriceFrom and slotPriceTo are fractions of the slots of all candidates. The price of slot
+	// time rises linearly from 0 where the first is taken to maxSlotPrice where the second is.
 	slotPriceFrom, slotPriceTo = 0.6, 0.9
-	// maxSlotPrice is the price of a second of one slot where all slots are taken, in requests: an
-	// answer occupies a slot for two seconds, and a request that waits for the slot is late.
+	// maxSlotPrice is the price of occupying one slot for a second from slotPriceTo on, in
+	// requests: an answer occupies a slot for two seconds, and a request that waits for the slot is
+	// late.
 	maxSlotPrice = 0.8
 )
 
-// slotPrice returns the price of a second of one slot, in requests. Prefill stops all answers of
-// its engine, so that each occupies its slot longer by the time of the prefill, and once all slots
-// are taken every new request waits for one.
+// slotPrice returns the price of occupying one slot for a second, in requests; it depends on the
+// fraction of the candidates' slots that is taken. The prefill of a prompt stops all answers of its
+// engine, so that each occupies its slot for longer, and once all slots are taken every new request
+// waits for one.
 func slotPrice(candidates []candidate) float64 {
 	running, slots := 0, 0
 	for _, c := range candidates {
@@ -72,8 +76,8 @@
 	rank uint64
 	// jitter is the random cost added for short prompts, in requests.
 	jitter float64
-	// packedDegree is the degree, from 0 to 1, to which the engine is packed with answers whose gap
-	// target is as short as the prompt's or shorter.
+	// packedDegree rises from 0 to 1 with the number of answers on the engine whose gap target is
+	// as short as the prompt's or shorter; it is 1 from packedFraction of the slots on.
 	packedDegree float64
 	// othersPrefilledAt and baselineLoss have an element for each of the upstream's projections:
 	// the time at which the other shards of that request are expected to be prefilled, and what the
@@ -90,29 +94,29 @@
 type estimate struct {
 	*candidate
 	job predictor.Job
-	// displacementCost is the predicted loss of other requests on the engine. cost adds the
-	// prompt's own loss by failures, slot wait and missing memory, but not by lateness. Both are in
-	// requests.
+	// displacementCost is the predicted loss that the prompt adds to other requests on the engine.
+	// cost adds the prompt's own loss by failures, slot wait and missing memory, and where they
+	// apply the packing cost and the jitter, but no loss by lateness. Both are in requests.
 	displacementCost, cost float64
 	// prefillDelay is the time from now until the shard is prefilled, longestGap the longest time
 	// between two events of the answer.
 	prefillDelay, longestGap time.Duration
-	// unfinishedRisk is the probability that the answer does not end before its caller leaves; 0
-	// for helpers.
+	// unfinishedRisk is the probability that the answer does not end before its caller's deadline;
+	// 0 for helpers.
 	unfinishedRisk float64
 	// canDecode is false where the prompt is not split and the engine's whole memory is too small
 	// for it and its answer, so that the engine can only help.
 	canDecode bool
 }
 
-// jitterRange returns the upper bound of the random cost of a short prompt, in requests, for a
-// number of other entries.
+// jitterRange returns the upper bound of the random cost of a short prompt, in requests, where the
+// given number of other entries place requests.
 func jitterRange(peers int) float64 {
 	return shortPromptJitter * float64(peers) / float64(peers+halfJitterPeers)
 }
 
-// computeBaseline sets the fields that describe the engine without the prompt: baselineLoss,
-// othersPrefilledAt, decoding and packed.
+// computeBaseline sets the fields that describe the engine as it is without the prompt d:
+// baselineLoss, othersPrefilledAt, decoding and packedDegree.
 func (c *candidate) computeBaseline(d Demand) {
 	similar := 0
 	for _, projection := range c.upstream.projections {
@@ -131,9 +135,9 @@
 	c.packedDegree = float64(min(similar, full)) / float64(full)
 }
 
-// estimate predicts the effect of placing one of a number of shards on the engine. With decodes
-// set, the engine also decodes the answer; otherwise it is a helper. The call overwrites the
-// projections that an earlier call left in simulator.
+// estimate predicts the effect of placing one of the given number of equal shards of a prompt on
+// the engine. With decodes set, the engine also decodes the answer; otherwise it is a helper. The
+// call overwrites the projections that an earlier call left in simulator.
 func (c *candidate) estimate(now time.Time, d Demand, shards int, decodes bool, simulator *predictor.Simulator) estimate {
 	u, engine := c.upstream, c.upstream.engine
 	est := estimate{candidate: c, job: newJob(now, d, engine, shards, decodes), canDecode: shards > 1 || d.PromptTokens+d.AnswerTokens <= engine.MemoryTokens}
@@ -171,8 +175,8 @@
 	}
 }
 
-// hasShortPrefill reports whether the prefill of a prompt fits into shortPrefillFraction of its gap
-// target.
+// hasShortPrefill reports whether one engine prefills a prompt within shortPrefillFraction of its
+// gap target.
 func hasShortPrefill(d Demand, e *matcher.EngineProfile) bool {
 	return float64(predictor.PrefillTime(e, d.PromptTokens)) <= shortPrefillFraction*float64(d.GapTarget)
 }
--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -16,7 +16,8 @@
 	// FirstByteTarget and GapTarget are the latency targets of the request's route: the time to the
 	// first byte, and the longest gap between two events; 0 where the route has none.
 	FirstByteTarget, GapTarget time.Duration
-	// Waited is the time for which the caller has already waited for its first byte or next event.
+	// Waited is the time for which the caller has already waited: for the first byte since the
+	// request arrived, or for the next event since the last one.
 	Waited time.Duration
 	// MaxWait is the time for which the caller still waits for the first byte; 0 if unknown.
 	MaxWait time.Duration
@@ -25,16 +26,17 @@
 	// Avoid lists the incarnations of upstreams that have failed the request; it is not placed on
 	// them.
 	Avoid []Instance
-	// SentBefore is true for a request that was placed before. It is not refused for its cost or its
-	// waiting time.
+	// SentBefore is true for a request that was sent to an upstream before. It is not refused as
+	// overloaded, for its cost, or to defer it.
 	SentBefore bool
 	// NoHelpers forbids placing the request on a group of engines, because a group has failed it
 	// before.
 	NoHelpers bool
-	// EndWithin is the time until the entry that relays the answer exits. The request is refused
-	// where its answer may take longer. EndWithin is 0 where the entry is not shutting down.
+	// EndWithin is the time until the entry that relays the answer exits; 0 where the entry is not
+	// shutting down. The request is refused where its answer may take longer.
 	EndWithin time.Duration
-	// MaxAnswerTokens is the maximum length of the answer, set where EndWithin is; 0 if unknown.
+	// MaxAnswerTokens is the maximum length of the answer; 0 if unknown. It is only used where
+	// EndWithin is set, and a request without it is then refused.
 	MaxAnswerTokens int
 }
 
@@ -47,10 +49,11 @@
 	RetryAfter time.Duration
 	// ExpectedFirstByte is the predicted time to the first byte on the best upstream; 0 if unknown.
 	ExpectedFirstByte time.Duration
-	// Temporary is true where the request may be placed a moment later, as engines make progress.
+	// Temporary is true where the request may be placed if Place is called again a moment later, as
+	// engines make progress.
 	Temporary bool
-	// Deferrable is true where the prompt has time to wait at its entry until engines have a
-	// shorter backlog.
+	// Deferrable is true where the prompt is to wait at its entry until engines have a shorter
+	// backlog, which its caller's remaining wait allows.
 	Deferrable bool
 	// OutlivesEntry is true where the answer may end later than the entry that would relay it.
 	OutlivesEntry bool
@@ -62,7 +65,8 @@
 }
 
 const (
-	// minRetryAfter and maxRetryAfter bound RetryAfter where it is computed from a backlog.
+	// minRetryAfter and maxRetryAfter bound RetryAfter where it is computed from a backlog or a
+	// delay. minRetryAfter also applies where no time can be predicted.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -27,7 +27,7 @@
 
 	lock      sync.Mutex
 	upstreams map[string]*upstream
-	// byCompactID holds the upstreams by the wire ID of their incarnation.
+	// byCompactID holds the upstreams by the compact ID of their incarnation.
 	byCompactID map[CompactID]*upstream
 	services    map[string][]*upstream
 	// ownRequests holds the requests placed by this entry, peerRequests those that peers report.
@@ -40,16 +40,16 @@
 	// rankSalt determines the order of engines with equal costs. All entries share one salt, except
 	// isolated ones, which use a random salt each.
 	rankSalt string
-	// isUnreported is true where the dispatcher reports nothing to peers (NewLocal).
+	// isUnreported is true for a dispatcher that reports nothing to peers (see NewUnreported).
 	isUnreported bool
-	// changed holds own requests to report with the next call of TakeLoadChanges, endedLoads the ends of own
-	// requests since the last call. previouslyEnded holds the IDs of requests whose end was
-	// exported since the last full call; the next full call repeats these ends.
+	// changed holds own requests to return from the next call of TakeLoadChanges, endedLoads the
+	// ends of own requests since the last call. previouslyEnded holds the IDs of requests whose end
+	// was returned since the last call with all set; the next such call repeats these ends.
 	changed         map[*request]bool
 	endedLoads      []RequestLoad
 	previouslyEnded []CompactID
-	// LoadChanged is a channel of capacity 1 that holds an element while TakeLoadChanges has something new to
-	// return.
+	// LoadChanged is a channel of capacity 1. It is sent an element, unless it holds one, when a
+	// change is queued for the next call of TakeLoadChanges.
 	LoadChanged chan struct{}
 	simulator   predictor.Simulator
 }
@@ -63,17 +63,17 @@
 	}
 }
 
-// NewUnreported returns a dispatcher for requests that this entry does not report to its peers: it keeps
-// no changes, and TakeLoadChanges returns nothing.
+// NewUnreported returns a dispatcher for requests that this entry does not report to its peers: it
+// collects no changes, and TakeLoadChanges without all returns nothing.
 func NewUnreported(dataCentre string, random *rand.Rand) *Dispatcher {
 	b := New(dataCentre, random)
 	b.isUnreported = true
 	return b
 }
 
-// UpdateUpstreams replaces the services and the list of upstreams that may be sent requests. An upstream
-// that is no longer listed is kept until its last request ends, and longer while its backpressure
-// must be remembered.
+// UpdateUpstreams replaces the services and the list of upstreams that may be sent requests. An
+// upstream that is no longer listed is kept until its last request ends, and longer while it is
+// leaving or has asked for a backoff (see backpressure.isRetained).
 func (b *Dispatcher) UpdateUpstreams(table *matcher.Table, instances []Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -135,11 +135,11 @@
 const maxClockSkew = 3 * time.Second
 
 // dropAssignmentsBefore removes all assignments of an upstream whose incarnation has ended because
-// another started at restartedAt. Own requests are notified at once, since their answer can no
-// longer come. A request placed more than maxClockSkew after the restart is not notified: it has
-// reached the new incarnation, whose listing this entry received late. Later events of the removed
-// assignments have no effect, as they reach an upstream object without a queue that is no longer in
-// the dispatcher.
+// another started at restartedAt. It calls the functions set with Placement.OnRestart, since the
+// answers can no longer come, except those of requests placed more than maxClockSkew after the
+// restart: these have reached the new incarnation, which this entry's instance list contained only
+// later. Later events of the removed assignments have no effect, as they reach an upstream object
+// without a queue that is no longer in the dispatcher.
 func dropAssignmentsBefore(u *upstream, restartedAt time.Time) {
 	for a := range u.assignments {
 		if restartedAt.IsZero() || !a.request.placedAt.After(restartedAt.Add(maxClockSkew)) {
--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -42,7 +42,7 @@
 }
 
 // The state of an engine that restarts under the same ID is empty: no work of this entry or of
-// peers, no memory, no failures, no block and no pace.
+// peers, no memory, no failures, no block and no slowdown.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
 	is := is.New(t)
 	b, peer := dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
--- a/dispatcher/instance.go
+++ b/dispatcher/instance.go
@@ -12,8 +12,8 @@
 	ID string
 	// Started is the start time of the incarnation by the upstream's clock, in whole milliseconds;
 	// zero where the upstream does not report it. ID and Started together identify the incarnation.
-	// Start times are compared for equality only: clocks step, so that a later incarnation may seem
-	// older.
+	// A start time that differs is another incarnation, whether it is later or earlier: a clock
+	// that steps back makes a later incarnation seem older.
 	Started time.Time
 	// Service is the name of the service that the upstream belongs to.
 	Service    string
@@ -31,8 +31,8 @@
 	return i.ID == o.ID && (i.Started.IsZero() || o.Started.IsZero() || i.Started.Equal(o.Started))
 }
 
-// IncarnationID returns the ID of the incarnation in load updates: a hash of ID and Started, or of
-// ID alone if Started is zero.
+// IncarnationID returns the compact ID of the incarnation: a hash of ID and Started, or of ID alone
+// if Started is zero.
 func (i Instance) IncarnationID() CompactID {
 	if i.Started.IsZero() {
 		return CompactIDOf(i.ID)
--- a/dispatcher/memory.go
+++ b/dispatcher/memory.go
@@ -14,10 +14,12 @@
 	return int(usableMemoryFraction * float64(max(0, c.upstream.engine.MemoryTokens-c.load.MemoryTokens)))
 }
 
-// splitMemory returns how much memory each of the chosen engines holds for a prompt and its answer,
+// splitMemory returns how much memory each of the chosen engines uses for a prompt and its answer,
 // in tokens, in the order of chosen; the first engine answers. It reports false where the engines
-// have too little memory. The answering engine holds everything if it has room; otherwise the rest
-// goes to as few helpers as possible.
+// have too little memory. The answering engine uses all of it if it has that much free, or if there
+// are no helpers; otherwise what exceeds its free memory goes to as few helpers as possible. If
+// they lack free memory too, but the whole memory of the answering engine suffices, that engine
+// uses all of it.
 func splitMemory(d Demand, chosen []estimate) ([]int, bool) {
 	tokens := make([]int, len(chosen))
 	remaining := d.PromptTokens + d.AnswerTokens
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// A failure counts once at a peer, although full exports repeat the end of its request. An answer
-// that an entry did not receive, or a request that it ended itself, does not count at peers.
+// A failure counts once at a peer, although calls of TakeLoadChanges with all set repeat the end of
+// its request. An answer that an entry did not receive, or a request that it ended itself, does not
+// count at peers.
 func TestOutcomeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -7,8 +7,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Place chooses upstreams for a request and records the request with them. It returns a refusal
-// where no upstream can be sent the request now. The caller must end each placement with End.
+// Place chooses upstreams for a request and adds the request to their load. It returns a refusal
+// where no upstream can be sent the request now. Each placement must be ended with End.
 func (b *Dispatcher) Place(now time.Time, d Demand) (*Placement, *Refusal) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -24,10 +24,10 @@
 	return p, nil
 }
 
-// Accepts reports whether a request would be placed and would start without waiting for a slot. It
-// records nothing. It returns false where all slots are taken: a request that moved away from a
-// silent engine would wait elsewhere as well, and prompts that are prefilled a second time would
-// keep the fleet full.
+// Accepts reports whether a request would be placed on an upstream that accepts connections, and
+// would start without waiting for a slot. It records nothing. A request that moved away from a
+// silent engine to wait for a slot would only wait elsewhere, and prompts that are prefilled a
+// second time would keep all slots taken.
 func (b *Dispatcher) Accepts(now time.Time, d Demand) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -42,8 +42,7 @@
 	return u.engine == nil || p.Load.Running+spareSlots < u.engine.Slots
 }
 
-// choose chooses upstreams for a request without recording the placement. The caller holds the
-// lock.
+// choose chooses upstreams for a request without recording the placement. The lock must be held.
 func (b *Dispatcher) choose(now time.Time, d Demand) (*Placement, *Refusal) {
 	upstreams := b.usableUpstreams(now, d)
 	if len(upstreams) == 0 {
@@ -58,8 +57,8 @@
 	return b.placePrompt(now, d, upstreams)
 }
 
-// placePlain chooses the upstream of a plain service with the lowest cost, which depends on load,
-// failures, pace and distance.
+// placePlain chooses the upstream of a plain service with the lowest cost, which depends on the
+// load, failure rate, slowdown and data centre of each upstream, and on a random number.
 func (b *Dispatcher) placePlain(now time.Time, d Demand, upstreams []*upstream) *Placement {
 	best, lowestCost := upstreams[0], 0.0
 	for i, u := range upstreams {
@@ -100,7 +99,8 @@
 	// failingCost is the cost of an upstream that fails every request. Such an upstream is chosen
 	// last, even where all others are full and as many requests again wait at each.
 	failingCost = 4
-	// slowCost is the cost of an upstream that works at half of the expected speed.
+	// slowCost is the cost of an upstream with a slowdown of 2. The cost is proportional to the
+	// excess of the slowdown over 1.
 	slowCost = 0.5
 	// plainJitter is the maximum random cost, which keeps entries with the same view from all
 	// choosing the same upstream.
@@ -132,8 +132,9 @@
 	return candidates
 }
 
-// cheapestGroup returns the engine or the group of engines with the lowest cost for a prompt. It
-// reports false where no engine or group has enough memory for the prompt.
+// cheapestGroup returns the engine or the group of engines with the lowest cost for a prompt, of
+// those that the search considers (see groupSizes and shortlist). It reports false where no engine
+// or group has enough memory for the prompt.
 func (b *Dispatcher) cheapestGroup(now time.Time, d Demand, candidates []candidate) (group, bool) {
 	s := b.newSearch(d, candidates)
 	best, found := s.bestSingle(now, d, candidates)
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -110,7 +110,7 @@
 
 // Medium prompts, 14 a second, are each prefilled by two engines, and their answers are decoded on
 // few engines. If each engine decoded one of these answers, shards of long prompts would stop every
-// answer. An engine counts as fully packed with seven answers.
+// answer. With seven such answers, the packing cost of an engine is 0.
 func TestMediumPromptsLeaveEnginesToLongOnes(t *testing.T) {
 	is := is.New(t)
 	b := testDispatcher(t, 14)
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -70,8 +70,9 @@
 // ended it as well.
 const minReportedPrefill = 100 * time.Millisecond
 
-// ExpectedSilence returns the time for which the request's upstream may send nothing because it is
-// expected to be busy with prefill; 0 for plain services.
+// ExpectedSilence returns the time from now for which the upstream that answers may send nothing
+// without being at fault: the prefill that it, or before the first byte a helper, still has to do,
+// one pass, and the FirstEventDelay of its load. It is 0 for plain services.
 func (p *Placement) ExpectedSilence() time.Duration {
 	p.dispatcher.lock.Lock()
 	defer p.dispatcher.lock.Unlock()
@@ -91,11 +92,11 @@
 	return prefill + time.Duration(float64(pass)*first.health.slowdown(now)) + l.FirstEventDelay
 }
 
-// predictionSlack is added to a predicted time before a measured one is compared with it. It covers the
-// network, scheduling and half a pass.
+// predictionSlack is the time by which an answer may begin later than predicted before it is taken
+// as slow or delayed. It covers the network, scheduling and half a pass.
 const predictionSlack = 60 * time.Millisecond
 
-// PlacementResult is what an ended placement shows about its first upstream.
+// PlacementResult is the way in which a request ended at the first upstream of its placement.
 type PlacementResult int
 
 // Results of a placement.
@@ -116,7 +117,7 @@
 	NotRun
 )
 
-// outcome returns the outcome that peers are sent for a result. Only Answered and Failed are
+// outcome returns the outcome that is reported to peers for a result. Only Answered and Failed are
 // reported: an answer that this entry did not receive may have been lost on its own links, and a
 // full upstream shows in its load.
 func (r PlacementResult) outcome() ReportedOutcome {
@@ -130,8 +131,9 @@
 	}
 }
 
-// End removes the request from the dispatcher, records its result, and queues its end for the next
-// call of TakeLoadChanges.
+// End removes the request from the load of its upstreams and queues its end for the next call of
+// TakeLoadChanges. The results Failed, Incomplete, NotRun and Unreachable raise the failure rate of
+// the first upstream; Unreachable also blocks it for a time.
 func (p *Placement) End(now time.Time, result PlacementResult) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
@@ -178,8 +180,8 @@
 	}
 }
 
-// RecordHelperFailure records that an engine failed a request as a helper. It does nothing if the
-// helper has restarted since.
+// RecordHelperFailure raises the failure rate of an engine that failed a request as a helper. It
+// does nothing if the engine has restarted since.
 func (b *Dispatcher) RecordHelperFailure(now time.Time, helper Instance) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -6,7 +6,7 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// request is a request of this entry or of a peer, with its work at each upstream.
+// request is a request of this entry or of a peer, with its assignments to upstreams.
 type request struct {
 	compactID CompactID
 	// promptTokens is the length of the prompt, answerTokens the expected length of the answer.
@@ -80,9 +80,10 @@
 	return latest
 }
 
-// firstEventDelay returns the time by which the first event of the answer is already later than predicted,
-// less paceSlack; 0 if it has arrived, and for plain requests. For a peer's request the time counts
-// up to the peer's last report only, since the event may have arrived after it.
+// firstEventDelay returns how long ago the first event of the answer was predicted, less
+// predictionSlack, while it has not arrived; 0 before that time, once it has arrived, and for plain
+// requests. For a peer's request it is the delay as of the peer's last report without the event,
+// since the event may have arrived after it.
 func (a *assignment) firstEventDelay(now time.Time) time.Duration {
 	r := a.request
 	if r.firstByteSeen || r.gapTarget == 0 {
--- a/dispatcher/requestload.go
+++ b/dispatcher/requestload.go
@@ -10,11 +10,12 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// CompactID identifies a request, or an incarnation of an entry or an upstream, in load updates. For
-// incarnations it is a hash of their name: the names themselves would make up most of a message.
+// CompactID identifies a request, or an incarnation of an entry or an upstream, in load updates. It
+// is random for requests, and a hash of the name for incarnations: the names themselves would make
+// up most of a message.
 type CompactID uint32
 
-// CompactIDOf returns the wire ID of a name.
+// CompactIDOf returns the compact ID of a name, which is a hash.
 func CompactIDOf(name string) CompactID { return CompactID(xxhash.Sum64String(name)) }
 
 // RequestLoad is the load of one request of an entry, as the entry reports it to its peers.
@@ -24,8 +25,7 @@
 	// Ended is true where the request has ended. Then only ID, Outcome and, for OutcomeFailed,
 	// Assignments are set.
 	Ended bool
-	// Outcome is what the end of the request shows about its first upstream; OutcomeUnknown unless
-	// Ended is true.
+	// Outcome is the outcome of an ended request; OutcomeUnknown unless Ended is true.
 	Outcome ReportedOutcome
 	// FirstByteSeen is true once the first byte of the answer has arrived.
 	FirstByteSeen bool
@@ -49,13 +49,14 @@
 	Assignments []AssignmentLoad
 }
 
-// ReportedOutcome is what the end of a request shows peers about the upstream that was to answer it.
+// ReportedOutcome is what an entry reports to its peers about how the upstream that was to answer a
+// request served it, once the request has ended.
 type ReportedOutcome byte
 
 // Outcomes of a request.
 const (
-	// OutcomeUnknown means that the end shows nothing: an answer that an entry did not receive may
-	// have been lost on its own links.
+	// OutcomeUnknown means that the end of the request shows nothing about the upstream: an answer
+	// that an entry did not receive may have been lost on its own links.
 	OutcomeUnknown ReportedOutcome = iota
 	// OutcomeAnswered means that the upstream sent a complete answer.
 	OutcomeAnswered
@@ -83,7 +84,7 @@
 // several times within it.
 const requestLoadTTL = 3 * time.Second
 
-// queueUpdate marks a request to be reported to peers with the next call of TakeLoadChanges.
+// queueUpdate marks a request to be returned by the next call of TakeLoadChanges.
 func (b *Dispatcher) queueUpdate(r *request) {
 	if b.isUnreported {
 		return
@@ -92,7 +93,7 @@
 	b.signalChange()
 }
 
-// queueEnd marks the end of a request to be reported to peers with the next call of TakeLoadChanges.
+// queueEnd adds the end of a request to what the next call of TakeLoadChanges returns.
 func (b *Dispatcher) queueEnd(r *request, outcome ReportedOutcome) {
 	if b.isUnreported {
 		return
@@ -106,7 +107,7 @@
 	b.signalChange()
 }
 
-// signalChange puts an element into Changed unless there is one.
+// signalChange puts an element into LoadChanged unless there is one.
 func (b *Dispatcher) signalChange() {
 	select {
 	case b.LoadChanged <- struct{}{}:
@@ -114,10 +115,11 @@
 	}
 }
 
-// TakeLoadChanges returns the load of the requests of this entry that changed or ended since the last call,
-// or of all its requests with all set. A full export also drops the expired requests of peers, and
-// repeats the ends exported since the last full one, without their outcome, since a failure that is
-// reported twice would count twice.
+// TakeLoadChanges returns the load of the requests of this entry that changed or ended since the
+// last call, for a load update to peers. With all set, it returns the load of all its requests,
+// removes the expired requests of peers, and repeats the ends returned since the last call with all
+// set, in case a message was lost. The repeated ends have no outcome, as a failure would otherwise
+// count twice.
 func (b *Dispatcher) TakeLoadChanges(now time.Time, all bool) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -143,6 +145,7 @@
 }
 
 // OwnRequestLoads returns the load of all requests of this entry, for a peer that has just joined.
+// Unlike TakeLoadChanges, it leaves the changes to report as they are.
 func (b *Dispatcher) OwnRequestLoads(now time.Time) []RequestLoad {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -165,7 +168,7 @@
 	return load
 }
 
-// expirePeerRequests removes the requests that peers have not reported within requestLoadTTL.
+// expirePeerRequests removes the requests of peers whose last report is older than requestLoadTTL.
 func (b *Dispatcher) expirePeerRequests(now time.Time) {
 	for key, r := range b.peerRequests {
 		if now.After(r.expiresAt) {
@@ -187,7 +190,8 @@
 	}
 }
 
-// ApplyPeerLoads applies a load update of a peer.
+// ApplyPeerLoads applies a load update of a peer: it adds requests that are new, extends the
+// validity of those known, records first bytes and outcomes, and removes requests that have ended.
 func (b *Dispatcher) ApplyPeerLoads(now time.Time, peer CompactID, loads []RequestLoad) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -217,9 +221,10 @@
 	}
 }
 
-// recordOutcome records what the end of a peer's request shows about an upstream. Without these
-// reports, an upstream that fails a fraction of its requests would have to fail one of each entry
-// before all avoid it. The request is nil where its peer has not reported it before.
+// recordOutcome updates the health of the answering upstream by the outcome of a peer's request.
+// Without these reports, an upstream that fails a fraction of its requests would have to fail one
+// of each entry before all avoid it. r is nil where the peer has not reported the request before
+// its end.
 func (b *Dispatcher) recordOutcome(now time.Time, r *request, load RequestLoad) {
 	switch {
 	case load.Outcome == OutcomeFailed && len(load.Assignments) > 0:
@@ -231,8 +236,9 @@
 	}
 }
 
-// recordAnswer records that a peer's request was answered. It searches for the assignment that
-// decodes, because the order of a peer's assignments is that in which their upstreams became known.
+// recordAnswer records that a peer's request was answered, in the health of the upstream that
+// decodes. That need not be the first, because the order of a peer's assignments is that in which
+// their upstreams were listed at this entry.
 func (r *request) recordAnswer(now time.Time) {
 	for _, a := range r.assignments {
 		if a.job.Decodes {
--- a/dispatcher/requestload_test.go
+++ b/dispatcher/requestload_test.go
@@ -98,7 +98,7 @@
 	f.Fuzz(func(_ *testing.T, m []byte) { _, _, _ = DecodeLoadUpdate(m) })
 }
 
-// The updates of a local dispatcher are never exported, so it must not collect any.
+// The changes of an unreported dispatcher are never taken, so it must not collect any.
 func TestUnreportedDispatcherHasNoLoadChanges(t *testing.T) {
 	is := is.New(t)
 	b := NewUnreported("dc", rand.New(rand.NewPCG(1, 2)))
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -90,11 +90,12 @@
 	prefillDelay           time.Duration
 }
 
-// search looks for the cheapest engines for one prompt. Its buffers are reused for each group size.
+// search looks for the cheapest engines for one prompt. Its buffers are reused from one group size
+// to the next.
 type search struct {
 	simulator *predictor.Simulator
-	// isPacking is true where the prompt is packed onto few engines, together with answers that have as
-	// short a gap target.
+	// isPacking is true where the search prefers engines that already decode answers with as short
+	// a gap target as the prompt's (see packingCost).
 	isPacking bool
 	estimates []estimate
 	// costs holds the cost of each estimate, including the prompt's own loss if no other engine
@@ -103,14 +104,16 @@
 	order []int
 }
 
-// newSearch returns a search for the engines of a prompt. Long prompts are not packed, nor are
-// those of an isolated entry, as all isolated entries would fill the same engines.
+// newSearch returns a search for the engines of a prompt. It prefers engines that already decode
+// answers with as short a gap target, unless the prompt is long or this entry receives no load
+// updates from its peers: all such entries would then fill the same engines.
 func (b *Dispatcher) newSearch(d Demand, candidates []candidate) search {
 	return search{simulator: &b.simulator, isPacking: !b.isolated && !hasLongPrefill(candidates[0].upstream.engine, d.PromptTokens)}
 }
 
-// estimateShards estimates each candidate as a helper with one of a number of shards, and sorts the
-// estimates by cost.
+// estimateShards predicts, for each candidate, the effect of prefilling one shard of the prompt
+// there as a helper, the prompt being split into the given number of equal shards. It sets
+// s.estimates in the order of the candidates, and s.costs and s.order.
 func (s *search) estimateShards(now time.Time, d Demand, candidates []candidate, shards int) {
 	s.estimates = s.estimates[:0]
 	for i := range candidates {
@@ -119,7 +122,8 @@
 	s.sortByCost(d)
 }
 
-// sortByCost computes the costs of the estimates and their order.
+// sortByCost sets s.costs and s.order from s.estimates. Estimates with equal costs are ordered by
+// the rank of their engines.
 func (s *search) sortByCost(d Demand) {
 	s.costs, s.order = s.costs[:0], s.order[:0]
 	for i, est := range s.estimates {
@@ -155,8 +159,8 @@
 	return group{estimates: []estimate{best}, cost: s.costs[s.order[0]], displacementCost: best.displacementCost, prefillDelay: best.prefillDelay}, true
 }
 
-// packingCost returns the cost, in requests, of decoding an answer on an engine that decodes few
-// answers with as short a gap target.
+// packingCost returns the cost, in requests, of decoding the prompt's answer on an engine that
+// decodes few answers with as short a gap target; 0 unless isPacking is true.
 func (s *search) packingCost(d Demand, c *candidate) float64 {
 	if !s.isPacking {
 		return 0
@@ -177,8 +181,9 @@
 	return slices.SortedStableFunc(slices.Values(s.order), byTotalCost)[:n]
 }
 
-// bestJoint returns a group of a given size with a low cost for a prompt: the best of the answering
-// candidates, and the cheapest of the other engines as helpers.
+// bestJoint returns a group of the given size with a low cost for a prompt: the one of the
+// answering candidates that costs least, and the engines that cost least as helpers. Not all groups
+// of that size are compared.
 func (s *search) bestJoint(now time.Time, d Demand, candidates []candidate, size int) group {
 	s.estimateShards(now, d, candidates, size)
 	first, answering := -1, estimate{}
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -18,10 +18,10 @@
 }
 
 // ShouldYield reports whether the request should be placed again, because a peer's long prompt on
-// one of its engines was first reported after the request was placed. Where the engine lacks memory
-// for both, the later prompt would wait until the other's answer ends, and then delay everything
-// placed there since. Of two requests placed at the same moment one yields, and both entries agree
-// on which.
+// one of its engines was first reported after this request was placed, and must already have been
+// sent or has precedence (see isSent and precedes). Where the engine lacks memory for both, the
+// later prompt would wait until the other's answer ends, and then delay everything placed there
+// since. Of two requests placed at the same moment one yields, and both entries agree on which.
 func (p *Placement) ShouldYield(now time.Time) bool {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
--- a/dispatcher/settle_test.go
+++ b/dispatcher/settle_test.go
@@ -22,8 +22,8 @@
 	return dispatchers
 }
 
-// exchangeUpdates imports the changes since the last export of each dispatcher at all others, or
-// with all set the load of all its requests.
+// exchangeUpdates applies the load changes of each dispatcher to all others, or with all set the
+// load of all its requests.
 func exchangeUpdates(t *testing.T, now time.Time, dispatchers []*Dispatcher, all bool) {
 	t.Helper()
 	for i, from := range dispatchers {
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -89,13 +89,15 @@
 
 // Load is the work at one upstream of requests of this entry and those that peers report.
 type Load struct {
-	// Running is the number of requests that the upstream answers, waiting ones included.
+	// Running is the number of requests whose answers come from this upstream, including those that
+	// still wait there. Requests that it only helps to prefill are not counted.
 	Running int
 	// PrefillBacklog is the time that the engine needs to prefill what is left of the prompts
 	// placed on it; 0 for plain services.
 	PrefillBacklog time.Duration
-	// FirstEventDelay is the time by which the most overdue first event is late against its prediction. The
-	// engine must have at least as much work that no entry has reported.
+	// FirstEventDelay is the time by which the most delayed first event of an answer is later than
+	// predicted, less a tolerance; 0 if none is. The engine must have at least as much work that no
+	// entry has reported.
 	FirstEventDelay time.Duration
 	// MemoryTokens is the memory in use by requests, in tokens.
 	MemoryTokens int
--- a/dispatcher/wire.go
+++ b/dispatcher/wire.go
@@ -14,7 +14,7 @@
 	// maxLoadUpdate is the maximum size of a load update in bytes, so that it fits into one
 	// datagram on a link with the usual MTU.
 	maxLoadUpdate = 1300
-	// compactIDSize is the encoded size of a wire ID in bytes.
+	// compactIDSize is the encoded size of a compact ID in bytes.
 	compactIDSize = 4
 	// memoryUnit is the unit of memory on the wire, in tokens; amounts are rounded up.
 	memoryUnit = 64
@@ -33,8 +33,8 @@
 // update.
 var ErrMalformedLoadUpdate = errors.New("load update is malformed")
 
-// EncodeLoadUpdates encodes request loads of the entry with wire ID from as load updates that fit
-// into one datagram each.
+// EncodeLoadUpdates encodes request loads of the entry with the compact ID from as load updates
+// that fit into one datagram each.
 func EncodeLoadUpdates(from CompactID, loads []RequestLoad) [][]byte {
 	var messages [][]byte
 	head := binary.LittleEndian.AppendUint32([]byte{loadUpdateFormat}, uint32(from))
@@ -98,7 +98,8 @@
 	RelayToPlacing RelayTarget = 9
 )
 
-// WrapForRelay returns the datagram that asks an entry to relay a load update.
+// WrapForRelay returns the datagram that asks its receiver to relay a load update to the entries
+// that r selects.
 func WrapForRelay(r RelayTarget, message []byte) []byte {
 	return append([]byte{byte(r)}, message...)
 }
@@ -117,8 +118,8 @@
 	}
 }
 
-// loadReader decodes a load update. After the first error, failed is true and it decodes only
-// zeros.
+// loadReader decodes a load update. After the first error, failed is true, and what it decodes are
+// zeros and ended requests.
 type loadReader struct {
 	rest   []byte
 	failed bool
@@ -151,7 +152,7 @@
 	return k
 }
 
-// compactID decodes a wire ID.
+// compactID decodes a compact ID. It returns 0 after an error.
 func (r *loadReader) compactID() CompactID {
 	if len(r.rest) < compactIDSize {
 		r.failed, r.rest = true, nil
@@ -187,8 +188,8 @@
 	return load
 }
 
-// DecodeLoadUpdate decodes a load update and returns the wire ID of the entry that sent it. The
-// error is ErrLoadUpdate for any malformed message.
+// DecodeLoadUpdate decodes a load update and returns the compact ID of the entry that sent it. The
+// error is ErrMalformedLoadUpdate for any malformed message.
 func DecodeLoadUpdate(message []byte) (CompactID, []RequestLoad, error) {
 	if len(message) == 0 || message[0] != loadUpdateFormat {
 		return 0, nil, ErrMalformedLoadUpdate
