--- a/predictor/predictor.go
+++ b/predictor/predictor.go
@@ -1,7 +1,7 @@
 // Package predictor models the timing of a model engine from the engine's profile in the
 // configuration: how long the prefill of a prompt takes, how long a decoding pass takes, and how
 // much further prefill delays the answers that are being decoded. A Queue tracks the work of one
-// engine, and a Forecast simulates a queue forward. The package does no I/O.
+// engine, and a Simulator simulates a queue forward. The package does no I/O.
 //
 // An engine works in forward passes. A pass that decodes answers executes StepsPerPass token steps
 // and prefills waiting prompts along with them. Every answer on the engine emits one event per
@@ -29,8 +29,8 @@
 
 // ShardPrefillTime returns the time that each of k engines needs to prefill its shard of a prompt of
 // the given number of tokens. All shards have as many tokens and as many pairs of tokens.
-func ShardPrefillTime(e *matcher.EngineProfile, tokens, k int) time.Duration {
-	return PrefillTime(e, tokens) / time.Duration(max(1, k))
+func ShardPrefillTime(e *matcher.EngineProfile, tokens, engines int) time.Duration {
+	return PrefillTime(e, tokens) / time.Duration(max(1, engines))
 }
 
 // DecodePassTime returns the duration of a pass without prefill that decodes the given number of
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -87,7 +87,7 @@
 	// lastObservedEnd is the time of the last event that RecordPassEnd took as the end of a pass;
 	// zero before the first.
 	lastObservedEnd time.Time
-	// isSimulation is true in the copy of a queue that a Forecast simulates: sharded answers start
+	// isSimulation is true in the copy of a queue that a Simulator simulates: sharded answers start
 	// decoding at OtherShardsDone, and answers end after the expected number of events.
 	isSimulation bool
 }
--- a/predictor/queue_test.go
+++ b/predictor/queue_test.go
@@ -26,9 +26,9 @@
 // projectionOf returns the projection of a job in a queue.
 func projectionOf(t *testing.T, q *predictor.Queue, now time.Time, job *predictor.Job) predictor.Projection {
 	t.Helper()
-	var forecast predictor.Simulator
+	var simulator predictor.Simulator
 	q.Advance(now)
-	for _, projection := range forecast.Simulate(now, q, nil) {
+	for _, projection := range simulator.Simulate(now, q, nil) {
 		if projection.Job == job {
 			return projection
 		}
@@ -97,15 +97,15 @@
 	q.Add(start, answer)
 	q.Advance(at(200))
 	shard := prompt(at(200), 120000, 4, false)
-	var forecast predictor.Simulator
-	before := forecast.Simulate(at(200), q, nil)[0]
+	var simulator predictor.Simulator
+	before := simulator.Simulate(at(200), q, nil)[0]
 	is.True(before.Decoding)
 	is.True(before.MaxGap < 60*time.Millisecond)
-	projections := forecast.Simulate(at(200), q, shard)
+	projections := simulator.Simulate(at(200), q, shard)
 	is.Equal(len(projections), 2)
 	is.True(near(projections[0].MaxGap, 45*time.Millisecond+shard.PrefillTime, 5*time.Millisecond))
 	is.True(projections[1].PrefillDone.After(at(200).Add(shard.PrefillTime)))
-	is.Equal(len(forecast.Simulate(at(200), q, nil)), 1) // a simulation leaves the queue unchanged
+	is.Equal(len(simulator.Simulate(at(200), q, nil)), 1) // a simulation leaves the queue unchanged
 }
 
 // A sharded answer starts when the last engine of its group is done. The prefill of another shard
@@ -120,8 +120,8 @@
 	q.Add(at(40), sharded)
 	q.Advance(at(700))
 	sharded.OtherShardsDone = at(1200)
-	var forecast predictor.Simulator
-	for _, projection := range forecast.Simulate(at(700), q, prompt(at(700), 300000, 4, false)) {
+	var simulator predictor.Simulator
+	for _, projection := range simulator.Simulate(at(700), q, prompt(at(700), 300000, 4, false)) {
 		if projection.Job == sharded {
 			is.True(projection.MaxGap > time.Second) // 0.5 s of the 2.7 s of prefill are over
 		}
@@ -156,8 +156,8 @@
 	answer.ExpectedEvents = 3
 	q.Add(start, answer)
 	q.Advance(at(1000))
-	var forecast predictor.Simulator
-	is.True(forecast.Simulate(at(1000), q, prompt(at(1000), 100000, 2, false))[0].MaxGap > 500*time.Millisecond)
+	var simulator predictor.Simulator
+	is.True(simulator.Simulate(at(1000), q, prompt(at(1000), 100000, 2, false))[0].MaxGap > 500*time.Millisecond)
 }
 
 // An observed event ends the running pass, whatever the pass's predicted end.
@@ -192,7 +192,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := predictor.NewQueue(engine())
 		now := start
-		var forecast predictor.Simulator
+		var simulator predictor.Simulator
 		var jobs []*predictor.Job
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond)
@@ -218,7 +218,7 @@
 				jobs = append(jobs[:i], jobs[i+1:]...)
 			}
 			left := q.RemainingPrefillTime(now)
-			for _, projection := range forecast.Simulate(now, q, nil) {
+			for _, projection := range simulator.Simulate(now, q, nil) {
 				if projection.PrefillDone.IsZero() {
 					t.Fatalf("no end of the prefill is projected for job %+v", projection.Job)
 				}
@@ -247,11 +247,11 @@
 	}
 	q.Add(at(130), prompt(at(130), 150000, 8, false))
 	shard := prompt(at(140), 150000, 8, false)
-	var forecast predictor.Simulator
+	var simulator predictor.Simulator
 	q.Advance(at(140))
 	b.ReportAllocs()
 	for b.Loop() {
-		forecast.Simulate(at(140), q, shard)
+		simulator.Simulate(at(140), q, shard)
 	}
 }
 
--- a/predictor/forecast.go
+++ b/predictor/simulator.go
@@ -4,7 +4,7 @@
 
 // Projection is the predicted course of a job on one engine.
 type Projection struct {
-	// Job is the job as it was passed to Queue.Add or Forecast.Simulate.
+	// Job is the job as it was passed to Queue.Add or Simulator.Simulate.
 	Job *Job
 	// PrefillDone is the time at which the engine completes the prefill of the job; in the past if
 	// it is done. If the simulation ends before the prefill, it is the end of the last simulated
@@ -40,31 +40,31 @@
 // as one more job, and its projection comes last. The projections are valid until the next call.
 // Jobs that arrive after now are not predicted. The queue must have been advanced to now, and is
 // not changed.
-func (f *Simulator) Simulate(now time.Time, q *Queue, candidate *Job) []Projection {
-	tasks := append(f.queue.tasks[:0], q.tasks...)
-	f.queue = *q
-	f.queue.tasks = tasks
-	f.queue.isSimulation = true
+func (s *Simulator) Simulate(now time.Time, q *Queue, candidate *Job) []Projection {
+	tasks := append(s.queue.tasks[:0], q.tasks...)
+	s.queue = *q
+	s.queue.tasks = tasks
+	s.queue.isSimulation = true
 	for i := range tasks {
 		tasks[i].eventsLeft = max(tasks[i].eventsLeft, tasks[i].eventsSent/2+minExtraEvents)
 	}
 	if candidate != nil {
 		t := newTask(candidate)
 		t.isCandidate = true
-		f.queue.add(now, t)
+		s.queue.add(now, t)
 	}
 	for range maxPasses {
-		if f.queue.passEnd.IsZero() || f.queue.isSettled() {
+		if s.queue.passEnd.IsZero() || s.queue.hasOnlyDecodingLeft() {
 			break
 		}
-		f.queue.finishPass()
+		s.queue.finishPass()
 	}
-	return f.project()
+	return s.project()
 }
 
-// isSettled reports whether all prefill is complete and every answer being decoded has had an event
+// hasOnlyDecodingLeft reports whether all prefill is complete and every answer being decoded has had an event
 // after its first. All passes after that only decode.
-func (q *Queue) isSettled() bool {
+func (q *Queue) hasOnlyDecodingLeft() bool {
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.tokensLeft > 0 || t.decoding && t.eventsSent == 0 {
 			return false
@@ -74,36 +74,36 @@
 }
 
 // project returns the projections of all tasks after a simulation, the candidate last.
-func (f *Simulator) project() []Projection {
-	f.projections = f.projections[:0]
+func (s *Simulator) project() []Projection {
+	s.projections = s.projections[:0]
 	var candidate Projection
 	hasCandidate := false
-	pass := f.queue.decodePassTime()
-	for i := range f.queue.tasks {
-		t := &f.queue.tasks[i]
+	pass := s.queue.currentDecodePassTime()
+	for i := range s.queue.tasks {
+		t := &s.queue.tasks[i]
 		projection := Projection{Job: t.job, PrefillDone: t.prefillDone, MaxGap: t.maxGap, Decoding: t.decoding}
 		if projection.PrefillDone.IsZero() {
 			// The simulation ended before the prefill, so the end of the last pass is a lower
 			// bound.
-			projection.PrefillDone = f.queue.passEnd
+			projection.PrefillDone = s.queue.passEnd
 		}
 		if t.job.Decodes {
-			projection.End = f.queue.projectedEnd(t, projection.PrefillDone, pass)
+			projection.End = s.queue.projectedEnd(t, projection.PrefillDone, pass)
 		}
 		if t.isCandidate {
 			candidate, hasCandidate = projection, true
 			continue
 		}
-		f.projections = append(f.projections, projection)
+		s.projections = append(s.projections, projection)
 	}
 	if hasCandidate {
-		f.projections = append(f.projections, candidate)
+		s.projections = append(s.projections, candidate)
 	}
-	return f.projections
+	return s.projections
 }
 
-// decodePassTime returns the duration of a pass that only decodes the answers being decoded now.
-func (q *Queue) decodePassTime() time.Duration {
+// currentDecodePassTime returns the duration of a pass that only decodes the answers being decoded now.
+func (q *Queue) currentDecodePassTime() time.Duration {
 	answers, context := q.decodeLoad()
 	return time.Duration(float64(DecodePassTime(q.engine, max(1, answers), context)) * q.slowdown)
 }
