--- a/predictor/pass.go
+++ b/predictor/pass.go
@@ -60,10 +60,10 @@
 	return duration
 }
 
-// schedulePrefillPass schedules a pass of an engine that decodes nothing, and returns its duration.
-// The pass prefills the first waiting prompt, and fills up the last token step with the prompts
-// that follow. Each step takes a fixed time in addition to that of its tokens. In a simulation, the
-// pass ends early when a sharded answer starts decoding.
+// schedulePrefillPass schedules a pass of an engine that decodes nothing, and returns its duration;
+// 0 if there is nothing to do. The pass prefills the first waiting prompt, and fills up the last
+// token step with the prompts that follow. Each step takes a fixed time in addition to that of its
+// tokens. In a simulation, the pass ends early when a sharded answer starts decoding.
 func (q *Queue) schedulePrefillPass(now time.Time) time.Duration {
 	until := q.nextShardedDecode()
 	first := slices.IndexFunc(q.tasks, func(t task) bool { return t.tokensLeft > 0 })
@@ -89,8 +89,9 @@
 // time.
 const minPassTime = time.Microsecond
 
-// nextShardedDecode returns the time at which the next sharded answer starts decoding whose shard
-// on this engine is already prefilled; zero if there is none, and outside a simulation.
+// nextShardedDecode returns the earliest time at which an answer whose shard on this engine is
+// prefilled starts decoding, because the other engines of its group are expected to have prefilled
+// theirs. It is zero if there is no such answer, and outside a simulation.
 func (q *Queue) nextShardedDecode() time.Time {
 	var next time.Time
 	if !q.isSimulation {
@@ -104,8 +105,8 @@
 	return next
 }
 
-// isAwaitingShards reports whether the shard on this engine is prefilled, but its answer can't be
-// decoded yet because other engines of the group are still prefilling theirs.
+// isAwaitingShards reports whether the task's shard is prefilled, but its answer can't be decoded
+// yet because other engines of the group are still prefilling their shards.
 func (t *task) isAwaitingShards() bool {
 	return t.job.Decodes && t.job.Sharded && t.tokensLeft <= 0 && !t.decoding && t.eventsSent == 0 && !t.prefillDone.IsZero()
 }
@@ -118,14 +119,14 @@
 	return b
 }
 
-// prefillTimeOf returns the prefill time of the given number of the tokens that are left, in
+// prefillTimeOf returns the time to prefill the given number of the task's remaining tokens, in
 // proportion to prefillTimeLeft.
 func (t *task) prefillTimeOf(tokens float64) time.Duration {
 	return time.Duration(float64(t.prefillTimeLeft) * tokens / t.tokensLeft)
 }
 
-// interruptAfterStep ends a pass that only prefills at the end of its current token step, and
-// returns the time of that end.
+// interruptAfterStep ends a pass that only prefills at the end of the token step that is running
+// now. It returns the time of that end, which may be later than now.
 func (q *Queue) interruptAfterStep(now time.Time) time.Time {
 	scheduled := 0.0
 	for i := range q.tasks {
@@ -143,8 +144,9 @@
 	return now
 }
 
-// interruptPass ends the running pass early. The prefill done until now counts, but answers have no
-// event at this end.
+// interruptPass ends the running pass at the time now, before its predicted end passEnd. The tokens
+// prefilled until now are subtracted from the tasks. No answer has an event at now, in contrast to
+// the end of a pass by finishPass.
 func (q *Queue) interruptPass(now time.Time) {
 	fraction := q.passFraction(now)
 	for i := range q.tasks {
@@ -157,7 +159,8 @@
 	q.passEnd = time.Time{}
 }
 
-// recordPrefill subtracts prefilled tokens, and their time, from what is left of the task.
+// recordPrefill subtracts the given number of prefilled tokens, and their prefill time, from what
+// the task has left, and resets passTokens.
 func (t *task) recordPrefill(tokens float64) {
 	t.passTokens = 0
 	if tokens <= 0 {
@@ -189,8 +192,8 @@
 	q.beginPass(now)
 }
 
-// completePrefill marks the prefill of a task as done if no tokens are left. Decoding starts at
-// once, unless the prompt is sharded.
+// completePrefill marks the prefill of a task as done at the time now if no tokens are left.
+// Decoding starts at once, unless the prompt is sharded.
 func (q *Queue) completePrefill(t *task, now time.Time) {
 	if t.tokensLeft > maxRoundingTokens {
 		return
--- a/predictor/predictor.go
+++ b/predictor/predictor.go
@@ -27,14 +27,16 @@
 	return time.Duration(seconds*float64(time.Second) + millionPairs*float64(e.TimePerMillionPairs))
 }
 
-// ShardPrefillTime returns the time that each of k engines needs to prefill its shard of a prompt of
-// the given number of tokens. All shards have as many tokens and as many pairs of tokens.
+// ShardPrefillTime returns the time that each of the given number of engines needs to prefill its
+// shard of a prompt of the given number of tokens. All shards are taken to have equal numbers of
+// tokens and of pairs of tokens.
 func ShardPrefillTime(e *matcher.EngineProfile, tokens, engines int) time.Duration {
 	return PrefillTime(e, tokens) / time.Duration(max(1, engines))
 }
 
-// DecodePassTime returns the duration of a pass without prefill that decodes the given number of
-// answers, which hold contextTokens tokens of context in total.
+// DecodePassTime returns the duration of a pass that decodes the given number of answers and
+// prefills nothing; 0 without answers. The argument contextTokens is the number of tokens that the
+// answers' context has in total.
 func DecodePassTime(e *matcher.EngineProfile, answers, contextTokens int) time.Duration {
 	if answers <= 0 {
 		return 0
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -84,8 +84,8 @@
 	passStart, passEnd time.Time
 	// passDecodes is true if the running pass decodes answers.
 	passDecodes bool
-	// lastObservedEnd is the time of the last event that RecordPassEnd took as the end of a pass;
-	// zero before the first.
+	// lastObservedEnd is the time of the last event that RecordPassEnd did not ignore; zero before
+	// the first.
 	lastObservedEnd time.Time
 	// isSimulation is true in the copy of a queue that a Simulator simulates: sharded answers start
 	// decoding at OtherShardsDone, and answers end after the expected number of events.
@@ -95,14 +95,15 @@
 // NewQueue returns the queue of an idle engine with the given profile.
 func NewQueue(e *matcher.EngineProfile) *Queue { return &Queue{engine: e, slowdown: 1} }
 
-// SetProfile replaces the profile of the engine.
+// SetProfile replaces the profile of the engine, from the next pass on.
 func (q *Queue) SetProfile(e *matcher.EngineProfile) { q.engine = e }
 
 // SetSlowdown sets the factor by which passes take longer than the profile says, from the next pass
-// on. Factors below 1 count as 1.
+// on. Factors below 1 are raised to 1.
 func (q *Queue) SetSlowdown(slowdown float64) { q.slowdown = max(1, slowdown) }
 
-// Advance simulates the engine up to the given time.
+// Advance advances the model of the engine to the time now: it ends each pass whose predicted end
+// has come, and begins the next.
 func (q *Queue) Advance(now time.Time) {
 	for !q.passEnd.IsZero() && !q.passEnd.After(now) {
 		q.finishPass()
@@ -174,7 +175,7 @@
 }
 
 // decodeLoad returns the number of answers being decoded, and the total number of tokens that a
-// decode step attends to.
+// decode step of these answers attends to.
 func (q *Queue) decodeLoad() (n, context int) {
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.decoding {
@@ -215,13 +216,15 @@
 	}
 }
 
-// maxEventSkew is the maximum time between the arrivals of the events of one pass at the observers:
-// a round trip between data centres plus the wait for a processor.
+// maxEventSkew is the maximum time between the arrivals of two events of one pass at an entry: a
+// round trip between data centres plus the wait for a processor.
 const maxEventSkew = 15 * time.Millisecond
 
-// RecordPassEnd records that an event of an answer was observed, so that a pass has just ended. It
-// corrects the predicted end of the running pass. Further events of the same pass, within
-// maxEventSkew, are ignored.
+// RecordPassEnd records that an event of an answer was observed now, which shows that a pass has
+// just ended. An event closer to the start of the running pass than to its predicted end belongs to
+// the previous pass, and moves that start and end later; any other ends the running pass now.
+// Further events within maxEventSkew are ignored, as they belong to the same pass, and so are all
+// events while the model of the engine decodes nothing.
 func (q *Queue) RecordPassEnd(now time.Time) {
 	q.Advance(now)
 	if q.passEnd.IsZero() || !q.passDecodes || now.Sub(q.lastObservedEnd) < maxEventSkew {
@@ -237,8 +240,8 @@
 	q.finishPass()
 }
 
-// RemainingPrefillTime returns the time that the prefill of all jobs still takes, the slowdown included
-// and the time of decoding excluded.
+// RemainingPrefillTime returns the time that the engine still needs to prefill all jobs, as of now.
+// It includes the slowdown, but neither the time of decoding nor the fixed time of each token step.
 func (q *Queue) RemainingPrefillTime(now time.Time) time.Duration {
 	left, inPass := time.Duration(0), time.Duration(0)
 	for i := range q.tasks {
--- a/predictor/simulator.go
+++ b/predictor/simulator.go
@@ -7,8 +7,8 @@
 	// Job is the job as it was passed to Queue.Add or Simulator.Simulate.
 	Job *Job
 	// PrefillDone is the time at which the engine completes the prefill of the job; in the past if
-	// it is done. If the simulation ends before the prefill, it is the end of the last simulated
-	// pass.
+	// it is done. If the simulation ends before the prefill is complete, it is a lower bound: the
+	// end of the last simulated pass.
 	PrefillDone time.Time
 	// MaxGap is the longest gap between two events of the answer, including past gaps.
 	MaxGap time.Duration
@@ -32,8 +32,8 @@
 
 // minExtraEvents plus half of the events already sent is the minimum number of further events that
 // a simulation expects of an answer. The estimates of callers are right only at the median, and an
-// answer wrongly expected to have ended would not count when the delay that a new prompt causes is
-// assessed.
+// answer that exceeds its estimate would otherwise be left out when the delay that a new prompt
+// causes to other answers is predicted.
 const minExtraEvents = 3
 
 // Simulate returns the projections of all jobs in a queue. A candidate that isn't nil is simulated
@@ -62,8 +62,8 @@
 	return s.project()
 }
 
-// hasOnlyDecodingLeft reports whether all prefill is complete and every answer being decoded has had an event
-// after its first. All passes after that only decode.
+// hasOnlyDecodingLeft reports whether all prefill is complete and every answer being decoded has
+// had an event after its first. All passes after that only decode.
 func (q *Queue) hasOnlyDecodingLeft() bool {
 	for i := range q.tasks {
 		if t := &q.tasks[i]; t.tokensLeft > 0 || t.decoding && t.eventsSent == 0 {
@@ -83,8 +83,8 @@
 		t := &s.queue.tasks[i]
 		projection := Projection{Job: t.job, PrefillDone: t.prefillDone, MaxGap: t.maxGap, Decoding: t.decoding}
 		if projection.PrefillDone.IsZero() {
-			// The simulation ended before the prefill, so the end of the last pass is a lower
-			// bound.
+			// The simulation ended before the prefill was complete, so the end of the last pass is
+			// a lower bound.
 			projection.PrefillDone = s.queue.passEnd
 		}
 		if t.job.Decodes {
@@ -102,7 +102,8 @@
 	return s.projections
 }
 
-// currentDecodePassTime returns the duration of a pass that only decodes the answers being decoded now.
+// currentDecodePassTime returns the duration of a pass, the slowdown included, that decodes the
+// answers being decoded now and prefills nothing.
 func (q *Queue) currentDecodePassTime() time.Duration {
 	answers, context := q.decodeLoad()
 	return time.Duration(float64(DecodePassTime(q.engine, max(1, answers), context)) * q.slowdown)
@@ -110,7 +111,8 @@
 
 // projectedEnd returns the time at which the last event of a task's answer is expected, at one
 // event per pass of the given duration. The first of the remaining events comes at the end of the
-// running pass, or at prefillDone if that is later.
+// running pass, or at prefillDone if that is later. For an answer that has ended, it is the time of
+// its last event.
 func (q *Queue) projectedEnd(t *task, prefillDone time.Time, pass time.Duration) time.Time {
 	if t.eventsSent > 0 && !t.decoding {
 		return t.lastEvent
