--- a/matcher/config.go
+++ b/matcher/config.go
@@ -45,16 +45,18 @@
 	// Prefix is a path that begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the maximum time from the arrival of a request until the end of its answer; 0
-	// stands for the default of the forwarder.
+	// Timeout is the maximum time from the arrival of a request at the entry until the end of its
+	// answer; 0 stands for the default of the forwarder.
 	Timeout time.Duration
-	// FirstByteTarget is the latency up to which an answer is on time: the time until the first
-	// event of a stream, or until the end of any other answer.
+	// FirstByteTarget is the latency up to which an answer is on time, counted from the arrival of
+	// the request at the entry: until the first event of a stream, or until the end of any other
+	// answer.
 	FirstByteTarget time.Duration
 	// GapTarget is the longest gap between two events up to which a stream is on time; 0 if the
 	// route has no such target.
 	GapTarget time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority ranks the requests of routes at model engines; 0 is the most urgent. It is replaced
+	// by the priority of the request's organisation, if there is one.
 	Priority int
 	// Services lists the services that the requests of the route are divided among by weight. There
 	// is at least one, and each is defined in the configuration.
@@ -65,7 +67,8 @@
 	Public bool
 	// CarriesPrompts is true if requests carry prompts for model engines.
 	CarriesPrompts bool
-	// Resumable is true if another engine may resume a stream of the route that broke off.
+	// Resumable is true if another engine may resume a stream of the route that broke off before
+	// its end.
 	Resumable bool
 }
 
@@ -83,9 +86,9 @@
 	gapAbandonFactor       = 8
 )
 
-// CallerAbandonTime returns the time for which callers wait for the next event before they abandon a
-// stream with the given targets. A firstByteTarget of 0 stands for a stream whose first event was
-// sent.
+// CallerAbandonTime returns the time after which a caller that receives no event abandons a stream
+// with the given targets, counted from its request, or from the last event once there is one. Pass
+// a firstByteTarget of 0 for a stream whose first event was sent.
 func CallerAbandonTime(firstByteTarget, gapTarget time.Duration) time.Duration {
 	return max(minAbandonTime, firstByteAbandonFactor*firstByteTarget, gapAbandonFactor*gapTarget)
 }
@@ -98,16 +101,16 @@
 	// MemoryTokens is the capacity of the KV cache in tokens.
 	MemoryTokens int
 	// StepsPerPass is the number of token steps of a forward pass that decodes answers, and so the
-	// number of tokens in an event.
+	// number of tokens in an event of each answer.
 	StepsPerPass int
 	// StepTime is the fixed time of a token step. TimePerSequence is added for each answer that is
 	// decoded, and TimePerThousandTokens for each 1,000 tokens of their context.
 	StepTime, TimePerSequence, TimePerThousandTokens time.Duration
-	// PrefillTokensPerSecond is the prefill rate in prompt tokens per second, without the time of
-	// pairs of tokens.
+	// PrefillTokensPerSecond is the prefill rate in prompt tokens per second. It excludes the time
+	// that TimePerMillionPairs adds.
 	PrefillTokensPerSecond float64
 	// TimePerMillionPairs is the prefill time added by a million pairs of a prompt token and an
-	// earlier one.
+	// earlier one, as each token attends to all earlier ones.
 	TimePerMillionPairs time.Duration
 	// ChunkTokens is the maximum number of prompt tokens that are prefilled in a token step.
 	ChunkTokens int
@@ -122,7 +125,8 @@
 	Engine *EngineProfile
 }
 
-// Limits are the limits on requests. A zero means that the configuration sets no limit.
+// Limits are the limits on the requests and connections of callers. A zero means that the
+// configuration sets none; the server may then apply a default of its own.
 type Limits struct {
 	// HeaderBytes and BodyBytes are the maximum sizes of the header and the body of a request.
 	HeaderBytes int
@@ -135,8 +139,8 @@
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority ranks organisations; 0 is the most urgent. It takes precedence over the priority of
-	// routes.
+	// Priority ranks the requests of organisations at model engines; 0 is the most urgent. It
+	// replaces the priority of the request's route.
 	Priority int
 }
 
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -15,8 +15,8 @@
 // ErrUnknownKey is returned for an API key that belongs to no organisation.
 var ErrUnknownKey = errors.New("the API key belongs to no organisation")
 
-// InvalidConfigError reports an invalid field of the configuration. Field names the field and its value,
-// Requirement says what the value must be.
+// InvalidConfigError reports an invalid field of the configuration. Field names the field and its
+// value, Requirement says what the value must be.
 type InvalidConfigError struct {
 	Field       string
 	Requirement string
@@ -35,8 +35,8 @@
 	services           map[string]*Service
 }
 
-// New validates the routes of a configuration and returns a table of it. It returns an InvalidError
-// if a route is invalid.
+// New validates the routes of a configuration and returns a table of it. It returns an
+// InvalidConfigError if a route is invalid.
 func New(c Config) (*Table, error) {
 	t := &Table{
 		Config: c, routesByHost: map[string][]*Route{}, organisationsByKey: map[string]*Organisation{},
@@ -64,7 +64,8 @@
 	return t, nil
 }
 
-// checkRoute returns an InvalidError if the prefix, a service or a weight of a route is invalid.
+// checkRoute returns an InvalidConfigError if the prefix, a service or a weight of a route is
+// invalid.
 func (t *Table) checkRoute(r *Route) error {
 	field := "route " + r.Name
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
