--- a/dispatcher/incarnation_test.go
+++ b/dispatcher/incarnation_test.go
@@ -110,9 +110,9 @@
 	is.True(b.upstreams["e00"].health.failureRate(now) > 0)
 }
 
-// Load updates refer to incarnations. A report of a peer that has not noticed the restart yet does
-// not count for the new incarnation. A report of a peer that noticed the restart first counts as
-// soon as this entry lists the new incarnation too.
+// Load updates refer to incarnations. A report of a peer that has not noticed the restart yet adds
+// no load to the new incarnation. A report of a peer that noticed the restart first adds its load
+// as soon as this entry lists the new incarnation too.
 func TestLoadUpdatesCountForTheirIncarnationOnly(t *testing.T) {
 	is := is.New(t)
 	b, behind, ahead := dispatcherWithIncarnation(t, secondIncarnation), dispatcherWithIncarnation(t, firstIncarnation), dispatcherWithIncarnation(t, firstIncarnation)
--- a/dispatcher/outcome_test.go
+++ b/dispatcher/outcome_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// A failure counts once at a peer, although calls of TakeLoadChanges with all set repeat the end of
-// its request. An answer that an entry did not receive, or a request that it ended itself, does not
-// count at peers.
+// A failure raises the failure rate at a peer once, although calls of TakeLoadChanges with all set
+// repeat the end of its request. An answer that an entry did not receive, or a request that it
+// ended itself, does not change the rate at peers.
 func TestOutcomeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -96,7 +96,8 @@
 }
 
 // An entry receives the report of a group's request before the engine that answers is in its
-// instance list. The answer counts for that engine, and not for the helper that was listed first.
+// instance list. The answer lowers the failure rate of that engine, and not that of the helper that
+// was listed first.
 func TestAnswerCountsForTheAnsweringEngine(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatcher/place_test.go
+++ b/dispatcher/place_test.go
@@ -321,7 +321,7 @@
 	is.True(collisions <= 50*4/4) // prompts that meet another on an engine: at most a quarter
 }
 
-// The load that peers report counts like own load until it expires.
+// The load that peers report is added to that of own requests until it expires.
 func TestPeerLoadCountsUntilItExpires(t *testing.T) {
 	is := is.New(t)
 	local, peer := testDispatcher(t, 2), testDispatcher(t, 2)
@@ -337,8 +337,8 @@
 	is.Equal(local.upstreams["e00"].load(late).Running+local.upstreams["e01"].load(late).Running, 0)
 }
 
-// A load update that arrives before its upstreams are listed counts once they are. An entry that
-// has just started receives updates before it has read the store.
+// A load update that arrives before its upstreams are listed adds its load once they are. An entry
+// that has just started receives updates before it has read the store.
 func TestPeerRequestsResolveUpstreamsListedLater(t *testing.T) {
 	is := is.New(t)
 	local, peer := New("a", rand.New(rand.NewPCG(3, 4))), testDispatcher(t, 2)
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -6,8 +6,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// Placement is the set of upstreams chosen for a request. The caller of Place reports the progress
-// of the request to it, and finally calls End.
+// Placement is the set of upstreams chosen for a request. The code that called Place reports the
+// progress of the request to it, and finally calls End.
 type Placement struct {
 	dispatcher *Dispatcher
 	request    *request
@@ -15,8 +15,9 @@
 	// the prompt for it.
 	First   Instance
 	Helpers []Instance
-	// HelperMemoryTokens is the memory that helpers must hold for a prompt that is too long for the
-	// first engine, in tokens and by instance ID. It is empty for other prompts.
+	// HelperMemoryTokens is the memory that helpers must provide for a prompt that is too long for
+	// the free memory of the first engine, in tokens and by instance ID. It has no element for
+	// helpers that only prefill.
 	HelperMemoryTokens map[string]int
 	// ExpectedFirstByte is the predicted time to the first byte; 0 for plain services.
 	ExpectedFirstByte time.Duration
@@ -24,7 +25,10 @@
 	Load Load
 }
 
-// RecordFirstByte records that the first byte of the answer has arrived.
+// RecordFirstByte records that the first byte of the answer arrived at the time now. The prefill of
+// the request then is complete at all its engines, the failure rate of the first upstream falls,
+// and the time to the first byte of a prompt placed on one engine is added to that engine's
+// slowdown.
 func (p *Placement) RecordFirstByte(now time.Time) {
 	b, r := p.dispatcher, p.request
 	b.lock.Lock()
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -14,7 +14,7 @@
 	// firstByteTarget and gapTarget are the latency targets of the route; gapTarget is 0 for plain
 	// requests.
 	firstByteTarget, gapTarget time.Duration
-	// value is the value of the answer; the unit is the value of a request without a prompt.
+	// value is the value of the answer, in requests (see promptValue).
 	value float64
 	// placedAt is the time of the placement, waitingSince the time at which the caller began to
 	// wait for its first byte or next event.
@@ -25,10 +25,11 @@
 	// firstByteSeen is true once the first byte of the answer has arrived.
 	firstByteSeen bool
 	// assignments has an element for each upstream. For own requests the first is the upstream that
-	// answers; for those of peers the order is that in which the upstreams became known.
+	// answers; for those of peers the order is that in which the upstreams were listed at this
+	// entry.
 	assignments []*assignment
-	// upstreamRestarted is true once one of the upstreams has restarted. onRestart is then called
-	// once; it is nil where no function is set.
+	// upstreamRestarted is true once one of the upstreams has restarted. onRestart is the function
+	// set with Placement.OnRestart; nil if there is none, and after it was called.
 	upstreamRestarted bool
 	onRestart         func()
 	// upstreamCount is the number of upstreams of a peer's request, unknownUpstreams the load at
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -14,8 +14,8 @@
 	helperRiskCost = 0.02
 	// maxHelpers is the maximum number of helpers that a request to the answering engine may list.
 	maxHelpers = 16
-	// maxAnsweringCandidates is the maximum number of engines of a group that are considered as the
-	// one that answers.
+	// maxAnsweringCandidates is the maximum number of engines that are considered as the one of a
+	// group that answers.
 	maxAnsweringCandidates = 4
 )
 
@@ -48,8 +48,9 @@
 // and 112 engines this reduces the processor time from 3.3 ms to 0.9 ms (BenchmarkPlace).
 const maxCandidates = 2 * (maxHelpers + 1)
 
-// shortlist returns the maxCandidates candidates that cost least with one of a number of shards,
-// cheapest first, followed by those not among them that are considered as the one that answers.
+// shortlist returns the maxCandidates candidates that cost least when they prefill one of the given
+// number of shards, cheapest first, followed by those not among them that are considered as the one
+// that answers.
 func (s *search) shortlist(now time.Time, d Demand, candidates []candidate, shards int) []candidate {
 	s.estimateShards(now, d, candidates, shards)
 	chosen := slices.Clone(s.order[:maxCandidates])
@@ -136,7 +137,7 @@
 }
 
 // bestSingle returns the engine with the lowest cost for a whole prompt. It reports false where no
-// engine has enough memory in total.
+// engine has enough memory in total for the prompt and its answer.
 func (s *search) bestSingle(now time.Time, d Demand, candidates []candidate) (group, bool) {
 	s.estimates = s.estimates[:0]
 	addsJitter := s.isPacking && hasShortPrefill(d, candidates[0].upstream.engine)
@@ -168,8 +169,9 @@
 	return unpackedCost * promptValue(d.PromptTokens) * (1 - c.packedDegree)
 }
 
-// answeringCandidates returns the indexes of the estimates that are considered as the engine that
-// answers: those with the lowest cost as helpers, the packing cost included.
+// answeringCandidates returns the indexes in s.estimates of the engines that are considered as the
+// one that answers, at most maxAnsweringCandidates: those that cost least as helpers, with the
+// packing cost added.
 func (s *search) answeringCandidates(d Demand) []int {
 	n := min(len(s.order), maxAnsweringCandidates)
 	if !s.isPacking {
--- a/dispatcher/upstream.go
+++ b/dispatcher/upstream.go
@@ -7,7 +7,8 @@
 	"github.com/sapphireramp/sapphireramp/predictor"
 )
 
-// upstream is one incarnation of an upstream, with the work of all entries there.
+// upstream is the state kept of one incarnation of an upstream: its work for all entries, its
+// health, and its backpressure.
 type upstream struct {
 	instance Instance
 	// compactID identifies the incarnation in load updates.
