--- a/keeper/example_test.go
+++ b/keeper/example_test.go
@@ -23,11 +23,11 @@
 	now := time.Now()
 	k := keeper.New(config)
 	fmt.Println(k.RequestGrant(now, newRequest("a", 400)).Reason)
-	k.RecordReport(now, load, nil)
+	k.RecordLoadAndHolds(now, load, nil)
 	fmt.Println(k.RequestGrant(now, newRequest("a", 400)))
 	fmt.Println(k.RequestGrant(now, newRequest("b", 400)))
 	fmt.Println(k.RequestGrant(now, newRequest("c", 400)).Reason)
-	orphans := k.RecordReport(now, load, []api.EngineHold{{ID: "z", Owner: "gone", Tokens: 10, AgeSeconds: 7}})
+	orphans := k.RecordLoadAndHolds(now, load, []api.EngineHold{{ID: "z", Owner: "gone", Tokens: 10, AgeSeconds: 7}})
 	fmt.Println(len(orphans), orphans[0].Hold.ID)
 	// Output:
 	// not_heard
@@ -41,11 +41,11 @@
 	is := is.New(t)
 	now := time.Now()
 	k := keeper.New(config)
-	k.RecordReport(now, load, nil)
+	k.RecordLoadAndHolds(now, load, nil)
 	is.True(k.RequestGrant(now, newRequest("a", 800)).Granted)
 	is.Equal(k.FreeTokens(), 200)
 	now = now.Add(3 * time.Second)
-	k.RecordReport(now, load, nil)
+	k.RecordLoadAndHolds(now, load, nil)
 	is.Equal(k.FreeTokens(), 1000)
 }
 
@@ -55,9 +55,9 @@
 	is := is.New(t)
 	now := time.Now()
 	k := keeper.New(config)
-	k.RecordReport(now, load, nil)
+	k.RecordLoadAndHolds(now, load, nil)
 	is.True(k.RequestGrant(now, newRequest("a", 400)).Granted)
-	k.RecordReport(now, load, []api.EngineHold{{ID: "a", Tokens: 400}})
+	k.RecordLoadAndHolds(now, load, []api.EngineHold{{ID: "a", Tokens: 400}})
 	is.Equal(k.FreeTokens(), 600)
 	is.Equal(k.GrantCount(), 0)
 	k.EndAttempt("a")
@@ -70,12 +70,12 @@
 	is := is.New(t)
 	now := time.Now()
 	k := keeper.New(config)
-	k.RecordReport(now, load, nil)
+	k.RecordLoadAndHolds(now, load, nil)
 	again := load
 	again.Incarnation = 2
 	k.RecordLoad(now, again)
 	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.NoReport)
-	k.RecordReport(now, again, nil)
+	k.RecordLoadAndHolds(now, again, nil)
 	is.True(k.RequestGrant(now, newRequest("a", 1)).Granted)
 }
 
@@ -84,7 +84,7 @@
 	is := is.New(t)
 	now := time.Now()
 	k := keeper.New(config)
-	k.RecordReport(now, load, nil)
+	k.RecordLoadAndHolds(now, load, nil)
 	r := newRequest("a", 500)
 	r.Remaining = 4 * time.Second
 	is.Equal(k.RequestGrant(now, r).Reason, keeper.TooLate)
@@ -97,12 +97,12 @@
 	k := keeper.New(config)
 	leaving := load
 	leaving.Leaving = true
-	k.RecordReport(now, leaving, nil)
+	k.RecordLoadAndHolds(now, leaving, nil)
 	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.Leaving)
-	k.RecordReport(now, load, nil)
-	k.SetChanging(true)
-	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.Changing)
-	k.SetChanging(false)
+	k.RecordLoadAndHolds(now, load, nil)
+	k.SetOrderPending(true)
+	is.Equal(k.RequestGrant(now, newRequest("a", 1)).Reason, keeper.OrderPending)
+	k.SetOrderPending(false)
 	other := newRequest("a", 1)
 	other.Model = "n"
 	is.Equal(k.RequestGrant(now, other).Reason, keeper.WrongModel)
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -75,8 +75,8 @@
 	Leaving Reason = "leaving"
 	// WrongModel means that the engine has another model loaded.
 	WrongModel Reason = "wrong_model"
-	// Changing means that an order to change what the engine serves is pending.
-	Changing Reason = "changing"
+	// OrderPending means that an order to change what the engine serves is pending.
+	OrderPending Reason = "changing"
 )
 
 // grant is memory granted to an attempt whose hold the engine does not list yet.
@@ -122,32 +122,32 @@
 // force.
 func (k *Keeper) Configure(config Config) { k.config = config }
 
-// SetChanging sets whether an order to the engine is pending, during which no grants are given.
-func (k *Keeper) SetChanging(changing bool) { k.changing = changing }
+// SetOrderPending sets whether an order to the engine is pending, during which no grants are given.
+func (k *Keeper) SetOrderPending(changing bool) { k.changing = changing }
 
-// Orphan is a hold to free because its owner has not renewed it. The engine frees the hold only if
+// OrphanedHold is a hold to free because its owner has not renewed it. The engine frees the hold only if
 // its age is still at least MinAge, so a hold that was renewed in the meantime is kept.
-type Orphan struct {
+type OrphanedHold struct {
 	Hold   api.EngineHold
 	MinAge time.Duration
 }
 
-// RecordReport records the engine's load and the listing of its holds. It returns the orphans to
+// RecordLoadAndHolds records the engine's load and the listing of its holds. It returns the orphans to
 // free.
-func (k *Keeper) RecordReport(now time.Time, load api.EngineLoad, holds []api.EngineHold) []Orphan {
+func (k *Keeper) RecordLoadAndHolds(now time.Time, load api.EngineLoad, holds []api.EngineHold) []OrphanedHold {
 	if load.Incarnation != k.lastLoad.Incarnation {
 		k.reset()
 		k.lastLoad.Incarnation = load.Incarnation
 	}
 	clear(k.holds)
-	var orphans []Orphan
+	var orphans []OrphanedHold
 	used := 0
 	for _, h := range holds {
 		k.holds[h.ID] = h
 		used += h.Tokens
 		delete(k.grants, h.ID)
 		if h.AgeSeconds > k.config.Lease.Seconds() {
-			orphans = append(orphans, Orphan{Hold: h, MinAge: k.config.Lease})
+			orphans = append(orphans, OrphanedHold{Hold: h, MinAge: k.config.Lease})
 		}
 	}
 	k.listed = true
@@ -259,7 +259,7 @@
 	case k.lastLoad.Model != r.Model:
 		return WrongModel
 	case k.changing:
-		return Changing
+		return OrderPending
 	}
 	return ""
 }
@@ -267,7 +267,7 @@
 // QueueWait estimates how long a prompt of the length class would queue before its prefill starts.
 func (k *Keeper) QueueWait(now time.Time, class router.LengthClass) time.Duration {
 	k.advanceBacklog(now)
-	return prefillTime(float64(k.queuedTokens().AheadOf(class)), k.config.PrefillRate)
+	return prefillTime(float64(k.queuedTokens().QueuedAheadOf(class)), k.config.PrefillRate)
 }
 
 // queuedTokens returns the backlog in whole tokens.
--- a/placer/example_test.go
+++ b/placer/example_test.go
@@ -17,12 +17,12 @@
 	now := time.Now()
 	p := placer.New(now, 10*time.Second, rand.New(rand.NewPCG(1, 1)))
 	fmt.Println(p.Next(now).Kind)
-	p.SetChoices([]router.Choice{{Engine: &router.Engine{Name: "a"}}, {Engine: &router.Engine{Name: "b"}}})
-	fmt.Println(p.Next(now).Choice.Engine.Name)
+	p.SetCandidates([]router.Candidate{{Engine: &router.Engine{Name: "a"}}, {Engine: &router.Engine{Name: "b"}}})
+	fmt.Println(p.Next(now).Candidate.Engine.Name)
 	p.RecordReply(keeper.GrantReply{Reason: keeper.MemoryFull})
-	fmt.Println(p.Next(now).Choice.Engine.Name)
+	fmt.Println(p.Next(now).Candidate.Engine.Name)
 	p.RecordReply(keeper.GrantReply{Granted: true})
-	fmt.Println(p.Next(now).Kind, p.Next(now).Choice.Engine.Name)
+	fmt.Println(p.Next(now).Kind, p.Next(now).Candidate.Engine.Name)
 	// Output:
 	// Choose
 	// a
@@ -35,18 +35,18 @@
 func TestGivesUpSearch(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	one := []router.Choice{{Engine: &router.Engine{Name: "a"}}}
+	one := []router.Candidate{{Engine: &router.Engine{Name: "a"}}}
 	p := placer.New(now, 8*time.Second, rand.New(rand.NewPCG(1, 1)))
-	p.SetChoices(nil)
+	p.SetCandidates(nil)
 	is.Equal(p.Next(now).Kind, placer.NoEngine)
-	p.SetChoices(one)
+	p.SetCandidates(one)
 	p.RecordReply(keeper.GrantReply{Reason: keeper.TooLate})
 	is.Equal(p.Next(now).Kind, placer.TooLate)
-	p.SetChoices(one)
+	p.SetCandidates(one)
 	p.RecordReply(keeper.GrantReply{Reason: keeper.MemoryFull})
 	is.Equal(p.Next(now).Kind, placer.Pause)
 	is.Equal(p.Next(now).Kind, placer.Choose)
-	p.SetChoices(one)
+	p.SetCandidates(one)
 	p.RecordReply(keeper.GrantReply{Reason: keeper.MemoryFull})
 	is.Equal(p.Next(now.Add(2*time.Second)).Kind, placer.NoRoom)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -52,8 +52,8 @@
 // Step is the next step of a placement.
 type Step struct {
 	Kind StepKind
-	// Choice is the engine of an Ask or Placed step.
-	Choice router.Choice
+	// Candidate is the engine of an Ask or Placed step.
+	Candidate router.Candidate
 	// Pause is the length of a Pause step.
 	Pause time.Duration
 }
@@ -64,7 +64,7 @@
 	// roomDeadline is the time at which the search for free memory ends.
 	roomDeadline time.Time
 	// choices are the engines of the current round, best first.
-	choices []router.Choice
+	choices []router.Candidate
 	// asked is the number of choices that refused, and tooLate the number of those that refused
 	// with keeper.TooLate.
 	asked, tooLate int
@@ -79,8 +79,8 @@
 	return &Placer{random: random, roomDeadline: now.Add(remaining / roomWaitDivisor)}
 }
 
-// SetChoices starts a round with the given engines, best first.
-func (p *Placer) SetChoices(choices []router.Choice) {
+// SetCandidates starts a round with the given engines, best first.
+func (p *Placer) SetCandidates(choices []router.Candidate) {
 	p.choices, p.asked, p.tooLate = choices, 0, 0
 	p.hasChoices = true
 }
@@ -101,13 +101,13 @@
 func (p *Placer) Next(now time.Time) Step {
 	switch {
 	case p.granted:
-		return Step{Kind: Placed, Choice: p.choices[p.asked]}
+		return Step{Kind: Placed, Candidate: p.choices[p.asked]}
 	case !p.hasChoices:
 		return Step{Kind: Choose}
 	case len(p.choices) == 0:
 		return Step{Kind: NoEngine}
 	case p.asked < len(p.choices):
-		return Step{Kind: Ask, Choice: p.choices[p.asked]}
+		return Step{Kind: Ask, Candidate: p.choices[p.asked]}
 	case p.tooLate == len(p.choices):
 		return Step{Kind: TooLate}
 	case !now.Before(p.roomDeadline):
--- a/planner/example_test.go
+++ b/planner/example_test.go
@@ -37,11 +37,11 @@
 // same number.
 func TestNextFenceIsGreaterAndUnique(t *testing.T) {
 	is := is.New(t)
-	a, b := planner.NextFence(5, "entry-1"), planner.NextFence(5, "entry-2")
+	a, b := planner.NextFencingNumber(5, "entry-1"), planner.NextFencingNumber(5, "entry-2")
 	is.True(a > 5)
 	is.True(b > 5)
 	is.True(a != b)
-	is.True(planner.NextFence(max(a, b), "entry-1") > max(a, b))
+	is.True(planner.NextFencingNumber(max(a, b), "entry-1") > max(a, b))
 }
 
 // An entry spaces its loads from the weight store by the interval multiplied by the number of
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -19,9 +19,9 @@
 // keepers do not use one number for different orders.
 const keeperBits = 16
 
-// NextFence returns the fencing number for a keeper's next order to an engine that has seen no
+// NextFencingNumber returns the fencing number for a keeper's next order to an engine that has seen no
 // fencing number greater than lastSeen.
-func NextFence(lastSeen uint64, keeper string) uint64 {
+func NextFencingNumber(lastSeen uint64, keeper string) uint64 {
 	next := lastSeen>>keeperBits + 1
 	id := assigner.Weight("fence", keeper) & (1<<keeperBits - 1)
 	return next<<keeperBits | id
@@ -142,7 +142,7 @@
 	}
 	e.sentAt = now
 	order := wanted
-	order.Fence = NextFence(load.Fence, p.config.Keeper)
+	order.Fence = NextFencingNumber(load.Fence, p.config.Keeper)
 	order.Issuer = p.config.Keeper
 	return Decision{Step: Send, Order: order, Reason: "differs"}
 }
--- a/relayer/example_test.go
+++ b/relayer/example_test.go
@@ -24,11 +24,11 @@
 
 func Example() {
 	r := relayer.New("request")
-	r.Begin("first")
+	r.BeginAttempt("first")
 	fmt.Println(r.Accept(chunk("request", "first", 0, "a")))
 	fmt.Println(r.Accept(chunk("other", "first", 1, "x")))
 	// The engine fails and another one resumes the answer after the tokens delivered.
-	fmt.Println(r.Begin("second"))
+	fmt.Println(r.BeginAttempt("second"))
 	fmt.Println(r.Accept(chunk("request", "first", 1, "late")))
 	fmt.Println(r.Accept(chunk("request", "second", 1, "b")))
 	fmt.Println(r.Accept(end("request", "second", 2)))
@@ -51,17 +51,17 @@
 		r := relayer.New("request")
 		var got strings.Builder
 		attempt := 0
-		r.Begin("attempt-0")
+		r.BeginAttempt("attempt-0")
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				attempt++
-				r.Begin(fmt.Sprint("attempt-", attempt))
+				r.BeginAttempt(fmt.Sprint("attempt-", attempt))
 			}
 			from := fmt.Sprint("attempt-", rapid.IntRange(0, attempt).Draw(t, "attempt"))
 			request := rapid.SampledFrom([]string{"request", "request", "request", "other"}).Draw(t, "request")
 			offset := rapid.IntRange(-1, length).Draw(t, "offset")
 			if rapid.Bool().Draw(t, "next") {
-				offset = r.Delivered()
+				offset = r.DeliveredTokens()
 			}
 			c := chunk(request, from, offset, fmt.Sprint(offset))
 			if offset >= length {
@@ -75,12 +75,12 @@
 				got.WriteString(text)
 			}
 		}
-		want := "012345"[:r.Delivered()]
+		want := "012345"[:r.DeliveredTokens()]
 		if got.String() != want {
 			t.Fatalf("delivered %q, want %q", got.String(), want)
 		}
-		if r.IsWhole() && r.Delivered() != length {
-			t.Fatalf("answer reported as complete after %d tokens", r.Delivered())
+		if r.IsWhole() && r.DeliveredTokens() != length {
+			t.Fatalf("answer reported as complete after %d tokens", r.DeliveredTokens())
 		}
 	})
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -60,15 +60,15 @@
 	return &Relayer{requestID: requestID}
 }
 
-// Begin starts an attempt and returns the number of answer tokens to resume after. Chunks of
+// BeginAttempt starts an attempt and returns the number of answer tokens to resume after. Chunks of
 // earlier attempts are dropped from then on.
-func (r *Relayer) Begin(attemptID string) int {
+func (r *Relayer) BeginAttempt(attemptID string) int {
 	r.attemptID = attemptID
 	return r.delivered
 }
 
-// Delivered returns the number of answer tokens delivered.
-func (r *Relayer) Delivered() int { return r.delivered }
+// DeliveredTokens returns the number of answer tokens delivered.
+func (r *Relayer) DeliveredTokens() int { return r.delivered }
 
 // IsWhole reports whether the answer is complete, that is, an end marker with the right token count
 // was accepted.
--- a/reserver/example_test.go
+++ b/reserver/example_test.go
@@ -24,7 +24,7 @@
 }
 
 func Example() {
-	shards, err := reserver.Plan(engines, 150, 3, counter())
+	shards, err := reserver.PlanShards(engines, 150, 3, counter())
 	fmt.Println(shards, err)
 	r := reserver.New(shards)
 	fmt.Println(r.Next().Reserve.Engine)
@@ -42,11 +42,11 @@
 
 func TestPlanErrors(t *testing.T) {
 	is := is.New(t)
-	_, err := reserver.Plan(engines, 1000, 3, counter())
+	_, err := reserver.PlanShards(engines, 1000, 3, counter())
 	var tooLong reserver.TooLongError
 	is.True(errors.As(err, &tooLong))
-	_, err = reserver.Plan(engines, 250, 3, counter())
-	var busy reserver.BusyError
+	_, err = reserver.PlanShards(engines, 250, 3, counter())
+	var busy reserver.NotEnoughFreeError
 	is.True(errors.As(err, &busy))
 }
 
@@ -59,7 +59,7 @@
 			candidates = append(candidates, reserver.Candidate{Name: fmt.Sprint(i), DataCentre: "x", FreeTokens: free, MemoryTokens: 100})
 		}
 		tokens := rapid.IntRange(1, 500).Draw(t, "tokens")
-		shards, err := reserver.Plan(candidates, tokens, 4, counter())
+		shards, err := reserver.PlanShards(candidates, tokens, 4, counter())
 		if err != nil {
 			return
 		}
--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -41,20 +41,20 @@
 	return fmt.Sprintf("prompt and answer need %d tokens of memory: a group of at most %d engines holds %d", e.Tokens, e.MaxGroup, e.MaxTokens)
 }
 
-// BusyError reports that a group could hold the prompt, but not with the memory that is free now.
-type BusyError struct {
+// NotEnoughFreeError reports that a group could hold the prompt, but not with the memory that is free now.
+type NotEnoughFreeError struct {
 	// Tokens is the memory needed; FreeTokens is the most that a group in one data centre has free.
 	Tokens, FreeTokens int
 }
 
-func (e BusyError) Error() string {
+func (e NotEnoughFreeError) Error() string {
 	return fmt.Sprintf("prompt and answer need %d tokens of memory: %d are free in one data centre now", e.Tokens, e.FreeTokens)
 }
 
-// Plan chooses the smallest group of engines in one data centre whose free memory holds the tokens,
+// PlanShards chooses the smallest group of engines in one data centre whose free memory holds the tokens,
 // and returns a shard for each. Shards are ordered by engine name, which is the order in which
 // every entry reserves. NewID returns a new hold ID. The error is a TooLongError or a BusyError.
-func Plan(candidates []Candidate, tokens, maxGroup int, newID func() string) ([]Shard, error) {
+func PlanShards(candidates []Candidate, tokens, maxGroup int, newID func() string) ([]Shard, error) {
 	centres := map[string][]Candidate{}
 	for _, c := range candidates {
 		centres[c.DataCentre] = append(centres[c.DataCentre], c)
@@ -78,7 +78,7 @@
 		return nil, TooLongError{Tokens: tokens, MaxTokens: maxTokens, MaxGroup: maxGroup}
 	}
 	if best == nil {
-		return nil, BusyError{Tokens: tokens, FreeTokens: maxFreeTokens}
+		return nil, NotEnoughFreeError{Tokens: tokens, FreeTokens: maxFreeTokens}
 	}
 	return splitTokens(best, tokens, newID), nil
 }
--- a/router/router.go
+++ b/router/router.go
@@ -52,9 +52,9 @@
 // TokensByClass is a number of queued prompt tokens for each length class.
 type TokensByClass [ClassCount]int
 
-// AheadOf returns the number of queued tokens that an engine prefills before a new prompt of the
+// QueuedAheadOf returns the number of queued tokens that an engine prefills before a new prompt of the
 // class: those of the class itself and of shorter ones.
-func (q TokensByClass) AheadOf(c LengthClass) int {
+func (q TokensByClass) QueuedAheadOf(c LengthClass) int {
 	sum := 0
 	for _, tokens := range q[:c+1] {
 		sum += tokens
@@ -62,9 +62,9 @@
 	return sum
 }
 
-// ClassOf returns the length class of a prompt of the given number of tokens. ShortTokens is the
+// LengthClassOf returns the length class of a prompt of the given number of tokens. ShortTokens is the
 // longest prompt of class Short.
-func ClassOf(tokens, shortTokens int) LengthClass {
+func LengthClassOf(tokens, shortTokens int) LengthClass {
 	switch {
 	case tokens <= shortTokens:
 		return Short
@@ -76,10 +76,10 @@
 	return Longest
 }
 
-// Priority returns the scheduling priority of a length class at engines, from shortWeight for Short
+// EnginePriority returns the scheduling priority of a length class at engines, from shortWeight for Short
 // down to 0 for Longest. ShortWeight comes from the configuration document. It is either 0, which
 // gives all classes priority 0, or at least 3, so that each class has a different priority.
-func Priority(class LengthClass, shortWeight int) int {
+func EnginePriority(class LengthClass, shortWeight int) int {
 	return shortWeight * int(Longest-class) / int(Longest)
 }
 
@@ -181,8 +181,8 @@
 	Exclude []string
 }
 
-// Choice is a candidate engine.
-type Choice struct {
+// Candidate is a candidate engine.
+type Candidate struct {
 	Engine *Engine
 	// PredictedTime is the predicted time to first token. The Predicted policy adds, for an
 	// engine that generates much more slowly than the fastest candidate, by how much later it
@@ -192,9 +192,9 @@
 
 // Choose returns up to maxChoices engines that satisfy the needs, in the order of the policy, best
 // first. The Predicted policy compares at most sampleSize engines, from a random position on.
-func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxChoices int, random *rand.Rand) []Choice {
+func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxChoices int, random *rand.Rand) []Candidate {
 	serving := x.byModel[needs.Model]
-	choices := make([]Choice, 0, min(len(serving), sampleSize))
+	choices := make([]Candidate, 0, min(len(serving), sampleSize))
 	start := 0
 	if len(serving) > 0 {
 		start = random.IntN(len(serving))
@@ -208,7 +208,7 @@
 		if !e.satisfies(needs) {
 			continue
 		}
-		choices = append(choices, Choice{Engine: e, PredictedTime: e.PredictFirstToken(now, needs.Class, needs.PrefillTokens)})
+		choices = append(choices, Candidate{Engine: e, PredictedTime: e.PredictFirstToken(now, needs.Class, needs.PrefillTokens)})
 		if len(choices) == candidateLimit {
 			break
 		}
@@ -257,7 +257,7 @@
 }
 
 // sortChoices puts the choices in the order of the policy.
-func (x *EngineIndex) sortChoices(policy Policy, choices []Choice, random *rand.Rand) {
+func (x *EngineIndex) sortChoices(policy Policy, choices []Candidate, random *rand.Rand) {
 	switch policy {
 	case Predicted:
 		slices.SortStableFunc(choices, comparePredictedTime)
@@ -273,7 +273,7 @@
 	}
 }
 
-func comparePredictedTime(x, y Choice) int {
+func comparePredictedTime(x, y Candidate) int {
 	switch {
 	case x.PredictedTime < y.PredictedTime:
 		return -1
@@ -283,20 +283,20 @@
 	return 0
 }
 
-func compareInFlight(x, y Choice) int {
+func compareInFlight(x, y Candidate) int {
 	return int(x.Engine.Load.OwnInFlight.Load() - y.Engine.Load.OwnInFlight.Load())
 }
 
-func shuffle(choices []Choice, random *rand.Rand) {
+func shuffle(choices []Candidate, random *rand.Rand) {
 	random.Shuffle(len(choices), func(i, j int) { choices[i], choices[j] = choices[j], choices[i] })
 }
 
 // rotate sorts the choices by engine name and rotates them by the given number of places.
-func rotate(choices []Choice, rotation uint64) {
+func rotate(choices []Candidate, rotation uint64) {
 	if len(choices) < 2 {
 		return
 	}
-	slices.SortFunc(choices, func(x, y Choice) int {
+	slices.SortFunc(choices, func(x, y Candidate) int {
 		switch {
 		case x.Engine.Name < y.Engine.Name:
 			return -1
@@ -345,7 +345,7 @@
 // addTokenDelay adds to the predicted time of each engine slower than slowFactor allows by how much
 // later than the fastest candidate it would end the answer. This avoids engines with a gray
 // failure: they report their load in time but generate slowly.
-func addTokenDelay(now time.Time, choices []Choice, maxAnswerTokens int) {
+func addTokenDelay(now time.Time, choices []Candidate, maxAnswerTokens int) {
 	shortest := time.Duration(0)
 	for _, c := range choices {
 		timePerToken := c.Engine.Load.recentTimePerToken(now)
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -150,7 +150,7 @@
 	c := benchControl(b, 1, 4)
 	k := c.keepers["engine-1"]
 	now := time.Now()
-	k.RecordReport(now, api.EngineLoad{Name: "engine-1", Model: "model", Version: "1"}, nil)
+	k.RecordLoadAndHolds(now, api.EngineLoad{Name: "engine-1", Model: "model", Version: "1"}, nil)
 	calls := rpc.NewServer()
 	_ = calls.RegisterName(rpcName, &benchEntry{c: c})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -203,7 +203,7 @@
 				list = append(list, api.EngineHold{ID: newID(), Owner: "entry-1", Tokens: 100})
 			}
 			for b.Loop() {
-				k.RecordReport(time.Now(), api.EngineLoad{}, list)
+				k.RecordLoadAndHolds(time.Now(), api.EngineLoad{}, list)
 			}
 		})
 	}
--- a/server/complete.go
+++ b/server/complete.go
@@ -75,7 +75,7 @@
 		}
 		s.metrics.resumedAttempts.Inc(1)
 		s.logs.route.Info("retry", zap.String("request", x.id), zap.Int("attempt", c.attempts),
-			zap.Int("delivered", c.relayer.Delivered()), zap.String("reason", f.Error()))
+			zap.Int("delivered", c.relayer.DeliveredTokens()), zap.String("reason", f.Error()))
 	}
 }
 
@@ -128,7 +128,7 @@
 	prompt := api.EstimatePromptTokens(len(r.Prompt))
 	return router.Requirements{
 		Model: r.Model, Adapter: r.Adapter, Version: c.version, Class: c.class(),
-		PrefillTokens: prompt + c.relayer.Delivered(), MemoryTokens: prompt + r.MaxTokens, MaxAnswerTokens: r.MaxTokens, Exclude: c.triedEngines,
+		PrefillTokens: prompt + c.relayer.DeliveredTokens(), MemoryTokens: prompt + r.MaxTokens, MaxAnswerTokens: r.MaxTokens, Exclude: c.triedEngines,
 	}
 }
 
@@ -139,7 +139,7 @@
 	if policy.ShortWeight == 0 {
 		return router.Longest
 	}
-	return router.ClassOf(api.EstimatePromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
+	return router.LengthClassOf(api.EstimatePromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
 }
 
 // needsGroup reports whether no single engine of the model has enough memory for the prompt and its answer.
@@ -162,15 +162,15 @@
 		step := p.Next(time.Now())
 		switch step.Kind {
 		case placer.Choose:
-			p.SetChoices(c.chooseEngines(&needs))
+			p.SetCandidates(c.chooseEngines(&needs))
 		case placer.Ask:
-			p.RecordReply(c.askKeeper(step.Choice, needs, attemptID))
+			p.RecordReply(c.askKeeper(step.Candidate, needs, attemptID))
 		case placer.Pause:
 			if !sleeper.Sleep(x.ctx, step.Pause) {
 				return nil, "", newFailure(api.CodeOverloaded, "no engine was free in time")
 			}
 		case placer.Placed:
-			return step.Choice.Engine, attemptID, nil
+			return step.Candidate.Engine, attemptID, nil
 		default:
 			return nil, "", c.placementFailure(step.Kind, needs)
 		}
@@ -179,7 +179,7 @@
 
 // chooseEngines returns the engines to ask, best first. If every engine has failed the request once, all
 // are eligible again, as a failed engine may have recovered.
-func (c *completion) chooseEngines(needs *router.Requirements) []router.Choice {
+func (c *completion) chooseEngines(needs *router.Requirements) []router.Candidate {
 	index := c.x.server.current.Load().engineIndex
 	choices := index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	if len(choices) == 0 && len(c.triedEngines) > 0 {
@@ -189,7 +189,7 @@
 	return choices
 }
 
-func (c *completion) askKeeper(choice router.Choice, needs router.Requirements, attemptID string) keeper.GrantReply {
+func (c *completion) askKeeper(choice router.Candidate, needs router.Requirements, attemptID string) keeper.GrantReply {
 	x := c.x
 	answer := x.server.askKeeper(x.ctx, choice.Engine, api.AskArgs{
 		Engine: choice.Engine.Name, Model: needs.Model, AttemptID: attemptID, Class: int(needs.Class),
@@ -212,7 +212,7 @@
 	return f
 }
 
-func (x *exchange) logRoute(choice router.Choice, answer keeper.GrantReply, needs router.Requirements) {
+func (x *exchange) logRoute(choice router.Candidate, answer keeper.GrantReply, needs router.Requirements) {
 	x.server.logs.route.Info("route", zap.String("request", x.id), zap.String("organisation", x.organisation.Name),
 		zap.String("model", needs.Model), zap.Int("tokens", needs.PrefillTokens), zap.String("engine", choice.Engine.Name),
 		zap.String("keeper", choice.Engine.Keeper), zap.Bool("granted", answer.Granted), zap.String("reason", string(answer.Reason)),
@@ -232,7 +232,7 @@
 	h.Set(api.HeaderRequestID, x.id)
 	writeJSON(x.writer, api.CompletionChunk{
 		ID: x.id, Usage: c.usage,
-		Choices: []api.CompletionChoice{{Text: c.text.String(), Tokens: c.relayer.Delivered(), FinishReason: "stop"}},
+		Choices: []api.CompletionChoice{{Text: c.text.String(), Tokens: c.relayer.DeliveredTokens(), FinishReason: "stop"}},
 	})
 	return nil
 }
@@ -249,7 +249,7 @@
 		c.text.WriteString(text)
 		return
 	}
-	choice := api.CompletionChoice{Text: text, Tokens: c.relayer.Delivered() - offset}
+	choice := api.CompletionChoice{Text: text, Tokens: c.relayer.DeliveredTokens() - offset}
 	if usage != nil {
 		choice.FinishReason = "stop"
 	}
--- a/server/decode_test.go
+++ b/server/decode_test.go
@@ -9,7 +9,7 @@
 	f.Add([]byte(`{"max_tokens":1e999}`))
 	f.Add([]byte(`{"model":"m"}{}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		r, err := DecodePrompt(body)
+		r, err := DecodeCompletionRequest(body)
 		if (r == nil) == (err == nil) {
 			t.Fatal("DecodePrompt must return either a prompt or an error")
 		}
--- a/server/filters.go
+++ b/server/filters.go
@@ -263,9 +263,9 @@
 	return nil
 }
 
-// DecodePrompt decodes the JSON body of a completion request. Unknown fields and trailing data are errors.
+// DecodeCompletionRequest decodes the JSON body of a completion request. Unknown fields and trailing data are errors.
 // An error names the invalid field where there is one.
-func DecodePrompt(body []byte) (*api.CompletionRequest, error) {
+func DecodeCompletionRequest(body []byte) (*api.CompletionRequest, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	var r api.CompletionRequest
@@ -284,7 +284,7 @@
 		if f := x.readBody(); f != nil {
 			return f
 		}
-		r, err := DecodePrompt(x.body)
+		r, err := DecodeCompletionRequest(x.body)
 		if err != nil {
 			return newFailure(api.CodeBadRequest, "%s", err)
 		}
--- a/server/group.go
+++ b/server/group.go
@@ -45,7 +45,7 @@
 func (c *completion) reserveGroup(ctx context.Context, needs router.Requirements, onLost func()) (*reserver.Reserver, *failure) {
 	x := c.x
 	s := x.server
-	shards, err := reserver.Plan(c.groupCandidates(needs), needs.MemoryTokens, x.view.accepted.Document.Limits.MaxGroup, newID)
+	shards, err := reserver.PlanShards(c.groupCandidates(needs), needs.MemoryTokens, x.view.accepted.Document.Limits.MaxGroup, newID)
 	var tooLong reserver.TooLongError
 	if errors.As(err, &tooLong) {
 		f := newFailure(api.CodePromptTooLong, "%s", err)
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -84,7 +84,7 @@
 		}
 	}
 	load.Name = engine.name
-	var orphans []keeper.Orphan
+	var orphans []keeper.OrphanedHold
 	var order *api.EngineOrder
 	s.onControl(func(c *control) { orphans, order = c.recordEngineReport(time.Now(), engine.name, load, holds) })
 	for _, o := range orphans {
@@ -97,7 +97,7 @@
 
 // recordEngineReport updates the keeper of an engine from the engine's report. It returns the orphaned
 // holds to free and the order to send, nil if there is none.
-func (c *control) recordEngineReport(now time.Time, name string, load api.EngineLoad, holds *api.EngineHolds) ([]keeper.Orphan, *api.EngineOrder) {
+func (c *control) recordEngineReport(now time.Time, name string, load api.EngineLoad, holds *api.EngineHolds) ([]keeper.OrphanedHold, *api.EngineOrder) {
 	k, ok := c.keepers[name]
 	if !ok {
 		return nil, nil
@@ -106,11 +106,11 @@
 	if load.Leaving && c.drainer.MarkLeaving(name, load.Incarnation) {
 		c.announceLeaving(name, drainer.FromUpstream)
 	}
-	var orphans []keeper.Orphan
+	var orphans []keeper.OrphanedHold
 	if holds == nil {
 		k.RecordLoad(now, load)
 	} else {
-		orphans = k.RecordReport(now, load, holds.Holds)
+		orphans = k.RecordLoadAndHolds(now, load, holds.Holds)
 	}
 	estimate := k.EstimateLoad(now)
 	c.loadOf(name).RecordReport(now, estimate.QueuedTokens, estimate.FreeTokens)
@@ -130,7 +130,7 @@
 	}
 	entries := 1 + len(c.prober.Members())
 	decision := c.planner.Plan(now, planner.WantedOrder(*e), load, k.HoldCount()+k.GrantCount(), entries)
-	k.SetChanging(decision.Step != planner.Nothing)
+	k.SetOrderPending(decision.Step != planner.Nothing)
 	if decision.Step != c.lastSteps[name] {
 		c.lastSteps[name] = decision.Step
 		c.server.logs.keep.Info("placement", zap.String("engine", name), zap.String("step", decision.Step.String()), zap.String("reason", decision.Reason))
@@ -144,7 +144,7 @@
 	return &decision.Order
 }
 
-func (s *Server) freeOrphan(engine keptEngine, orphan keeper.Orphan) {
+func (s *Server) freeOrphan(engine keptEngine, orphan keeper.OrphanedHold) {
 	err := s.freeHold(engine.address, orphan.Hold.ID, orphan.MinAge)
 	s.logs.keep.Info("orphan", zap.String("engine", engine.name), zap.String("hold", orphan.Hold.ID), zap.String("owner", orphan.Hold.Owner),
 		zap.Uint64("incarnation", orphan.Hold.Incarnation), zap.String("kind", orphan.Hold.Kind), zap.Int("tokens", orphan.Hold.Tokens),
--- a/server/peers.go
+++ b/server/peers.go
@@ -159,7 +159,7 @@
 	}
 	k := keeper.New(s.keeperConfig(engine.Name, engine.MemoryTokens, engine.PrefillRate))
 	now := time.Now()
-	k.RecordReport(now, load, []api.EngineHold{{Tokens: load.UsedTokens}})
+	k.RecordLoadAndHolds(now, load, []api.EngineHold{{Tokens: load.UsedTokens}})
 	engine.Load.RecordReport(now, k.EstimateLoad(now).QueuedTokens, k.FreeTokens())
 	return k.RequestGrant(now, keeper.GrantRequest{
 		AttemptID: args.AttemptID, Model: args.Model, Class: classFromWire(args.Class), PrefillTokens: args.PrefillTokens,
--- a/server/stream.go
+++ b/server/stream.go
@@ -173,7 +173,7 @@
 	h.Set(api.HeaderOwner, x.server.settings.Name)
 	h.Set(api.HeaderOwnerIncarnation, strconv.FormatUint(x.server.config.Incarnation, 10))
 	h.Set(api.HeaderPriority, strconv.Itoa(c.priority()))
-	h.Set(api.HeaderResumeFrom, strconv.Itoa(c.relayer.Begin(attempt.attemptID)))
+	h.Set(api.HeaderResumeFrom, strconv.Itoa(c.relayer.BeginAttempt(attempt.attemptID)))
 	if len(attempt.holdIDs) > 0 {
 		h.Set(api.HeaderGroupHolds, strings.Join(attempt.holdIDs, ","))
 	}
@@ -184,7 +184,7 @@
 // as weighted by the document's policy.
 func (c *completion) priority() int {
 	policy := c.x.view.accepted.Document.Policy
-	return router.Priority(c.class(), policy.ShortWeight)
+	return router.EnginePriority(c.class(), policy.ShortWeight)
 }
 
 // relayChunks relays the chunks of an attempt's answer to the caller. It returns nil once the answer is
@@ -196,8 +196,8 @@
 		attempt.engine.PredictFirstToken(time.Now(), router.Longest, 0)
 	silenceTimer := time.AfterFunc(silence+prefillTimeoutFactor*estimated, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
-	timer := tokenTimer{startOffset: c.relayer.Delivered()}
-	defer func() { timer.reportTo(attempt.engine.Load, c.relayer.Delivered()) }()
+	timer := tokenTimer{startOffset: c.relayer.DeliveredTokens()}
+	defer func() { timer.reportTo(attempt.engine.Load, c.relayer.DeliveredTokens()) }()
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
@@ -209,7 +209,7 @@
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			return c.streamFailure(attempt, err)
 		}
-		offset := c.relayer.Delivered()
+		offset := c.relayer.DeliveredTokens()
 		text, verdict := c.relayer.Accept(chunk)
 		switch verdict {
 		case relayer.Drop:
--- a/spender/example_test.go
+++ b/spender/example_test.go
@@ -88,12 +88,12 @@
 		_, _, _ = s.Spend(start, ticket, request)
 		s.Finish(start, ticket, &spender.Answer{Body: make([]byte, 10)})
 	}
-	_, bytes := s.Size()
+	_, bytes := s.KeptRecords()
 	is.True(bytes <= 100)
 	result, _, _ := s.Spend(start, first, request)
 	is.Equal(result, spender.Ran)
 	_, _, _ = s.Spend(start.Add(time.Hour), first, request)
-	records, bytes := s.Size()
+	records, bytes := s.KeptRecords()
 	is.Equal(records, 0)
 	is.Equal(bytes, 0)
 }
--- a/spender/spender.go
+++ b/spender/spender.go
@@ -42,23 +42,23 @@
 	mac      [macSize]byte
 }
 
-// MalformedError reports that a text can't be decoded as a ticket.
-type MalformedError struct{ Reason string }
+// MalformedTicketError reports that a text can't be decoded as a ticket.
+type MalformedTicketError struct{ Reason string }
 
-func (e MalformedError) Error() string { return "malformed ticket: " + e.Reason }
+func (e MalformedTicketError) Error() string { return "malformed ticket: " + e.Reason }
 
 // ParseTicket decodes the text of a ticket without verifying it. The error is a MalformedError.
 func ParseTicket(text string) (Ticket, error) {
 	owner, encoded, found := strings.Cut(text, ".")
 	if !found || owner == "" {
-		return Ticket{}, MalformedError{"missing owner"}
+		return Ticket{}, MalformedTicketError{"missing owner"}
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(encoded)
 	if err != nil {
-		return Ticket{}, MalformedError{"invalid base64"}
+		return Ticket{}, MalformedTicketError{"invalid base64"}
 	}
 	if len(raw) != payloadSize+macSize {
-		return Ticket{}, MalformedError{fmt.Sprintf("decodes to %d bytes", len(raw))}
+		return Ticket{}, MalformedTicketError{fmt.Sprintf("decodes to %d bytes", len(raw))}
 	}
 	t := Ticket{
 		Owner:       owner,
@@ -202,10 +202,10 @@
 	return hmac.Equal(mac[:], t.mac[:])
 }
 
-// MismatchError reports that a ticket was already spent for a request with another digest.
-type MismatchError struct{}
+// TicketReusedError reports that a ticket was already spent for a request with another digest.
+type TicketReusedError struct{}
 
-func (MismatchError) Error() string { return "ticket: spent for another request" }
+func (TicketReusedError) Error() string { return "ticket: spent for another request" }
 
 // Spend presents a ticket for the request with the given digest, which must cover everything that
 // distinguishes requests. If the result is Spent, the caller must run the request and then call
@@ -227,7 +227,7 @@
 	r, found := s.records[t.number]
 	switch {
 	case found && r.digest != request:
-		return Ran, nil, MismatchError{}
+		return Ran, nil, TicketReusedError{}
 	case found && !r.done:
 		return InProgress, nil, nil
 	case found && r.answer != nil:
@@ -308,5 +308,5 @@
 	}
 }
 
-// Size returns the number of records and the total size in bytes of the kept answers.
-func (s *Spender) Size() (records, bytes int) { return len(s.records), s.answerBytes }
+// KeptRecords returns the number of records and the total size in bytes of the kept answers.
+func (s *Spender) KeptRecords() (records, bytes int) { return len(s.records), s.answerBytes }
--- a/standin/measurer/fleet.go
+++ b/standin/measurer/fleet.go
@@ -310,7 +310,7 @@
 			continue
 		}
 		s.listedAt = f.now
-		s.keeper.RecordReport(f.now, s.batcher.LoadReport(), s.batcher.Holds(f.now))
+		s.keeper.RecordLoadAndHolds(f.now, s.batcher.LoadReport(), s.batcher.Holds(f.now))
 	}
 }
 
--- a/standin/measurer/request.go
+++ b/standin/measurer/request.go
@@ -102,14 +102,14 @@
 	switch step.Kind {
 	case placer.Choose:
 		requirements := router.Requirements{Model: "model", Class: f.queueClass(r), PrefillTokens: r.promptTokens, MemoryTokens: r.promptTokens + r.answerTokens, MaxAnswerTokens: r.answerTokens, Exclude: r.triedEngines}
-		r.placer.SetChoices(r.entry.engineIndex.Choose(f.now, f.options.Policy, requirements, maxAskedKeepers, f.random))
+		r.placer.SetCandidates(r.entry.engineIndex.Choose(f.now, f.options.Policy, requirements, maxAskedKeepers, f.random))
 		f.advancePlacement(r)
 	case placer.Ask:
-		f.askKeeper(r, f.engineByName[step.Choice.Engine.Name])
+		f.askKeeper(r, f.engineByName[step.Candidate.Engine.Name])
 	case placer.Pause:
 		f.schedule(step.Pause, func() { f.advancePlacement(r) })
 	case placer.Placed:
-		f.dispatch(r, f.engineByName[step.Choice.Engine.Name])
+		f.dispatch(r, f.engineByName[step.Candidate.Engine.Name])
 	default:
 		f.refuse(r)
 	}
@@ -173,7 +173,7 @@
 	if !f.options.SchedulesByPriority {
 		return 0
 	}
-	return router.Priority(f.priorityClass(r), shortWeight)
+	return router.EnginePriority(f.priorityClass(r), shortWeight)
 }
 
 // queueClass returns the class by which queues are estimated for a request. It is the
@@ -325,7 +325,7 @@
 			candidates = append(candidates, reserver.Candidate{Name: e.Name, DataCentre: e.DataCentre, FreeTokens: free, MemoryTokens: e.MemoryTokens})
 		}
 	}
-	shards, err := reserver.Plan(candidates, r.promptTokens+r.answerTokens, f.deployment.MaxGroupEngines, f.newID)
+	shards, err := reserver.PlanShards(candidates, r.promptTokens+r.answerTokens, f.deployment.MaxGroupEngines, f.newID)
 	if err != nil || !f.holdShards(shards) {
 		f.schedule(groupRetryDelay, func() { f.reserveGroup(r, deadline) })
 		return
