--- a/server/complete.go
+++ b/server/complete.go
@@ -181,21 +181,21 @@
 // are eligible again, as a failed engine may have recovered.
 func (c *completion) chooseEngines(needs *router.Requirements) []router.Candidate {
 	index := c.x.server.current.Load().engineIndex
-	choices := index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
-	if len(choices) == 0 && len(c.triedEngines) > 0 {
+	candidates := index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
+	if len(candidates) == 0 && len(c.triedEngines) > 0 {
 		needs.Exclude, c.triedEngines = nil, nil
-		choices = index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
+		candidates = index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
 	}
-	return choices
+	return candidates
 }
 
-func (c *completion) askKeeper(choice router.Candidate, needs router.Requirements, attemptID string) keeper.GrantReply {
+func (c *completion) askKeeper(candidate router.Candidate, needs router.Requirements, attemptID string) keeper.GrantReply {
 	x := c.x
-	answer := x.server.askKeeper(x.ctx, choice.Engine, api.AskArgs{
-		Engine: choice.Engine.Name, Model: needs.Model, AttemptID: attemptID, Class: int(needs.Class),
+	answer := x.server.askKeeper(x.ctx, candidate.Engine, api.AskArgs{
+		Engine: candidate.Engine.Name, Model: needs.Model, AttemptID: attemptID, Class: int(needs.Class),
 		PrefillTokens: needs.PrefillTokens, MemoryTokens: needs.MemoryTokens, Remaining: x.remaining(),
 	})
-	x.logRoute(choice, answer, needs)
+	x.logRoute(candidate, answer, needs)
 	return answer
 }
 
@@ -212,11 +212,11 @@
 	return f
 }
 
-func (x *exchange) logRoute(choice router.Candidate, answer keeper.GrantReply, needs router.Requirements) {
+func (x *exchange) logRoute(candidate router.Candidate, answer keeper.GrantReply, needs router.Requirements) {
 	x.server.logs.route.Info("route", zap.String("request", x.id), zap.String("organisation", x.organisation.Name),
-		zap.String("model", needs.Model), zap.Int("tokens", needs.PrefillTokens), zap.String("engine", choice.Engine.Name),
-		zap.String("keeper", choice.Engine.Keeper), zap.Bool("granted", answer.Granted), zap.String("reason", string(answer.Reason)),
-		zap.Duration("predicted_ms", choice.PredictedTime), zap.Duration("wait_ms", answer.QueueWait))
+		zap.String("model", needs.Model), zap.Int("tokens", needs.PrefillTokens), zap.String("engine", candidate.Engine.Name),
+		zap.String("keeper", candidate.Engine.Keeper), zap.Bool("granted", answer.Granted), zap.String("reason", string(answer.Reason)),
+		zap.Duration("predicted_ms", candidate.PredictedTime), zap.Duration("wait_ms", answer.QueueWait))
 }
 
 // finishAnswer completes the response after the whole answer was received: the end marker of a stream, or the
--- a/server/decode_test.go
+++ b/server/decode_test.go
@@ -11,7 +11,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := DecodeCompletionRequest(body)
 		if (r == nil) == (err == nil) {
-			t.Fatal("DecodePrompt must return either a prompt or an error")
+			t.Fatal("DecodeCompletionRequest must return either a prompt or an error")
 		}
 	})
 }
