--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -108,8 +108,8 @@
 	lastGrantAt time.Time
 	// listed is true once the engine's current incarnation has listed its holds.
 	listed bool
-	// changing is true while an order to the engine is pending. No grants are given then.
-	changing bool
+	// orderPending is true while an order to the engine is pending. No grants are given then.
+	orderPending bool
 }
 
 // New returns a keeper without a report from its engine. It grants nothing until the first listing
@@ -123,7 +123,7 @@
 func (k *Keeper) Configure(config Config) { k.config = config }
 
 // SetOrderPending sets whether an order to the engine is pending, during which no grants are given.
-func (k *Keeper) SetOrderPending(changing bool) { k.changing = changing }
+func (k *Keeper) SetOrderPending(changing bool) { k.orderPending = changing }
 
 // OrphanedHold is a hold to free because its owner has not renewed it. The engine frees the hold only if
 // its age is still at least MinAge, so a hold that was renewed in the meantime is kept.
@@ -258,7 +258,7 @@
 		return Leaving
 	case k.lastLoad.Model != r.Model:
 		return WrongModel
-	case k.changing:
+	case k.orderPending:
 		return OrderPending
 	}
 	return ""
