--- a/placer/placer.go
+++ b/placer/placer.go
@@ -27,13 +27,13 @@
 
 // The kinds of a Step.
 const (
-	// Ask means that the caller must ask the keeper of Step.Choice's engine, then call RecordReply.
+	// Ask means that the caller must ask the keeper of Step.Candidate's engine, then call RecordReply.
 	Ask StepKind = iota
 	// Choose means that the caller must choose candidate engines, then call SetChoices.
 	Choose
 	// Pause means that the caller must wait for Step.Pause, then call Next.
 	Pause
-	// Placed means that the keeper of Step.Choice's engine granted the prompt. The search ends.
+	// Placed means that the keeper of Step.Candidate's engine granted the prompt. The search ends.
 	Placed
 	// NoEngine means that there is no candidate engine. The search ends.
 	NoEngine
@@ -63,13 +63,13 @@
 	random *rand.Rand
 	// roomDeadline is the time at which the search for free memory ends.
 	roomDeadline time.Time
-	// choices are the engines of the current round, best first.
-	choices []router.Candidate
-	// asked is the number of choices that refused, and tooLate the number of those that refused
+	// candidates are the engines of the current round, best first.
+	candidates []router.Candidate
+	// refused is the number of choices that refused, and tooLate the number of those that refused
 	// with keeper.TooLate.
-	asked, tooLate int
-	// hasChoices is true from SetChoices until the round ends.
-	hasChoices bool
+	refused, tooLate int
+	// hasCandidates is true from SetChoices until the round ends.
+	hasCandidates bool
 	// granted is true once a keeper granted the prompt.
 	granted bool
 }
@@ -80,9 +80,9 @@
 }
 
 // SetCandidates starts a round with the given engines, best first.
-func (p *Placer) SetCandidates(choices []router.Candidate) {
-	p.choices, p.asked, p.tooLate = choices, 0, 0
-	p.hasChoices = true
+func (p *Placer) SetCandidates(candidates []router.Candidate) {
+	p.candidates, p.refused, p.tooLate = candidates, 0, 0
+	p.hasCandidates = true
 }
 
 // RecordReply records the keeper's reply to the last Ask step.
@@ -94,25 +94,25 @@
 	if reply.Reason == keeper.TooLate {
 		p.tooLate++
 	}
-	p.asked++
+	p.refused++
 }
 
 // Next returns the next step.
 func (p *Placer) Next(now time.Time) Step {
 	switch {
 	case p.granted:
-		return Step{Kind: Placed, Candidate: p.choices[p.asked]}
-	case !p.hasChoices:
+		return Step{Kind: Placed, Candidate: p.candidates[p.refused]}
+	case !p.hasCandidates:
 		return Step{Kind: Choose}
-	case len(p.choices) == 0:
+	case len(p.candidates) == 0:
 		return Step{Kind: NoEngine}
-	case p.asked < len(p.choices):
-		return Step{Kind: Ask, Candidate: p.choices[p.asked]}
-	case p.tooLate == len(p.choices):
+	case p.refused < len(p.candidates):
+		return Step{Kind: Ask, Candidate: p.candidates[p.refused]}
+	case p.tooLate == len(p.candidates):
 		return Step{Kind: TooLate}
 	case !now.Before(p.roomDeadline):
 		return Step{Kind: NoRoom}
 	}
-	p.hasChoices = false
+	p.hasCandidates = false
 	return Step{Kind: Pause, Pause: minPause + time.Duration(p.random.Int64N(int64(maxPause-minPause)))}
 }
