--- a/router/router.go
+++ b/router/router.go
@@ -31,7 +31,7 @@
 // LengthClass is the class of a prompt by its length. Engines prefill shorter classes first.
 type LengthClass int
 
-// The length classes, shortest first. ClassOf defines their lengths.
+// The length classes, shortest first. LengthClassOf defines their lengths.
 const (
 	Short LengthClass = iota
 	Medium
@@ -192,9 +192,9 @@
 
 // Choose returns up to maxChoices engines that satisfy the needs, in the order of the policy, best
 // first. The Predicted policy compares at most sampleSize engines, from a random position on.
-func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxChoices int, random *rand.Rand) []Candidate {
+func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxCandidates int, random *rand.Rand) []Candidate {
 	serving := x.byModel[needs.Model]
-	choices := make([]Candidate, 0, min(len(serving), sampleSize))
+	candidates := make([]Candidate, 0, min(len(serving), sampleSize))
 	start := 0
 	if len(serving) > 0 {
 		start = random.IntN(len(serving))
@@ -208,16 +208,16 @@
 		if !e.satisfies(needs) {
 			continue
 		}
-		choices = append(choices, Candidate{Engine: e, PredictedTime: e.PredictFirstToken(now, needs.Class, needs.PrefillTokens)})
-		if len(choices) == candidateLimit {
+		candidates = append(candidates, Candidate{Engine: e, PredictedTime: e.PredictFirstToken(now, needs.Class, needs.PrefillTokens)})
+		if len(candidates) == candidateLimit {
 			break
 		}
 	}
 	if policy == Predicted {
-		addTokenDelay(now, choices, needs.MaxAnswerTokens)
+		addGenerationDelay(now, candidates, needs.MaxAnswerTokens)
 	}
-	x.sortChoices(policy, choices, random)
-	return choices[:min(maxChoices, len(choices))]
+	x.sortCandidates(policy, candidates, random)
+	return candidates[:min(maxCandidates, len(candidates))]
 }
 
 // satisfies reports whether the engine can run a prompt with the given needs. The engines of an
@@ -256,20 +256,20 @@
 	return sum
 }
 
-// sortChoices puts the choices in the order of the policy.
-func (x *EngineIndex) sortChoices(policy Policy, choices []Candidate, random *rand.Rand) {
+// sortCandidates puts the choices in the order of the policy.
+func (x *EngineIndex) sortCandidates(policy Policy, candidates []Candidate, random *rand.Rand) {
 	switch policy {
 	case Predicted:
-		slices.SortStableFunc(choices, comparePredictedTime)
+		slices.SortStableFunc(candidates, comparePredictedTime)
 	case FewestOwn:
-		slices.SortStableFunc(choices, compareInFlight)
+		slices.SortStableFunc(candidates, compareInFlight)
 	case PowerOfTwo:
-		shuffle(choices, random)
-		slices.SortStableFunc(choices[:min(2, len(choices))], compareInFlight)
+		shuffle(candidates, random)
+		slices.SortStableFunc(candidates[:min(2, len(candidates))], compareInFlight)
 	case RoundRobin:
-		rotate(choices, x.rotation.Add(1))
+		rotate(candidates, x.rotation.Add(1))
 	default:
-		shuffle(choices, random)
+		shuffle(candidates, random)
 	}
 }
 
@@ -287,16 +287,16 @@
 	return int(x.Engine.Load.OwnInFlight.Load() - y.Engine.Load.OwnInFlight.Load())
 }
 
-func shuffle(choices []Candidate, random *rand.Rand) {
-	random.Shuffle(len(choices), func(i, j int) { choices[i], choices[j] = choices[j], choices[i] })
+func shuffle(candidates []Candidate, random *rand.Rand) {
+	random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 }
 
 // rotate sorts the choices by engine name and rotates them by the given number of places.
-func rotate(choices []Candidate, rotation uint64) {
-	if len(choices) < 2 {
+func rotate(candidates []Candidate, rotation uint64) {
+	if len(candidates) < 2 {
 		return
 	}
-	slices.SortFunc(choices, func(x, y Candidate) int {
+	slices.SortFunc(candidates, func(x, y Candidate) int {
 		switch {
 		case x.Engine.Name < y.Engine.Name:
 			return -1
@@ -305,9 +305,9 @@
 		}
 		return 0
 	})
-	n := int(rotation % uint64(len(choices)))
-	rotated := append(slices.Clone(choices[n:]), choices[:n]...)
-	copy(choices, rotated)
+	n := int(rotation % uint64(len(candidates)))
+	rotated := append(slices.Clone(candidates[n:]), candidates[:n]...)
+	copy(candidates, rotated)
 }
 
 const (
@@ -342,21 +342,21 @@
 	return time.Duration(l.timePerToken.Load())
 }
 
-// addTokenDelay adds to the predicted time of each engine slower than slowFactor allows by how much
+// addGenerationDelay adds to the predicted time of each engine slower than slowFactor allows by how much
 // later than the fastest candidate it would end the answer. This avoids engines with a gray
 // failure: they report their load in time but generate slowly.
-func addTokenDelay(now time.Time, choices []Candidate, maxAnswerTokens int) {
+func addGenerationDelay(now time.Time, candidates []Candidate, maxAnswerTokens int) {
 	shortest := time.Duration(0)
-	for _, c := range choices {
+	for _, c := range candidates {
 		timePerToken := c.Engine.Load.recentTimePerToken(now)
 		if timePerToken > 0 && (shortest == 0 || timePerToken < shortest) {
 			shortest = timePerToken
 		}
 	}
-	for i, c := range choices {
+	for i, c := range candidates {
 		timePerToken := c.Engine.Load.recentTimePerToken(now)
 		if timePerToken > slowFactor*shortest {
-			choices[i].PredictedTime += time.Duration(maxAnswerTokens) * (timePerToken - shortest)
+			candidates[i].PredictedTime += time.Duration(maxAnswerTokens) * (timePerToken - shortest)
 		}
 	}
 }
