--- a/server/call.go
+++ b/server/call.go
@@ -18,9 +18,10 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// callService sends a service call to instances of the service until one answers, and writes the whole
-// answer to the caller. A call that must not be repeated is sent again only if no byte of it was sent or
-// the instance states that it never started it.
+// callService sends a service call to one instance of the service after the other, up to maxAttempts, until
+// one answers, and writes the whole answer to the caller. A call that may run at most once is sent again
+// only if no byte of it was sent or the instance states that it never started the call. A call suspected of
+// crashing instances is not sent again.
 func (s *Server) callService(x *exchange) *failure {
 	var tried []dispatcher.Instance
 	x.fingerprint = fingerprintOf(x)
@@ -61,8 +62,8 @@
 }
 
 // slotsPerInstance is the number of calls that an instance of a service is assumed to run in parallel, as
-// no document states it. Calls go to another data centre once each local instance has about two more calls
-// than the remote ones.
+// the configuration document does not state it. With 16, a call goes to another data centre once each local
+// instance runs about two calls more than the remote ones.
 const slotsPerInstance = 16
 
 // newCallDispatcher returns the dispatcher that places this entry's service calls.
@@ -70,8 +71,9 @@
 	return dispatcher.NewUnreported(dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// placeCall selects an instance of the call's service. It prefers instances in this data centre, with few
-// calls in progress and few failures as seen by this entry.
+// placeCall selects an instance of the call's service, preferably none of tried. It prefers instances in this
+// data centre that have few calls of this entry in progress and on which few calls of this entry failed. It
+// returns a failure if no instance can accept the call.
 func (s *Server) placeCall(x *exchange, tried []dispatcher.Instance) (*dispatcher.Placement, *failure) {
 	p, refusal := s.callDispatcher.Place(time.Now(), dispatcher.Demand{Service: x.service.Name, Avoid: tried})
 	if refusal == nil {
@@ -82,8 +84,8 @@
 	return nil, f
 }
 
-// sendCall sends a service call to the selected instance and writes the answer to the caller. The returned
-// dispatcher.Result is how the attempt ended, from which the dispatcher rates the instance.
+// sendCall sends a service call to the selected instance and writes the answer to the caller. It returns how
+// the attempt ended, from which the dispatcher rates the instance, and a failure if nothing was written.
 func (s *Server) sendCall(x *exchange, p *dispatcher.Placement) (dispatcher.PlacementResult, *failure) {
 	client := s.trafficClient
 	if !x.repeatable {
@@ -151,8 +153,8 @@
 	return dispatcher.Incomplete
 }
 
-// callRequest builds the HTTP request to a service instance. The returned bool becomes true once the
-// transport has a connection, from which point a byte may have been sent.
+// callRequest builds the HTTP request to a service instance. The bool that it returns a pointer to becomes
+// true once the transport has a connection; a byte of the request may have been sent from then on.
 func (x *exchange) callRequest(i dispatcher.Instance) (*http.Request, *bool, error) {
 	connected := new(bool)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { *connected = true }}
@@ -170,7 +172,8 @@
 	return request, connected, nil
 }
 
-// errAnswerTooLarge reports an answer that exceeds Callers.MaxBody and is therefore not relayed.
+// errAnswerTooLarge reports that the answer of a service is longer than the setting Callers.MaxBody and is
+// therefore not sent to the caller.
 var errAnswerTooLarge = errors.New("answer is too large")
 
 // readAnswer reads the response body of a service call. It returns errAnswerTooLarge if the body is longer
--- a/server/complete.go
+++ b/server/complete.go
@@ -18,12 +18,14 @@
 )
 
 const (
-	// maxAttempts is the maximum number of attempts per request, over all upstreams.
+	// maxAttempts is the maximum number of attempts per request, whichever upstreams they are sent to.
 	maxAttempts = 4
-	// maxKeepersAsked is the maximum number of keepers asked in one round of placement.
+	// maxKeepersAsked is the maximum number of engines whose keepers are asked for memory before the prompt
+	// pauses and new engines are chosen.
 	maxKeepersAsked = 3
-	// A request waits at most its remaining time divided by groupWaitDivisor for a group of engines, and is
-	// then refused at once. Tries are at least minGroupRetryInterval apart.
+	// A prompt that needs a group of engines is refused if none could be reserved within the prompt's
+	// remaining time divided by groupWaitDivisor. Between two tries to reserve a group, it waits for a random
+	// time of one to two minGroupRetryInterval.
 	groupWaitDivisor      = 4
 	minGroupRetryInterval = 80 * time.Millisecond
 )
@@ -31,28 +33,28 @@
 // completion holds the state of one prompt across its attempts.
 type completion struct {
 	x *exchange
-	// relayer removes repeated and foreign chunks from the answer and counts the delivered tokens.
+	// relayer drops repeated chunks and those of other requests, and counts the delivered tokens.
 	relayer *relayer.Relayer
 	random  *rand.Rand
 	// text collects the answer of a prompt that is not streamed.
 	text strings.Builder
 	// usage is the token count that the engine sent with the last chunk; nil before it.
 	usage *api.CompletionUsage
-	// triedEngines names the engines that attempts were sent to. They are not chosen again while another
-	// engine is left.
+	// triedEngines names the engines that attempts were sent to. They are not chosen again until every
+	// engine that serves the prompt has been tried.
 	triedEngines []string
 	// version is the model version that generated the answer so far, which later attempts must use too;
 	// empty before the first chunk.
 	version string
 	// attempts is the number of attempts made.
 	attempts int
-	// answerStartedAt is the time of the first token of the last attempt, zero before it. If the attempt
-	// ends without a token, it is the time of the end.
+	// answerStartedAt is the time of the last attempt's first accepted chunk, zero before it. After an
+	// attempt without any, it is the time at which the attempt ended.
 	answerStartedAt time.Time
 }
 
-// complete places a prompt on an engine, relays the answer, and resumes the answer on another engine if the
-// engine fails.
+// complete places a prompt on an engine and relays the answer. If the engine fails, it resumes the answer on
+// another engine, as long as canRetry permits. The failure is nil once the whole answer has been written.
 func (s *Server) complete(x *exchange) *failure {
 	x.body = nil // only the decoded prompt is needed from here on
 	x.fingerprint = fingerprintOf(x)
@@ -84,7 +86,9 @@
 	return n.Foreign + n.Stale + n.Repeated
 }
 
-// canRetry reports whether another attempt is permitted and can succeed.
+// canRetry reports whether a prompt whose last attempt ended with f may be sent again: an upstream failed,
+// the request's context has not ended, fewer than maxAttempts attempts were made, the prompt is not suspected
+// of crashing engines, and it is repeatable or no attempt of it can have started.
 func (c *completion) canRetry(f *failure) bool {
 	x := c.x
 	if f.code != api.CodeUpstreamFailed || c.attempts >= maxAttempts || x.ctx.Err() != nil {
@@ -93,12 +97,13 @@
 	if x.isCrashSuspect() {
 		return false
 	}
-	// An attempt that may have run is not repeated unless the request is repeatable.
+	// A request that may run at most once is not sent again after an attempt that may have started.
 	return x.repeatable || x.unresolvedAttempts == 0
 }
 
-// finalFailure converts the failure of the last attempt into the one that the caller gets, without further
-// waiting.
+// finalFailure returns the failure to send to the caller, given that of the last attempt. Its code is
+// api.CodeDeadlineExceeded if the deadline has passed; otherwise it is f, with a Retry-After if an upstream
+// failed.
 func (c *completion) finalFailure(f *failure) *failure {
 	x := c.x
 	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.remaining() <= 0 {
@@ -110,7 +115,8 @@
 	return f
 }
 
-// attempt places the prompt once and relays the answer. It returns nil once the answer is complete.
+// attempt places the prompt on one engine, or on a group if no single engine can hold it, and relays the
+// answer. It returns nil once the answer is complete.
 func (c *completion) attempt() *failure {
 	needs := c.requirements()
 	if c.needsGroup(needs) {
@@ -132,8 +138,8 @@
 	}
 }
 
-// class returns the prompt's length class, which determines its priority at engines. All prompts are of
-// class Longest if Policy.ShortWeight is 0.
+// class returns the prompt's length class, which determines its priority at engines. If ShortWeight in the
+// document's policy is 0, all prompts are of class Longest.
 func (c *completion) class() router.LengthClass {
 	policy := c.x.view.accepted.Document.Policy
 	if policy.ShortWeight == 0 {
@@ -142,7 +148,8 @@
 	return router.LengthClassOf(api.EstimatePromptTokens(len(c.x.completion.Prompt)), policy.ShortTokens)
 }
 
-// needsGroup reports whether no single engine of the model has enough memory for the prompt and its answer.
+// needsGroup reports whether every engine that the document lists for the model has too little memory, even
+// when empty, for the prompt and its longest answer.
 func (c *completion) needsGroup(needs router.Requirements) bool {
 	for _, e := range c.x.view.accepted.Document.Engines {
 		if e.Model == needs.Model && e.MemoryTokens >= needs.MemoryTokens {
@@ -152,8 +159,9 @@
 	return true
 }
 
-// placePrompt asks keepers in turn until one grants memory for an attempt. It returns the engine and the ID
-// of the attempt.
+// placePrompt asks the keepers of candidate engines in turn until one grants memory for an attempt, and
+// returns that engine and the new attempt's ID. It returns a failure if there is no engine, if all would
+// prefill too late, or if none had free memory in time.
 func (c *completion) placePrompt(needs router.Requirements) (*router.Engine, string, *failure) {
 	x := c.x
 	p := placer.New(time.Now(), x.remaining(), c.random)
@@ -177,8 +185,8 @@
 	}
 }
 
-// chooseEngines returns the engines to ask, best first. If every engine has failed the request once, all
-// are eligible again, as a failed engine may have recovered.
+// chooseEngines returns the engines whose keepers to ask, best first. If every engine has been tried, it
+// clears triedEngines and needs.Exclude and chooses from all, as a failed engine may have recovered.
 func (c *completion) chooseEngines(needs *router.Requirements) []router.Candidate {
 	index := c.x.server.current.Load().engineIndex
 	candidates := index.Choose(time.Now(), router.Predicted, *needs, maxKeepersAsked, c.random)
@@ -237,8 +245,9 @@
 	return nil
 }
 
-// deliver passes the text of a chunk to the caller: as an event of a stream, or collected until the answer
-// is complete. Offset is the number of tokens of the answer before the chunk.
+// deliver writes the text of a chunk to the caller as an event, or appends it to c.text if the caller did
+// not ask for a stream. Offset is the number of answer tokens before the chunk. Usage is the engine's token
+// count, nil unless the chunk is the last.
 func (c *completion) deliver(offset int, text string, usage *api.CompletionUsage) {
 	x := c.x
 	c.usage = usage
--- a/server/control.go
+++ b/server/control.go
@@ -33,24 +33,25 @@
 	// suspendThreshold is the time between two ticks above which this process is assumed to have been
 	// suspended.
 	suspendThreshold = time.Second
-	// orderRetryInterval is how long an engine has to report an order as done before the order is sent
-	// again.
+	// orderRetryInterval is the time after which an order is sent again if the engine does not report that
+	// it serves what the order asks for.
 	orderRetryInterval = 30 * time.Second
-	// minWeightLoadInterval is the minimum time between model loads from the weight store, over the whole
-	// fleet.
+	// minWeightLoadInterval is the minimum mean time between two orders, over all entries, that make an
+	// engine load weights from the weight store.
 	minWeightLoadInterval = 500 * time.Millisecond
 )
 
-// listSlack is added to Timing.Watch to get the time after which an instance list is stale unless the platform
-// confirms it again.
+// listSlack is added to the setting Timing.Watch, the time for which a read waits at the platform for a
+// change. An instance list that the platform has not confirmed for the sum is stale.
 const listSlack = 2 * time.Second
 
-// largeDocumentBytes is the document size from which memory is returned to the operating system after
-// parsing.
+// largeDocumentBytes is the size in bytes from which on a configuration document is parsed with more
+// frequent garbage collections (see parseGCPercent) and free memory is returned to the operating system
+// afterwards.
 const largeDocumentBytes = 64 << 10
 
-// parseGCPercent is the garbage collection target, as in debug.SetGCPercent, while a large document is
-// parsed.
+// parseGCPercent is the argument of debug.SetGCPercent while a document of at least largeDocumentBytes is
+// parsed. It is lower than the default of 100, so that the heap grows less.
 const parseGCPercent = 20
 
 // sourcePlatform names the platform as a source of documents in the adopter and in logs.
@@ -65,21 +66,24 @@
 	admitter *admitter.Admitter
 	spender  *spender.Spender
 	planner  *planner.Planner
-	// keepers holds the grants and reported holds of each engine that this entry is the keeper of, by engine
+	// keepers holds the grants and reported holds of the engines that this entry is the keeper of, by engine
 	// name.
 	keepers map[string]*keeper.Keeper
-	// lastSteps holds the step that the planner last decided on for each of these engines, by engine name.
+	// lastSteps holds, by engine name, the step that the planner last decided on for an engine that this
+	// entry is the keeper of.
 	lastSteps map[string]planner.Step
-	// instances is the instance list in use, by name; lister decides which list that is.
+	// instances holds the instances of the list in use that have a valid address, by name.
 	instances map[string]api.Instance
-	lister    *lister.Lister
-	// engineLoads holds the load of each engine, by engine name. The engine indexes of successive views
-	// share them.
+	// lister decides which of the lists offered by the platform and by peers is in use.
+	lister *lister.Lister
+	// engineLoads holds the load of each engine, by engine name. Every view's engine index refers to these
+	// loads, so measurements survive a new view.
 	engineLoads map[string]*router.Load
 	// ownHolds holds this entry's holds, by engine name and hold ID.
 	ownHolds map[string]map[string]*ownHold
 	// stopping is true once this entry is shutting down.
 	stopping bool
+	// lastTick is the time of the last call of tick, at first that of the start.
 	lastTick time.Time
 	// resumedAt is when this process last resumed after a suspension; zero if it never did.
 	resumedAt time.Time
@@ -119,7 +123,7 @@
 // control goroutine has ended.
 func (s *Server) onControl(command func(*control)) { s.control.Do(command) }
 
-// publishIfDirty publishes a new view if the control state has changed since the last one.
+// publishIfDirty publishes a new view if the last one is out of date.
 func (c *control) publishIfDirty() {
 	if c.dirty {
 		c.publishView()
@@ -138,8 +142,8 @@
 	c.server.metrics.inFlight.Update(float64(c.admitter.InFlight()))
 }
 
-// hasJustResumed reports whether this process resumed from a suspension less than deadlineSlack ago, or has
-// not ticked since it resumed. Requests may then overrun their deadline.
+// hasJustResumed reports whether this process resumed from a suspension and tick has not run since or first
+// ran less than deadlineSlack ago. Requests may then end later than their deadline allows.
 func (c *control) hasJustResumed(now time.Time) bool {
 	return now.Sub(c.lastTick) > suspendThreshold || now.Sub(c.resumedAt) < deadlineSlack
 }
@@ -153,8 +157,9 @@
 	}
 }
 
-// offerDocument passes a parsed document, or the error that made it invalid, to the adopter and logs the
-// result. Source names the platform or the peer that the document came from.
+// offerDocument passes a parsed document, or the error that made it invalid, to the adopter, which decides
+// whether it comes into force, and logs the result. Source names the platform or the peer that sent the
+// document.
 func (c *control) offerDocument(now time.Time, digest string, offered *validator.ValidDocument, err error, source string) {
 	before := c.adopter.Version()
 	result := c.adopter.OfferDocument(now, digest, offered, err)
@@ -180,9 +185,10 @@
 	}
 }
 
-// receiveDocument parses a configuration document and offers it to the adopter. It parses on the calling
-// goroutine, as a large document would block the control goroutine for too long. Only one document is
-// parsed at a time, since the platform and peers often deliver the same one at once.
+// receiveDocument parses a configuration document, verifies its signature if seal keys are set, and offers it
+// to the adopter, unless the adopter has a result for it already. It parses on the calling goroutine, as a
+// large document would block the control goroutine for too long. Only one document is parsed at a time,
+// since the platform and peers often deliver the same one at once.
 func (s *Server) receiveDocument(data []byte, source string) {
 	s.parseLock <- struct{}{}
 	defer func() { <-s.parseLock }()
@@ -215,8 +221,8 @@
 	}
 }
 
-// recordHeartbeat updates the state of members, the upstreams that are leaving and the loads of engines from
-// another entry's heartbeat.
+// recordHeartbeat updates, from another entry's heartbeat, the state of the members, which upstreams are
+// leaving, and the loads of the engines that the sender is the keeper of.
 func (c *control) recordHeartbeat(now time.Time, heartbeat api.Heartbeat) {
 	before, wasKnown := c.prober.Find(heartbeat.From)
 	c.recordMemberChanges(c.prober.ReceiveHeartbeat(now, heartbeat))
@@ -253,7 +259,8 @@
 	}
 }
 
-// announceLeaving logs that an upstream is leaving and queues a notice for other entries.
+// announceLeaving logs that an upstream is leaving and queues a notice of it, which the next heartbeats carry
+// to other entries. Source is how this entry found out.
 func (c *control) announceLeaving(name string, source drainer.Source) {
 	c.server.logs.keep.Info("upstream_leaving", zap.String("name", name), zap.String("source", string(source)))
 	kind := api.KindEngine
@@ -280,7 +287,8 @@
 	c.applyInstanceList(now, list)
 }
 
-// applyInstanceList makes an instance list the one in use. Instances with an invalid address are left out.
+// applyInstanceList makes an instance list the one in use. It logs and leaves out instances whose address is
+// not a valid IP:port, and announces upstreams that the list newly shows as leaving.
 func (c *control) applyInstanceList(now time.Time, list api.InstanceList) {
 	c.prober.ApplyInstanceList(now, list.Instances)
 	instances := make(map[string]api.Instance, len(list.Instances))
--- a/server/convert.go
+++ b/server/convert.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// queuedTokensFromWire converts queued prompt tokens, by length class, from their wire form. Classes unknown
-// to this version are ignored.
+// queuedTokensFromWire converts queued prompt tokens, by length class, from their wire form, in which
+// trailing zeros are omitted. Elements beyond router.ClassCount, of an entry with more classes, are ignored.
 func queuedTokensFromWire(tokens []int) router.TokensByClass {
 	var queued router.TokensByClass
 	copy(queued[:], tokens)
--- a/server/crash.go
+++ b/server/crash.go
@@ -20,8 +20,8 @@
 	return quarantiner.FingerprintOf(organisation, []byte(x.service.Name), []byte(x.callName), x.body)
 }
 
-// checkQuarantine returns a failure if the request is quarantined for crashing the upstreams that run it,
-// and nil otherwise.
+// checkQuarantine returns a failure if the request's fingerprint is quarantined, because upstreams crashed
+// while they ran requests with it, and nil otherwise.
 func (x *exchange) checkQuarantine() *failure {
 	now := time.Now()
 	until, ok := x.server.quarantine.QuarantinedUntil(now, x.fingerprint)
@@ -33,9 +33,9 @@
 	return f
 }
 
-// isCrashSuspect reports whether the last attempt was interrupted and upstreams have crashed before while
-// they ran requests with the same fingerprint. Such a request is not retried, so that it can't crash another
-// upstream.
+// isCrashSuspect reports whether the last attempt was interrupted and several crashes of upstreams that ran
+// requests with the same fingerprint are recorded (see quarantiner.Quarantiner.IsSuspect). Such a request is
+// not retried, so that it can't crash another upstream.
 func (x *exchange) isCrashSuspect() bool {
 	return x.interrupted && x.server.quarantine.IsSuspect(x.fingerprint)
 }
@@ -50,10 +50,11 @@
 	sentAt, answerStartedAt time.Time
 }
 
-// detectCrash checks in the background whether an interrupted attempt ended because its upstream crashed,
-// and records the crash for the quarantine. A request whose answer had lasted for quarantiner.ProvenAfter
-// counts as one that the upstream can run. If ctx, the attempt's context, has ended, the interruption shows
-// nothing about the upstream and is ignored.
+// detectCrash sets x.interrupted and checks in the background whether an interrupted attempt ended because
+// its upstream's process exited. If so, it records a crash for the quarantine; but if the answer had lasted
+// for quarantiner.ProvenAfter, it records a success, as the upstream evidently could run the request. If
+// ctx, the attempt's context, has ended, as on a timeout or if the caller disconnects, the interruption shows
+// nothing about the upstream and detectCrash does nothing.
 func (x *exchange) detectCrash(ctx context.Context, attempt attemptInfo) {
 	if context.Cause(ctx) != nil {
 		return
@@ -75,8 +76,8 @@
 	}()
 }
 
-// logQuarantineDecisions logs the fingerprints that are quarantined from now on. Source names the entry that
-// made the decisions, "own" for this one.
+// logQuarantineDecisions logs the given decisions to quarantine a fingerprint. Source is the name of the
+// entry that made them, "own" for this entry.
 func (s *Server) logQuarantineDecisions(now time.Time, decisions []quarantiner.Decision, source string) {
 	for _, d := range decisions {
 		s.logs.route.Warn("quarantined", d.LogFields(now, source)...)
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -20,25 +20,27 @@
 	request *http.Request
 	id      string
 	arrived time.Time
-	// view is the view in force when the request arrived. Routing uses the newest view instead.
+	// view is the view in force when the request arrived. Engines and instances are chosen from the newest
+	// view instead.
 	view         *view
 	organisation *validator.Organisation
 	body         []byte
 	// bodyRead is true once the whole request body has been read from the connection.
 	bodyRead bool
-	// completion is set for prompts; service and callName are set for service calls.
+	// completion is the decoded request of a prompt and nil for service calls; service and callName are
+	// set for service calls only.
 	completion *api.CompletionRequest
 	service    *validator.Service
 	callName   string
-	// fingerprint identifies requests of equal content. interrupted is true if an upstream broke off the
-	// last attempt.
+	// fingerprint is the hash that requests of equal content share. interrupted is true if the last attempt
+	// may have started and ended without a complete answer before its context had ended.
 	fingerprint quarantiner.Fingerprint
 	interrupted bool
 
-	// timeout is the time limit that the caller stated; it is used only if timeoutGiven is true.
+	// timeout is the value of the header api.HeaderTimeout; it is valid only if timeoutGiven is true.
 	timeout      time.Duration
 	timeoutGiven bool
-	// deadline is when the request's time limit ends, on the monotonic clock; ctx expires at it.
+	// deadline is the time, on the monotonic clock, at which the request's time limit ends and ctx expires.
 	deadline time.Time
 	ctx      context.Context
 
@@ -51,12 +53,12 @@
 	// unresolvedAttempts is the number of attempts that were sent, got no complete answer and may have
 	// started at an upstream. It is never negative.
 	unresolvedAttempts int
-	// answerBegun is true once part of an answer has been written to the caller.
+	// answerBegun is true once an event of a streamed answer has been written to the caller.
 	answerBegun bool
 	// failureWritten is true once a failure has been written to the caller.
 	failureWritten bool
-	// bodyStalled is true if the caller was refused and the rest of its body did not end within
-	// discardTimeout and maxDiscardedBytes.
+	// bodyStalled is true if the caller was refused before its body was read, and the rest of the body did
+	// not end within discardTimeout and maxDiscardedBytes.
 	bodyStalled bool
 }
 
@@ -71,8 +73,9 @@
 	retryAfter time.Duration
 	// elsewhere lists the addresses of other entries that accept the request.
 	elsewhere []string
-	// outcome, if not empty, overrides the outcome derived from the attempts sent. It is set where an
-	// earlier request with the same ticket may have run although this one did not.
+	// outcome, if not empty, is sent to the caller instead of the outcome derived from this request's
+	// attempts. It is set where an earlier request with the same ticket may have run although this one did
+	// not.
 	outcome api.Outcome
 	// err is the cause; it is logged and not sent to the caller.
 	err error
@@ -92,7 +95,7 @@
 // handler serves an exchange. It returns nil if the request was answered.
 type handler func(*exchange) *failure
 
-// filter wraps a handler to add one concern, such as authentication.
+// filter wraps a handler to do one check or step, such as authentication, before or after it.
 type filter func(handler) handler
 
 // chain wraps a handler in filters, the first one outermost.
@@ -103,8 +106,8 @@
 	return last
 }
 
-// outcome returns api.OutcomeNotRun if a failed request is known not to have run and api.OutcomeUnknown if
-// it may have run, unless the failure states another outcome.
+// outcome returns the outcome of a request that ended with f: f.outcome if set, api.OutcomeUnknown if an
+// attempt may have run or an answer was begun, and api.OutcomeNotRun otherwise.
 func (x *exchange) outcome(f *failure) api.Outcome {
 	if f.outcome != "" {
 		return f.outcome
--- a/server/filters.go
+++ b/server/filters.go
@@ -21,8 +21,8 @@
 	"github.com/sapphireramp/sapphireramp/asserter"
 )
 
-// deadlineSlack is how long after a request's deadline the end of its answer or refusal may still be
-// written to the caller.
+// deadlineSlack is the time after a request's deadline within which the rest of its answer, or its error,
+// may still be written to the caller.
 const deadlineSlack = 250 * time.Millisecond
 
 // handler returns the entry's HTTP handler.
@@ -51,7 +51,8 @@
 	}
 }
 
-// writeOutcome is a filter that writes the error of a failed request, and logs and counts every request.
+// writeOutcome is a filter that writes the error of a failed request to the caller, and logs and counts every
+// request. It returns nil.
 func (s *Server) writeOutcome(next handler) handler {
 	return func(x *exchange) *failure {
 		f := next(x)
@@ -84,8 +85,8 @@
 	}
 }
 
-// writeFailure writes a failure to the caller, once: as the response, or as the last event of a stream that
-// has begun.
+// writeFailure writes a failure to the caller as the response, or as the last event of a stream that has
+// begun. It does nothing if a failure has been written for the request before.
 func (x *exchange) writeFailure(f *failure) {
 	if x.failureWritten {
 		return
@@ -154,10 +155,10 @@
 	}
 }
 
-// checkServing is a filter that refuses requests while this entry accepts no callers. An entry that is
-// shutting down still serves requests with tickets that it issued, as no other entry can spend them. It
-// closes the connection after each answer, since a connection that stays open would be closed when the
-// entry exits, possibly with a request already sent on it.
+// checkServing is a filter that refuses requests before this entry is ready and while it is shutting down.
+// An entry that is shutting down still serves requests with tickets that it issued, as no other entry can
+// spend them. It has the connection closed after each answer: one left open would be closed when the entry
+// exits, possibly with a request already sent on it.
 func (s *Server) checkServing(next handler) handler {
 	return func(x *exchange) *failure {
 		if x.view.stopping {
@@ -185,15 +186,16 @@
 // caller can turn to another entry at once.
 const stoppingRetryAfter = 100 * time.Millisecond
 
-// retryAfter returns a random Retry-After for a refused request, so that callers do not all retry at the same
-// time. It is 1 s if the control goroutine has ended.
+// retryAfter returns a random time for the Retry-After header of a refused request, so that callers do not
+// all retry at the same time. It is 1 s if the control goroutine has ended.
 func (s *Server) retryAfter() time.Duration {
 	d := time.Second
 	s.onControl(func(c *control) { d = c.admitter.RetryAfter() })
 	return d
 }
 
-// authenticate is a filter that identifies the organisation by the bearer key.
+// authenticate is a filter that sets the exchange's organisation by the bearer key in the Authorization
+// header. It refuses requests without a key or with one that belongs to no organisation.
 func (s *Server) authenticate(next handler) handler {
 	return func(x *exchange) *failure {
 		key, bearer := strings.CutPrefix(x.request.Header.Get("Authorization"), "Bearer ")
@@ -213,7 +215,8 @@
 	}
 }
 
-// parseOptions is a filter that reads the time limit and the repeatable flag from the request headers.
+// parseOptions is a filter that reads the time limit from api.HeaderTimeout and the repeatable flag from
+// api.HeaderRepeatable. It refuses requests with an invalid value of either.
 func (s *Server) parseOptions(next handler) handler {
 	return func(x *exchange) *failure {
 		if value := x.request.Header.Get(api.HeaderTimeout); value != "" {
@@ -240,8 +243,8 @@
 	return f
 }
 
-// readBody reads the request body, up to Callers.MaxBody bytes and until the request's deadline, so that a
-// caller that stops sending does not occupy the request for longer.
+// readBody reads the request body. It fails if the body is longer than the setting Callers.MaxBody, or is not
+// complete at the request's deadline, so that a caller that stops sending does not stay in flight for longer.
 func (x *exchange) readBody() *failure {
 	limit := x.server.settings.Callers.MaxBody
 	connection := http.NewResponseController(x.writer)
@@ -264,7 +267,7 @@
 }
 
 // DecodeCompletionRequest decodes the JSON body of a completion request. Unknown fields and trailing data are errors.
-// An error names the invalid field where there is one.
+// The error names the invalid field if the fault is in one.
 func DecodeCompletionRequest(body []byte) (*api.CompletionRequest, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -278,7 +281,8 @@
 	return &r, nil
 }
 
-// decodePrompt is a filter that reads a prompt and validates it against the configuration document.
+// decodePrompt is a filter that reads the body of a completion request and refuses it unless its model,
+// adapter, prompt and token limit are valid by the configuration document.
 func (s *Server) decodePrompt(next handler) handler {
 	return func(x *exchange) *failure {
 		if f := x.readBody(); f != nil {
@@ -327,7 +331,9 @@
 	return nil
 }
 
-// findCall is a filter that looks up the service and the call in the configuration document.
+// findCall is a filter that sets the service and the call from the request path. It refuses calls that the
+// configuration document does not list or does not allow for the organisation. A call is repeatable only if
+// both the document and the caller permit it.
 func (s *Server) findCall(next handler) handler {
 	return func(x *exchange) *failure {
 		name, call := x.request.PathValue("service"), x.request.PathValue("call")
@@ -355,9 +361,9 @@
 	}
 }
 
-// admit is a filter that counts the request as in flight until it ends and sets its deadline, or refuses it
-// if too many requests are in flight. It precedes the filters that read the body, so that the number of
-// bodies in memory is bounded too.
+// admit is a filter that sets the request's deadline and counts the request as in flight until it ends, or
+// refuses it if too many requests are in flight at this entry. It precedes the filters that read the body,
+// so that the number of bodies in memory is bounded too.
 func (s *Server) admit(next handler) handler {
 	return func(x *exchange) *failure {
 		limits := x.view.accepted.Document.Limits
--- a/server/group.go
+++ b/server/group.go
@@ -19,8 +19,9 @@
 	"github.com/sapphireramp/sapphireramp/sleeper"
 )
 
-// attemptGroup runs a prompt that is too large for any single engine on a group of engines. It
-// retries the reservation for at most the remaining time divided by groupWaitDivisor.
+// attemptGroup runs a prompt that is too large for any single engine on a group of engines. Until the
+// prompt's remaining time divided by groupWaitDivisor has passed, it retries a reservation that failed for
+// lack of free memory.
 func (c *completion) attemptGroup(needs router.Requirements) *failure {
 	x := c.x
 	giveUpAt := time.Now().Add(x.remaining() / groupWaitDivisor)
@@ -41,7 +42,7 @@
 }
 
 // reserveGroup chooses a group of engines for the prompt and reserves memory for every shard, or for none.
-// OnLost is called if an engine later turns out to have lost its shard's hold.
+// OnLost is called if an engine later reports that it does not have its shard's hold.
 func (c *completion) reserveGroup(ctx context.Context, needs router.Requirements, onLost func()) (*reserver.Reserver, *failure) {
 	x := c.x
 	s := x.server
@@ -94,8 +95,8 @@
 	return out
 }
 
-// runReservation executes the actions of a reservation. It returns true once all shards are held and false
-// once none is.
+// runReservation reserves or releases shards, as group.Next requires, and reports the results to group. It
+// returns true once all shards are held, and false once none is. OnLost is as for reserveGroup.
 func (s *Server) runReservation(ctx context.Context, group *reserver.Reserver, onLost func()) bool {
 	for {
 		action := group.Next()
@@ -118,8 +119,9 @@
 	}
 }
 
-// reserveShard requests a hold on memory for a shard from an engine. If held is false, maybeHeld reports
-// whether the engine may have made the hold all the same.
+// reserveShard requests a hold on memory for a shard from its engine and starts to renew the hold. Held
+// reports whether the engine confirmed the hold; if not, maybeHeld reports whether the engine may have made
+// it all the same, because no response arrived.
 func (s *Server) reserveShard(ctx context.Context, shard reserver.Shard, onLost func()) (held, maybeHeld bool) {
 	engine, ok := s.current.Load().engineIndex.Engine(shard.Engine)
 	if !ok {
@@ -162,8 +164,8 @@
 	}
 }
 
-// freeHold deletes a hold on an engine if the hold's age is at least olderThan. A hold that the engine does
-// not have is no error.
+// freeHold asks an engine to free a hold unless it was renewed less than olderThan ago. A hold that the
+// engine does not have is no error.
 func (s *Server) freeHold(address, id string, olderThan time.Duration) error {
 	base := sling.New().Client(s.engineClient).Base("http://" + address)
 	path := fmt.Sprintf("%s/%s?older_than=%s", api.PathHolds, id, api.FormatSeconds(olderThan))
@@ -177,7 +179,8 @@
 	return nil
 }
 
-// runGroup streams the answer from the first engine of the group, and releases all shards afterwards.
+// runGroup sends the attempt to the first engine of a reserved group, relays the answer from there, and
+// releases all shards afterwards. It returns nil once the answer is complete.
 func (c *completion) runGroup(ctx context.Context, group *reserver.Reserver) *failure {
 	s := c.x.server
 	defer func() {
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// sendHeartbeats exchanges one heartbeat with each target and returns when all have answered, after one
-// heartbeat period at the latest.
+// sendHeartbeats sends this entry's heartbeat to each address of heartbeatTargets and records the heartbeats
+// in the replies. It returns once all calls have ended, and after one heartbeat period at the latest; calls
+// still in progress then continue in the background.
 func (s *Server) sendHeartbeats(ctx context.Context) {
 	var targets []netip.AddrPort
 	var heartbeat api.Heartbeat
@@ -96,8 +97,8 @@
 	go s.fetchFromPeer(heartbeat.PeerAddress, heartbeat.From)
 }
 
-// fetchFromPeer fetches a peer's configuration document and instance list and offers both for use. Source
-// names the peer in logs.
+// fetchFromPeer fetches a peer's configuration document and instance list, and offers them to the adopter and
+// the lister, which decide whether they replace those in use. Source names the peer in logs.
 func (s *Server) fetchFromPeer(address netip.AddrPort, source string) {
 	var reply api.FetchReply
 	err := s.peerPool.Call(address, rpcName+".Fetch", api.FetchArgs{From: s.settings.Name}, &reply, fetchTimeout)
--- a/server/keeper.go
+++ b/server/keeper.go
@@ -21,8 +21,9 @@
 	address string
 }
 
-// pollKeptEngines polls the engines that this entry is the keeper of until the context ends. A new poll of
-// an engine starts only after its last one has ended.
+// pollKeptEngines polls the engines that this entry is the keeper of, every Timing.Poll, until the context
+// ends. An engine whose last poll is still in progress is passed over. At most once per Timing.List, the poll
+// of an engine lists its holds too.
 func (s *Server) pollKeptEngines(ctx context.Context) {
 	tick := time.NewTicker(s.settings.Timing.Poll)
 	defer tick.Stop()
@@ -67,8 +68,9 @@
 	return out
 }
 
-// pollEngine reads a kept engine's load and, if listHolds is true, its holds. It then frees orphaned holds
-// and sends the engine an order if one is due.
+// pollEngine reads the load and, if listHolds is true, the holds of an engine that this entry is the keeper
+// of. It then frees orphaned holds and sends the engine an order if one is due. A failed read is logged and
+// ends the poll.
 func (s *Server) pollEngine(ctx context.Context, engine keptEngine, listHolds bool) {
 	load, err := s.fetchEngineLoad(ctx, engine.address)
 	if err != nil {
@@ -95,8 +97,9 @@
 	}
 }
 
-// recordEngineReport updates the keeper of an engine from the engine's report. It returns the orphaned
-// holds to free and the order to send, nil if there is none.
+// recordEngineReport updates the keeper of an engine from the engine's load and the listing of its holds, nil
+// if they were not listed. It returns the orphaned holds to free and the order to send, nil if there is none.
+// It does nothing if this entry is not the engine's keeper any more.
 func (c *control) recordEngineReport(now time.Time, name string, load api.EngineLoad, holds *api.EngineHolds) ([]keeper.OrphanedHold, *api.EngineOrder) {
 	k, ok := c.keepers[name]
 	if !ok {
@@ -117,8 +120,9 @@
 	return orphans, c.planOrder(now, name, k, load)
 }
 
-// planOrder returns the order that changes a kept engine's model, adapters or role to what the document
-// states, or nil if none is due.
+// planOrder returns the order to send to an engine now, to change its model, version, adapters or role to
+// what the configuration document states, or nil if none is due. Until the engine reports the change, its
+// keeper gives no grants.
 func (c *control) planOrder(now time.Time, name string, k *keeper.Keeper, load api.EngineLoad) *api.EngineOrder {
 	accepted := c.adopter.Current()
 	if accepted == nil || load.Leaving {
--- a/server/peers.go
+++ b/server/peers.go
@@ -20,11 +20,12 @@
 const (
 	// rpcName is the net/rpc service name under which entries call each other.
 	rpcName = "Entry"
-	// heartbeatTimeout, fetchTimeout and askTimeout bound the RPCs between entries.
+	// heartbeatTimeout, fetchTimeout and askTimeout bound the RPCs Beat, Fetch and Ask to other entries. Beat
+	// is also bounded by half of the setting Timing.Suspect.
 	heartbeatTimeout = time.Second
 	fetchTimeout     = 3 * time.Second
 	askTimeout       = 100 * time.Millisecond
-	// engineAskTimeout bounds the load request to an engine whose keeper does not answer.
+	// engineAskTimeout bounds the load request to an engine by askEngineDirectly.
 	engineAskTimeout = 300 * time.Millisecond
 )
 
@@ -105,8 +106,9 @@
 	return reply
 }
 
-// askKeeper asks the keeper of an engine, here or at another entry, whether an attempt may start. If the
-// keeper does not answer or has no report of the engine yet, the engine itself is asked.
+// askKeeper asks the keeper of an engine, which may be this entry, whether an attempt may start, and records
+// the load in the reply. If the keeper does not reply, is not the keeper any more or has no current report of
+// the engine, askEngineDirectly decides instead.
 func (s *Server) askKeeper(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.GrantReply {
 	now := time.Now()
 	reply := api.AskReply{}
@@ -132,8 +134,9 @@
 	return keeper.GrantReply{Granted: reply.Granted, QueueWait: reply.Wait, Reason: keeper.Reason(reply.Reason)}
 }
 
-// recordLeaving records that an engine is leaving, as reported by its keeper or by the engine. Incarnation is
-// 0 if it was not reported; the latest known incarnation is used if it is greater.
+// recordLeaving records that an engine's incarnation is leaving, as reported by its keeper or by the engine,
+// and announces it to other entries. Incarnation is 0 if it was not reported. If this entry has seen a later
+// incarnation of the engine, it is that one that is recorded as leaving.
 func (s *Server) recordLeaving(engine string, incarnation uint64) {
 	s.onControl(func(c *control) {
 		incarnation = max(incarnation, c.drainer.LatestIncarnation(engine))
@@ -144,8 +147,8 @@
 }
 
 // askEngineDirectly decides without the keeper whether an attempt may start on an engine, from a load report
-// that it requests from the engine. Several entries may decide so at the same time; the engine then refuses
-// attempts beyond its memory limit.
+// that it requests from the engine. Entries that decide so at the same time do not see each other's grants;
+// if the attempts need more memory than the engine has, the engine refuses some of them.
 func (s *Server) askEngineDirectly(ctx context.Context, engine *router.Engine, args api.AskArgs) keeper.GrantReply {
 	ctx, cancel := context.WithTimeout(ctx, engineAskTimeout)
 	defer cancel()
--- a/server/renew.go
+++ b/server/renew.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// A hold is renewed renewalsPerLease times within its lease, and holds are checked for due renewals
-	// renewalChecksPerLease times within a lease. A hold that ends before the first renewal is due is never
-	// renewed.
+	// A hold is renewed when a lease divided by renewalsPerLease has passed since its last renewal. Each
+	// lease divided by renewalChecksPerLease, all holds are checked for whether that time has passed. A hold
+	// released before then is never renewed.
 	renewalsPerLease      = 3
 	renewalChecksPerLease = 9
 )
 
 // ownHold is a hold of this entry: engine memory reserved for an attempt or a shard, under a lease.
 type ownHold struct {
-	// lastRenewed is when the hold was registered or last renewed.
+	// lastRenewed is the time at which the hold was registered or its last renewal was started.
 	lastRenewed time.Time
-	// onLost is called if the engine turns out not to have the hold.
+	// onLost is called, on the control goroutine, when the engine replies to two renewals that it does not
+	// have the hold.
 	onLost func()
 }
 
-// registerHold starts the periodic renewal of a hold, until unregisterHold. OnLost is called if the engine
-// turns out not to have the hold.
+// registerHold starts the periodic renewal of a hold at an engine, until unregisterHold. OnLost is called if
+// the engine reports that it does not have the hold (see reportLostHolds).
 func (s *Server) registerHold(engine, id string, onLost func()) {
 	s.onControl(func(c *control) {
 		if c.ownHolds[engine] == nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// dueHolds returns the IDs of the holds to renew now, by engine, and marks them as renewed. A renewal that
-// fails is therefore tried again only at the next due time.
+// dueHolds returns the IDs of the holds to renew now, by engine, and sets their lastRenewed to now. A renewal
+// that fails is therefore repeated only when the next one is due.
 func (c *control) dueHolds(now time.Time) map[string][]string {
 	due := map[string][]string{}
 	for engine, holds := range c.ownHolds {
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
-// Package server implements the entry daemon around the packages that make its decisions. One control
-// goroutine owns all control state and publishes immutable views of it; each request is served on a
-// goroutine of its own.
+// Package server implements the entry daemon: listeners, calls to other processes, logs and metrics. Other
+// packages, such as router and keeper, make its decisions. One control goroutine owns all control state and
+// publishes immutable views of it; each request is served on a goroutine of its own.
 package server
 
 import (
@@ -36,17 +36,18 @@
 	Settings loader.Settings
 	// Incarnation identifies this process. It is greater than that of every earlier process of the entry.
 	Incarnation uint64
-	// Logs provides the logger of each layer.
+	// Logs provides a logger for each of the layers of package logger.
 	Logs *logger.Loggers
 	// MetricScope receives the metrics of this entry; MetricsHandler serves them to callers at
 	// api.PathMetrics.
 	MetricScope    tally.Scope
 	MetricsHandler http.Handler
-	// Dial and Listen replace the network in tests; nil means TCP.
+	// Dial, which connects to other processes, and Listen, which opens the entry's listeners, replace the
+	// network in tests; nil means TCP.
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Listen func(address netip.AddrPort) (net.Listener, error)
-	// OnViolation is called when an invariant is violated, in addition to the log and the metric. Tests use
-	// it to fail.
+	// OnViolation, if not nil, is called with the invariant's name and a detail when an invariant is
+	// violated, after the violation is logged and counted. Tests fail on such a call.
 	OnViolation func(name, detail string)
 }
 
@@ -63,11 +64,11 @@
 	control *sequencer.Sequencer[*control]
 	// parseLock is a semaphore that is held while a document is parsed.
 	parseLock chan struct{}
-	// current is the view in force. It is replaced, never modified.
+	// current is the view published last. A published view is replaced, never modified.
 	current atomic.Pointer[view]
 
-	// sealKeys are the public keys of the consoles whose signatures on documents are accepted. If empty,
-	// documents need no signature.
+	// sealKeys are the public keys of the consoles whose signatures on configuration documents are accepted.
+	// If there are none, documents need no signature.
 	sealKeys []ed25519.PublicKey
 
 	// callDispatcher places service calls on instances.
@@ -80,7 +81,7 @@
 	// peerPool holds the connections for RPCs to other entries.
 	peerPool *connector.Pool
 	// engineClient makes short calls to engines; trafficClient sends attempts and reads the platform;
-	// singleUseClient sends attempts that may run at most once, each on a new connection.
+	// singleUseClient sends the attempts of requests that may run at most once, each on a new connection.
 	engineClient    *http.Client
 	trafficClient   *http.Client
 	singleUseClient *http.Client
@@ -113,9 +114,11 @@
 
 const (
 	dialTimeout = time.Second
-	// engineCallTimeout bounds a short call to an engine.
+	// engineCallTimeout bounds each call to an engine but the attempts: load reports, holds, orders and
+	// cancellations.
 	engineCallTimeout = time.Second
-	// maxIdlePerUpstream is the maximum number of idle connections per upstream.
+	// maxIdlePerUpstream is the maximum number of idle connections that an HTTP client of this entry keeps
+	// to one address.
 	maxIdlePerUpstream = 32
 )
 
@@ -222,9 +225,9 @@
 // newID returns a random UUID (version 4) as text.
 func newID() string { return uuid.NewString() }
 
-// Run serves until stop is cancelled and then shuts down gracefully: it returns once no request is in
-// progress and callers have had time to fetch other addresses. It returns an error if callers can't be
-// served.
+// Run serves until stop is cancelled and then shuts down gracefully: it returns nil once no request is in
+// progress and callers have had time to fetch the addresses of other entries. It returns an error at once if
+// no ticket secret can be generated or the listener for callers fails.
 func (s *Server) Run(stop context.Context) error {
 	secret := make([]byte, 32)
 	if _, err := rand.Read(secret); err != nil {
@@ -275,9 +278,9 @@
 	}()
 }
 
-// drain announces the shutdown to peers and callers, and returns once the addresses given to callers have
-// expired and no request is in progress. It calls http.Server.Shutdown last, as requests read after that
-// call get no answer.
+// drain announces the shutdown to peers and callers, and returns once the entry addresses last given to
+// callers have expired and no request is in progress. It calls http.Server.Shutdown last, as requests read
+// after that call get no answer.
 func (s *Server) drain(httpServer *http.Server, connections *connector.ActiveConns, serveErr <-chan error) {
 	s.onControl(func(c *control) {
 		c.stopping = true
@@ -298,7 +301,7 @@
 	}
 }
 
-// drainPollInterval is how often an entry that is shutting down checks for requests in progress.
+// drainPollInterval is the interval at which an entry that is shutting down checks for requests in progress.
 const drainPollInterval = 20 * time.Millisecond
 
 func (s *Server) inFlight() int {
--- a/server/status.go
+++ b/server/status.go
@@ -15,7 +15,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// handleAddresses returns the addresses of the entries that accept callers.
+// handleAddresses writes the addresses of the entries that accept callers, and for how long a caller may use
+// them before it must fetch them again.
 func (s *Server) handleAddresses(w http.ResponseWriter, _ *http.Request) {
 	v := s.current.Load()
 	writeJSON(w, api.Addresses{Entries: v.acceptingEntries, LifeSeconds: s.settings.Callers.AddressLife.Seconds()})
@@ -36,7 +37,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// handleStatus returns this entry's state, for operators.
+// handleStatus writes this entry's state, for operators, as an api.Status in JSON.
 func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	var status api.Status
 	s.onControl(func(c *control) { status = c.status(time.Now()) })
--- a/server/stream.go
+++ b/server/stream.go
@@ -23,29 +23,29 @@
 // maxEventBytes is the maximum size of one server-sent event of an engine.
 const maxEventBytes = 1 << 20
 
-// prefillTimeoutFactor multiplies the estimated prefill time in the timeout for the first token, as the
-// estimate may be too low.
+// prefillTimeoutFactor is the multiple of the estimated time to first token that is added to Timing.Silence to
+// get the timeout for the first token. It is more than 1 as the estimate may be too low.
 const prefillTimeoutFactor = 3
 
 // engineAttempt describes one attempt on an engine.
 type engineAttempt struct {
 	engine    *router.Engine
 	attemptID string
-	// holdIDs are the IDs of the holds of a group's shards; empty for a single engine.
+	// holdIDs are the IDs of the holds on memory for a group's shards; empty for a single engine.
 	holdIDs []string
 	// groupSize is the number of engines that prefill the prompt together; 0 for a single engine.
 	groupSize int
 }
 
-// errSilent reports that an engine sent nothing for Timing.Silence, or no first token for that time plus a
-// multiple of the estimated prefill time.
+// errSilent reports that an engine sent no response header or no next token for Timing.Silence, or no first
+// token for that time plus prefillTimeoutFactor times the estimated time to first token.
 var errSilent = errors.New("engine sent nothing for too long")
 
-// errHoldLost reports that the engine no longer has a hold that the attempt needs.
+// errHoldLost reports that an engine no longer has a hold on memory that the attempt needs.
 var errHoldLost = errors.New("engine no longer has the hold")
 
 // runAttempt sends an attempt to its engine and relays the answer. It returns nil once the answer is
-// complete.
+// complete. If the attempt fails after it may have started, it checks for a crash of the engine.
 func (c *completion) runAttempt(ctx context.Context, attempt engineAttempt) *failure {
 	x := c.x
 	s := x.server
@@ -93,7 +93,7 @@
 }
 
 // sendAttempt sends an attempt and returns the engine's response if its status is OK. On failure,
-// x.unresolvedAttempts shows whether the engine may have started the attempt.
+// x.unresolvedAttempts is greater by one than before if the engine may have started the attempt.
 func (c *completion) sendAttempt(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt) (*http.Response, *failure) {
 	x := c.x
 	s := x.server
@@ -143,7 +143,7 @@
 	return response, nil
 }
 
-// contextCause returns the reason why the context was cancelled, or err if it was not.
+// contextCause returns the cause of the context's end, such as errSilent, or err if ctx has not ended.
 func contextCause(ctx context.Context, err error) error {
 	if why := context.Cause(ctx); why != nil {
 		return why
@@ -180,15 +180,16 @@
 	return request, nil
 }
 
-// priority returns the prompt's scheduling priority at engines. It is higher for classes of shorter prompts,
-// as weighted by the document's policy.
+// priority returns the prompt's scheduling priority at engines, which is higher for classes of shorter
+// prompts. ShortWeight in the document's policy sets by how much.
 func (c *completion) priority() int {
 	policy := c.x.view.accepted.Document.Policy
 	return router.EnginePriority(c.class(), policy.ShortWeight)
 }
 
 // relayChunks relays the chunks of an attempt's answer to the caller. It returns nil once the answer is
-// complete, and otherwise why the attempt failed. It calls onChunk for every chunk that it accepts.
+// complete, and otherwise why the attempt failed. It calls onChunk before it delivers each chunk that the
+// relayer accepts.
 func (c *completion) relayChunks(ctx context.Context, cancel context.CancelCauseFunc, attempt engineAttempt, body io.Reader, onChunk func()) *failure {
 	silence := c.x.server.settings.Timing.Silence
 	prefill := router.Engine{PrefillRate: attempt.engine.PrefillRate * max(1, attempt.groupSize), Load: &router.Load{}}
@@ -231,25 +232,28 @@
 	return c.streamFailure(attempt, contextCause(ctx, scanner.Err()))
 }
 
-// minTimedTokens is the minimum number of tokens from which an engine's time per token is measured.
+// minTimedTokens is the minimum number of tokens that an attempt must have delivered for its time per token to
+// be recorded.
 const minTimedTokens = 8
 
 // tokenTimer measures the mean time between the answer tokens of one attempt.
 type tokenTimer struct {
 	// startOffset is the number of tokens of the answer that earlier attempts delivered.
-	startOffset  int
+	startOffset int
+	// firstTokenAt is the time of the attempt's first accepted chunk, zero before it.
 	firstTokenAt time.Time
 }
 
-// recordFirst records the time of the attempt's first token. Later calls do nothing.
+// recordFirst sets firstTokenAt to the current time. Later calls do nothing.
 func (t *tokenTimer) recordFirst() {
 	if t.firstTokenAt.IsZero() {
 		t.firstTokenAt = time.Now()
 	}
 }
 
-// reportTo adds the measured time per token to the engine's load if the attempt delivered at least
-// minTimedTokens. Delivered is the number of tokens of the answer delivered by all attempts.
+// reportTo adds the mean time per token since the attempt's first one to the engine's load, if the attempt
+// delivered at least minTimedTokens. Delivered is the number of tokens of the answer delivered by all
+// attempts.
 func (t *tokenTimer) reportTo(load *router.Load, delivered int) {
 	tokens := delivered - t.startOffset
 	if t.firstTokenAt.IsZero() || tokens < minTimedTokens {
@@ -258,8 +262,8 @@
 	load.RecordTimePerToken(time.Now(), time.Since(t.firstTokenAt)/time.Duration(tokens))
 }
 
-// streamFailure returns the failure of an attempt whose stream ended early or was invalid. The engine may
-// have run the attempt.
+// streamFailure returns the failure of an attempt whose stream ended early or was invalid because of err. A
+// nil err means that the stream ended without an error.
 func (c *completion) streamFailure(attempt engineAttempt, err error) *failure {
 	f := newFailure(api.CodeUpstreamFailed, "the answer of engine %s was cut off or invalid", attempt.engine.Name)
 	f.err = err
@@ -269,8 +273,8 @@
 	return f
 }
 
-// writeEvent writes one server-sent event to the caller, preceded by the response header if it is the
-// first.
+// writeEvent writes a chunk to the caller as a server-sent event and flushes it. It writes the response header
+// first if the event is the first of the answer.
 func (x *exchange) writeEvent(chunk api.CompletionChunk) {
 	if !x.answerBegun {
 		x.answerBegun = true
@@ -288,7 +292,7 @@
 	_ = http.NewResponseController(x.writer).Flush()
 }
 
-// writeDone writes the end marker of a complete stream.
+// writeDone writes api.DoneMarker to the caller as the last event of a complete stream.
 func (x *exchange) writeDone() {
 	_, _ = fmt.Fprintf(x.writer, "data: %s\n\n", api.DoneMarker)
 	_ = http.NewResponseController(x.writer).Flush()
--- a/server/ticket.go
+++ b/server/ticket.go
@@ -16,10 +16,12 @@
 	"github.com/sapphireramp/sapphireramp/spender"
 )
 
-// inProgressRetryAfter is the Retry-After for a request whose answer is not available yet.
+// inProgressRetryAfter is the Retry-After of a refusal if an earlier request with the same ticket is still
+// running or the entry that issued the ticket did not answer.
 const inProgressRetryAfter = time.Second
 
-// issueTicket writes a new ticket to the caller. Only this incarnation of this entry can spend the ticket.
+// issueTicket writes a new ticket to the caller. Only this incarnation of this entry can accept the ticket.
+// An entry that is shutting down issues none.
 func (s *Server) issueTicket(x *exchange) *failure {
 	if x.view.stopping {
 		return newFailure(api.CodeStopping, "this entry is shutting down")
@@ -36,9 +38,9 @@
 	return nil
 }
 
-// atMostOnce is a filter for requests that may run at most once. It spends the request's ticket, or
-// forwards the request to the incarnation that issued the ticket, since only that one has the record of
-// whether it was spent.
+// atMostOnce is a filter that requires a ticket of requests that may run at most once; it passes others on.
+// It spends a ticket that this incarnation of this entry issued. Otherwise it forwards the request to the
+// entry that issued the ticket, since only that one has the record of whether the ticket was spent.
 func (s *Server) atMostOnce(next handler) handler {
 	return func(x *exchange) *failure {
 		if x.repeatable {
@@ -115,8 +117,9 @@
 	_, _ = w.Write(a.Body)
 }
 
-// runWithTicket runs a request whose ticket was just spent, and keeps its answer. If the request is known
-// not to have run, the ticket can be spent again.
+// runWithTicket runs a request whose ticket was just spent, and keeps the answer or failure that was written
+// to the caller, to be sent again. If the request certainly did not run, it makes the ticket usable again
+// instead.
 func (s *Server) runWithTicket(x *exchange, next handler) *failure {
 	x.answerRecorder = &recorder{ResponseWriter: x.writer, limit: maxKeptAnswerBytes}
 	x.writer = x.answerRecorder
@@ -146,7 +149,8 @@
 	return nil
 }
 
-// recorder is a ResponseWriter that also keeps what is written, up to limit bytes.
+// recorder is an http.ResponseWriter that also keeps the status and the body that are written, unless the body
+// is longer than limit bytes.
 type recorder struct {
 	http.ResponseWriter
 	limit int
@@ -165,7 +169,8 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write keeps the bytes even if the caller has disconnected.
+// Write keeps the bytes and writes them to the caller. It ignores errors of the caller's connection, so that
+// the answer is kept even if the caller has disconnected.
 func (r *recorder) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
@@ -189,8 +194,10 @@
 	return &spender.Answer{Status: r.status, ContentType: r.Header().Get("Content-Type"), Outcome: outcome, Body: bytes.Clone(r.body.Bytes())}
 }
 
-// forwardToOwner forwards a request to the incarnation that issued its ticket and relays the answer. A
-// request that was forwarded already is not forwarded again, and no other entry runs it.
+// forwardToOwner forwards a request to the entry that issued its ticket and relays the answer. The request
+// fails with api.CodeTicketOwnerGone, and runs nowhere, if an entry forwarded it before, or if the issuing
+// entry is unknown or has restarted since, as far as this entry can see. It fails with the same code, but may
+// have run, if the issuing entry does not answer.
 func (s *Server) forwardToOwner(x *exchange) *failure {
 	if x.request.Header.Get(api.HeaderForwardedByEntry) != "" {
 		return ownerGoneFailure("the request was forwarded to an entry that did not issue its ticket")
@@ -236,15 +243,15 @@
 	return x.relayResponse(response)
 }
 
-// ownerGoneFailure returns the failure for a ticket whose issuing incarnation can't be reached or has
-// ended. The outcome is unknown, as an earlier request with the ticket may have run.
+// ownerGoneFailure returns the failure for a ticket whose issuing entry can't be reached or has restarted
+// since. The outcome is api.OutcomeUnknown, as an earlier request with the ticket may have run.
 func ownerGoneFailure(message string) *failure {
 	f := newFailure(api.CodeTicketOwnerGone, "%s: this request did not run; an earlier one with the ticket may have", message)
 	f.outcome = api.OutcomeUnknown
 	return f
 }
 
-// errAnswerCutOff reports that the answer to a forwarded request ended early.
+// errAnswerCutOff reports that the response to a forwarded request ended before it was complete.
 var errAnswerCutOff = errors.New("answer was cut off")
 
 // relayResponse copies another entry's response to the caller as it arrives. If the response is cut off, the
--- a/server/view.go
+++ b/server/view.go
@@ -18,8 +18,8 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// localLatency and remoteLatency are the assumed one-way network latencies within a data centre and to
-// another one.
+// localLatency and remoteLatency are the assumed one-way network latencies from this entry to an engine in
+// its own data centre and to one in another.
 const (
 	localLatency  = 200 * time.Microsecond
 	remoteLatency = 1500 * time.Microsecond
@@ -29,13 +29,16 @@
 type view struct {
 	// accepted is the configuration document in force; nil if there is none yet.
 	accepted *validator.ValidDocument
-	// engineIndex holds the usable engines, from which the engine of an attempt is chosen.
+	// engineIndex holds the usable engines (see upstream.Usable), from which the engine of an attempt is
+	// chosen.
 	engineIndex *router.EngineIndex
-	// engines holds the engines of the document that are in the instance list, by name.
+	// engines holds the engines of the document that the instance list contains with a valid address, by
+	// name, usable or not.
 	engines map[string]upstream
 	// members holds the other entries, by name.
 	members map[string]prober.Member
-	// acceptingEntries are the entries that accept new callers, sorted by name.
+	// acceptingEntries are the entries, this one included, that are ready and not shutting down, as far as
+	// this entry can see, sorted by name.
 	acceptingEntries []api.EntryAddress
 	// ready is true once a document is in force and every source of documents has been tried.
 	ready bool
@@ -58,7 +61,8 @@
 	return &view{engineIndex: router.NewEngineIndex(nil)}
 }
 
-// publishView builds and publishes a new view, and updates the engines that this entry is the keeper of.
+// publishView builds a new view from the control state and publishes it. It also updates which engines this
+// entry is the keeper of, the number of upstreams for the quarantine, and the instances for service calls.
 func (c *control) publishView() {
 	c.dirty = false
 	v := emptyView()
@@ -78,7 +82,8 @@
 	c.server.current.Store(v)
 }
 
-// fillMembers sets the view's members and accepting entries. It returns the entries that can be keepers.
+// fillMembers sets the view's members and acceptingEntries. It returns the entries that can be the keeper of
+// an engine: this one unless it is shutting down, and the others that are live or listed.
 func (c *control) fillMembers(v *view) []assigner.Member {
 	settings := c.server.settings
 	var candidates []assigner.Member
@@ -141,7 +146,8 @@
 	return remoteLatency
 }
 
-// usableInstances returns the usable instances of the document's services.
+// usableInstances returns the instances of the document's services to which calls can be sent, one element per
+// service and instance.
 func (c *control) usableInstances(a *validator.ValidDocument) []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, s := range a.Document.Services {
@@ -192,8 +198,9 @@
 	}
 }
 
-// grantTTL is how long a grant counts in addition to the memory in use that its engine reports. It is longer
-// than the lag of these reports.
+// grantTTL is the time for which the memory of a grant is subtracted from an engine's free memory while the
+// engine lists no hold for it. It is longer than the lag of the engine's load reports, which include the
+// attempt's memory afterwards.
 const grantTTL = 2 * time.Second
 
 func (s *Server) keeperConfig(engine string, memory, rate int) keeper.Config {
--- a/server/watch.go
+++ b/server/watch.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// The delay after a failed read of the platform doubles from minBackoff to maxBackoff. A successful
-	// read is followed by minBackoff too, which limits each entry to a few reads per second.
+	// The mean delay after a read of the platform is minBackoff if the read succeeded, which limits each
+	// entry to a few reads per second. It doubles with each successive read that fails, up to maxBackoff.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// watchSlack is added to Timing.Watch, the time that the platform waits for a change, to get the timeout
-	// of a read of the platform.
+	// watchSlack is added to the setting Timing.Watch, the time for which a read waits at the platform for a
+	// change, to get the timeout of the read.
 	watchSlack = 2 * time.Second
 )
 
-// watchConfig watches the configuration document until the context ends.
+// watchConfig reads the configuration document from the platform whenever it changes there, until the context
+// ends, and offers it to the adopter.
 func (s *Server) watchConfig(ctx context.Context) {
 	s.watchPath(ctx, api.PathConfig, func(data []byte, err error) {
 		if err == nil && data != nil {
@@ -35,7 +36,8 @@
 	})
 }
 
-// watchInstances watches the instance list until the context ends.
+// watchInstances reads the instance list from the platform whenever it changes there, until the context ends,
+// and offers it to the lister. A read without a change confirms the list in use.
 func (s *Server) watchInstances(ctx context.Context) {
 	s.watchPath(ctx, api.PathInstances, func(data []byte, err error) {
 		if err != nil {
@@ -45,8 +47,9 @@
 	})
 }
 
-// watchPath reads a path of the platform repeatedly until the context ends. Each read waits at the platform
-// for a change. watchPath calls handle with the data read, nil if nothing changed, or with the error.
+// watchPath reads a path of the platform repeatedly until the context ends. Each read but the first waits at
+// the platform for a change, for up to Timing.Watch. After each read, watchPath calls handle with the data,
+// nil if nothing changed, or with the error.
 func (s *Server) watchPath(ctx context.Context, path string, handle func([]byte, error)) {
 	etag, backoff := "", minBackoff
 	for ctx.Err() == nil {
