--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -1,7 +1,7 @@
 // Package relayer assembles the answer to one request from the chunks of one or more attempts. It
-// delivers only chunks of the current attempt that start at the number of tokens already delivered.
-// Other chunks are dropped and counted, or end the attempt, so that the next one resumes after the
-// last delivered token.
+// delivers a chunk only if the current attempt sent it and its offset is the number of tokens
+// delivered so far. Any other chunk is counted, and either dropped or reported as an error of the
+// attempt, after which a new attempt resumes the answer after the last delivered token.
 package relayer
 
 import "github.com/sapphireramp/sapphireramp/api"
@@ -11,15 +11,17 @@
 
 // The results of Relayer.Accept.
 const (
-	// Deliver means that the text must be sent to the caller.
+	// Deliver means that the chunk's text must be sent to the caller.
 	Deliver ChunkResult = iota
-	// Drop means that the chunk belongs to another request or an earlier attempt, or repeats
-	// delivered tokens. It must be ignored; the attempt continues.
+	// Drop means that the chunk must be ignored while the attempt continues: it belongs to another
+	// request or an earlier attempt, repeats delivered tokens, or follows the end of the answer.
 	Drop
-	// Whole means that the answer is complete. The text, if any, must be sent to the caller.
+	// Whole means that the answer is complete with this chunk. The chunk's text, if any, must be sent
+	// to the caller.
 	Whole
-	// Broken means that the attempt sent an invalid chunk or an end that does not match the tokens
-	// delivered. It must be abandoned and the answer resumed by another attempt.
+	// Broken means that the attempt sent an invalid chunk, or an end marker whose token count is not
+	// the number of tokens delivered. The attempt must be abandoned and another one must resume the
+	// answer.
 	Broken
 )
 
@@ -33,13 +35,13 @@
 	Foreign int
 	// Stale counts chunks of earlier attempts, and chunks after the end of the answer.
 	Stale int
-	// Repeated counts chunks whose tokens were all delivered before.
+	// Repeated counts chunks, other than end markers, whose tokens were all delivered before.
 	Repeated int
-	// WrongOffset counts chunks that do not start at the next token, and chunks that do not have
-	// exactly one choice.
+	// WrongOffset counts chunks that leave out tokens, mix delivered and new tokens or have a negative
+	// offset or token count, and chunks that do not have exactly one choice.
 	WrongOffset int
-	// WrongTotal counts end markers that have no token count, or one that differs from the
-	// tokens delivered.
+	// WrongTotal counts end markers, chunks with a finish reason, that have no token count, a count
+	// other than the tokens delivered, or an offset below it.
 	WrongTotal int
 }
 
@@ -50,8 +52,9 @@
 	attemptID string
 	// delivered is the number of answer tokens delivered. It never decreases.
 	delivered int
-	// whole is set when the complete answer was accepted.
-	whole  bool
+	// whole is true once the end marker was accepted, so that the answer is complete.
+	whole bool
+	// counts are the undelivered chunks of all attempts.
 	counts UndeliveredCounts
 }
 
@@ -60,25 +63,26 @@
 	return &Relayer{requestID: requestID}
 }
 
-// BeginAttempt starts an attempt and returns the number of answer tokens to resume after. Chunks of
-// earlier attempts are dropped from then on.
+// BeginAttempt makes attemptID the current attempt and returns the number of answer tokens delivered
+// so far, after which the attempt must resume. Chunks of earlier attempts are dropped from then on.
 func (r *Relayer) BeginAttempt(attemptID string) int {
 	r.attemptID = attemptID
 	return r.delivered
 }
 
-// DeliveredTokens returns the number of answer tokens delivered.
+// DeliveredTokens returns the number of answer tokens delivered by all attempts.
 func (r *Relayer) DeliveredTokens() int { return r.delivered }
 
-// IsWhole reports whether the answer is complete, that is, an end marker with the right token count
-// was accepted.
+// IsWhole reports whether the answer is complete: an end marker was accepted whose token count is the
+// number of tokens delivered.
 func (r *Relayer) IsWhole() bool { return r.whole }
 
-// Undelivered returns the counts of chunks that were not delivered, over all attempts.
+// Undelivered returns, by reason, how many chunks of all attempts were not delivered.
 func (r *Relayer) Undelivered() UndeliveredCounts { return r.counts }
 
-// Accept checks a chunk and returns the text to send to the caller. The text is empty unless the
-// result is Deliver or Whole.
+// Accept checks a chunk and returns the text to send to the caller and what to do with the chunk. If
+// the result is Deliver or Whole, the chunk's tokens are counted as delivered; otherwise the text is
+// empty.
 func (r *Relayer) Accept(c api.CompletionChunk) (string, ChunkResult) {
 	if c.ID != r.requestID {
 		r.counts.Foreign++
@@ -111,8 +115,8 @@
 	return r.acceptNext(c, choice)
 }
 
-// acceptNext accepts a chunk that starts at the next token. If it is an end marker with a wrong
-// token count, the result is Broken.
+// acceptNext does the work of Accept for a chunk whose offset is the number of delivered tokens. The
+// result is Broken for an end marker with a wrong token count.
 func (r *Relayer) acceptNext(c api.CompletionChunk, choice api.CompletionChoice) (string, ChunkResult) {
 	nextOffset := c.Offset + choice.Tokens
 	if choice.FinishReason == "" {
