--- a/spender/spender.go
+++ b/spender/spender.go
@@ -1,11 +1,11 @@
-// Package spender issues the tickets by which a request runs at most once, without stored state. A
-// caller obtains a ticket and sends it with the request. A ticket belongs to one incarnation of one
-// entry: only that incarnation can accept it, from its own memory, and the ticket becomes void when
-// the incarnation ends.
+// Package spender issues and checks the tickets by which a request runs at most once. A caller
+// obtains a ticket and sends it with the request; the first such request spends the ticket. Only the
+// incarnation of the entry that issued a ticket can accept it: which tickets were spent is recorded
+// in that process's memory alone, and a ticket becomes invalid when the incarnation ends.
 //
-// Tickets are numbered and one bit per ticket records whether it was spent, for as long as the
-// incarnation lives. The answer to a finished request is kept for Config.TicketTTL, in bounded
-// memory, and is sent again to a caller that repeats the request.
+// Tickets are numbered and one bit per ticket records whether it was spent, until the incarnation
+// ends. The answer to a finished request is kept for Config.TicketTTL, in bounded memory, and is
+// sent again to a caller that repeats the request with the same ticket.
 package spender
 
 import (
@@ -19,12 +19,13 @@
 )
 
 const (
-	// maxTickets bounds the tickets of one incarnation. One bit is kept for each, 1 MiB in all.
+	// maxTickets is the maximum number of tickets that one incarnation issues. One bit is kept for
+	// each, 1 MiB in all.
 	maxTickets = 8 << 20
 	// macSize is the length in bytes of a ticket's truncated HMAC-SHA256.
 	macSize = 16
-	// payloadSize is the length in bytes of the signed fields: incarnation, number and time of
-	// issue.
+	// payloadSize is the length in bytes of the fields encoded in a ticket before its signature:
+	// incarnation, number and time of issue.
 	payloadSize = 8 + 8 + 8
 )
 
@@ -39,7 +40,8 @@
 	number uint64
 	// issuedAt is the time from the start of the incarnation to the issue of the ticket.
 	issuedAt time.Duration
-	mac      [macSize]byte
+	// mac is the signature that the ticket carries, see Spender.sign.
+	mac [macSize]byte
 }
 
 // MalformedTicketError reports that a text can't be decoded as a ticket.
@@ -47,7 +49,7 @@
 
 func (e MalformedTicketError) Error() string { return "malformed ticket: " + e.Reason }
 
-// ParseTicket decodes the text of a ticket without verifying it. The error is a MalformedError.
+// ParseTicket decodes the text of a ticket without verifying it. The error is a MalformedTicketError.
 func ParseTicket(text string) (Ticket, error) {
 	owner, encoded, found := strings.Cut(text, ".")
 	if !found || owner == "" {
@@ -75,10 +77,10 @@
 	// Name is the name of the entry and Incarnation the number of its current incarnation.
 	Name        string
 	Incarnation uint64
-	// TicketTTL is the time after issue within which a ticket can be spent, and the time for which
-	// the answer is kept after the request has ended.
+	// TicketTTL is the time after issue within which a ticket can be spent, and the time after the
+	// end of a request for which its record and answer are kept.
 	TicketTTL time.Duration
-	// MaxAnswerBytes bounds the total size of all kept answers.
+	// MaxAnswerBytes is the maximum total size in bytes of the bodies of all kept answers.
 	MaxAnswerBytes int
 	// Secret is the key that signs tickets. Each incarnation chooses it at random and never stores
 	// or sends it.
@@ -90,16 +92,19 @@
 
 // The results of Spend.
 const (
-	// Spent means that this call spent the ticket, so the caller must now run the request. Of
-	// several calls with one ticket, only one gets this result, unless Unspend follows.
+	// Spent means that this call of Spend spent the ticket, so the request must be run now. Of
+	// several calls with one ticket, only one returns Spent, unless Unspend is called between them.
 	Spent SpendResult = iota
-	// InProgress means that an earlier call spent the ticket and its request is still running.
+	// InProgress means that an earlier call of Spend spent the ticket and that its request is still
+	// running.
 	InProgress
-	// Repeat means that the request has ended. Its answer is returned, to be sent again.
+	// Repeat means that the request of the ticket has ended and that its answer is returned, to be
+	// sent again.
 	Repeat
-	// Ran means that the request ran or may have run, but its answer is not kept.
+	// Ran means that the ticket was spent and its request ran or may have run, but that no answer is
+	// available: none was kept, or the ticket was spent for another request.
 	Ran
-	// Expired means that the ticket was not spent within its TTL, so no request ran with it.
+	// Expired means that the ticket was not spent within Config.TicketTTL, so no request ran with it.
 	Expired
 	// Forged means that the ticket was not issued by this incarnation.
 	Forged
@@ -115,21 +120,22 @@
 	Status int
 	// ContentType is the value of the Content-Type header.
 	ContentType string
-	// Outcome is the value of the outcome header.
+	// Outcome is the value of the header api.HeaderOutcome.
 	Outcome string
 	Body    []byte
 }
 
-// record is the state of a spent ticket until its answer expires.
+// record is the state of a spent ticket, from Spend until Config.TicketTTL after the end of the
+// request.
 type record struct {
 	// answer is nil while the request is running, and afterwards if no answer is kept.
 	answer *Answer
 	// done is set when the request has ended.
 	done bool
-	// expires is the time from the start of the incarnation to the removal of the record. It
-	// is set when the request ends.
+	// expires is the time from the start of the incarnation to the expiry of the record; 0 until
+	// the request ends.
 	expires time.Duration
-	// digest identifies the request that the ticket was spent for.
+	// digest is the SHA-256 digest, passed to Spend, of the request that the ticket was spent for.
 	digest [sha256.Size]byte
 }
 
@@ -138,19 +144,21 @@
 type Spender struct {
 	config Config
 	start  time.Time
-	// issuedCount is the number of tickets issued, and the number of the next ticket.
+	// issuedCount is the number of tickets issued. As tickets are numbered from 0, it is also the
+	// number of the next ticket.
 	issuedCount uint64
 	// spentBits has one bit per ticket number, set when the ticket is spent.
 	spentBits []uint64
-	// records maps the numbers of spent tickets to their records until they expire.
+	// records holds the records that have not expired, by ticket number.
 	records map[uint64]*record
-	// finished lists the ticket numbers of finished records, oldest first.
+	// finished lists the ticket numbers of the records whose request has ended, earliest end first.
 	finished []uint64
 	// answerBytes is the total size of the bodies of all kept answers.
 	answerBytes int
 }
 
-// New returns a spender that has issued no ticket. Now is the start of the incarnation.
+// New returns a spender that has issued no ticket. Now is the time from which the age of tickets and
+// records is measured.
 func New(now time.Time, config Config) *Spender {
 	return &Spender{config: config, start: now, records: map[uint64]*record{}}
 }
@@ -179,7 +187,8 @@
 	return s.config.Name + "." + base64.RawURLEncoding.EncodeToString(raw), nil
 }
 
-// sign returns the truncated HMAC-SHA256 of the entry's name and a ticket's payload.
+// sign returns the signature of a ticket: the first macSize bytes of the HMAC-SHA256 of the entry's
+// name and the ticket's payload, by Config.Secret.
 func (s *Spender) sign(raw []byte) [macSize]byte {
 	h := hmac.New(sha256.New, s.config.Secret)
 	h.Write([]byte(s.config.Name))
@@ -189,7 +198,8 @@
 	return mac
 }
 
-// isGenuine reports whether this incarnation issued the ticket, by its signature.
+// isGenuine reports whether this incarnation issued the ticket: its owner and incarnation are those
+// of the configuration and its signature is valid.
 func (s *Spender) isGenuine(t Ticket) bool {
 	if t.Owner != s.config.Name || t.Incarnation != s.config.Incarnation {
 		return false
@@ -207,10 +217,11 @@
 
 func (TicketReusedError) Error() string { return "ticket: spent for another request" }
 
-// Spend presents a ticket for the request with the given digest, which must cover everything that
-// distinguishes requests. If the result is Spent, the caller must run the request and then call
-// Finish, or Unspend if it did not run. The answer is set only for Repeat. The error is a
-// MismatchError if the ticket was spent for another request whose record is still kept.
+// Spend spends a ticket for a request, or reports what became of the ticket before. The digest must
+// cover all content that distinguishes one request from another. After Spent, the request must be run
+// and then Finish be called, or Unspend if the request did not run. The answer is set only for
+// Repeat. The error is a TicketReusedError if the ticket was spent for a request with another digest
+// and the record of that request has not expired.
 func (s *Spender) Spend(now time.Time, t Ticket, request [sha256.Size]byte) (SpendResult, *Answer, error) {
 	s.removeExpired(now)
 	if !s.isGenuine(t) {
@@ -236,8 +247,10 @@
 	return Ran, nil, nil
 }
 
-// Finish records that the request of a spent ticket has ended, and keeps its answer. If the answer
-// is nil or larger than Config.MaxAnswerBytes, only the fact that the request ran is kept.
+// Finish records that the request of a spent ticket has ended, and keeps its answer, for which it may
+// drop older ones. If the answer is nil or its body larger than Config.MaxAnswerBytes, only the fact
+// that the request ran is kept. Finish does nothing if the ticket is not spent or Finish was called
+// for it before.
 func (s *Spender) Finish(now time.Time, t Ticket, answer *Answer) {
 	r, ok := s.records[t.number]
 	if !ok || r.done {
@@ -254,8 +267,8 @@
 	s.evictAnswers()
 }
 
-// Unspend makes a spent ticket usable again. It must be called only if the request is known not to
-// have run.
+// Unspend makes a spent ticket usable again. It must be called only if the ticket's request certainly
+// did not run. It does nothing if the ticket is not spent or Finish was called for it.
 func (s *Spender) Unspend(t Ticket) {
 	r, ok := s.records[t.number]
 	if !ok || r.done {
@@ -277,7 +290,8 @@
 	s.spentBits[number/64] |= 1 << (number % 64)
 }
 
-// evictAnswers drops the oldest answers until the total size is within Config.MaxAnswerBytes.
+// evictAnswers drops the answers of the requests that ended first until the total size of the others
+// is within Config.MaxAnswerBytes.
 func (s *Spender) evictAnswers() {
 	for _, number := range s.finished {
 		if s.answerBytes <= s.config.MaxAnswerBytes {
@@ -287,7 +301,7 @@
 	}
 }
 
-// dropAnswer drops the answer of a record but keeps the record.
+// dropAnswer removes the answer from the record of a ticket number. The record stays.
 func (s *Spender) dropAnswer(number uint64) {
 	r := s.records[number]
 	if r.answer == nil {
@@ -297,8 +311,8 @@
 	r.answer = nil
 }
 
-// removeExpired removes records past their TTL. Their bits in spentBits remain set, so the tickets
-// stay spent.
+// removeExpired removes the records of requests that ended more than Config.TicketTTL ago. Their bits
+// in spentBits remain set, so the tickets stay spent.
 func (s *Spender) removeExpired(now time.Time) {
 	age := now.Sub(s.start)
 	for len(s.finished) > 0 && s.records[s.finished[0]].expires < age {
@@ -308,5 +322,6 @@
 	}
 }
 
-// KeptRecords returns the number of records and the total size in bytes of the kept answers.
+// KeptRecords returns the number of records, including those of running requests, and the total size
+// in bytes of the bodies of the kept answers.
 func (s *Spender) KeptRecords() (records, bytes int) { return len(s.records), s.answerBytes }
