--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,12 +1,12 @@
 // Package keeper grants the memory of one engine. It decides which attempts may start on the
-// engine, estimates how long a prompt would queue there, and finds orphans: holds on the engine's
-// memory that their owner no longer renews.
+// engine, estimates how long a prompt would queue there, and finds orphaned holds: reservations of
+// the engine's memory that their owner, an entry, no longer renews.
 //
-// The engine's own reports are authoritative. A keeper counts the memory that the engine reports as
-// used, and the grants that the report can't include yet, so a new keeper knows the free memory
-// after one listing of holds. Two keepers on the two sides of a network partition may grant the
-// same memory twice; the engine then refuses one of the attempts before it starts, and nothing else
-// goes wrong.
+// The engine's own reports are authoritative. A keeper computes the free memory from the memory that
+// the engine reports as used and from the grants that the report can't include yet, so a new keeper
+// can compute it after one listing of holds. Two keepers on the two sides of a network partition may
+// grant the same memory twice; the engine then refuses one of the attempts before it starts, and
+// nothing else goes wrong.
 package keeper
 
 import (
@@ -20,14 +20,14 @@
 type Config struct {
 	// Engine is the name of the engine.
 	Engine string
-	// Lease is the time since its last renewal after which a hold is an orphan, and the age
-	// beyond which the engine's last report is too old for grants.
+	// Lease is the time since its last renewal after which a hold is orphaned. If the engine's last
+	// report is older than Lease, the keeper grants nothing.
 	Lease time.Duration
-	// GrantTTL is how long a grant counts as used memory while the engine does not list a hold
-	// for it. It must exceed the lag of load reports, which include the attempt's memory
-	// afterwards.
+	// GrantTTL is the time for which a grant is subtracted from the free memory while the engine lists
+	// no hold for it. It must exceed the lag of the engine's load reports, which include the attempt's
+	// memory afterwards.
 	GrantTTL time.Duration
-	// MemoryTokens is the engine's memory in tokens and PrefillRate its prefill rate in tokens a
+	// MemoryTokens is the engine's total memory in tokens and PrefillRate its prefill rate in tokens a
 	// second, both as the configuration document states them.
 	MemoryTokens int
 	PrefillRate  int
@@ -45,7 +45,7 @@
 	PrefillTokens int
 	// MemoryTokens is the memory, in tokens, that the attempt needs.
 	MemoryTokens int
-	// Remaining is the time until the deadline of the request.
+	// Remaining is the time from the grant request until the deadline of the caller's request.
 	Remaining time.Duration
 }
 
@@ -69,13 +69,15 @@
 	MemoryFull Reason = "memory"
 	// TooLate means that the prefill would end after the deadline of the request.
 	TooLate Reason = "too_late"
-	// NoReport means that the keeper has no current report and listing of holds from the engine.
+	// NoReport means that the engine has not listed its holds yet, or that its last report is older
+	// than Config.Lease.
 	NoReport Reason = "not_heard"
 	// Leaving means that the engine is shutting down.
 	Leaving Reason = "leaving"
 	// WrongModel means that the engine has another model loaded.
 	WrongModel Reason = "wrong_model"
-	// OrderPending means that an order to change what the engine serves is pending.
+	// OrderPending means that the engine must change the model, version, adapters or role that it
+	// serves, and has not reported the change yet.
 	OrderPending Reason = "changing"
 )
 
@@ -92,48 +94,53 @@
 type Keeper struct {
 	config   Config
 	lastLoad api.EngineLoad
-	// lastReportAt is the time of the engine's last report, zero if there is none.
+	// lastReportAt is the time of the engine's last report, zero until its current incarnation has
+	// listed its holds.
 	lastReportAt time.Time
-	// holds are the holds that the engine listed last, by ID.
+	// holds are the holds of the engine's last listing, by ID, without those of attempts that ended
+	// since.
 	holds map[string]api.EngineHold
-	// usedTokens is the engine's used memory in tokens, from its last listing or report.
+	// usedTokens is the engine's used memory in tokens, from its last load report or listing of holds,
+	// whichever is later, less the holds of attempts that ended since.
 	usedTokens int
 	// grants are the grants by attempt ID. No ID is in both grants and holds.
 	grants map[string]grant
-	// backlog is the estimated number of prompt tokens not yet prefilled, by length class, at the
-	// time backlogAt. No element is negative.
+	// backlog is the estimated number of prompt tokens, by length class, that the engine had not
+	// prefilled at the time backlogAt. No element is negative.
 	backlog   [router.ClassCount]float64
 	backlogAt time.Time
-	// lastGrantAt is the time of the last grant.
+	// lastGrantAt is the time of the last grant, zero before the first.
 	lastGrantAt time.Time
 	// listed is true once the engine's current incarnation has listed its holds.
 	listed bool
-	// orderPending is true while an order to the engine is pending. No grants are given then.
+	// orderPending is true while the engine must change what it serves. No grants are given then.
 	orderPending bool
 }
 
-// New returns a keeper without a report from its engine. It grants nothing until the first listing
-// of holds.
+// New returns a keeper that has no report of its engine. It grants nothing until the engine's first
+// listing of holds is recorded.
 func New(config Config) *Keeper {
 	return &Keeper{config: config, holds: map[string]api.EngineHold{}, grants: map[string]grant{}}
 }
 
-// Configure replaces the configuration. It is called after a new configuration document is in
-// force.
+// Configure replaces the configuration, as a new configuration document may change the engine's
+// memory and prefill rate. Existing grants keep their expiry.
 func (k *Keeper) Configure(config Config) { k.config = config }
 
-// SetOrderPending sets whether an order to the engine is pending, during which no grants are given.
+// SetOrderPending sets whether the engine must change what it serves, so that the keeper gives no
+// grants.
 func (k *Keeper) SetOrderPending(changing bool) { k.orderPending = changing }
 
-// OrphanedHold is a hold to free because its owner has not renewed it. The engine frees the hold only if
-// its age is still at least MinAge, so a hold that was renewed in the meantime is kept.
+// OrphanedHold is a hold to free because its owner has not renewed it for Config.Lease.
 type OrphanedHold struct {
-	Hold   api.EngineHold
+	Hold api.EngineHold
+	// MinAge is the time since the hold's last renewal below which the engine must not free it, so
+	// that a hold that was renewed in the meantime is kept.
 	MinAge time.Duration
 }
 
-// RecordLoadAndHolds records the engine's load and the listing of its holds. It returns the orphans to
-// free.
+// RecordLoadAndHolds records the engine's load report and the listing of its holds, which replaces the
+// last one. Grants for which a hold is listed end. It returns the orphaned holds, which must be freed.
 func (k *Keeper) RecordLoadAndHolds(now time.Time, load api.EngineLoad, holds []api.EngineHold) []OrphanedHold {
 	if load.Incarnation != k.lastLoad.Incarnation {
 		k.reset()
@@ -156,8 +163,8 @@
 	return orphans
 }
 
-// RecordLoad records the engine's load without a listing of its holds. Before the first listing the
-// memory in use is unknown and the keeper grants nothing.
+// RecordLoad records the engine's load report without a listing of its holds. Until the engine's
+// current incarnation has listed its holds, the memory in use is unknown and the keeper grants nothing.
 func (k *Keeper) RecordLoad(now time.Time, load api.EngineLoad) {
 	if load.Incarnation != k.lastLoad.Incarnation {
 		k.reset()
@@ -183,9 +190,9 @@
 	k.backlog = [router.ClassCount]float64{}
 }
 
-// scaleBacklog scales the backlog to the total that the engine reports. The report does not
-// distinguish length classes, so they keep their proportions; if the backlog was empty, the tokens
-// count as Longest.
+// scaleBacklog scales the backlog so that its sum is the number of queued tokens that the engine
+// reports. The report does not distinguish length classes, so they keep their proportions; if the
+// backlog was empty, all tokens are assigned to router.Longest.
 func (k *Keeper) scaleBacklog(queued int) {
 	sum := 0.0
 	for _, tokens := range k.backlog {
@@ -212,7 +219,7 @@
 	k.backlogAt = now
 }
 
-// removeExpiredGrants removes grants older than Config.GrantTTL.
+// removeExpiredGrants removes the grants that were given more than Config.GrantTTL ago.
 func (k *Keeper) removeExpiredGrants(now time.Time) {
 	for id, g := range k.grants {
 		if now.After(g.expiresAt) {
@@ -221,7 +228,9 @@
 	}
 }
 
-// RequestGrant decides whether an attempt may start on the engine, and records the grant if so.
+// RequestGrant decides whether an attempt may start on the engine, and records the grant if so. It
+// grants only if the engine can start attempts for the model now (see refusalReason), has enough free
+// memory, and would end the prefill before the deadline.
 func (k *Keeper) RequestGrant(now time.Time, r GrantRequest) GrantReply {
 	k.advanceBacklog(now)
 	k.removeExpiredGrants(now)
@@ -242,14 +251,14 @@
 	return GrantReply{Granted: true, QueueWait: wait, Reason: MemoryFree}
 }
 
-// prefillTime returns how long an engine with a prefill rate in tokens a second takes for the
-// tokens.
+// prefillTime returns the time in which an engine prefills the tokens at the given rate in tokens a
+// second.
 func prefillTime(tokens float64, rate int) time.Duration {
 	return time.Duration(tokens / float64(max(1, rate)) * float64(time.Second))
 }
 
-// refusalReason returns why the engine can't start any attempt for the request's model; empty if it
-// can.
+// refusalReason returns why the engine can't start any attempt for the request's model, whatever its
+// size; empty if it can.
 func (k *Keeper) refusalReason(now time.Time, r GrantRequest) Reason {
 	switch {
 	case k.lastReportAt.IsZero() || now.Sub(k.lastReportAt) > k.config.Lease:
@@ -279,7 +288,8 @@
 	return queued
 }
 
-// EndAttempt releases the grant or hold of an attempt that has ended or never started.
+// EndAttempt removes the grant or hold of an attempt that has ended or will not start. If it had a
+// grant, its prompt is removed from the backlog too.
 func (k *Keeper) EndAttempt(attemptID string) {
 	if g, ok := k.grants[attemptID]; ok {
 		k.backlog[g.class] = max(0, k.backlog[g.class]-float64(g.prefillTokens))
@@ -304,13 +314,15 @@
 	return max(0, free)
 }
 
-// LastLoad returns the engine's last load report.
+// LastLoad returns the engine's last load report, the zero value if there is none.
 func (k *Keeper) LastLoad() api.EngineLoad { return k.lastLoad }
 
-// LastReportAt returns the time of the engine's last report, zero if there is none.
+// LastReportAt returns the time of the engine's last report, zero until the engine's current
+// incarnation has listed its holds.
 func (k *Keeper) LastReportAt() time.Time { return k.lastReportAt }
 
-// HoldCount returns the number of holds that the engine listed last.
+// HoldCount returns the number of holds of the engine's last listing, without those of attempts that
+// ended since.
 func (k *Keeper) HoldCount() int { return len(k.holds) }
 
 // GrantCount returns the number of grants for which the engine does not list a hold yet.
@@ -323,7 +335,8 @@
 	Incarnation uint64
 	// Leaving is set while the engine is shutting down.
 	Leaving bool
-	// QueuedTokens is the estimated number of prompt tokens not yet prefilled, by length class.
+	// QueuedTokens is the estimated number of prompt tokens, by length class, that the engine has not
+	// prefilled.
 	QueuedTokens router.TokensByClass
 	// FreeTokens is the engine's memory, in tokens, that is neither in use nor granted.
 	FreeTokens int
