--- a/reserver/reserver.go
+++ b/reserver/reserver.go
@@ -1,6 +1,7 @@
 // Package reserver reserves memory on a group of engines for a prompt that does not fit on a single
-// engine. Either every engine of the group holds its shard or none does. Each shard is reserved
-// under a hold ID of its own and a lease, and all entries reserve in the same order.
+// engine. It ends with a reservation of every shard or of none. Each shard is reserved at its engine
+// under a hold ID of its own and a lease. All entries reserve in the order of the engines' names, so
+// that of two reservations for the same engines one can succeed.
 package reserver
 
 import (
@@ -13,7 +14,7 @@
 type Candidate struct {
 	Name       string
 	DataCentre string
-	// FreeTokens is the estimated free memory in tokens.
+	// FreeTokens is the engine's estimated free memory in tokens.
 	FreeTokens int
 	// MemoryTokens is the engine's total memory in tokens.
 	MemoryTokens int
@@ -23,17 +24,17 @@
 type Shard struct {
 	// Engine is the name of the engine.
 	Engine string
-	// HoldID identifies the hold at the engine.
+	// HoldID identifies the reservation of the shard's memory at the engine.
 	HoldID string
 	// Tokens is the memory of the shard in tokens.
 	Tokens int
 }
 
-// TooLongError reports that no group of engines could hold a prompt, even if all their memory were
-// free.
+// TooLongError reports that no group of at most MaxGroup engines in one data centre could hold a
+// prompt and its answer, even if all their memory were free.
 type TooLongError struct {
-	// Tokens is the memory needed; MaxTokens is the memory of the largest possible group, of at
-	// most MaxGroup engines.
+	// Tokens is the memory needed and MaxTokens the total memory of the largest possible group, both
+	// in tokens.
 	Tokens, MaxTokens, MaxGroup int
 }
 
@@ -41,9 +42,11 @@
 	return fmt.Sprintf("prompt and answer need %d tokens of memory: a group of at most %d engines holds %d", e.Tokens, e.MaxGroup, e.MaxTokens)
 }
 
-// NotEnoughFreeError reports that a group could hold the prompt, but not with the memory that is free now.
+// NotEnoughFreeError reports that a group could hold the prompt and its answer, but that no group has
+// enough free memory now.
 type NotEnoughFreeError struct {
-	// Tokens is the memory needed; FreeTokens is the most that a group in one data centre has free.
+	// Tokens is the memory needed and FreeTokens the most memory that is free in a group of permitted
+	// size, both in tokens.
 	Tokens, FreeTokens int
 }
 
@@ -51,9 +54,10 @@
 	return fmt.Sprintf("prompt and answer need %d tokens of memory: %d are free in one data centre now", e.Tokens, e.FreeTokens)
 }
 
-// PlanShards chooses the smallest group of engines in one data centre whose free memory holds the tokens,
-// and returns a shard for each. Shards are ordered by engine name, which is the order in which
-// every entry reserves. NewID returns a new hold ID. The error is a TooLongError or a BusyError.
+// PlanShards chooses a group of at most maxGroup engines in one data centre whose free memory is at
+// least the given number of tokens, with as few engines as possible, and returns a shard for each.
+// Shards are in the order of the engines' names. PlanShards calls newID for the hold ID of each shard.
+// The error is a TooLongError or a NotEnoughFreeError.
 func PlanShards(candidates []Candidate, tokens, maxGroup int, newID func() string) ([]Shard, error) {
 	centres := map[string][]Candidate{}
 	for _, c := range candidates {
@@ -107,8 +111,8 @@
 	return sum
 }
 
-// fewestEngines returns the smallest set of candidates whose free memory holds the tokens; nil if
-// all of them together do not.
+// fewestEngines returns the smallest set of candidates whose free memory is at least the given number
+// of tokens, preferring those with most free memory; nil if all of them together have less.
 func fewestEngines(candidates []Candidate, tokens int) []Candidate {
 	byFree := slices.Clone(candidates)
 	slices.SortFunc(byFree, func(a, b Candidate) int {
@@ -127,7 +131,8 @@
 	return nil
 }
 
-// splitTokens splits the tokens among the engines in proportion to their free memory.
+// splitTokens returns a shard for each engine of the group, in the order of their names. It splits the
+// tokens in proportion to the engines' free memory.
 func splitTokens(group []Candidate, tokens int, newID func() string) []Shard {
 	slices.SortFunc(group, func(a, b Candidate) int { return strings.Compare(a.Name, b.Name) })
 	total := 0
@@ -144,26 +149,28 @@
 	return shards
 }
 
-// Action is the next action of a reservation. Exactly one field is set.
+// Action is what the caller of Reserver.Next must do next, or how the reservation ended. Exactly one
+// field is set.
 type Action struct {
-	// Reserve is the shard to reserve next.
+	// Reserve is the shard to reserve at its engine.
 	Reserve *Shard
-	// Release is the shard to release next.
+	// Release is the shard whose hold is to be released at its engine.
 	Release *Shard
 	// AllHeld is true when every shard is held.
 	AllHeld bool
-	// Failed is true when no shard is held any more, after an engine refused one or ReleaseAll
-	// was called.
+	// Failed is true when all shards have been released, after an engine refused one or ReleaseAll was
+	// called.
 	Failed bool
 }
 
-// Reserver is the state of one reservation of a group. It is not safe for concurrent use.
+// Reserver is the state of the reservation of one prompt's shards. It is not safe for concurrent use.
 type Reserver struct {
 	shards []Shard
-	// heldCount is the number of shards that are held or may be held. They are the first ones of
-	// shards.
+	// heldCount is the number of shards, the first ones of shards, that are held or may be held by
+	// their engines for this reservation.
 	heldCount int
-	// releasing is true once all shards are to be released.
+	// releasing is true once an engine refused a shard or ReleaseAll was called. No shards are reserved
+	// then, and those held are released.
 	releasing bool
 }
 
@@ -186,12 +193,12 @@
 	return Action{AllHeld: true}
 }
 
-// RecordReserved records that the engine reserved the last requested shard.
+// RecordReserved records that the engine reserved the shard of the last Reserve action.
 func (r *Reserver) RecordReserved() { r.heldCount++ }
 
-// RecordRefused records that the engine refused the last requested shard, or did not reply, and
-// starts to release the others. MaybeHeld is true if the engine may have reserved the shard, which
-// is then released too.
+// RecordRefused records that the engine refused the shard of the last Reserve action, or did not
+// reply. From then on, Next returns Release actions for the shards held. MaybeHeld is true if the
+// engine may have reserved the shard, which is then released too.
 func (r *Reserver) RecordRefused(maybeHeld bool) {
 	if maybeHeld {
 		r.heldCount++
@@ -199,12 +206,13 @@
 	r.releasing = true
 }
 
-// RecordReleased records that the last shard to be released was released, or that its engine could
-// not be reached, in which case the hold ends with its lease.
+// RecordReleased records that the shard of the last Release action was released, or that its engine
+// could not be reached; in that case the hold is freed once its lease has expired.
 func (r *Reserver) RecordReleased() { r.heldCount-- }
 
-// ReleaseAll starts to release all shards that are held. Next returns the Release actions.
+// ReleaseAll requires all shards that are held to be released. From then on, Next returns Release
+// actions for them.
 func (r *Reserver) ReleaseAll() { r.releasing = true }
 
-// Shards returns the shards of the group, in the order of reservation.
+// Shards returns the shards, held or not, in the order of reservation.
 func (r *Reserver) Shards() []Shard { return r.shards }
