--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,6 @@
-// Package router chooses the engines to ask for a prompt. A choice reads an immutable EngineIndex
-// and atomic load counters, so any number of goroutines can choose at the same time without a lock.
+// Package router chooses, for a prompt, the engines whose keepers an entry asks for memory. Choosing
+// reads an immutable EngineIndex and atomic load counters, so any number of goroutines can choose at
+// the same time without a lock.
 package router
 
 import (
@@ -14,15 +15,15 @@
 
 // The policies.
 const (
-	// Predicted orders engines by predicted time. Entries use this policy; the others are baselines
-	// for measurements.
+	// Predicted orders engines by Candidate.PredictedTime, shortest first. Entries use this policy; the
+	// others are baselines for measurements.
 	Predicted Policy = "Predicted"
-	// PowerOfTwo puts the less busy of two random engines first, by this entry's attempts in
-	// flight.
+	// PowerOfTwo shuffles the engines and then puts the first two in the order of this entry's attempts
+	// in flight at them, fewest first.
 	PowerOfTwo Policy = "PowerOfTwo"
-	// FewestOwn orders engines by this entry's attempts in flight.
+	// FewestOwn orders engines by the number of this entry's attempts in flight at them, fewest first.
 	FewestOwn Policy = "FewestOwn"
-	// RoundRobin starts at the next engine by name for each request.
+	// RoundRobin orders engines by name, and starts with the next one at each call of Choose.
 	RoundRobin Policy = "RoundRobin"
 	// RandomOrder shuffles the engines.
 	RandomOrder Policy = "RandomOrder"
@@ -40,8 +41,8 @@
 )
 
 const (
-	// mediumFactor and longFactor are the longest prompts of classes Medium and Long, in multiples
-	// of the longest Short prompt.
+	// mediumFactor and longFactor are the lengths of the longest prompts of classes Medium and Long, in
+	// multiples of the longest prompt of class Short.
 	mediumFactor = 8
 	longFactor   = 32
 )
@@ -53,7 +54,7 @@
 type TokensByClass [ClassCount]int
 
 // QueuedAheadOf returns the number of queued tokens that an engine prefills before a new prompt of the
-// class: those of the class itself and of shorter ones.
+// given class: those of the class itself and of the classes of shorter prompts.
 func (q TokensByClass) QueuedAheadOf(c LengthClass) int {
 	sum := 0
 	for _, tokens := range q[:c+1] {
@@ -63,7 +64,7 @@
 }
 
 // LengthClassOf returns the length class of a prompt of the given number of tokens. ShortTokens is the
-// longest prompt of class Short.
+// length in tokens of the longest prompt of class Short.
 func LengthClassOf(tokens, shortTokens int) LengthClass {
 	switch {
 	case tokens <= shortTokens:
@@ -76,23 +77,24 @@
 	return Longest
 }
 
-// EnginePriority returns the scheduling priority of a length class at engines, from shortWeight for Short
-// down to 0 for Longest. ShortWeight comes from the configuration document. It is either 0, which
-// gives all classes priority 0, or at least 3, so that each class has a different priority.
+// EnginePriority returns the priority by which engines schedule prompts of a length class, from
+// shortWeight for Short down to 0 for Longest. ShortWeight comes from the configuration document. It is
+// either 0, which gives all classes priority 0, or at least 3, so that each class has a different
+// priority.
 func EnginePriority(class LengthClass, shortWeight int) int {
 	return shortWeight * int(Longest-class) / int(Longest)
 }
 
-// sampleSize is the number of candidate engines that the Predicted policy compares. With more
-// engines it compares a sample of this size: if all entries compared all engines by outdated loads,
-// they would all choose the same one.
+// sampleSize is the maximum number of engines that the Predicted policy compares. Of more engines it
+// compares a sample of this size: if all entries compared all engines by outdated loads, they would
+// all choose the same one.
 const sampleSize = 8
 
-// Load is an entry's view of an engine's load. Any goroutine may update the fields, so a reader may
-// see a mix of two successive updates.
+// Load is an entry's view of an engine's load. Any goroutine may update the fields, one at a time, so
+// a reader may see some fields of one report and others of the next.
 type Load struct {
-	// OwnPrefillTokens is the number of prompt tokens, by length class, of this entry's attempts
-	// that have not received a first token.
+	// OwnPrefillTokens is the number of prompt tokens, by length class, of this entry's attempts at the
+	// engine that have not received a first token.
 	OwnPrefillTokens [ClassCount]atomic.Int64
 	// OwnInFlight is the number of this entry's attempts in flight at the engine.
 	OwnInFlight atomic.Int64
@@ -111,7 +113,7 @@
 	ReportedAt atomic.Int64
 }
 
-// Engine is an engine that can be chosen.
+// Engine is an engine that an attempt can be sent to.
 type Engine struct {
 	Name       string
 	Address    string
@@ -126,18 +128,18 @@
 	MemoryTokens int
 	// PrefillRate is the engine's prefill rate in tokens a second.
 	PrefillRate int
-	// OneWayDelay is the network delay between the entry and the engine in one direction.
+	// OneWayDelay is the assumed network delay between the entry and the engine in one direction.
 	OneWayDelay time.Duration
 	// Load is shared with the Engine of the same name in earlier and later indexes.
 	Load *Load
 }
 
 // EngineIndex holds all engines that can be chosen, by model and by name. It is immutable, but for
-// the loads of the engines and the position of RoundRobin.
+// the loads of the engines and the counter that RoundRobin uses.
 type EngineIndex struct {
 	byModel map[string][]*Engine
 	byName  map[string]*Engine
-	// rotation counts the choices made with RoundRobin.
+	// rotation is the number of calls of Choose with the policy RoundRobin.
 	rotation *atomic.Uint64
 }
 
@@ -157,10 +159,10 @@
 	return e, ok
 }
 
-// EnginesFor returns the engines that serve a model. The caller must not modify the slice.
+// EnginesFor returns the engines that serve a model. The returned slice must not be modified.
 func (x *EngineIndex) EnginesFor(model string) []*Engine { return x.byModel[model] }
 
-// Requirements is what a prompt needs of an engine.
+// Requirements describes a prompt and what an engine must have to run it.
 type Requirements struct {
 	Model string
 	// Adapter is the name of the adapter to apply, empty for none.
@@ -172,7 +174,7 @@
 	Class LengthClass
 	// PrefillTokens is the number of tokens to prefill.
 	PrefillTokens int
-	// MemoryTokens is the memory needed in tokens.
+	// MemoryTokens is the memory that the prompt and its answer need, in tokens.
 	MemoryTokens int
 	// MaxAnswerTokens is the maximum length of the answer in tokens.
 	MaxAnswerTokens int
@@ -181,17 +183,18 @@
 	Exclude []string
 }
 
-// Candidate is a candidate engine.
+// Candidate is an engine that can run a prompt, with the predicted time by which Choose compares it.
 type Candidate struct {
 	Engine *Engine
-	// PredictedTime is the predicted time to first token. The Predicted policy adds, for an
-	// engine that generates much more slowly than the fastest candidate, by how much later it
-	// would end the answer.
+	// PredictedTime is the predicted time to first token. For an engine that generates much more slowly
+	// than the fastest candidate, the Predicted policy adds the time by which its answer would take
+	// longer to generate than that candidate's (see addGenerationDelay).
 	PredictedTime time.Duration
 }
 
-// Choose returns up to maxChoices engines that satisfy the needs, in the order of the policy, best
-// first. The Predicted policy compares at most sampleSize engines, from a random position on.
+// Choose returns up to maxCandidates engines that satisfy the needs, in the order of the policy, best
+// first. The Predicted policy compares only the first sampleSize such engines after a random position
+// among the engines of the model.
 func (x *EngineIndex) Choose(now time.Time, policy Policy, needs Requirements, maxCandidates int, random *rand.Rand) []Candidate {
 	serving := x.byModel[needs.Model]
 	candidates := make([]Candidate, 0, min(len(serving), sampleSize))
@@ -220,8 +223,9 @@
 	return candidates[:min(maxCandidates, len(candidates))]
 }
 
-// satisfies reports whether the engine can run a prompt with the given needs. The engines of an
-// index are listed by model, so it does not compare models.
+// satisfies reports whether the engine can run a prompt with the given needs, apart from the model,
+// which Choose has compared: the engine has enough memory when empty, is not excluded, and has the
+// version and the adapter.
 func (e *Engine) satisfies(needs Requirements) bool {
 	if needs.MemoryTokens > e.MemoryTokens || slices.Contains(needs.Exclude, e.Name) {
 		return false
@@ -232,10 +236,10 @@
 	return needs.Adapter == "" || slices.Contains(e.Adapters, needs.Adapter)
 }
 
-// PredictFirstToken estimates the time to first token of a prompt of the given class on the engine:
+// PredictFirstToken predicts the time to first token of a prompt of the given class on the engine:
 // the prefill of the tokens queued ahead, the prefill of the prompt itself and a network round
-// trip. The tokens queued ahead are those of the keeper's last report, less what the engine has
-// prefilled since, or the tokens that this entry sent, whichever is more.
+// trip. The tokens queued ahead are those in the keeper's last report, less what the engine can have
+// prefilled since, or those of this entry's attempts without a first token, whichever is more.
 func (e *Engine) PredictFirstToken(now time.Time, class LengthClass, prefillTokens int) time.Duration {
 	rate := float64(max(1, e.PrefillRate))
 	queued := float64(sumUpTo(&e.Load.QueuedTokens, class))
@@ -247,7 +251,7 @@
 	return 2*e.OneWayDelay + time.Duration(seconds*float64(time.Second))
 }
 
-// sumUpTo returns the sum of the tokens of a class and all shorter ones.
+// sumUpTo returns the sum of the tokens of a class and of all classes of shorter prompts.
 func sumUpTo(tokens *[ClassCount]atomic.Int64, class LengthClass) int64 {
 	sum := int64(0)
 	for c := range class + 1 {
@@ -256,7 +260,7 @@
 	return sum
 }
 
-// sortCandidates puts the choices in the order of the policy.
+// sortCandidates puts the candidates in the order of the policy, best first.
 func (x *EngineIndex) sortCandidates(policy Policy, candidates []Candidate, random *rand.Rand) {
 	switch policy {
 	case Predicted:
@@ -291,7 +295,8 @@
 	random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 }
 
-// rotate sorts the choices by engine name and rotates them by the given number of places.
+// rotate sorts the candidates by engine name and rotates them to the left by the given number of
+// places.
 func rotate(candidates []Candidate, rotation uint64) {
 	if len(candidates) < 2 {
 		return
@@ -311,19 +316,19 @@
 }
 
 const (
-	// newSampleWeight is the weight of a new measurement in the moving average of the time per
-	// token.
+	// newSampleWeight is the weight, from 0 to 1, of a new measurement in the moving average of the
+	// time per token.
 	newSampleWeight = 0.5
-	// timePerTokenTTL is how long a measured time per token counts. After that a slow engine is
-	// chosen like any other, and measured again.
+	// timePerTokenTTL is the time after the last measurement for which the average time per token is
+	// used. After that a slow engine is chosen like any other, and measured again.
 	timePerTokenTTL = 2 * time.Minute
-	// slowFactor is the ratio to the shortest time per token of all candidates above which an
-	// engine's time per token counts.
+	// slowFactor is the ratio of an engine's time per token to the shortest of all candidates above
+	// which addGenerationDelay adds a delay for the engine.
 	slowFactor = 2
 )
 
-// RecordTimePerToken adds the time between answer tokens that an attempt measured to the moving
-// average.
+// RecordTimePerToken adds the mean time between the answer tokens of one attempt at the engine to the
+// moving average. If the average is older than timePerTokenTTL, it starts anew.
 func (l *Load) RecordTimePerToken(now time.Time, timePerToken time.Duration) {
 	if previous := l.recentTimePerToken(now); previous > 0 {
 		timePerToken = previous + time.Duration(newSampleWeight*float64(timePerToken-previous))
@@ -342,9 +347,10 @@
 	return time.Duration(l.timePerToken.Load())
 }
 
-// addGenerationDelay adds to the predicted time of each engine slower than slowFactor allows by how much
-// later than the fastest candidate it would end the answer. This avoids engines with a gray
-// failure: they report their load in time but generate slowly.
+// addGenerationDelay adds a delay to the predicted time of each engine whose time per token is more than
+// slowFactor times the shortest of all candidates: the difference of the two times per token,
+// multiplied by the maximum number of answer tokens. This avoids engines with a gray failure, which
+// report their load in time but generate slowly.
 func addGenerationDelay(now time.Time, candidates []Candidate, maxAnswerTokens int) {
 	shortest := time.Duration(0)
 	for _, c := range candidates {
@@ -361,7 +367,8 @@
 	}
 }
 
-// RecordReport records a keeper's report of the engine's load.
+// RecordReport records a keeper's report of the engine's load, received at the time now. Queued is the
+// number of queued prompt tokens by length class.
 func (l *Load) RecordReport(now time.Time, queued TokensByClass, freeTokens int) {
 	for c, tokens := range queued {
 		l.QueuedTokens[c].Store(int64(tokens))
