--- a/server/complete.go
+++ b/server/complete.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// class returns the prompt's length class, which determines its priority at engines. If ShortWeight in the
-// document's policy is 0, all prompts are of class Longest.
+// class returns the length class of the prompt, from which its priority at engines follows. If ShortWeight in
+// the document's policy is 0, prompts have no priorities, and the class is router.Longest for all.
 func (c *completion) class() router.LengthClass {
 	policy := c.x.view.accepted.Document.Policy
 	if policy.ShortWeight == 0 {
@@ -227,8 +227,8 @@
 		zap.Duration("predicted_ms", candidate.PredictedTime), zap.Duration("wait_ms", answer.QueueWait))
 }
 
-// finishAnswer completes the response after the whole answer was received: the end marker of a stream, or the
-// collected answer.
+// finishAnswer ends the response to the caller once the whole answer has been received from the engine: it
+// writes the end marker of a stream, or else the collected answer as one JSON object. It always returns nil.
 func (c *completion) finishAnswer() *failure {
 	x := c.x
 	if x.completion.Stream {
--- a/server/control.go
+++ b/server/control.go
@@ -33,8 +33,9 @@
 	// suspendThreshold is the time between two ticks above which this process is assumed to have been
 	// suspended.
 	suspendThreshold = time.Second
-	// orderRetryInterval is the time after which an order is sent again if the engine does not report that
-	// it serves what the order asks for.
+	// orderRetryInterval is the time for which a keeper, after it sent an order to change what an engine
+	// serves (model, version, adapters or role), waits for a load report that shows the change. It then
+	// sends the order again.
 	orderRetryInterval = 30 * time.Second
 	// minWeightLoadInterval is the minimum mean time between two orders, over all entries, that make an
 	// engine load weights from the weight store.
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -47,7 +47,8 @@
 	// repeatable is false for a request that may run at most once. ticket is the ticket of such a request.
 	repeatable bool
 	ticket     spender.Ticket
-	// answerRecorder keeps the answer of an at-most-once request; nil for others.
+	// answerRecorder records the answer of an at-most-once request as it is written to the caller, so that
+	// it can be sent again; nil for other requests.
 	answerRecorder *recorder
 
 	// unresolvedAttempts is the number of attempts that were sent, got no complete answer and may have
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -270,8 +270,10 @@
 	s.checkAtRest()
 }
 
-// TestSoak runs random schedules of faults in virtual time. The schedules are the same in every run, unless
-// -rapid.seed or -rapid.checks is given.
+// TestSoak runs random schedules of faults in virtual time; they are the same in every run, unless -rapid.seed
+// or -rapid.checks is given. Guards against wrong or incomplete answers, requests that overrun their time
+// limit, calls that run twice or ran though reported as not run, streams sent late to a leaving engine, and
+// memory, requests or differing documents left over at the end.
 func TestSoak(t *testing.T) {
 	total := map[api.Outcome]int{}
 	runs := 0
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -172,7 +172,7 @@
 }
 
 // The header of a prompt arrives before the shutdown, and the last byte of its body long after an idle
-// entry would have exited.
+// entry would have exited. Guards against the entry exiting without an answer to such a request.
 func TestStoppingEntryAwaitsBody(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
@@ -193,8 +193,9 @@
 	})
 }
 
-// The header of a prompt arrives in two pieces, one before and one after the shutdown starts, on a new
-// connection. The refusal is truthful, and another entry serves the prompt.
+// The header of a prompt arrives in two pieces, the second after the shutdown has begun. Guards against a
+// refusal that misleads the caller: it must have the code for stopping and the outcome not run, the prompt
+// must have reached no engine, and it must name the other entry, which then serves the prompt.
 func TestStoppingEntryRefusesNewRequests(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
@@ -224,8 +225,9 @@
 	})
 }
 
-// An unspent ticket can be spent at its entry until that entry exits; afterwards it is refused with outcome
-// unknown.
+// Calls with unspent tickets of an entry that shuts down are sent to another entry, which forwards them,
+// until after the exit. Guards against a wrong report: an answered call must have run once, and a refused
+// one, with outcome unknown, must not have run.
 func TestStoppingEntrySpendsItsTickets(t *testing.T) {
 	withReadyFleet(t, func(f *testFleet) {
 		is := is.New(f.t)
--- a/server/watch.go
+++ b/server/watch.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// The mean delay after a read of the platform is minBackoff if the read succeeded, which limits each
-	// entry to a few reads per second. It doubles with each successive read that fails, up to maxBackoff.
+	// Mean delays between two reads of one path of the platform: minBackoff after a successful read; after
+	// failed reads twice minBackoff, doubling up to maxBackoff. The actual delay is random, 0.5 to 1.5 times
+	// the mean. minBackoff also limits an entry to about five reads of a path per second.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
 	// watchSlack is added to the setting Timing.Watch, the time for which a read waits at the platform for a
