--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -113,7 +113,9 @@
 	lastGrantAt time.Time
 	// listed is true once the engine's current incarnation has listed its holds.
 	listed bool
-	// orderPending is true while the engine must change what it serves. No grants are given then.
+	// orderPending is true while the engine does not serve the model, version, adapters and role that the
+	// configuration document states: the order to change them still has to be sent or to take effect. No
+	// grants are given then.
 	orderPending bool
 }
 
@@ -127,8 +129,8 @@
 // memory and prefill rate. Existing grants keep their expiry.
 func (k *Keeper) Configure(config Config) { k.config = config }
 
-// SetOrderPending sets whether the engine must change what it serves, so that the keeper gives no
-// grants.
+// SetOrderPending sets whether an order to change the model, version, adapters or role that the engine
+// serves has to be sent or to take effect. While it is set, the keeper gives no grants.
 func (k *Keeper) SetOrderPending(changing bool) { k.orderPending = changing }
 
 // OrphanedHold is a hold to free because its owner has not renewed it for Config.Lease.
