--- a/server/stream.go
+++ b/server/stream.go
@@ -262,8 +262,8 @@
 	load.RecordTimePerToken(time.Now(), time.Since(t.firstTokenAt)/time.Duration(tokens))
 }
 
-// streamFailure returns the failure of an attempt whose stream ended early or was invalid because of err. A
-// nil err means that the stream ended without an error.
+// streamFailure returns the failure of an attempt whose stream ended early or was invalid because of err; nil
+// means that the stream ended without an error. The engine may have run the attempt.
 func (c *completion) streamFailure(attempt engineAttempt, err error) *failure {
 	f := newFailure(api.CodeUpstreamFailed, "the answer of engine %s was cut off or invalid", attempt.engine.Name)
 	f.err = err
