--- a/planner/example_test.go
+++ b/planner/example_test.go
@@ -33,8 +33,8 @@
 	// Nothing
 }
 
-// Every order has a greater fencing number than the engine has seen, and two keepers never use the
-// same number.
+// Every order has a greater fencing number than the engine has reported, and two keepers of one engine
+// choose different numbers. Guards against an engine that can't tell the later of two orders.
 func TestNextFenceIsGreaterAndUnique(t *testing.T) {
 	is := is.New(t)
 	a, b := planner.NextFencingNumber(5, "entry-1"), planner.NextFencingNumber(5, "entry-2")
