--- a/cmd/sapphireramp/gateway.go
+++ b/cmd/sapphireramp/gateway.go
@@ -33,7 +33,7 @@
 const leasePercent = 80
 
 func gatewayCommand() command {
-	flags := newCommand("gateway", "run an entry on the users' platform; the environment variable "+platform.SettingsVariable+" gives its settings file")
+	flags := newCommand("gateway", "run an entry on the users' platform; the environment variable "+platform.SettingsPathVariable+" gives its settings file")
 	metricsPort := uint16(0)
 	level := "info"
 	flags.UInt16(&metricsPort, "m", "metrics-port", "port that serves the metrics; 0 serves none")
@@ -53,7 +53,7 @@
 func runGateway(ctx context.Context, settings platform.Settings, metricsPort uint16, level string) error {
 	logQueue := logger.NewQueue(os.Stdout)
 	defer func() { _ = logQueue.Close() }()
-	logs, err := logger.New(logger.Config{Level: level, Output: logQueue, WarnOutput: logQueue.PriorityWriter()})
+	logs, err := logger.New(logger.Config{Level: level, Output: logQueue, WarnOutput: logQueue.WarningWriter()})
 	if err != nil {
 		return fmt.Errorf("create loggers: %w", err)
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -184,7 +184,7 @@
 		heartbeatRequests: make(chan struct{}, 1), newPeers: make(chan struct{}, 1), metrics: newMetrics(c.Scope),
 	}
 	ctl.loadCounts.registerMetrics(c.Scope)
-	ctl.current.Store(&view{View: forwarder.View{MaxEntries: 1}})
+	ctl.current.Store(&view{View: forwarder.View{RetryBudgetEntries: 1}})
 	return ctl
 }
 
--- a/controller/view.go
+++ b/controller/view.go
@@ -45,7 +45,7 @@
 	v := &view{
 		View: forwarder.View{
 			Table: s.table, ConfigRevision: configRevision, ConfirmedAt: s.follower.ConfirmedAt(), ConfirmationTTL: fractionOf(c.config.MaxPropagation, trustFraction),
-			StoreUnavailable: s.storeLost, MaxEntries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.exitAt, AddressValidUntil: s.addressValidUntil,
+			StoreUnavailable: s.storeLost, RetryBudgetEntries: max(len(s.contacts)+1, 2*len(s.seeds)), Stopping: s.stopping, StopBy: s.exitAt, AddressValidUntil: s.addressValidUntil,
 		},
 		ready: s.table != nil && !s.stopping,
 	}
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -204,7 +204,7 @@
 		}
 	case status >= 500:
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", status)
-	case !metadata.Stamped && status < 300:
+	case !metadata.HasUpstreamStamp && status < 300:
 		a.verdict, a.err = verdictBroken, errors.New("the response has no upstream stamp")
 	default:
 		a.verdict = verdictAnswered
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -62,7 +62,7 @@
 	if x.sentCount >= x.route.MaxAttempts || f.isSuspect(x, a) {
 		return false
 	}
-	if !f.retryBudget.SpendRetry(time.Now(), x.service, f.view().MaxEntries) {
+	if !f.retryBudget.SpendRetry(time.Now(), x.service, f.view().RetryBudgetEntries) {
 		f.metrics.retriesDenied.Inc(1)
 		f.log.Warn("retry_budget_used_up", zap.String("request", x.metadata.ID), zap.String("service", x.service))
 		return false
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -80,7 +80,7 @@
 		table, err := matcher.New(testConfig())
 		f.is.NoErr(err)
 		f.table = table
-		f.view.Store(&forwarder.View{Table: table, MaxEntries: 1, ConfirmedAt: time.Now(), ConfirmationTTL: 1500 * time.Millisecond})
+		f.view.Store(&forwarder.View{Table: table, RetryBudgetEntries: 1, ConfirmedAt: time.Now(), ConfirmationTTL: 1500 * time.Millisecond})
 		f.dispatcher = dispatcher.New("a", rand.New(rand.NewPCG(1, 2)))
 		var servers []*http.Server
 		for i := range 5 {
@@ -306,7 +306,7 @@
 	withForwarder(t, func(f *fixture) {
 		table := f.view.Load().Table
 		f.view.Store(&forwarder.View{})
-		time.AfterFunc(40*time.Millisecond, func() { f.view.Store(&forwarder.View{Table: table, MaxEntries: 1}) })
+		time.AfterFunc(40*time.Millisecond, func() { f.view.Store(&forwarder.View{Table: table, RetryBudgetEntries: 1}) })
 		a := f.ask(request{path: "/once/x", id: "r1"})
 		f.is.Equal(a.status, 200)
 		f.view.Store(&forwarder.View{StoreUnavailable: true})
--- a/forwarder/protocol.go
+++ b/forwarder/protocol.go
@@ -71,9 +71,9 @@
 	RequestID string
 	// NotRun is true if the upstream states that it did not and will not run the request.
 	NotRun bool
-	// Stamped is true if the response has the stamp with which an upstream confirms that it ran the
+	// HasUpstreamStamp is true if the response has the stamp with which an upstream confirms that it ran the
 	// request.
-	Stamped bool
+	HasUpstreamStamp bool
 	// FaultyAddress is the address of the upstream, the first or a helper, that caused the failure;
 	// invalid (zero) if the response names none.
 	FaultyAddress netip.AddrPort
@@ -110,8 +110,8 @@
 	ConfirmationTTL time.Duration
 	// StoreUnavailable is true while the latest call to the store has failed.
 	StoreUnavailable bool
-	// MaxEntries is the largest number of entries that may share the retry budget at present.
-	MaxEntries int
+	// RetryBudgetEntries is the largest number of entries that may share the retry budget at present.
+	RetryBudgetEntries int
 	// Stopping is true while the entry shuts down: it asks callers to close their connections, and
 	// accepts only requests that end before it exits.
 	Stopping bool
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -106,7 +106,7 @@
 		// engine anyway.
 		d = x.limitToStop(v, d)
 	}
-	return f.dispatcher.Accepts(now, d) && f.retryBudget.AllowsRetry(now, x.service, v.MaxEntries)
+	return f.dispatcher.Accepts(now, d) && f.retryBudget.AllowsRetry(now, x.service, v.RetryBudgetEntries)
 }
 
 // recordRead records that a part of the response has arrived just now.
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -46,9 +46,9 @@
 	return q.enqueue(line)
 }
 
-// PriorityWriter returns a writer for warnings and errors. Its lines are dropped
+// WarningWriter returns a writer for warnings and errors. Its lines are dropped
 // only if the queue is full.
-func (q *Queue) PriorityWriter() io.Writer { return priorityWriter{q} }
+func (q *Queue) WarningWriter() io.Writer { return priorityWriter{q} }
 
 // priorityWriter is the io.Writer returned by PriorityWriter.
 type priorityWriter struct{ queue *Queue }
--- a/logger/queue_test.go
+++ b/logger/queue_test.go
@@ -52,7 +52,7 @@
 		is := is.New(t)
 		output := &blockedOutput{release: make(chan struct{})}
 		q := logger.NewQueue(output)
-		logs, err := logger.New(logger.Config{Level: "info", Output: q, WarnOutput: q.PriorityWriter()})
+		logs, err := logger.New(logger.Config{Level: "info", Output: q, WarnOutput: q.WarningWriter()})
 		is.NoErr(err)
 		const lines, failures = 5000, 200
 		for i := range lines {
@@ -84,7 +84,7 @@
 		for range 8 {
 			writers.Go(func() {
 				for range 1000 {
-					_, _ = io.WriteString(q.PriorityWriter(), "event=late\n") // queued, or dropped
+					_, _ = io.WriteString(q.WarningWriter(), "event=late\n") // queued, or dropped
 				}
 			})
 		}
