--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -86,7 +86,7 @@
 	a.reservations, err = f.reserve(ctx, x, p, cancel)
 	if err != nil {
 		a.verdict, a.err = verdictUnsent, err
-		f.blameFailedReservations(x, a)
+		f.recordReservationFailures(x, a)
 		return a
 	}
 	// The trace covers the connection of the request itself, not the connections on which memory
@@ -200,7 +200,7 @@
 		x.pendingCount--
 		a.verdict, a.err = verdictNotRun, fmt.Errorf("status %d", status)
 		if metadata.FaultyAddress.IsValid() && metadata.FaultyAddress != a.placement.First.Address {
-			f.blameHelper(x, a, metadata.FaultyAddress)
+			f.recordHelperFailure(x, a, metadata.FaultyAddress)
 		}
 	case status >= 500:
 		a.verdict, a.err = verdictFailed, fmt.Errorf("status %d", status)
@@ -211,9 +211,9 @@
 	}
 }
 
-// blameHelper reports a failure of the helper at an address to the dispatcher, and excludes the
+// recordHelperFailure reports a failure of the helper at an address to the dispatcher, and excludes the
 // helper from further attempts of the request. An address that is not a helper's is ignored.
-func (f *Forwarder) blameHelper(x *exchange, a *attempt, address netip.AddrPort) {
+func (f *Forwarder) recordHelperFailure(x *exchange, a *attempt, address netip.AddrPort) {
 	for _, h := range a.placement.Helpers {
 		if h.Address == address {
 			f.dispatcher.RecordHelperFailure(time.Now(), h)
@@ -223,10 +223,10 @@
 	}
 }
 
-// blameFailedReservations blames the helpers at which memory could not be reserved.
-func (f *Forwarder) blameFailedReservations(x *exchange, a *attempt) {
+// recordReservationFailures blames the helpers at which memory could not be reserved.
+func (f *Forwarder) recordReservationFailures(x *exchange, a *attempt) {
 	for _, s := range reserveErrors(a.err) {
-		f.blameHelper(x, a, s.Engine)
+		f.recordHelperFailure(x, a, s.Engine)
 	}
 }
 
@@ -256,14 +256,14 @@
 // isLostToRestart reports whether the attempt was cancelled because one of its upstreams restarted.
 func (a *attempt) isLostToRestart() bool { return errors.Is(a.err, errUpstreamRestarted) }
 
-// isUpstreamBlameless reports whether the failure of an attempt does not count against its first
+// hasOtherCause reports whether the failure of an attempt does not count against its first
 // upstream: a helper was at fault, or an upstream restarted, which its new incarnation did not cause.
-func (a *attempt) isUpstreamBlameless() bool { return a.helperAtFault || a.isLostToRestart() }
+func (a *attempt) hasOtherCause() bool { return a.helperAtFault || a.isLostToRestart() }
 
 // avoidFailedUpstream excludes the first upstream of a failed attempt from further attempts of the
 // request, unless it is blameless.
 func avoidFailedUpstream(x *exchange, a *attempt) {
-	if !a.isUpstreamBlameless() {
+	if !a.hasOtherCause() {
 		x.failedUpstreams = append(x.failedUpstreams, a.placement.First)
 	}
 }
@@ -297,7 +297,7 @@
 // for its upstream.
 func dispatchResult(x *exchange, a *attempt) dispatcher.PlacementResult {
 	switch {
-	case x.hasCallerLeft(), a.isUpstreamBlameless():
+	case x.hasCallerLeft(), a.hasOtherCause():
 		return dispatcher.Abandoned
 	case a.verdict == verdictUnsent:
 		return dispatcher.Unreachable
--- a/forwarder/crash.go
+++ b/forwarder/crash.go
@@ -49,19 +49,19 @@
 // recordEvent records the arrival of an event of the response. It returns true for the event with
 // which the attempt becomes proven, as isProven defines it.
 func (a *attempt) recordEvent(now time.Time) bool {
-	before := a.isProven()
+	before := a.hasRunLongEnough()
 	if a.firstEventAt.IsZero() {
 		a.firstEventAt, a.lastEventAt = now, now
 	}
 	a.longestGap.Store(max(a.longestGap.Load(), int64(now.Sub(a.lastEventAt))))
 	a.lastEventAt = now
 	a.eventCount.Add(1)
-	return !before && a.isProven()
+	return !before && a.hasRunLongEnough()
 }
 
-// isProven reports whether the upstream has run the request for long enough to show that the request
+// hasRunLongEnough reports whether the upstream has run the request for long enough to show that the request
 // does not crash it: the first and the latest event are at least quarantiner.ProvenAfter apart.
-func (a *attempt) isProven() bool {
+func (a *attempt) hasRunLongEnough() bool {
 	return a.lastEventAt.Sub(a.firstEventAt) >= quarantiner.ProvenAfter
 }
 
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -134,9 +134,9 @@
 	failedUpstreams []dispatcher.Instance
 	// lastDemand is the demand of the latest search for a placement.
 	lastDemand dispatcher.Demand
-	// groupFailed is true once a group of engines has failed the request; further attempts use a
+	// avoidGroups is true once a group of engines has failed the request; further attempts use a
 	// single engine.
-	groupFailed bool
+	avoidGroups bool
 	// responseBegun is true once the header of an upstream's response has been written to the caller,
 	// with status responseStatus and at the time responseBegunAt.
 	responseBegun   bool
--- a/forwarder/place.go
+++ b/forwarder/place.go
@@ -38,7 +38,7 @@
 // place finds the upstreams for the next attempt of a request, and logs them. The demand d states the
 // lengths of prompt and answer; place sets its other fields.
 func (f *Forwarder) place(x *exchange, d dispatcher.Demand) (*dispatcher.Placement, *failure) {
-	d.Service, d.Avoid, d.NoHelpers = x.service, x.failedUpstreams, x.groupFailed
+	d.Service, d.Avoid, d.NoHelpers = x.service, x.failedUpstreams, x.avoidGroups
 	d.FirstByteTarget, d.GapTarget = x.route.FirstByteTarget, x.route.GapTarget
 	d.SentBefore = x.sentCount > 0
 	p, refusal := f.awaitPlacement(x, d)
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -65,16 +65,16 @@
 		if a.verdict == verdictUnsent {
 			unsentCount++
 		}
-		x.groupFailed = x.groupFailed || hasGroupFailed(p, a)
+		x.avoidGroups = x.avoidGroups || shouldAvoidGroups(p, a)
 		avoidFailedUpstream(x, a)
 		events.DiscardPartial()
 	}
 }
 
-// hasGroupFailed reports whether a group of engines failed an attempt at a prompt that one engine
+// shouldAvoidGroups reports whether a group of engines failed an attempt at a prompt that one engine
 // could serve alone. A prompt that needs the memory of several engines does not count: it is tried
 // again at another group.
-func hasGroupFailed(p *dispatcher.Placement, a *attempt) bool {
+func shouldAvoidGroups(p *dispatcher.Placement, a *attempt) bool {
 	return len(p.Helpers) > 0 && len(p.HelperMemoryTokens) == 0 && a.verdict != verdictUnsent && !a.isLostToRestart()
 }
 
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -49,18 +49,18 @@
 	// acceptedElsewhere reports whether another upstream would accept the request; begun states
 	// whether its response has begun.
 	acceptedElsewhere func(begun bool) bool
-	// expire cancels the attempt.
-	expire func()
+	// cancelAttempt cancels the attempt.
+	cancelAttempt func()
 }
 
 // startWatchdog starts the watchdog of an attempt at placement p, which calls expire to cancel the
 // attempt. It returns nil if the request may not be sent to another upstream afterwards: silence is
 // then no reason to end the attempt before the deadline.
-func (f *Forwarder) startWatchdog(x *exchange, p *dispatcher.Placement, expire func()) *watchdog {
+func (f *Forwarder) startWatchdog(x *exchange, p *dispatcher.Placement, cancelAttempt func()) *watchdog {
 	if !x.route.IsRepeatable() || x.sentCount+1 >= x.route.MaxAttempts {
 		return nil
 	}
-	w := &watchdog{lastReadAt: time.Now(), responseBegun: x.responseBegun, expire: expire, expectedBusy: func() time.Duration { return 0 }}
+	w := &watchdog{lastReadAt: time.Now(), responseBegun: x.responseBegun, cancelAttempt: cancelAttempt, expectedBusy: func() time.Duration { return 0 }}
 	w.acceptedElsewhere = func(begun bool) bool { return f.isAcceptedElsewhere(x, p, begun) }
 	w.silenceLimit = plainSilenceFactor * x.route.FirstByteTarget
 	w.busySilenceLimit = w.silenceLimit
@@ -90,7 +90,7 @@
 		w.timer.Reset(recheckInterval)
 		return
 	}
-	w.expire()
+	w.cancelAttempt()
 }
 
 // isAcceptedElsewhere reports whether an upstream other than the first of placement p would accept the
