--- a/logger/queue.go
+++ b/logger/queue.go
@@ -48,12 +48,12 @@
 
 // WarningWriter returns a writer for warnings and errors. Its lines are dropped
 // only if the queue is full.
-func (q *Queue) WarningWriter() io.Writer { return priorityWriter{q} }
+func (q *Queue) WarningWriter() io.Writer { return warningWriter{q} }
 
-// priorityWriter is the io.Writer returned by PriorityWriter.
-type priorityWriter struct{ queue *Queue }
+// warningWriter is the io.Writer returned by PriorityWriter.
+type warningWriter struct{ queue *Queue }
 
-func (w priorityWriter) Write(line []byte) (int, error) { return w.queue.enqueue(line) }
+func (w warningWriter) Write(line []byte) (int, error) { return w.queue.enqueue(line) }
 
 // enqueue queues a copy of a line, or drops and counts it if the queue is full.
 func (q *Queue) enqueue(line []byte) (int, error) {
