--- a/forwarder/crash.go
+++ b/forwarder/crash.go
@@ -61,8 +61,8 @@
 }
 
 // hasRunLongEnough reports whether the upstream has run the request for long enough to show that the
-// request does not crash it: its first and its latest event arrived at least quarantiner.ProvenAfter
-// apart.
+// request does not crash it: its first and its latest event arrived at least as far apart as package
+// quarantiner requires for a success.
 func (a *attempt) hasRunLongEnough() bool {
 	return a.lastEventAt.Sub(a.firstEventAt) >= quarantiner.ProvenAfter
 }
--- a/forwarder/crash_test.go
+++ b/forwarder/crash_test.go
@@ -26,8 +26,8 @@
 }
 
 // Guards against two faults when an upstream exits during a response: that a crash is not counted for a
-// request that had just begun, and that an exit is counted for a request of which events had arrived
-// for quarantiner.ProvenAfter, which did not cause the exit.
+// request that had just begun, and that an exit is counted for a request whose events had arrived for
+// longer than a request that crashes its upstream runs.
 func TestCrashCountsAgainstRequestJustBegun(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -13,8 +13,8 @@
 // if another upstream accepts the request.
 const (
 	// silenceFraction is the time for which an engine may send nothing, as a fraction of the time after
-	// which the caller abandons its stream (matcher.AbandonAfter). The rest is for the next engine,
-	// which takes 0.2 s for a short prompt. With a smaller fraction, many prompts would be sent a second
+	// which the caller abandons a stream without a new event. The rest is for the next engine, which
+	// takes 0.2 s for a short prompt. With a smaller fraction, many prompts would be sent a second
 	// time while their engine only prefills, just when engines are busiest.
 	silenceFraction = 0.75
 	// busySilenceFraction is the upper limit, as the same fraction, for an engine that is expected to
