--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -1,5 +1,5 @@
-// Package splitter splits a text/event-stream into complete events, whose bytes stay unchanged, and
-// checks that their ids are consecutive.
+// Package splitter splits a text/event-stream (server-sent events) into complete events, whose bytes stay
+// unchanged, and checks that their ids are consecutive.
 package splitter
 
 import (
@@ -9,14 +9,15 @@
 	"strconv"
 )
 
-// maxEventBytes is the maximum size of an event; real events are smaller than 1 KB.
+// maxEventBytes is the number of bytes without the end of an event above which Feed returns
+// ErrEventTooLarge. A usual event is smaller than 1 KB.
 const maxEventBytes = 1 << 20
 
-// ErrEventTooLarge is returned for an event that does not end within 1 MiB.
+// ErrEventTooLarge is returned by Splitter.Feed for an event that does not end within 1 MiB.
 var ErrEventTooLarge = errors.New("event exceeds 1 MiB")
 
-// MissingEventsError is returned if the event with id Got follows the event with id After, and the
-// events between them are missing.
+// MissingEventsError is returned by Splitter.Feed if the event after the one with id After has the id Got
+// instead of After+1.
 type MissingEventsError struct {
 	After, Got int64
 }
@@ -39,22 +40,23 @@
 type Splitter struct {
 	// buffer holds the bytes of the stream that are not yet part of a complete event.
 	buffer []byte
-	// lastID is the id of the last event returned by Feed or, before that, the id given to New; valid
-	// if hasLastID is true.
+	// lastID is the id of the last event with an id that Feed returned or, before there is one, the id
+	// given to New. It is valid if hasLastID is true.
 	lastID    int64
 	hasLastID bool
 }
 
 // New returns a Splitter for a stream that resumes after the event with id lastEventID, or for a
-// whole stream if lastEventID is empty or not a number.
+// whole stream if lastEventID is empty or not a whole number. A whole stream may begin with any id.
 func New(lastEventID string) *Splitter {
 	lastID, err := strconv.ParseInt(lastEventID, 10, 64)
 	return &Splitter{lastID: lastID, hasLastID: err == nil}
 }
 
-// Feed appends the next bytes of the stream and returns the events that they complete. Events with an
-// id up to LastID are dropped as repeats. The error is a MissingEventsError if events are missing, or
-// ErrEventTooLarge; events that precede the error are returned with it.
+// Feed adds the next bytes of the stream, and returns the events that are complete now and were not
+// before. Events whose id is not above LastID are repeats and are dropped. The error is a
+// MissingEventsError if ids are not consecutive, or ErrEventTooLarge; it comes with the events before
+// the faulty one.
 func (s *Splitter) Feed(p []byte) ([]Event, error) {
 	s.buffer = append(s.buffer, p...)
 	var out []Event
@@ -78,8 +80,8 @@
 	}
 }
 
-// checkOrder reports whether an event is new, which events without an id always are. It returns a
-// MissingEventsError if the event's id is not the next one.
+// checkOrder reports whether an event is new: it has no id, or one above lastID. It returns a
+// MissingEventsError if the id is above lastID+1, and otherwise sets lastID to the id of a new event.
 func (s *Splitter) checkOrder(e Event) (bool, error) {
 	if !e.HasID {
 		return true, nil
@@ -94,8 +96,8 @@
 	return true, nil
 }
 
-// LastID returns the id of the last event as text, for a request that resumes the stream after that
-// event; empty if no id is known.
+// LastID returns, as text, the id of the last event with an id that Feed returned, or the one given to
+// New, for a request that resumes the stream after that event. It is empty if there is none.
 func (s *Splitter) LastID() string {
 	if !s.hasLastID {
 		return ""
@@ -110,7 +112,8 @@
 // stream after LastID.
 func (s *Splitter) DiscardPartial() { s.buffer = nil }
 
-// eventEnd returns the length of the complete event that p begins with, or -1 if it is incomplete.
+// eventEnd returns the length of the event at the start of p, including the blank line that ends it, or
+// -1 if p does not contain that line.
 func eventEnd(p []byte) int {
 	end := -1
 	for _, blank := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -122,7 +125,8 @@
 	return end
 }
 
-// parseEvent returns the event with the bytes raw. Its id is that of the last id line.
+// parseEvent returns the event with the bytes raw. If the event has several id lines, the last one sets
+// its id.
 func parseEvent(raw []byte) Event {
 	e := Event{Raw: raw}
 	for line := range bytes.Lines(raw) {
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -12,7 +12,7 @@
 	"github.com/sapphireramp/sapphireramp/splitter"
 )
 
-// event returns a complete event with an id.
+// event returns the bytes of a complete event with an id.
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: word\n\n", id) }
 
 func Example() {
