--- a/decoder/decoder.go
+++ b/decoder/decoder.go
@@ -14,7 +14,7 @@
 
 // FieldError describes one invalid field of a document, of settings or of a form.
 type FieldError struct {
-	// Field is the path of the field, such as Engines[2].MemoryTokens.
+	// Field is the path of the field in the input, such as Engines[2].MemoryTokens.
 	Field string
 	// Value is the invalid value as text.
 	Value string
@@ -37,8 +37,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Require adds an error for a field unless holds is true. value is the invalid value, and requirement
-// describes the accepted values, worded to follow "must be".
+// Require appends a FieldError to e unless holds is true. field is the path of the checked field, value its
+// value, and requirement describes the accepted values, worded to follow "must be".
 func (e *FieldErrors) Require(holds bool, field string, value any, requirement string) {
 	if holds {
 		return
@@ -46,7 +46,7 @@
 	*e = append(*e, FieldError{Field: field, Value: fmt.Sprint(value), Requirement: requirement})
 }
 
-// Err returns e as an error, or nil if e is empty.
+// Err returns e as an error, or a nil error if e is empty.
 func (e FieldErrors) Err() error {
 	if len(e) == 0 {
 		return nil
@@ -54,7 +54,7 @@
 	return e
 }
 
-// TooLargeError is returned for an input of Size bytes if at most Limit bytes are allowed.
+// TooLargeError is returned for an input of Size bytes, of which at most Limit are allowed.
 type TooLargeError struct {
 	Size, Limit int
 }
@@ -67,8 +67,9 @@
 var errMultipleDocuments = errors.New("input: more than one YAML document: must be one")
 
 // Decode decodes the single YAML document in data, of at most maxBytes bytes, into target, which
-// must be a pointer. The error is a TooLargeError for a larger input, and wraps FieldErrors if
-// values have the wrong type.
+// must be a pointer. Unknown and duplicate keys, an empty input and a second document are errors. The
+// error is a TooLargeError for a larger input, and wraps FieldErrors if values have the wrong type and
+// their fields are found.
 func Decode(data []byte, maxBytes int, target any) error {
 	if len(data) > maxBytes {
 		return TooLargeError{Size: len(data), Limit: maxBytes}
--- a/decoder/position.go
+++ b/decoder/position.go
@@ -10,17 +10,18 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// typeErrorPattern matches the error texts of the YAML library for values of the wrong type. Its
-// groups are the line number, the YAML tag, the value and the Go type.
+// typeErrorPattern matches the error texts of the YAML library for values of the wrong type. Its groups
+// match the line number, the YAML tag, the value (missing for lists and mappings) and the Go type.
 var typeErrorPattern = regexp.MustCompile("^line ([0-9]+): cannot unmarshal (\\S+)(?: `(.*)`)? into (\\S+)$")
 
 // truncatedLength is the number of bytes that the YAML library shows of a long value in an error text,
 // followed by "...".
 const truncatedLength = 7
 
-// nameFields replaces the errors of the YAML library about values of the wrong type in data, which
-// name lines, by FieldErrors, which name fields. An error whose field is not found keeps its text; an
-// err of another kind is returned unchanged.
+// nameFields returns an error that says which fields of data have values of the wrong type, where err,
+// from the YAML library, says only which lines. The result is or wraps FieldErrors, followed by the
+// library's texts about values whose fields are not found. If none is found or err is of another kind,
+// nameFields returns err.
 func nameFields(data []byte, err error) error {
 	var types *yaml.TypeError
 	if !errors.As(err, &types) {
@@ -51,16 +52,17 @@
 	return fmt.Errorf("%w\n%s", fieldErrors, strings.Join(rest, "\n"))
 }
 
-// scalar is one value of a YAML document.
+// scalar describes a node of a YAML document. Most are scalars; lists and mappings are included.
 type scalar struct {
 	// line is the number of the line of the value, path the path of its field as in FieldError.Field.
-	line  int
-	path  string
+	line int
+	path string
+	// value is the text of the value; empty for a list or a mapping.
 	value string
 }
 
-// collectScalars appends the values of a node and of the nodes below it to out. path is the path of the
-// node's field.
+// collectScalars appends a scalar to out for a node and for each node below it. path is the path of the
+// node's field, as in FieldError.Field.
 func collectScalars(n *yaml.Node, path string, out *[]scalar) {
 	switch n.Kind {
 	case yaml.DocumentNode:
@@ -79,8 +81,9 @@
 	*out = append(*out, scalar{line: n.Line, path: path, value: n.Value})
 }
 
-// locateField converts an error text of the YAML library to the error of the field that it is about,
-// which is the field on the same line with the same value. It returns false if there is none.
+// locateField returns the FieldError for an error text of the YAML library. The text gives a line and a
+// value, and the field is the first one of the scalars with both. It returns false if the text does not
+// match typeErrorPattern or there is no such field.
 func locateField(text string, scalars []scalar) (FieldError, bool) {
 	parts := typeErrorPattern.FindStringSubmatch(text)
 	if parts == nil {
@@ -99,8 +102,8 @@
 	return FieldError{}, false
 }
 
-// describeType describes the accepted values of the Go type with the given name, worded to follow "must
-// be".
+// describeType describes the YAML values that are accepted for the Go type with the given name, worded to
+// follow "must be".
 func describeType(typeName string) string {
 	switch {
 	case strings.HasPrefix(typeName, "uint"):
