--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -1,6 +1,7 @@
-// Package drainer tracks which upstreams are leaving. A notice from any one source is enough to stop
-// sending work to an upstream, and stays valid until a new incarnation of the upstream appears: an
-// outdated instance list that still shows the old incarnation as live does not make it usable again.
+// Package drainer tracks which upstreams are leaving, that is, will exit and must get no new requests. One
+// notice from any source is enough. It stays valid until a later incarnation of the upstream reports
+// itself: an outdated instance list that still shows the old incarnation as live does not make the
+// upstream usable again.
 package drainer
 
 import "github.com/sapphireramp/sapphireramp/api"
@@ -21,9 +22,11 @@
 
 // upstream is the state kept of one upstream.
 type upstream struct {
-	// incarnation is the latest known incarnation, 0 if none is known; it never decreases.
+	// incarnation is the highest incarnation of the upstream that was reported so far, 0 if none was; it
+	// never decreases.
 	incarnation uint64
-	// leavingIncarnation is the latest incarnation known to be leaving, valid if leaving is true.
+	// leavingIncarnation is the highest incarnation that was reported to be leaving; all lower ones are
+	// leaving too. It is valid if leaving is true.
 	leavingIncarnation uint64
 	// leaving is true once any incarnation was reported to be leaving; it is never reset.
 	leaving bool
@@ -44,7 +47,7 @@
 	return &Drainer{upstreams: map[string]*upstream{}}
 }
 
-// ensureUpstream returns the state of an upstream, and adds it if it is new.
+// ensureUpstream returns the state of the upstream with a name, and adds an empty state if there is none.
 func (d *Drainer) ensureUpstream(name string) *upstream {
 	u, ok := d.upstreams[name]
 	if !ok {
@@ -54,9 +57,10 @@
 	return u
 }
 
-// UpdateList replaces the instance list. Upstreams that are not live in the new list count as leaving,
-// also those that only an earlier list contained. Instances of the kind api.KindEntry are ignored.
-// UpdateList returns the names of the upstreams that the new list makes unusable.
+// UpdateList replaces the instance list. Upstreams that do not have the state api.InstanceLive in the new
+// list are leaving, also those that only an earlier list contained. Instances of the kind api.KindEntry
+// are ignored. UpdateList returns the names of the upstreams that leave by the new list and were not
+// leaving before, also those that are listed for the first time.
 func (d *Drainer) UpdateList(instances []api.Instance) []string {
 	states := make(map[string]string, len(instances))
 	for _, i := range instances {
@@ -89,8 +93,8 @@
 	u.leavingIncarnation = max(u.leavingIncarnation, incarnation)
 }
 
-// MarkLeaving records that an incarnation of an upstream is leaving. It returns false if that was
-// known before.
+// MarkLeaving records that an incarnation of an upstream and all lower ones are leaving. It returns false
+// if that had been recorded before.
 func (d *Drainer) MarkLeaving(name string, incarnation uint64) bool {
 	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
@@ -101,16 +105,16 @@
 	return true
 }
 
-// ObserveIncarnation records an incarnation that the upstream itself reported. An incarnation later
-// than the one known to be leaving makes the upstream usable again, unless the latest list shows the
-// upstream as leaving.
+// ObserveIncarnation records an incarnation that the upstream itself reported. An incarnation above all
+// that were reported to be leaving makes the upstream usable again, unless the latest instance list
+// does not show it as live.
 func (d *Drainer) ObserveIncarnation(name string, incarnation uint64) {
 	u := d.ensureUpstream(name)
 	u.incarnation = max(u.incarnation, incarnation)
 }
 
-// IsUsable reports whether new work may be sent to an upstream: the latest list shows it as live,
-// and its latest incarnation is not leaving.
+// IsUsable reports whether new requests may be sent to an upstream: the latest instance list shows it as
+// live, and its highest incarnation reported so far is not leaving.
 func (d *Drainer) IsUsable(name string) bool {
 	u, ok := d.upstreams[name]
 	if !ok || !u.listed || u.listLeaving {
@@ -125,7 +129,8 @@
 	return ok && u.listed
 }
 
-// LatestIncarnation returns the latest known incarnation of an upstream, 0 if none is known.
+// LatestIncarnation returns the highest incarnation of an upstream that was reported so far, 0 if none
+// was.
 func (d *Drainer) LatestIncarnation(name string) uint64 {
 	u, ok := d.upstreams[name]
 	if !ok {
