--- a/launcher/callers.go
+++ b/launcher/callers.go
@@ -10,9 +10,10 @@
 	"github.com/sapphireramp/sapphireramp/matcher"
 )
 
-// newCallerServer returns the HTTP server for callers. The server closes
-// connections that exceed the idle timeout of the configuration in view, and
-// passes each change of a connection's state to onStateChange.
+// newCallerServer returns the HTTP server for callers, which serves requests with
+// h. It closes connections that are idle for longer than the configuration
+// allows, which view returns. It calls onStateChange at each change of a
+// connection's state.
 func newCallerServer(h http.Handler, view func() *forwarder.View, onStateChange func(net.Conn, http.ConnState)) *http.Server {
 	idle := idleCloser{limits: func() matcher.Limits {
 		if t := view().Table; t != nil {
@@ -29,22 +30,24 @@
 	}
 }
 
-// idleSlack is added to the idle timeout of connections, so that a request sent
-// just before the timeout still finds its connection open.
+// idleSlack is added to the configured idle timeout, so that a request that a
+// caller sends just before the timeout still finds its connection open.
 const idleSlack = 500 * time.Millisecond
 
-// idleCloser closes callers' connections that are idle for longer than the
-// configuration in force allows.
+// idleCloser closes callers' connections that are idle for longer than the idle
+// timeout of the configuration plus idleSlack. It is safe for concurrent use.
 type idleCloser struct {
-	// limits returns the limits in force.
+	// limits returns the limits of the current configuration; zero ones if the
+	// entry has no configuration.
 	limits func() matcher.Limits
 	// lock guards timers, which holds the timer of each idle connection.
 	lock   sync.Mutex
 	timers map[net.Conn]*time.Timer
 }
 
-// onStateChange starts the idle timer of a connection that is new or idle, and
-// stops that of any other.
+// onStateChange starts the idle timer of a connection whose new state s is
+// http.StateNew or http.StateIdle, and stops that of a connection in any other
+// state.
 func (i *idleCloser) onStateChange(c net.Conn, s http.ConnState) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -57,9 +60,10 @@
 	}
 }
 
-// scheduleClose starts a timer that closes a connection when it has been idle
-// for the idle timeout, or for headerTimeout if the configuration sets none. The
-// timer starts again if the idle timeout was raised meanwhile.
+// scheduleClose starts a timer that closes a connection idleSlack after it has
+// been idle for the idle timeout, or for headerTimeout if the configuration sets
+// none. When the timer fires, it is started again instead if the idle timeout was
+// raised meanwhile. The lock must be held.
 func (i *idleCloser) scheduleClose(c net.Conn, idleSince time.Time) {
 	limit := i.limits().IdleTimeout
 	if limit <= 0 {
--- a/launcher/crash_test.go
+++ b/launcher/crash_test.go
@@ -11,9 +11,9 @@
 
 // The tests in this file guard against a request that crashes each engine that runs it and that
 // callers send again under new IDs and to other entries. Such a request crashed 43 engines within
-// half a minute: each entry treated every repeat as a new request, as the retry budget counts per
-// service and health checks blame the upstream. Entries now recognise the request by its fingerprint,
-// logged as content, and log the exit of an engine as upstream_ended.
+// half a minute. Each entry treated every repeat as a new request: the retry budget counts retries per
+// service, and health checks attribute failures to the engines. Entries now recognise the request by its fingerprint, which
+// the log has as content, and log the exit of an engine as upstream_ended.
 
 // newCrashFleet starts a fleet with six entries and eight engines.
 func newCrashFleet(t *testing.T) *fleet {
@@ -25,8 +25,8 @@
 	return f
 }
 
-// startRepeater starts callers that repeat one request that crashes engines. Each caller waits for the
-// duration pause between two sends.
+// startRepeater starts the given number of callers, which all send the same request again and again. It
+// crashes engines. Each caller waits for the duration pause between two sends.
 func (f *fleet) startRepeater(callers int, pause time.Duration) *caller.Traffic {
 	f.trafficCount++
 	return caller.NewRepeatingTraffic(fmt.Sprintf("r%d%s", f.trafficCount, f.idSalt), callers, caller.CrashPath, pause, func(n int) *caller.Caller {
@@ -68,7 +68,8 @@
 	})
 }
 
-// A restarted entry receives the quarantined fingerprints from the other entries.
+// A restarted entry receives the quarantined fingerprints from the other entries. Guards against the
+// restarted entry sending the request that crashes engines to more engines.
 func TestRestartedEntryReceivesQuarantines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCrashFleet(t)
--- a/launcher/dial.go
+++ b/launcher/dial.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// keepAlivePeriod is the idle time before the first keep-alive probe and the
-	// time between probes. One second is the shortest that Linux supports.
+	// keepAlivePeriod is the time without traffic on a connection before the first
+	// TCP keep-alive probe, and the time between two probes. Linux supports no
+	// shorter time than one second.
 	keepAlivePeriod = time.Second
-	// keepAliveProbes is how many probes may go unanswered before the connection
-	// is closed.
+	// keepAliveProbes is the number of consecutive unanswered keep-alive probes
+	// after which the connection is closed.
 	keepAliveProbes = 2
-	// ackTimeout is how long sent data may stay unacknowledged before the
-	// connection is closed. It allows several retransmissions within a region and
-	// is shorter than the time for which callers wait.
+	// ackTimeout is how long sent data may stay without a TCP acknowledgement
+	// before the connection is closed. It allows several retransmissions within a
+	// region, and is shorter than the time for which callers wait for a response.
 	ackTimeout = 1500 * time.Millisecond
 )
 
@@ -31,8 +32,8 @@
 	}
 }
 
-// setTCPUserTimeout sets ackTimeout on a socket. It is used as the Control of a
-// net.Dialer.
+// setTCPUserTimeout sets the socket option TCP_USER_TIMEOUT of a connection to
+// ackTimeout. It is used as the Control function of a net.Dialer.
 func setTCPUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var sockoptErr error
 	err := connection.Control(func(fd uintptr) {
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -30,11 +30,12 @@
 
 // Settings holds the settings that can change while the entry runs.
 type Settings struct {
-	// Seeds are the peer addresses of the entries to contact first.
+	// Seeds are the PeerAddresses of the entries that this entry contacts first, to
+	// discover all others.
 	Seeds []netip.AddrPort
-	// RetryBudget limits the retries of each service, by all entries together.
+	// RetryBudget limits the retries that all entries together make for each service.
 	RetryBudget budgeter.Config
-	// ShutdownGrace is the time from SIGTERM until the process is killed.
+	// ShutdownGrace is the time from SIGTERM until the platform kills the process.
 	ShutdownGrace time.Duration
 }
 
@@ -47,36 +48,39 @@
 	// DataCentre is the name of the data centre that the entry runs in.
 	DataCentre string
 	// CallerAddress, ReadinessAddress, PeerAddress and DirectoryAddress are the TCP addresses on which the entry
-	// listens for callers' requests, readiness checks, other entries, and queries of the directory, which lists
-	// the entries that callers may connect to. LoadAddress is the UDP address for load updates of other
-	// entries. MetricsAddress serves the metrics and the status page; if it is invalid, neither is served.
+	// listens for callers' requests, readiness checks, connections of other entries, and queries of the
+	// directory, which lists the entries that callers may connect to. LoadAddress is the UDP address on which it
+	// receives load updates of other entries. MetricsAddress is the TCP address on which it serves the metrics
+	// and the status page; if it is the zero value, neither is served.
 	CallerAddress, ReadinessAddress, PeerAddress, DirectoryAddress, LoadAddress, MetricsAddress netip.AddrPort
 	// AddressTTL is how long callers may use the addresses in a response of the directory.
 	AddressTTL time.Duration
-	// Settings are the settings in force until the first reload.
+	// Settings are the settings that apply until ReadSettings has returned others.
 	Settings Settings
-	// ReadSettings reads the current settings. It is called at every reload.
+	// ReadSettings returns the current settings. While Run runs, it is called at the start, on each signal
+	// to reload and every reloadPeriod.
 	ReadSettings func() (Settings, error)
 	// Store reads and watches the configuration and the list of upstreams.
 	Store controller.Store
-	// MaxPropagation is the longest allowed time from a change in the store until the change is in force
-	// at all entries.
+	// MaxPropagation is the longest allowed time from a change in the store until all entries apply the
+	// change.
 	MaxPropagation time.Duration
-	// Speed is the speed of the entry's machine in processor cores; 0 if unknown.
+	// Speed is the speed of the entry's machine, as a number of processor cores; 0 if unknown.
 	Speed float64
 	// Protocol reads and writes the headers of requests and responses.
 	Protocol forwarder.Protocol
-	// Reservations reserves memory at engines, for prompts longer than the memory of one engine.
+	// Reservations reserves memory at engines, for prompts that do not fit into the memory of one engine.
 	Reservations forwarder.ReservationClient
-	// ReservationTTL is the lease of memory reserved at engines.
+	// ReservationTTL is the time for which memory is reserved at engines unless the reservation is renewed.
 	ReservationTTL time.Duration
 	// MaxIdle is how long memory may stay reserved at engines before a request uses it.
 	MaxIdle time.Duration
-	// DirectoryHandler returns the handler that gives callers the addresses of entries in the platform's
-	// format. A response may be used for ttl; addresses returns the addresses for a caller in a data centre.
+	// DirectoryHandler returns the HTTP handler that gives callers the addresses of entries in the platform's
+	// format. Callers may use a response for ttl. The function addresses returns the addresses for a caller
+	// in a data centre.
 	DirectoryHandler func(ttl time.Duration, addresses func(dataCentre string) []netip.AddrPort) http.Handler
-	// ReadinessHandler returns the handler of the platform's readiness checks, which succeed while ready
-	// returns true.
+	// ReadinessHandler returns the HTTP handler of the platform's readiness checks, which succeed if the
+	// function ready returns true.
 	ReadinessHandler func(ready func() bool) http.Handler
 	Log              *zap.Logger
 	// Scope receives the metrics of the entry, MetricsHandler serves them on MetricsAddress.
@@ -84,9 +88,9 @@
 	MetricsHandler http.Handler
 	// Asserter counts and reports violated invariants.
 	Asserter *asserter.Asserter
-	// SinceBoot returns the time since the machine booted, Dial opens connections, Listen and ListenPacket
-	// open listeners and UDP sockets. The clock and the network of the machine are used in place of nil
-	// functions; tests replace them.
+	// SinceBoot returns the time since the machine booted, Dial opens connections, Listen opens TCP listeners
+	// and ListenPacket UDP sockets. If one of them is nil, the clock or the network of the machine is used;
+	// tests use simulated ones.
 	SinceBoot    func() time.Duration
 	Dial         connector.DialFunc
 	Listen       func(netip.AddrPort) (net.Listener, error)
@@ -94,21 +98,23 @@
 }
 
 const (
-	// maxAddressTTLs is the time for which some callers keep using the addresses in a response of the
-	// directory, as a multiple of AddressTTL.
+	// maxAddressTTLs is the longest time for which callers use the addresses in a response of the directory,
+	// as a multiple of AddressTTL: some exceed the TTL.
 	maxAddressTTLs = 3
-	// exitMargin is how long before the end of ShutdownGrace the entry cancels the remaining requests:
-	// finalResponseTime, and twice that for the process to exit on a slow machine.
+	// exitMargin is how long before the end of ShutdownGrace the entry cancels the remaining requests. It is
+	// finalResponseTime, plus twice that time for the process to exit on a slow machine.
 	exitMargin = 300 * time.Millisecond
-	// drainPollPeriod is the interval at which an entry that shuts down checks whether it has drained.
+	// drainPollPeriod is the interval at which an entry that shuts down checks whether it may stop listening
+	// and whether all requests are complete.
 	drainPollPeriod = 20 * time.Millisecond
 	// finalResponseTime bounds the time for sending the error responses of cancelled requests at exit.
 	finalResponseTime = 100 * time.Millisecond
-	// reloadPeriod is the interval at which the settings are read without a signal.
+	// reloadPeriod is the interval at which the settings are read when no signal asks for it.
 	reloadPeriod = 2 * time.Second
-	// headerTimeout bounds the time in which a client must send the header of a request, and idle connections
-	// of callers while the configuration sets no idle timeout. maxHeaderBytes bounds the size of callers'
-	// request headers. Both apply before a request reaches the limits of the configuration.
+	// headerTimeout is the time in which the header of a request must arrive, at all servers. It is also the
+	// idle timeout of callers' connections while the configuration sets none. maxHeaderBytes is the maximum
+	// size of callers' request headers. The limits of the configuration, which the forwarder checks, apply in
+	// addition.
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 128 << 10
 )
@@ -119,21 +125,22 @@
 	controller  *controller.Controller
 	forwarder   *forwarder.Forwarder
 	retryBudget *budgeter.Budgeter
-	// settings points to the Settings in force. A reload stores a new pointer.
+	// settings points to the settings that were applied last, at first Config.Settings. A reload stores a
+	// new pointer.
 	settings atomic.Pointer[Settings]
 	// servers are all HTTP servers of the entry, callerServer among them.
 	servers      []*http.Server
 	callerServer *http.Server
-	// activeConns tracks the active connections accepted by callerListener. acceptDone is closed when
-	// callerServer has stopped accepting.
+	// activeConns tracks the callers' connections on which a request is being served or may be on its way.
+	// acceptDone is closed when callerServer has stopped accepting connections from callerListener.
 	activeConns    *connector.ActiveConns
 	callerListener net.Listener
 	acceptDone     chan struct{}
-	// cancelRequests cancels the contexts of all callers' requests with a cause.
+	// cancelRequests cancels the contexts of all callers' requests with a cause; nil before Run.
 	cancelRequests context.CancelCauseFunc
 }
 
-// New returns a Launcher for an entry, which does not listen until Run is called.
+// New returns a Launcher for the entry that c configures. The entry opens no listener until Run is called.
 func New(c Config) *Launcher {
 	c = c.withSystemDefaults()
 	quarantine := quarantiner.New()
@@ -173,8 +180,9 @@
 }
 
 // Run serves requests until the context shutdown is done, then shuts the entry
-// down gracefully. Each value received from reloadSignals reloads the settings.
-// The error is not nil if the entry could not listen or a server failed.
+// down gracefully and returns nil. Each value received from reloadSignals reloads
+// the settings. Run returns an error if the entry can't listen on one of its
+// addresses or one of its HTTP servers fails. It must be called only once.
 func (l *Launcher) Run(shutdown context.Context, reloadSignals <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -210,8 +218,9 @@
 }
 
 // startServers listens on the addresses for callers, readiness checks, the
-// directory and metrics, and starts to serve them. A server that fails later
-// sends its error to serveErrors.
+// directory and, if it is set, metrics, and starts an HTTP server on each. It
+// returns an error if it can't listen. The error of a server that fails later is
+// sent to serveErrors.
 func (l *Launcher) startServers(serveErrors chan<- error) error {
 	c := l.config
 	l.callerServer = newCallerServer(l.forwarder, l.controller.View, l.activeConns.OnStateChange)
@@ -248,16 +257,18 @@
 	return nil
 }
 
-// baseContext returns a BaseContext function that gives all callers' requests
-// one parent context. It sets cancelRequests, which cancels that context.
+// baseContext returns a function for http.Server.BaseContext that gives all
+// callers' requests one parent context. It sets cancelRequests to the function
+// that cancels that context.
 func (l *Launcher) baseContext() func(net.Listener) context.Context {
 	var ctx context.Context
 	ctx, l.cancelRequests = context.WithCancelCause(context.Background())
 	return func(net.Listener) context.Context { return ctx }
 }
 
-// operatorHandler returns the handler of the metrics and of the entry's status,
-// which holds its view of upstreams and other entries.
+// operatorHandler returns the HTTP handler on MetricsAddress, which serves the
+// metrics and the status page. The page gives the states of upstreams and other
+// entries as JSON, as this entry knows them.
 func (l *Launcher) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+api.PathMetrics, l.config.MetricsHandler)
@@ -272,9 +283,9 @@
 	return mux
 }
 
-// shutDown removes the entry from the directory, serves callers that still use
-// its address, then stops listening and waits until all requests are complete.
-// Requests that remain exitMargin before the end of ShutdownGrace are
+// shutDown removes the entry from the directory, and goes on serving callers for
+// maxAddressTTLs times AddressTTL plus half an AddressTTL. Then it stops listening and waits until all requests are complete, and closes all servers.
+// Requests still in progress exitMargin before the end of ShutdownGrace are
 // cancelled.
 func (l *Launcher) shutDown() {
 	start := time.Now()
@@ -296,8 +307,8 @@
 	}
 }
 
-// cancelCallerRequests cancels the requests still in progress, and waits up to
-// finalResponseTime for their error responses to be sent.
+// cancelCallerRequests cancels the callers' requests still in progress, and waits
+// at most finalResponseTime until their error responses are sent.
 func (l *Launcher) cancelCallerRequests() {
 	if n := l.forwarder.InFlight(); n > 0 {
 		l.config.Log.Warn("requests_cut_off", zap.Int("in_flight", n))
@@ -317,9 +328,9 @@
 	return b
 }
 
-// reloadSettings reads the settings on each signal and once per reloadPeriod,
-// and applies them on a signal or if they changed. It returns when the context
-// is done.
+// reloadSettings reads the settings when it is called, on each value of signals
+// and every reloadPeriod, and applies them on a signal or if they have changed. If
+// they can't be read, the former ones still apply. It returns when ctx is done.
 func (l *Launcher) reloadSettings(ctx context.Context, signals <-chan struct{}) {
 	signalled := false
 	for ctx.Err() == nil {
--- a/launcher/stop_test.go
+++ b/launcher/stop_test.go
@@ -46,8 +46,9 @@
 	})
 }
 
-// A request whose body is complete only shortly before its deadline still ends by the deadline, before
-// the entry exits.
+// The deadline of a request counts from the arrival of its header, so a body that takes up to 2.9 of its
+// 3 s does not make the request end later. Guards against the entry's exit cutting off such a request, or
+// the entry refusing it long after its body is complete.
 func TestStoppingEntryServesLateBodyInTime(t *testing.T) {
 	withLongAnswers(t, func(is *is.I, f *fleet) {
 		late := plannedRequest{path: "/once/x", bodyTime: 2500 * time.Millisecond}
@@ -108,8 +109,8 @@
 	}
 }
 
-// The exit of an entry cuts off plain requests, as it does streams, if their route allows more time than
-// the entry has left. The entry must refuse requests whose deadline is after its exit.
+// The exit of an entry would cut off plain requests, as it would streams, if their route allows more time
+// than is left until the exit. The entry must refuse requests whose deadline is after its exit.
 func TestStoppingEntryCutsNoSlowCall(t *testing.T) {
 	for _, path := range []string{"/once/slow/x", "/safe/slow/x"} {
 		for _, reused := range []bool{false, true} {
@@ -137,8 +138,8 @@
 	}
 }
 
-// An entry that shuts down does not start a prompt that needs the memory of two engines if its exit may
-// cut off the response, just as for a short prompt.
+// An entry that shuts down does not send a prompt that needs the memory of two engines to engines if its
+// exit may cut off the response. The rule for short prompts is the same.
 func TestStoppingEntryCutsNoPromptOfAGroup(t *testing.T) {
 	for _, path := range []string{"/stream/heavy/x", "/fixed/heavy/x"} {
 		t.Run(path[1:], func(t *testing.T) {
@@ -320,8 +321,8 @@
 	})
 }
 
-// A request that states no maximum answer length was taken for one with a response of a single event.
-// An entry that shut down started its stream and cut it off.
+// An entry treated a request that states no maximum answer length as one with a response of a single
+// event. While it shut down, it started the stream of such a request and cut it off by its exit.
 func TestStoppingEntryCutsNoStreamOfUnknownLength(t *testing.T) {
 	for _, usage := range []string{"2000", "2000,0"} {
 		t.Run(fmt.Sprintf("%q", usage), func(t *testing.T) {
