--- a/logger/events.go
+++ b/logger/events.go
@@ -1,8 +1,8 @@
 package logger
 
-// Event describes one kind of log line that an entry on the users' platform writes.
+// Event describes one kind of log line of an entry that package launcher runs.
 type Event struct {
-	// Name is the value of the line's key "event".
+	// Name is the value of the key event in the line.
 	Name string
 	// Meaning explains to operators when the line is written and what its consequences are.
 	Meaning string
@@ -10,11 +10,11 @@
 	Fields []string
 }
 
-// Events lists all events that an entry on the users' platform logs, sorted by name.
+// Events lists all events that an entry run by package launcher logs, sorted by name.
 var Events = []Event{
 	{"accept_peer", "A connection from another entry could not be accepted. Heartbeats from other entries are lost until one can.", []string{"error"}},
 	{"attempt", "An attempt did not end in a complete response. Verdict: unsent (no connection), not_run (the upstream states that it did not run the request), broken (may have run), failed (ran and failed). Content is the fingerprint of the request, left_ms the time left until its deadline.", []string{"request", "verdict", "upstream", "address", "helpers", "left_ms", "content", "error"}},
-	{"beat_failed", "A heartbeat was not answered (debug). A member counts as dead after one second without an answer.", []string{"peer", "error"}},
+	{"beat_failed", "A heartbeat was not answered (debug). Another entry is declared dead after one second without an answer.", []string{"peer", "error"}},
 	{"callers_left_unanswered", "The entry exits before all of its last responses were sent. In_flight is the number of requests without a response.", []string{"in_flight", "error"}},
 	{"configuration", "A newer revision of the configuration is in force. Source is the store, or the entry that it was fetched from.", []string{"id", "change", "revision", "source"}},
 	{"configuration_unreadable", "A newer revision of the configuration could not be read. The one in force stays.", []string{"revision", "source", "error"}},
@@ -31,7 +31,7 @@
 	{"release_failed", "Memory reserved at an engine could not be released. The engine frees it when its lease expires.", []string{"request", "engine", "lease_ms", "error"}},
 	{"reload", "The settings were reloaded, on SIGHUP or because they had changed.", []string{"signalled", "changed", "seeds"}},
 	{"renewal_failed", "The lease of reserved memory could not be renewed. The lease expires after two more failures.", []string{"request", "error"}},
-	{"report_failed", "An engine did not report whether reserved memory is used. The memory counts as unused.", []string{"request", "engine", "error"}},
+	{"report_failed", "An engine did not report whether reserved memory is used. The memory is treated as unused.", []string{"request", "engine", "error"}},
 	{"request", "A request ended. Outcome is answered, or the reason why the request failed; see the command explain. Answer is the maximum number of tokens that the request allows in the response. Stop_left_ms is the time from the arrival of the request to the exit of an entry that shuts down. Longest_pause_ms is the longest gap between two events.", []string{"request", "outcome", "status", "took_ms", "attempts", "prompt", "content", "answer", "answer_hint", "events", "route", "kind", "config_revision", "stop_left_ms", "first_ms", "longest_pause_ms", "error", "retry_after_ms"}},
 	{"requests_cut_off", "The time for shutting down ended with requests in progress. They are cancelled.", []string{"in_flight"}},
 	{"reserved", "Memory was reserved for one prompt at engines, besides the one that answers it. Engines is their number, lease_ms the lease of the memory.", []string{"request", "engines", "lease_ms"}},
@@ -55,6 +55,6 @@
 	{"upstream_pauses", "An upstream refused a request and asked this entry to send it none for pause_ms.", []string{"request", "upstream", "address", "pause_ms"}},
 	{"upstreams_unreadable", "The store held more unreadable registrations of upstreams than are logged one by one. Count is the number of all of them, logged the number of those logged.", []string{"count", "logged", "source"}},
 	{"wait", "A prompt waits at this entry until engines are less loaded or it would delay other requests less. Expected_ms is the expected time to its first event if it were placed now, patience_ms the time for which its caller still waits for that event.", []string{"request", "service", "reason", "expected_ms", "patience_ms"}},
-	{"woke", "This process or its instance was suspended for paused_ms. All of its state counts as unconfirmed until it is confirmed again.", []string{"paused_ms"}},
+	{"woke", "This process or its instance was suspended for paused_ms. All of its state is treated as unconfirmed until it is confirmed again.", []string{"paused_ms"}},
 	{"yield", "A long prompt gives up its placement, because another entry placed one at some of the same engines at the same time. The prompt is placed again, or waits.", []string{"request", "service", "upstream", "helpers", "expected_ms"}},
 }
--- a/logger/events_test.go
+++ b/logger/events_test.go
@@ -14,8 +14,9 @@
 // logCallPattern matches calls of a logger, with the name of the event.
 var logCallPattern = regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z_]+)"`)
 
-// Events lists exactly the events that the code of an entry on the users'
-// platform logs, sorted by name.
+// Events lists exactly the events that the code of an entry run by package
+// launcher logs, sorted by name. Guards against log lines that operators find
+// explained nowhere.
 func TestEventsAreThoseOfTheCode(t *testing.T) {
 	used := map[string]bool{"log_lines_dropped": true, "configuration": true, "upstream": true}
 	for _, pattern := range []string{"../controller/*.go", "../forwarder/*.go", "../launcher/*.go", "../cmd/sapphireramp/gateway.go"} {
@@ -52,7 +53,7 @@
 	}
 }
 
-// docs/OPERATIONS.md mentions every event.
+// Guards against an event that docs/OPERATIONS.md does not mention.
 func TestEventsAreOnTheOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,6 +1,6 @@
-// Package logger creates the loggers of sapphireramp. Each event is one logfmt
-// line. Every layer of the program has its own logger, and layers can be left
-// out of the log.
+// Package logger creates the loggers of sapphireramp, which write each event as
+// one line in logfmt. The program is divided into layers; every layer has its own
+// logger, and Config.Layers selects the layers that are logged.
 package logger
 
 import (
@@ -16,16 +16,16 @@
 
 // Names of the layers of the program, as they appear in the log.
 const (
-	// LayerEntry covers the start, the end and the faults of a process, the ends of requests, and the calls to
-	// the platform. An entry on the users' platform logs all its events in this layer.
+	// LayerEntry is the layer of the start, the end and the faults of an entry, of the ends of requests and of
+	// calls to the platform. An entry that package launcher runs logs all its events in this layer.
 	LayerEntry = "entry"
-	// LayerRouter covers the choice of upstreams and the attempts of requests.
+	// LayerRouter is the layer of the choice of upstreams and of the attempts of requests.
 	LayerRouter = "route"
-	// LayerKeeper covers the engines whose memory an entry grants, and the reservations there.
+	// LayerKeeper is the layer of the engines whose memory an entry grants, and of the reservations there.
 	LayerKeeper = "keep"
-	// LayerMembers covers the states of other entries, as seen by the entry that logs.
+	// LayerMembers is the layer of changes in the states of other entries, as seen by the entry that logs.
 	LayerMembers = "members"
-	// LayerDocument covers the configuration document.
+	// LayerDocument is the layer of changes of the configuration document.
 	LayerDocument = "document"
 )
 
@@ -36,31 +36,31 @@
 type Config struct {
 	// Level is the lowest level that is logged: debug, info, warn or error.
 	Level string
-	// Layers names the layers that are logged; empty means all.
+	// Layers holds the names of the layers that are logged; all layers are logged if it is empty.
 	Layers []string
-	// Output receives the lines below the level warn.
+	// Output receives the lines with a level below warn.
 	Output io.Writer
-	// WarnOutput receives warnings and errors; nil means Output.
+	// WarnOutput receives the lines with the level warn or above. If it is nil, Output receives them too.
 	WarnOutput io.Writer
 }
 
 // Loggers holds the loggers of all layers.
 type Loggers struct {
 	root *zap.Logger
-	// layers names the layers that are logged; empty means all.
+	// layers is Config.Layers.
 	layers []string
 }
 
-// UnknownLayerError is returned if Config.Layers contains a name that is not in
-// Layers.
+// UnknownLayerError is returned by New if Config.Layers contains a name, Layer,
+// that is not in the variable Layers.
 type UnknownLayerError struct{ Layer string }
 
 func (e UnknownLayerError) Error() string {
 	return fmt.Sprintf("Log.Layers: %q: must be one of %v", e.Layer, Layers)
 }
 
-// New returns the loggers for a configuration. The error is an
-// UnknownLayerError for an unknown layer; an unknown level is an error too.
+// New returns the loggers for a configuration. It returns an UnknownLayerError
+// for an unknown layer, and another error for an unknown level.
 func New(c Config) (*Loggers, error) {
 	level, err := zapcore.ParseLevel(c.Level)
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // Layer returns the logger of the layer with a name. The logger writes nothing
-// if the layer is left out of the log.
+// if Config.Layers is not empty and lacks the layer.
 func (l *Loggers) Layer(name string) *zap.Logger {
 	if len(l.layers) > 0 && !slices.Contains(l.layers, name) {
 		return zap.NewNop()
--- a/logger/queue_test.go
+++ b/logger/queue_test.go
@@ -26,8 +26,8 @@
 	return o.text.Write(p)
 }
 
-// Writes to a queue do not block while its output does, and dropped lines are
-// counted.
+// Writes to a queue do not block while its output does, and the number of dropped
+// lines is logged.
 func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -46,7 +46,7 @@
 	})
 }
 
-// If the output is slow, ordinary lines are dropped and warnings are kept.
+// If the output is slow, lines below the level warn are dropped and warnings are kept.
 func TestWarningsAreDroppedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
