--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -50,7 +50,8 @@
 // the verdict verdictUnsent may be repeated maxUnsentAttempts times; unsentCount is the number of such
 // attempts before a. After any other attempt, the route must allow the request to run again if it may
 // have run, MaxAttempts must not be reached, and isSuspect must return false. Such a retry is taken
-// from the retry budget, and is not allowed if the budget is used up.
+// from the retry budget, and is not allowed if the budget is used up. No retry is allowed once the
+// request is cancelled or past its deadline.
 func (f *Forwarder) allowRetry(x *exchange, a *attempt, unsentCount int) bool {
 	if x.ctx.Err() != nil {
 		return false
--- a/forwarder/group.go
+++ b/forwarder/group.go
@@ -36,8 +36,8 @@
 	// requestID is the ID of the request, for the log.
 	requestID    string
 	reservations []reservation
-	// stopRenewal tells the goroutine that renews the reservations to end; renewal.Wait returns when it
-	// has ended. stopRenewal is nil until all memory is reserved.
+	// stopRenewal cancels the context of the goroutine that renews the reservations; renewal.Wait returns
+	// when the goroutine has ended. stopRenewal is nil until all memory is reserved.
 	stopRenewal context.CancelFunc
 	renewal     sync.WaitGroup
 	// reservedAt is when the entry began to reserve the memory.
@@ -171,7 +171,8 @@
 
 // isMemoryUnused reports whether no request uses the memory of a group although it was reserved at
 // least idleFraction of Config.MaxIdle ago, as happens if the engine that is to answer hangs. It asks
-// only the engine of the first reservation. If that engine does not say, it returns true.
+// only the engine of the first reservation, and returns true if that engine does not respond. It
+// returns false once the first event of the response has arrived.
 func (f *Forwarder) isMemoryUnused(ctx context.Context, g *reservationGroup) bool {
 	if g.responseBegun.Load() || time.Since(g.reservedAt) < time.Duration(idleFraction*float64(f.maxIdle)) {
 		return false
--- a/forwarder/place.go
+++ b/forwarder/place.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// waitDivisor sets how long a request waits for a placement before it is refused: for its
-	// first-byte target divided by waitDivisor. Engines reduce their backlog in that time, and a
+	// waitDivisor sets how long after its arrival a request still waits for a placement, unless its
+	// refusal is deferrable: for its first-byte target divided by waitDivisor. Engines reduce their backlog in that time, and a
 	// refused caller, which rarely tries a third time, keeps enough time for a second try.
 	waitDivisor = 8
 	// minPollInterval is the shortest time between the end of a search for a placement and the next
--- a/forwarder/stop.go
+++ b/forwarder/stop.go
@@ -39,7 +39,7 @@
 
 // refusesWhileStopping reports whether a stopping entry refuses a request without a search for a
 // placement: mayOutlastEntry returns true, and the request arrived after the time until which callers
-// may use the entry's address. The predicted end of the response can be wrong and is not considered,
+// may use the entry's address, which is AddressValidUntil less stopSignalDelay. The predicted end of the response can be wrong and is not considered,
 // even if no other entry accepts callers.
 func (v *View) refusesWhileStopping(x *exchange) bool {
 	return x.mayOutlastEntry(v) && x.arrivedAt.After(v.AddressValidUntil.Add(-stopSignalDelay))
@@ -51,8 +51,8 @@
 
 // limitIfStopping returns the demand d, to which limitToStop is applied if the entry is stopping and
 // the request may outlast it. The dispatcher then places the request only if the longest response
-// that it allows is predicted to end before the exit. Such a request is not refused, because a refused
-// caller may reach another stopping entry and rarely tries a third time.
+// that the request allows is predicted to end before the exit. Such a request is not refused, because a
+// refused caller may reach another stopping entry and rarely tries a third time.
 //
 // A request whose response has begun and a plain request that may have run are not limited: they
 // continue until the exit, and the caller gets the whole response or a failure then.
--- a/forwarder/stop_test.go
+++ b/forwarder/stop_test.go
@@ -74,8 +74,8 @@
 
 // A stopping entry accepts a request only if it ends before the exit: by its deadline or, while callers
 // may still use the entry's address, by the predicted end of its longest allowed response. All other
-// requests are refused at once with a Retry-After. Streams used to be accepted if the target and 3 s
-// remained, in which most responses end; longer ones were cut off.
+// requests are refused at once with a Retry-After. Streams used to be accepted if the first-byte target
+// plus 3 s were left until the exit, in which most responses end; longer ones were cut off.
 func TestStoppingEntryBeginsOnlyWhatEndsInTime(t *testing.T) {
 	const long, brief = "1000,4500", "1000,100" // an idle engine decodes for 4.3 s and 0.1 s
 	for _, c := range []struct {
@@ -226,8 +226,8 @@
 
 // A stream with 8 of its 10 events whose engine becomes silent resumes at another engine while its
 // entry is stopping. The last two events are predicted to take at most 0.9 s there, and 4 s are
-// left after the allowed silence. The stream used to stay until the exit, because all ten events
-// were counted.
+// left when the watchdog fires. The stream used to stay at the silent engine until the exit, because the
+// prediction was for all ten events.
 func TestSilentStreamResumesAtStoppingEntry(t *testing.T) {
 	withForwarder(t, func(f *fixture) {
 		const untilExit = 6 * time.Second
@@ -246,8 +246,8 @@
 	})
 }
 
-// A stopping entry has the usual admission rules: a prompt whose cost to other requests exceeds its
-// value is refused, also if it would end in time.
+// A stopping entry refuses a prompt whose cost to other requests exceeds its value, as any entry does,
+// also if the response would end before the exit.
 func TestStoppingEntryRefusesTooCostlyPrompt(t *testing.T) {
 	for _, timeout := range []time.Duration{2 * time.Second, 10 * time.Second} {
 		withForwarder(t, func(f *fixture) {
--- a/forwarder/watchdog.go
+++ b/forwarder/watchdog.go
@@ -17,8 +17,8 @@
 	// takes 0.2 s for a short prompt. With a smaller fraction, many prompts would be sent a second
 	// time while their engine only prefills, just when engines are busiest.
 	silenceFraction = 0.75
-	// busySilenceFraction is the upper limit, as the same fraction, for an engine that is expected to
-	// send nothing because it prefills prompts.
+	// busySilenceFraction is the longest time for which an engine may send nothing while it is expected
+	// to prefill prompts, also as a fraction of the time after which the caller abandons a stream.
 	busySilenceFraction = 0.85
 	// busyPrefillFactor is the time for which an engine may send nothing because of prefill, as a
 	// multiple of the expected time.
