--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -35,7 +35,8 @@
 }
 
 // checkResults fails the test for every result of the stopped callers that violates a guarantee of
-// the product. It returns how many requests were served and sent.
+// the product, such as an incomplete answer, a request that ran too often, or one that ran although it
+// was reported as not run. It returns how many requests were served and sent.
 func (x *traffic) checkResults() (served, sent int) {
 	served, sent, violations := x.Evaluate(x.fleet.evidence())
 	for _, b := range violations {
@@ -100,7 +101,7 @@
 	})
 }
 
-// A reload of the settings by SIGHUP does not disturb requests.
+// A reload of the settings by SIGHUP makes no request fail.
 func TestReload(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, f *fleet) {
 		x := f.startTraffic(4)
--- a/launcher/soak_test.go
+++ b/launcher/soak_test.go
@@ -185,9 +185,12 @@
 	}
 }
 
-// TestSoak sends requests while random disruptions overlap. Every result is checked
-// against the guarantees of the product. After the disruptions, all requests must be
-// served and no request or reservation may be left at the upstreams.
+// TestSoak sends requests while random disruptions overlap. It guards against
+// incomplete answers, requests that run too often or although they are reported as
+// not run, requests sent to upstreams that are leaving or asked for a backoff, and
+// requests that crash engines not being quarantined. After the disruptions, all
+// requests must be served, and no request or reservation may be left at the
+// upstreams.
 //
 // Every plan contains a series of entry stops, and the longest responses take as long
 // as callers wait. Without stops, or with responses of at most half a second, the test
