--- a/logger/queue.go
+++ b/logger/queue.go
@@ -50,7 +50,7 @@
 // and counts a line only if the queue is full.
 func (q *Queue) WarningWriter() io.Writer { return warningWriter{q} }
 
-// warningWriter is the io.Writer returned by PriorityWriter.
+// warningWriter is the io.Writer returned by WarningWriter.
 type warningWriter struct{ queue *Queue }
 
 func (w warningWriter) Write(line []byte) (int, error) { return w.queue.enqueue(line) }
