--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -30,8 +30,8 @@
 
 // Settings holds the settings that can change while the entry runs.
 type Settings struct {
-	// Seeds are the PeerAddresses of the entries that this entry contacts first, to
-	// discover all others.
+	// Seeds are the peer addresses, as in Config.PeerAddress, of the entries that
+	// this entry contacts first, to discover all others.
 	Seeds []netip.AddrPort
 	// RetryBudget limits the retries that all entries together make for each service.
 	RetryBudget budgeter.Config
