--- a/controller/controller.go
+++ b/controller/controller.go
@@ -198,7 +198,7 @@
 		seeds: seeds, started: now, lastTick: now, lastSinceBoot: c.config.SinceBoot(),
 		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, SuspectAfter: deadTimeout}),
 	}
-	s.follower.SetRemovalBound(c.config.MaxPropagation)
+	s.follower.SetMaxUseAfterRemoval(c.config.MaxPropagation)
 	c.goBackground(func() { c.followStore(ctx) })
 	c.goBackground(func() { c.sendHeartbeats(ctx) })
 	c.goBackground(func() { c.sendLoadUpdates(ctx, loadSocket) })
@@ -248,7 +248,7 @@
 	}
 	if paused > suspendThreshold {
 		s.controller.config.Log.Warn("woke", zap.Duration("paused_ms", paused))
-		s.prober.ResetSilence(now)
+		s.prober.RestartSilenceDetection(now)
 		s.follower.ClearConfirmation()
 		s.dirty = true
 	}
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -77,7 +77,7 @@
 // storeFailureAge returns how long ago a store call last failed, at this entry or at one
 // that reported it; neverFailed if none did.
 func (s *state) storeFailureAge(now time.Time) time.Duration {
-	age, ever := s.follower.FailureAge(now)
+	age, ever := s.follower.StoreFailureAge(now)
 	if !ever {
 		return neverFailed
 	}
@@ -88,7 +88,7 @@
 // Negative ages are ignored.
 func (s *state) recordStoreFailure(now time.Time, age time.Duration) {
 	if age >= 0 {
-		s.follower.RecordFailure(now.Add(-age))
+		s.follower.RecordStoreFailure(now.Add(-age))
 	}
 }
 
@@ -158,7 +158,7 @@
 	c.applyState(reply.State, source, func(s *state, now time.Time, got follower.State) []follower.Change {
 		defer s.follower.Confirm(now.Add(-reply.Confirmed))
 		if reply.Whole {
-			return s.follower.ApplySnapshot(now, got)
+			return s.follower.ApplyPeerSnapshot(now, got)
 		}
 		return s.follower.ApplyChanges(now, got)
 	})
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -178,7 +178,7 @@
 		s.controller.config.Log.Info("store_history_gone", zap.Int64("revision", s.follower.Revision()))
 		return
 	}
-	s.follower.RecordOwnFailure(now)
+	s.follower.RecordOwnStoreFailure(now)
 	if s.storeLost {
 		return
 	}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -86,7 +86,7 @@
 		}
 		now := time.Now()
 		*reply = s.heartbeat(now, limit)
-		reply.Quarantine = s.controller.config.Quarantine.ReplyUpdate(now, beat.Quarantine)
+		reply.Quarantine = s.controller.config.Quarantine.TakeReplyUpdate(now, beat.Quarantine)
 	})
 	if reply.From == "" {
 		return errStopped
@@ -143,7 +143,7 @@
 		now := time.Now()
 		targets = s.heartbeatTargets(now, all)
 		beat = s.heartbeat(now, minContacts)
-		beat.Quarantine = c.config.Quarantine.HeartbeatUpdate(now)
+		beat.Quarantine = c.config.Quarantine.TakeHeartbeatUpdate(now)
 	})
 	for _, address := range targets {
 		go func() {
@@ -177,7 +177,7 @@
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 		return out[:min(len(out), maxImmediateHeartbeats)]
 	}
-	for _, m := range s.prober.BeginRound(now) {
+	for _, m := range s.prober.NextHeartbeatTargets(now) {
 		out = append(out, m.PeerAddress)
 		live[m.PeerAddress] = true
 	}
@@ -197,7 +197,7 @@
 	b := Beat{
 		Heartbeat: api.Heartbeat{
 			From: c.Name, Incarnation: c.Incarnation, PeerAddress: c.PeerAddress, Address: c.CallerAddress, DataCentre: c.DataCentre,
-			Stopping: s.stopping, Ready: s.table != nil, Revision: uint64(revision), Notices: s.prober.NextNotices(),
+			Stopping: s.stopping, Ready: s.table != nil, Revision: uint64(revision), Notices: s.prober.TakeNotices(),
 		},
 		Knows: len(s.contacts), Known: ok && s.follower.HasState(), Content: s.follower.NewestRevision(), Confirmed: age,
 		Disturbed: s.storeFailureAge(now), Speed: c.Speed, Strained: s.lagMeter.overloaded,
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -87,9 +87,9 @@
 	KindLeaving = "leaving"
 	// KindGone: a registration was removed, or the retention of its upstream ended.
 	KindGone = "gone"
-	// KindRetained: a registration was removed. Its upstream is retained, since the
+	// KindRetainedAfterOutage: a registration was removed. Its upstream is retained, since the
 	// registration may have lapsed in an outage of the store.
-	KindRetained = "held_after_outage"
+	KindRetainedAfterOutage = "held_after_outage"
 	// KindConfig: the configuration has a new revision.
 	KindConfig = "configuration"
 	// KindUnreadable: a registration can't be read.
@@ -139,13 +139,13 @@
 	return &Follower{instances: map[string]*knownInstance{}, removalBound: defaultRemovalBound}
 }
 
-// SetRemovalBound sets the longest time for which an upstream may get work after the removal of
+// SetMaxUseAfterRemoval sets the longest time for which an upstream may get work after the removal of
 // its registration.
-func (f *Follower) SetRemovalBound(bound time.Duration) { f.removalBound = bound }
+func (f *Follower) SetMaxUseAfterRemoval(bound time.Duration) { f.removalBound = bound }
 
-// ApplySnapshot merges a complete state from another entry. Upstreams missing from it count
+// ApplyPeerSnapshot merges a complete state from another entry. Upstreams missing from it count
 // as removed. A state older than the present one is ignored.
-func (f *Follower) ApplySnapshot(now time.Time, s State) []Change {
+func (f *Follower) ApplyPeerSnapshot(now time.Time, s State) []Change {
 	return f.mergeSnapshot(now, s, f.retentionTime(now))
 }
 
@@ -263,7 +263,7 @@
 	k.removedAt = now
 	if ok && !k.listed.Instance.Leaving && retention > 0 {
 		k.retainedUntil = now.Add(retention)
-		return []Change{{ID: id, Kind: KindRetained, Revision: revision}}
+		return []Change{{ID: id, Kind: KindRetainedAfterOutage, Revision: revision}}
 	}
 	return []Change{{ID: id, Kind: KindGone, Revision: revision}}
 }
@@ -284,22 +284,22 @@
 	return max(0, remaining)
 }
 
-// RecordOwnFailure records that a store call of this entry failed at a time.
-func (f *Follower) RecordOwnFailure(at time.Time) {
+// RecordOwnStoreFailure records that a store call of this entry failed at a time.
+func (f *Follower) RecordOwnStoreFailure(at time.Time) {
 	f.ownFailureAt = at
-	f.RecordFailure(at)
+	f.RecordStoreFailure(at)
 }
 
-// RecordFailure records that a store call of this or another entry failed at a time.
-func (f *Follower) RecordFailure(at time.Time) {
+// RecordStoreFailure records that a store call of this or another entry failed at a time.
+func (f *Follower) RecordStoreFailure(at time.Time) {
 	if at.After(f.lastFailureAt) {
 		f.lastFailureAt = at
 	}
 }
 
-// FailureAge returns how long ago a store call last failed, at this entry or at one that
+// StoreFailureAge returns how long ago a store call last failed, at this entry or at one that
 // reported it, and false if none did.
-func (f *Follower) FailureAge(now time.Time) (time.Duration, bool) {
+func (f *Follower) StoreFailureAge(now time.Time) (time.Duration, bool) {
 	if f.lastFailureAt.IsZero() {
 		return 0, false
 	}
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -39,7 +39,7 @@
 
 func Example() {
 	f := follower.New()
-	f.ApplySnapshot(start, follower.State{Revision: 5, Config: []byte("v1"), ConfigRevision: 2, Instances: []follower.Listed{ready("a", 3), ready("b", 4)}})
+	f.ApplyPeerSnapshot(start, follower.State{Revision: 5, Config: []byte("v1"), ConfigRevision: 2, Instances: []follower.Listed{ready("a", 3), ready("b", 4)}})
 	f.ApplyChanges(start, follower.State{Revision: 6, Instances: []follower.Listed{draining("b", 6)}})
 	config, revision := f.Config()
 	fmt.Println(string(config), revision, usableIDs(f))
@@ -50,9 +50,9 @@
 func TestOlderStateChangesNothing(t *testing.T) {
 	is := is.New(t)
 	f := follower.New()
-	f.ApplySnapshot(start, follower.State{Revision: 9, Config: []byte("new"), ConfigRevision: 8, Instances: []follower.Listed{ready("a", 3)}})
+	f.ApplyPeerSnapshot(start, follower.State{Revision: 9, Config: []byte("new"), ConfigRevision: 8, Instances: []follower.Listed{ready("a", 3)}})
 	f.ApplyChanges(start, follower.State{Revision: 10, Instances: []follower.Listed{gone("a", 10)}})
-	f.ApplySnapshot(start, follower.State{Revision: 7, Config: []byte("old"), ConfigRevision: 6, Instances: []follower.Listed{ready("a", 3), ready("b", 4)}})
+	f.ApplyPeerSnapshot(start, follower.State{Revision: 7, Config: []byte("old"), ConfigRevision: 6, Instances: []follower.Listed{ready("a", 3), ready("b", 4)}})
 	f.ApplyChanges(start, follower.State{Revision: 7, Config: []byte("old"), ConfigRevision: 6, Instances: []follower.Listed{ready("a", 3)}})
 	config, _ := f.Config()
 	is.Equal(string(config), "new")
@@ -64,9 +64,9 @@
 func TestLapsedInstancesAreRetained(t *testing.T) {
 	is := is.New(t)
 	f := follower.New()
-	f.ApplySnapshot(start, follower.State{Revision: 5, Instances: []follower.Listed{ready("a", 3), ready("b", 4)}})
-	f.RecordFailure(start.Add(time.Second))
-	f.ApplySnapshot(start.Add(1500*time.Millisecond), follower.State{Revision: 8})
+	f.ApplyPeerSnapshot(start, follower.State{Revision: 5, Instances: []follower.Listed{ready("a", 3), ready("b", 4)}})
+	f.RecordStoreFailure(start.Add(time.Second))
+	f.ApplyPeerSnapshot(start.Add(1500*time.Millisecond), follower.State{Revision: 8})
 	is.Equal(usableIDs(f), "ab")
 	f.ApplyChanges(start.Add(2*time.Second), follower.State{Revision: 9, Instances: []follower.Listed{ready("a", 9)}})
 	f.Tick(start.Add(3200 * time.Millisecond))
@@ -79,7 +79,7 @@
 func TestRemovedInstanceIsGoneAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := follower.New()
-	f.ApplySnapshot(start, follower.State{Revision: 5, Instances: []follower.Listed{ready("a", 3)}})
+	f.ApplyPeerSnapshot(start, follower.State{Revision: 5, Instances: []follower.Listed{ready("a", 3)}})
 	f.ApplyChanges(start, follower.State{Revision: 6, Instances: []follower.Listed{gone("a", 6)}})
 	is.Equal(usableIDs(f), "")
 }
@@ -88,8 +88,8 @@
 func TestDrainingInstanceIsNotRetained(t *testing.T) {
 	is := is.New(t)
 	f := follower.New()
-	f.ApplySnapshot(start, follower.State{Revision: 5, Instances: []follower.Listed{draining("a", 3)}})
-	f.RecordFailure(start)
+	f.ApplyPeerSnapshot(start, follower.State{Revision: 5, Instances: []follower.Listed{draining("a", 3)}})
+	f.RecordStoreFailure(start)
 	f.ApplyChanges(start, follower.State{Revision: 6, Instances: []follower.Listed{gone("a", 6)}})
 	is.Equal(usableIDs(f), "")
 }
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	f := follower.New()
 	f.ApplyChanges(start, follower.State{Revision: 1, Instances: []follower.Listed{ready("a", 1), ready("b", 1)}})
-	f.RecordFailure(start.Add(time.Second)) // reported by an entry that the store failed
+	f.RecordStoreFailure(start.Add(time.Second)) // reported by an entry that the store failed
 	removed := start.Add(1100 * time.Millisecond)
 	f.ApplyChanges(removed, follower.State{Revision: 2, Instances: []follower.Listed{gone("a", 2)}}) // read by another entry
 	f.Tick(removed.Add(2 * time.Second))
@@ -151,7 +151,7 @@
 	peer.ApplyStoreRead(start, follower.State{Revision: 5, Instances: []follower.Listed{startedAt(second, 5)}}, true)
 	reported, complete := peer.ChangesSince(3, 0)
 	is.True(complete) // the peer does not know earlier changes
-	f.ApplySnapshot(start, reported)
+	f.ApplyPeerSnapshot(start, reported)
 	is.Equal(f.UsableInstances()[0].Started, second)
 	f.ApplyChanges(start, follower.State{Revision: 4, Instances: []follower.Listed{startedAt(first, 3), gone("a", 4)}})
 	is.Equal(f.UsableInstances()[0].Started, second)
--- a/follower/outage_test.go
+++ b/follower/outage_test.go
@@ -128,7 +128,7 @@
 // read makes a store call of an entry: a complete read if it has no state, else a watch.
 func (o *simulation) read(e *simEntry) {
 	if e.failing {
-		e.RecordOwnFailure(o.now)
+		e.RecordOwnStoreFailure(o.now)
 		e.failedAt = o.now
 		return
 	}
@@ -150,8 +150,8 @@
 			if from == to || !confirmed {
 				continue
 			}
-			if failureAge, ever := from.FailureAge(o.now); ever {
-				to.RecordFailure(o.now.Add(-failureAge))
+			if failureAge, ever := from.StoreFailureAge(o.now); ever {
+				to.RecordStoreFailure(o.now.Add(-failureAge))
 			}
 			if from.NewestRevision() == to.NewestRevision() {
 				to.Confirm(o.now.Add(-age))
@@ -161,7 +161,7 @@
 			}
 			s, complete := from.ChangesSince(to.Revision(), 0)
 			if complete {
-				to.ApplySnapshot(o.now, s)
+				to.ApplyPeerSnapshot(o.now, s)
 			} else {
 				to.ApplyChanges(o.now, s)
 			}
--- a/follower/since_test.go
+++ b/follower/since_test.go
@@ -60,7 +60,7 @@
 			}
 			s, complete := from.ChangesSince(to.Revision(), 0)
 			if complete {
-				to.ApplySnapshot(now, s)
+				to.ApplyPeerSnapshot(now, s)
 				return
 			}
 			to.ApplyChanges(now, s)
@@ -75,7 +75,7 @@
 			case "delete":
 				h.change(fmt.Sprintf("%c", 'a'+rapid.IntRange(0, 4).Draw(t, "id")), false)
 			case "read":
-				e.ApplySnapshot(now, h.snapshot())
+				e.ApplyPeerSnapshot(now, h.snapshot())
 			case "watch":
 				if e.Revision() > 0 {
 					e.ApplyChanges(now, h.since(e.Revision()))
@@ -88,7 +88,7 @@
 				e.Tick(now)
 			}
 		}
-		entries[0].ApplySnapshot(now, h.snapshot())
+		entries[0].ApplyPeerSnapshot(now, h.snapshot())
 		for i, e := range entries {
 			fetch(entries[0], e)
 			if usableIDs(e) != h.ids() {
--- a/forwarder/crash.go
+++ b/forwarder/crash.go
@@ -43,7 +43,7 @@
 		}
 		f.log.Warn("upstream_ended", zap.String("request", x.metadata.ID), zap.Stringer("content", x.fingerprint), zap.String("upstream", first.ID),
 			zap.Stringer("address", first.Address), zap.Duration("ran_ms", brokeAt.Sub(a.startedAt)))
-		f.quarantine.RecordCrash(time.Now(), quarantiner.Crash{Fingerprint: x.fingerprint, Incarnation: quarantiner.Incarnation(first.IncarnationID()), LastSent: a.startedAt, Ended: brokeAt})
+		f.quarantine.RecordCrash(time.Now(), quarantiner.Crash{Fingerprint: x.fingerprint, Incarnation: quarantiner.IncarnationHash(first.IncarnationID()), LastSent: a.startedAt, Ended: brokeAt})
 	}()
 }
 
@@ -64,7 +64,7 @@
 // request does not crash it: its first and its latest event arrived at least as far apart as package
 // quarantiner requires for a success.
 func (a *attempt) hasRunLongEnough() bool {
-	return a.lastEventAt.Sub(a.firstEventAt) >= quarantiner.ProvenAfter
+	return a.lastEventAt.Sub(a.firstEventAt) >= quarantiner.MinSuccessRunTime
 }
 
 // checkQuarantine returns a refusal if the request is quarantined for crashing upstreams, nil
--- a/forwarder/crash_test.go
+++ b/forwarder/crash_test.go
@@ -66,7 +66,7 @@
 		now, fingerprint := time.Now(), fingerprintOf("/stream/x", "b")
 		for n := range 2 {
 			ended := now.Add(time.Duration(n-3) * time.Second)
-			f.quarantine.RecordCrash(now, quarantiner.Crash{Fingerprint: fingerprint, Incarnation: quarantiner.Incarnation(n), LastSent: ended.Add(-100 * time.Millisecond), Ended: ended})
+			f.quarantine.RecordCrash(now, quarantiner.Crash{Fingerprint: fingerprint, Incarnation: quarantiner.IncarnationHash(n), LastSent: ended.Add(-100 * time.Millisecond), Ended: ended})
 		}
 		time.AfterFunc(100*time.Millisecond, f.killWorkingEngines)
 		f.ask(request{path: "/stream/x", id: "third", usage: "2000,200", body: "b"})
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -44,9 +44,9 @@
 // Digest returns the digest of the list in use; empty if there is none.
 func (l *Lister) Digest() string { return l.digest }
 
-// Age returns the time since the platform last confirmed the list in use; negative if there is
+// ConfirmationAge returns the time since the platform last confirmed the list in use; negative if there is
 // none.
-func (l *Lister) Age(now time.Time) time.Duration {
+func (l *Lister) ConfirmationAge(now time.Time) time.Duration {
 	if l.data == nil {
 		return neverConfirmed
 	}
@@ -63,7 +63,7 @@
 	if l.data == nil {
 		return true
 	}
-	return l.Age(now) > l.staleAfter && age+minAgeGain < l.Age(now)
+	return l.ConfirmationAge(now) > l.staleAfter && age+minAgeGain < l.ConfirmationAge(now)
 }
 
 // Offer replaces the list in use by data if the platform confirmed data just now or ShouldFetch is
--- a/prober/example_test.go
+++ b/prober/example_test.go
@@ -17,8 +17,8 @@
 	now := time.Now()
 	p := prober.New(prober.Config{Name: "a", Incarnation: 1, Neighbours: 2, SuspectAfter: time.Second})
 	p.ReceiveHeartbeat(now, api.Heartbeat{From: "b", Incarnation: 1, Ready: true, PeerAddress: netip.MustParseAddrPort("10.0.0.2:81")})
-	p.BeginRound(now)
-	p.BeginRound(now)
+	p.NextHeartbeatTargets(now)
+	p.NextHeartbeatTargets(now)
 	fmt.Println(p.Tick(now.Add(500 * time.Millisecond)))
 	fmt.Println(p.Tick(now.Add(2 * time.Second)))
 	// Output:
@@ -72,7 +72,7 @@
 
 // heartbeat returns the next heartbeat of entry i.
 func (f *testFleet) heartbeat(i int) api.Heartbeat {
-	return api.Heartbeat{From: name(i), Incarnation: 1 + f.restarts[i], Ready: !f.stopping[i], Stopping: f.stopping[i], PeerAddress: address(i), DataCentre: f.dataCentre(i), Notices: f.probers[i].NextNotices()}
+	return api.Heartbeat{From: name(i), Incarnation: 1 + f.restarts[i], Ready: !f.stopping[i], Stopping: f.stopping[i], PeerAddress: address(i), DataCentre: f.dataCentre(i), Notices: f.probers[i].TakeNotices()}
 }
 
 // round simulates a second in which every entry that is not silent sends its heartbeats.
@@ -84,7 +84,7 @@
 			continue
 		}
 		p.Tick(f.now)
-		for _, t := range p.BeginRound(f.now) {
+		for _, t := range p.NextHeartbeatTargets(f.now) {
 			var to int
 			_, _ = fmt.Sscanf(t.Name, "entry-%d", &to)
 			if f.dataCentre(i) == f.dataCentre(to) {
@@ -202,7 +202,7 @@
 	for range rounds {
 		f.round()
 		for _, p := range f.probers {
-			for _, n := range p.NextNotices() {
+			for _, n := range p.TakeNotices() {
 				notices[n] = true
 			}
 		}
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -327,9 +327,9 @@
 	return ok
 }
 
-// NextNotices returns up to maxNotices notices to send with the next heartbeat. Each call counts as
+// TakeNotices returns up to maxNotices notices to send with the next heartbeat. Each call counts as
 // one heartbeat that carries them.
-func (p *Prober) NextNotices() []api.Notice {
+func (p *Prober) TakeNotices() []api.Notice {
 	var out []api.Notice
 	for _, k := range p.notices {
 		if k.sendsLeft <= 0 || len(out) == maxNotices {
@@ -341,9 +341,9 @@
 	return out
 }
 
-// BeginRound begins a round and returns the members to send a heartbeat to. They include dead
+// NextHeartbeatTargets begins a round and returns the members to send a heartbeat to. They include dead
 // members, so that the end of a partition is detected.
-func (p *Prober) BeginRound(now time.Time) []Member {
+func (p *Prober) NextHeartbeatTargets(now time.Time) []Member {
 	p.round++
 	successors := (p.config.Neighbours + 1) / 2
 	isLocal := p.localFilter()
@@ -437,10 +437,10 @@
 	return changes
 }
 
-// ResetSilence restarts the detection of silent members. It is called after this process was
+// RestartSilenceDetection restarts the detection of silent members. It is called after this process was
 // suspended for a while, as heartbeats that it did not process in that time don't show that members
 // are dead.
-func (p *Prober) ResetSilence(now time.Time) {
+func (p *Prober) RestartSilenceDetection(now time.Time) {
 	for _, m := range p.members {
 		m.unanswered = 0
 		if m.State == Live || m.State == Stopping {
--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -86,12 +86,12 @@
 	// all holds every exit, in no particular order.
 	all []*incarnationExit
 	// byIncarnation holds the same exits by incarnation.
-	byIncarnation map[Incarnation][]*incarnationExit
+	byIncarnation map[IncarnationHash][]*incarnationExit
 }
 
 // collectExits groups the known crashes by the exit that they report. The caller holds the lock.
 func (q *Quarantiner) collectExits() incarnationExits {
-	exits := incarnationExits{byIncarnation: map[Incarnation][]*incarnationExit{}}
+	exits := incarnationExits{byIncarnation: map[IncarnationHash][]*incarnationExit{}}
 	for fp, p := range q.suspects {
 		for _, s := range p.crashes {
 			e := exits.find(s.Crash)
--- a/quarantiner/gossip.go
+++ b/quarantiner/gossip.go
@@ -21,18 +21,18 @@
 	maxItemsPerUpdate = 32
 )
 
-// HeartbeatUpdate returns the update to send with the next heartbeat: recent crashes and successes,
+// TakeHeartbeatUpdate returns the update to send with the next heartbeat: recent crashes and successes,
 // and the digest of the quarantines. Each call counts as one broadcast of the items that it
 // returns.
-func (q *Quarantiner) HeartbeatUpdate(now time.Time) api.QuarantineNews {
+func (q *Quarantiner) TakeHeartbeatUpdate(now time.Time) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.nextUpdate(now)
 }
 
-// ReplyUpdate returns the update to send in response to an update from another entry. If the other
+// TakeReplyUpdate returns the update to send in response to an update from another entry. If the other
 // entry's quarantines differ, it includes all quarantines of this entry.
-func (q *Quarantiner) ReplyUpdate(now time.Time, received api.QuarantineNews) api.QuarantineNews {
+func (q *Quarantiner) TakeReplyUpdate(now time.Time, received api.QuarantineNews) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	update := q.nextUpdate(now)
@@ -99,7 +99,7 @@
 	}
 	for _, s := range update.Strikes[:min(len(update.Strikes), maxItemsPerUpdate)] {
 		ended := ago(now, s.Age)
-		q.recordCrash(now, Crash{Fingerprint: Fingerprint(s.Content), Incarnation: Incarnation(s.Run), FirstSent: ago(ended, max(s.Ran, s.Longest)), LastSent: ago(ended, s.Ran), Ended: ended})
+		q.recordCrash(now, Crash{Fingerprint: Fingerprint(s.Content), Incarnation: IncarnationHash(s.Run), FirstSent: ago(ended, max(s.Ran, s.Longest)), LastSent: ago(ended, s.Ran), Ended: ended})
 	}
 	var out []Decision
 	for _, item := range update.Quarantined[:min(len(update.Quarantined), maxQuarantined)] {
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -17,13 +17,13 @@
 	"go.uber.org/zap"
 )
 
-// Incarnation identifies one process lifetime of an upstream. It is a hash of the incarnation ID.
-type Incarnation uint32
+// IncarnationHash identifies one process lifetime of an upstream. It is a hash of the incarnation ID.
+type IncarnationHash uint32
 
 // Crash is the exit of an upstream incarnation while it ran requests with a fingerprint.
 type Crash struct {
 	Fingerprint Fingerprint
-	Incarnation Incarnation
+	Incarnation IncarnationHash
 	// FirstSent and LastSent are the times at which the first and the last unanswered request with
 	// the fingerprint were sent to the incarnation; a zero FirstSent stands for LastSent. Ended is
 	// the time at which the responses of the incarnation broke off.
@@ -31,9 +31,9 @@
 }
 
 const (
-	// ProvenAfter is the time for which an upstream must have streamed a response before the
+	// MinSuccessRunTime is the time for which an upstream must have streamed a response before the
 	// request counts as a success: a request that crashes an upstream does so soon after it starts.
-	ProvenAfter = 2 * time.Second
+	MinSuccessRunTime = 2 * time.Second
 	// QuarantineDuration is the time for which requests with a quarantined fingerprint are refused.
 	QuarantineDuration = 5 * time.Minute
 	// crashTTL is the age at which a crash is dropped. It spans several quarantines, because a
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -57,9 +57,9 @@
 		f.now = f.now.Add(200 * time.Millisecond)
 		for i, q := range f.entries {
 			for _, other := range f.neighbours(i) {
-				sent := q.HeartbeatUpdate(f.now)
+				sent := q.TakeHeartbeatUpdate(f.now)
 				other.ApplyUpdate(f.now, sent)
-				reply := other.ReplyUpdate(f.now, sent)
+				reply := other.TakeReplyUpdate(f.now, sent)
 				q.ApplyUpdate(f.now, reply)
 				if f.onSend != nil {
 					f.onSend(sent)
@@ -87,7 +87,7 @@
 
 // crash simulates the exit of an incarnation that ran the given fingerprints for the time ran. The
 // crash of each fingerprint is recorded by a different entry.
-func (f *fleet) crash(incarnation Incarnation, ran time.Duration, fingerprints ...Fingerprint) {
+func (f *fleet) crash(incarnation IncarnationHash, ran time.Duration, fingerprints ...Fingerprint) {
 	for i, fp := range fingerprints {
 		f.entries[(int(incarnation)+i)%len(f.entries)].RecordCrash(f.now, Crash{Fingerprint: fp, Incarnation: incarnation, LastSent: f.now.Add(-ran), Ended: f.now})
 	}
@@ -95,9 +95,9 @@
 
 // crashInTurn simulates a number of incarnations that exit one after the other while running a
 // fingerprint.
-func (f *fleet) crashInTurn(first Incarnation, count int, fp Fingerprint) {
+func (f *fleet) crashInTurn(first IncarnationHash, count int, fp Fingerprint) {
 	for n := range count {
-		f.crash(first+Incarnation(n), 100*time.Millisecond, fp)
+		f.crash(first+IncarnationHash(n), 100*time.Millisecond, fp)
 		f.advance(400 * time.Millisecond)
 	}
 }
@@ -134,7 +134,7 @@
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 2 {
-		f.crash(Incarnation(n), 100*time.Millisecond, fingerprint("unlucky"))
+		f.crash(IncarnationHash(n), 100*time.Millisecond, fingerprint("unlucky"))
 		f.advance(2 * time.Second)
 	}
 	is.Equal(f.refusing(fingerprint("unlucky")), 0)
@@ -166,7 +166,7 @@
 func TestOutageOfManyUpstreamsRefusesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 40)
-	incarnation := Incarnation(0)
+	incarnation := IncarnationHash(0)
 	for burst := range 4 {
 		for n := range 12 { // of 40
 			incarnation++
@@ -185,7 +185,7 @@
 func TestOutagesFarApartRefuseNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 40)
-	incarnation := Incarnation(0)
+	incarnation := IncarnationHash(0)
 	for burst := range 3 {
 		for n := range 12 {
 			incarnation++
@@ -205,7 +205,7 @@
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 8 {
-		f.crash(Incarnation(n), time.Second, fingerprint("popular"))
+		f.crash(IncarnationHash(n), time.Second, fingerprint("popular"))
 	}
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(fingerprint("popular")), 0)
@@ -215,7 +215,7 @@
 	is := is.New(t)
 	f := newFleet(7, 117)
 	for n := range 9 {
-		f.crash(Incarnation(n), 100*time.Millisecond, fingerprint("popular"))
+		f.crash(IncarnationHash(n), 100*time.Millisecond, fingerprint("popular"))
 		f.advance(400 * time.Millisecond)
 		f.entries[n%7].RecordSuccess(f.now, fingerprint("popular"))
 		f.advance(400 * time.Millisecond)
@@ -256,7 +256,7 @@
 	is := is.New(t)
 	f := newFleet(3, 600)
 	for n := range 20000 {
-		f.entries[n%3].RecordCrash(f.now, Crash{Fingerprint: Fingerprint(n % 7000), Incarnation: Incarnation(n), LastSent: f.now.Add(-time.Second), Ended: f.now})
+		f.entries[n%3].RecordCrash(f.now, Crash{Fingerprint: Fingerprint(n % 7000), Incarnation: IncarnationHash(n), LastSent: f.now.Add(-time.Second), Ended: f.now})
 	}
 	for n := range 1000 {
 		f.entries[0].addQuarantine(f.now, Fingerprint(n), f.now.Add(time.Duration(n)))
@@ -264,11 +264,11 @@
 	for _, q := range f.entries {
 		is.True(len(q.suspects) <= maxSuspects)
 		is.True(len(q.quarantined) <= maxQuarantined)
-		is.True(encodedSize(t, q.HeartbeatUpdate(f.now)) < 2<<10)
-		is.True(encodedSize(t, q.ReplyUpdate(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
+		is.True(encodedSize(t, q.TakeHeartbeatUpdate(f.now)) < 2<<10)
+		is.True(encodedSize(t, q.TakeReplyUpdate(f.now, api.QuarantineNews{Digest: 1})) < 8<<10)
 	}
 	f.advance(5 * time.Second)
-	update := f.entries[0].HeartbeatUpdate(f.now)
+	update := f.entries[0].TakeHeartbeatUpdate(f.now)
 	is.Equal(len(update.Strikes)+len(update.Answers)+len(update.Quarantined), 0)
 	is.True(encodedSize(t, update) < 300) // the part of a heartbeat when there is nothing to broadcast
 	f.now = f.now.Add(max(QuarantineDuration, crashTTL))
@@ -292,7 +292,7 @@
 func TestDecisionsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 9).Draw(r, "entries"), rapid.IntRange(14, 600).Draw(r, "upstreams"))
-		incarnation := Incarnation(0)
+		incarnation := IncarnationHash(0)
 		crashes := 0
 		for f.refusing(fingerprint("bad")) < len(f.entries) {
 			if crashes++; crashes > 6 {
@@ -327,7 +327,7 @@
 	f := newFleet(6, 6)
 	popular := fingerprint("popular")
 	for n := range 2 {
-		f.crash(Incarnation(n), 100*time.Millisecond, fingerprint("bad"), popular)
+		f.crash(IncarnationHash(n), 100*time.Millisecond, fingerprint("bad"), popular)
 		f.advance(200 * time.Millisecond)
 	}
 	f.crash(2, 100*time.Millisecond, popular, fingerprint("other"))
@@ -359,7 +359,7 @@
 		for k := range 15 {
 			concurrent = append(concurrent, Fingerprint(100*n+k))
 		}
-		f.crash(Incarnation(n), 100*time.Millisecond, append(concurrent, fingerprint("bad"))...)
+		f.crash(IncarnationHash(n), 100*time.Millisecond, append(concurrent, fingerprint("bad"))...)
 		f.advance(time.Second)
 	}
 	f.advance(2 * time.Second)
@@ -374,7 +374,7 @@
 		for k := range 16 {
 			concurrent = append(concurrent, Fingerprint(100000+100*n+k))
 		}
-		f.crash(Incarnation(1000+n), 100*time.Millisecond, concurrent...)
+		f.crash(IncarnationHash(1000+n), 100*time.Millisecond, concurrent...)
 	}
 	f.advance(4 * time.Second)                 // everything has been broadcast by then
 	is.True(perSecond(15*time.Second) < 3<<10) // averaged over 15 s
@@ -399,7 +399,7 @@
 	f.entries[1] = New()
 	f.entries[1].SetUpstreamCount(6)
 	for n := range 4 {
-		f.entries[1].RecordCrash(f.now, Crash{Fingerprint: popular, Incarnation: Incarnation(20 + n), LastSent: f.now.Add(-100 * time.Millisecond), Ended: f.now})
+		f.entries[1].RecordCrash(f.now, Crash{Fingerprint: popular, Incarnation: IncarnationHash(20 + n), LastSent: f.now.Add(-100 * time.Millisecond), Ended: f.now})
 		f.advance(400 * time.Millisecond)
 	}
 	f.advance(2 * time.Second)
@@ -431,7 +431,7 @@
 	f := newFleet(1, 6000)
 	for n := range 3 {
 		for k := range maxQuarantined + 50 {
-			f.crash(Incarnation(n*1000+k), 100*time.Millisecond, Fingerprint(k))
+			f.crash(IncarnationHash(n*1000+k), 100*time.Millisecond, Fingerprint(k))
 		}
 		f.advance(time.Second)
 	}
@@ -464,7 +464,7 @@
 	f.crash(2, 60*time.Millisecond, fingerprint("popular"), fingerprint("bad"))
 	for n := range 3 {
 		f.advance(200 * time.Millisecond)
-		f.crash(Incarnation(3+n), 60*time.Millisecond, fingerprint("bad"))
+		f.crash(IncarnationHash(3+n), 60*time.Millisecond, fingerprint("bad"))
 	}
 	f.advance(4 * time.Second)
 	is.Equal(f.refusing(fingerprint("bad")), 6)
@@ -478,9 +478,9 @@
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	for n := range 7 {
-		f.crash(Incarnation(n), 550*time.Millisecond, fingerprint("popular"))
+		f.crash(IncarnationHash(n), 550*time.Millisecond, fingerprint("popular"))
 		if n > 0 {
-			f.crash(Incarnation(n), 60*time.Millisecond, fingerprint("bad"))
+			f.crash(IncarnationHash(n), 60*time.Millisecond, fingerprint("bad"))
 		}
 		f.advance(1200 * time.Millisecond)
 	}
@@ -495,7 +495,7 @@
 	is := is.New(t)
 	f := newGossipFleet(6, 6)
 	for n := range 3 {
-		f.crash(Incarnation(n), 60*time.Millisecond, fingerprint("bad"))
+		f.crash(IncarnationHash(n), 60*time.Millisecond, fingerprint("bad"))
 		f.now = f.now.Add(60 * time.Millisecond)
 	}
 	f.advance(2500 * time.Millisecond)
--- a/server/control.go
+++ b/server/control.go
@@ -135,7 +135,7 @@
 	if now.Sub(c.lastTick) > suspendThreshold {
 		c.server.logs.entry.Warn("woke", zap.Duration("paused", now.Sub(c.lastTick)))
 		c.resumedAt = now
-		c.prober.ResetSilence(now)
+		c.prober.RestartSilenceDetection(now)
 	}
 	c.lastTick = now
 	c.recordMemberChanges(c.prober.Tick(now))
@@ -323,8 +323,8 @@
 		From: c.server.settings.Name, Incarnation: c.server.config.Incarnation,
 		PeerAddress: c.server.settings.PeerAddress, Address: c.server.settings.Address,
 		DataCentre: c.server.settings.DataCentre, Stopping: c.stopping, Ready: c.adopter.IsReady(),
-		Revision: version.Revision, Digest: validator.ShortenDigest(version.Digest), Notices: c.prober.NextNotices(),
-		ListDigest: validator.ShortenDigest(c.lister.Digest()), ListAge: c.lister.Age(now),
+		Revision: version.Revision, Digest: validator.ShortenDigest(version.Digest), Notices: c.prober.TakeNotices(),
+		ListDigest: validator.ShortenDigest(c.lister.Digest()), ListAge: c.lister.ConfirmationAge(now),
 	}
 	for _, k := range c.keepers {
 		if !k.LastReportAt().IsZero() {
--- a/server/crash.go
+++ b/server/crash.go
@@ -67,11 +67,11 @@
 		}
 		s.logs.route.Warn("upstream_ended", zap.String("request", id), zap.Stringer("content", fingerprint), zap.String("upstream", attempt.upstream),
 			zap.Duration("ran_ms", interruptedAt.Sub(attempt.sentAt)))
-		if !attempt.answerStartedAt.IsZero() && interruptedAt.Sub(attempt.answerStartedAt) >= quarantiner.ProvenAfter {
+		if !attempt.answerStartedAt.IsZero() && interruptedAt.Sub(attempt.answerStartedAt) >= quarantiner.MinSuccessRunTime {
 			s.quarantine.RecordSuccess(interruptedAt, fingerprint)
 			return
 		}
-		incarnation := quarantiner.Incarnation(quarantiner.FingerprintOf([]byte(attempt.upstream)))
+		incarnation := quarantiner.IncarnationHash(quarantiner.FingerprintOf([]byte(attempt.upstream)))
 		s.quarantine.RecordCrash(time.Now(), quarantiner.Crash{Fingerprint: fingerprint, Incarnation: incarnation, LastSent: attempt.sentAt, Ended: interruptedAt})
 	}()
 }
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -36,7 +36,7 @@
 		now := time.Now()
 		targets = c.heartbeatTargets(now)
 		heartbeat = c.buildHeartbeat(now)
-		heartbeat.Quarantine = s.quarantine.HeartbeatUpdate(now)
+		heartbeat.Quarantine = s.quarantine.TakeHeartbeatUpdate(now)
 	})
 	var calls sync.WaitGroup
 	for _, address := range targets {
@@ -69,7 +69,7 @@
 	for _, m := range c.prober.Members() {
 		known[m.PeerAddress] = true
 	}
-	for _, m := range c.prober.BeginRound(now) {
+	for _, m := range c.prober.NextHeartbeatTargets(now) {
 		out = append(out, m.PeerAddress)
 	}
 	for _, address := range c.server.settings.Peers {
--- a/server/peers.go
+++ b/server/peers.go
@@ -62,7 +62,7 @@
 	e.server.onControl(func(c *control) {
 		now := time.Now()
 		*reply = c.buildHeartbeat(now)
-		reply.Quarantine = e.server.quarantine.ReplyUpdate(now, heartbeat.Quarantine)
+		reply.Quarantine = e.server.quarantine.TakeReplyUpdate(now, heartbeat.Quarantine)
 	})
 	return nil
 }
@@ -71,7 +71,7 @@
 // Either is empty if this entry has none.
 func (e *PeerService) Fetch(_ api.FetchArgs, reply *api.FetchReply) error {
 	e.server.onControl(func(c *control) {
-		reply.List, reply.ListAge = c.lister.Current(), c.lister.Age(time.Now())
+		reply.List, reply.ListAge = c.lister.Current(), c.lister.ConfirmationAge(time.Now())
 	})
 	if v := e.server.current.Load(); v.accepted != nil {
 		reply.Document = v.accepted.Raw
