--- a/controller/controller.go
+++ b/controller/controller.go
@@ -161,9 +161,9 @@
 	// viewRefreshAge is by how much the time of the last confirmation in the
 	// published view may lag behind the follower's before a new view is published.
 	viewRefreshAge = 300 * time.Millisecond
-	// settleTime is how long after its start an entry may not yet know all other
+	// startupTime is how long after its start an entry may not yet know all other
 	// entries and their load: two heartbeats and one full load update.
-	settleTime = 2*heartbeatPeriod + fullUpdatePeriod
+	startupTime = 2*heartbeatPeriod + fullUpdatePeriod
 	// heartbeatPeriod is the interval between heartbeats: a fifth of deadTimeout.
 	heartbeatPeriod = 200 * time.Millisecond
 	// deadTimeout is the silence after which an entry is declared dead. Until then
@@ -172,9 +172,9 @@
 	// deadUpdateTime is how long load updates are still sent to an entry that was
 	// declared dead: killed processes restart within seconds.
 	deadUpdateTime = 10 * time.Second
-	// neighbours is the number of live entries that an entry sends heartbeats to in
+	// heartbeatNeighbours is the number of live entries that an entry sends heartbeats to in
 	// each heartbeatPeriod.
-	neighbours = 4
+	heartbeatNeighbours = 4
 )
 
 // New returns a controller that has no state yet. Run starts it.
@@ -196,7 +196,7 @@
 	s := &state{
 		controller: c, follower: follower.New(), contacts: map[string]contact{}, capacities: map[string]capacity{}, diedAt: map[string]time.Time{},
 		seeds: seeds, started: now, lastTick: now, lastSinceBoot: c.config.SinceBoot(),
-		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: neighbours, SuspectAfter: deadTimeout}),
+		prober: prober.New(prober.Config{Name: c.config.Name, Incarnation: c.config.Incarnation, DataCentre: c.config.DataCentre, Neighbours: heartbeatNeighbours, SuspectAfter: deadTimeout}),
 	}
 	s.follower.SetMaxUseAfterRemoval(c.config.MaxPropagation)
 	c.goBackground(func() { c.followStore(ctx) })
@@ -259,7 +259,7 @@
 		s.controller.metrics.confirmationAge.Update(age.Seconds())
 	}
 	publishedAt := s.controller.current.Load().ConfirmedAt
-	if s.follower.ConfirmedAt().Sub(publishedAt) > viewRefreshAge || now.Sub(s.started) < 2*settleTime {
+	if s.follower.ConfirmedAt().Sub(publishedAt) > viewRefreshAge || now.Sub(s.started) < 2*startupTime {
 		s.dirty = true
 	}
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -148,5 +148,5 @@
 	if live == 0 {
 		return len(s.seeds) > 1
 	}
-	return time.Since(s.started) < settleTime
+	return time.Since(s.started) < startupTime
 }
