--- a/lister/lister.go
+++ b/lister/lister.go
@@ -13,9 +13,9 @@
 // neverConfirmed is the age of a missing list.
 const neverConfirmed = time.Duration(-1)
 
-// minAgeGain is how much more recently than the list in use a peer's list must have been confirmed
+// minAgeDifference is how much more recently than the list in use a peer's list must have been confirmed
 // to replace it.
-const minAgeGain = 2 * time.Second
+const minAgeDifference = 2 * time.Second
 
 // Lister holds the instance list in use. It is not safe for concurrent use.
 type Lister struct {
@@ -63,7 +63,7 @@
 	if l.data == nil {
 		return true
 	}
-	return l.ConfirmationAge(now) > l.staleAfter && age+minAgeGain < l.ConfirmationAge(now)
+	return l.ConfirmationAge(now) > l.staleAfter && age+minAgeDifference < l.ConfirmationAge(now)
 }
 
 // Offer replaces the list in use by data if the platform confirmed data just now or ShouldFetch is
