--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -15,11 +15,11 @@
 	// fingerprint on the same incarnations has as many, or whether half of all upstreams exited at
 	// the time.
 	conclusiveCrashes = 4
-	// settleDelay is the age from which a crash counts: by then every entry has reported which
-	// other requests the incarnation ran. From conclusiveCrashes on, conclusiveSettleDelay applies,
+	// minCrashAge is the age from which a crash counts: by then every entry has reported which
+	// other requests the incarnation ran. From conclusiveCrashes on, conclusiveMinCrashAge applies,
 	// because other requests matter less and each further retry crashes one more upstream.
-	settleDelay           = time.Second
-	conclusiveSettleDelay = 300 * time.Millisecond
+	minCrashAge           = time.Second
+	conclusiveMinCrashAge = 300 * time.Millisecond
 	// coincidenceWindow is the maximum time between two exits that count as part of one outage, or
 	// between two reports of the same exit.
 	coincidenceWindow = time.Second
@@ -67,7 +67,7 @@
 		return nil
 	}
 	exits := q.collectExits()
-	q.needsEvaluation = slices.ContainsFunc(exits.all, func(e *incarnationExit) bool { return now.Sub(e.at) < settleDelay })
+	q.needsEvaluation = slices.ContainsFunc(exits.all, func(e *incarnationExit) bool { return now.Sub(e.at) < minCrashAge })
 	var out []Decision
 	for {
 		d, ok := q.mostSignificant(now, exits)
@@ -123,7 +123,7 @@
 func (q *Quarantiner) mostSignificant(now time.Time, exits incarnationExits) (Decision, bool) {
 	var found []Decision
 	for fp, p := range q.suspects {
-		if _, ok := q.quarantined[fp]; ok || len(p.crashes) < minCrashes || !p.lastActivity().After(p.releasedAt) {
+		if _, ok := q.quarantined[fp]; ok || len(p.crashes) < minCrashes || !p.lastActivity().After(p.quarantineEndedAt) {
 			continue
 		}
 		if d := q.assess(now, fp, p, exits); d.Crashes >= minCrashes && d.Probability <= significanceLevel {
@@ -144,19 +144,19 @@
 	d := Decision{Fingerprint: fp, Probability: 1, Until: now.Add(QuarantineDuration)}
 	var counted []*incarnationExit
 	var lastExit time.Time
-	settle := settleDelay
+	minAge := minCrashAge
 	if len(p.crashes) >= conclusiveCrashes {
-		settle = conclusiveSettleDelay
+		minAge = conclusiveMinCrashAge
 	}
 	for _, s := range p.crashes {
 		e := exits.find(s.Crash)
-		if now.Sub(s.Ended) < settle || q.isExplained(fp, e) {
+		if now.Sub(s.Ended) < minAge || q.ranQuarantinedOther(fp, e) {
 			continue
 		}
 		counted = append(counted, e)
 		// Crashes of requests that ran at the same time may be due to one outage, so they count
 		// once.
-		if s.LastSent.Before(lastExit.Add(-timestampSlack)) || q.hasRival(fp, p, e) {
+		if s.LastSent.Before(lastExit.Add(-timestampSlack)) || q.hasLikelierCause(fp, p, e) {
 			continue
 		}
 		lastExit = s.Ended
@@ -186,9 +186,9 @@
 	return 2*exitCount >= q.upstreamCount
 }
 
-// isExplained reports whether the incarnation also ran another fingerprint that is quarantined,
+// ranQuarantinedOther reports whether the incarnation also ran another fingerprint that is quarantined,
 // which explains the exit.
-func (q *Quarantiner) isExplained(fp Fingerprint, e *incarnationExit) bool {
+func (q *Quarantiner) ranQuarantinedOther(fp Fingerprint, e *incarnationExit) bool {
 	for other := range e.running {
 		if _, ok := q.quarantined[other]; ok && other != fp {
 			return true
@@ -203,18 +203,18 @@
 func (q *Quarantiner) outageProbability(fp Fingerprint, crash Crash, exits incarnationExits) float64 {
 	others := 0
 	for _, e := range exits.all {
-		if !e.hasFingerprint(fp) && e.at.Sub(crash.Ended).Abs() <= coincidenceWindow && !q.isExplained(fp, e) {
+		if !e.hasFingerprint(fp) && e.at.Sub(crash.Ended).Abs() <= coincidenceWindow && !q.ranQuarantinedOther(fp, e) {
 			others++
 		}
 	}
 	return math.Min(maxProbability, math.Max(minProbability, float64(others)/float64(max(1, q.upstreamCount))))
 }
 
-// hasRival reports whether another fingerprint that ran on the incarnation explains the exit
+// hasLikelierCause reports whether another fingerprint that ran on the incarnation explains the exit
 // equally well. The other one does if it has at least as many crashes, unless this one has
 // conclusiveCrashes, or if it has minSuspectCrashes and was sent later: a request that crashes an
 // upstream does so soon after it starts, so the one sent last is the more likely cause.
-func (q *Quarantiner) hasRival(fp Fingerprint, p *suspect, e *incarnationExit) bool {
+func (q *Quarantiner) hasLikelierCause(fp Fingerprint, p *suspect, e *incarnationExit) bool {
 	for other, since := range e.running {
 		if other == fp {
 			continue
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -65,9 +65,9 @@
 	lastSuccess time.Time
 	// broadcastsLeft is the number of updates that are still to contain lastSuccess.
 	broadcastsLeft int
-	// releasedAt is the time at which the last quarantine of the fingerprint expired; zero if there
+	// quarantineEndedAt is the time at which the last quarantine of the fingerprint expired; zero if there
 	// was none. Only a later crash can quarantine the fingerprint again.
-	releasedAt time.Time
+	quarantineEndedAt time.Time
 }
 
 // knownCrash is a crash and the number of updates that are still to contain it.
@@ -149,7 +149,7 @@
 	if crash.FirstSent.IsZero() {
 		crash.FirstSent = crash.LastSent
 	}
-	if at, ok := q.successes.last(crash.Fingerprint); ok && isCleared(at, crash.Ended) {
+	if at, ok := q.successes.last(crash.Fingerprint); ok && isRefuted(at, crash.Ended) {
 		q.applySuccess(crash.Fingerprint, at)
 		return
 	}
@@ -158,7 +158,7 @@
 		p.crashes[i].merge(crash)
 		return
 	}
-	if isCleared(p.lastSuccess, crash.Ended) || now.Sub(crash.Ended) > crashTTL {
+	if isRefuted(p.lastSuccess, crash.Ended) || now.Sub(crash.Ended) > crashTTL {
 		return
 	}
 	p.crashes = append(p.crashes, knownCrash{Crash: crash, broadcastsLeft: broadcastsPerItem})
@@ -167,9 +167,9 @@
 	q.needsEvaluation = true
 }
 
-// isCleared reports whether a success shows that a crash was not caused by the fingerprint: the
+// isRefuted reports whether a success shows that a crash was not caused by the fingerprint: the
 // crash came before it or within successTTL after it.
-func isCleared(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
+func isRefuted(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
 
 // isSameExit reports whether two crashes of a fingerprint report the same exit of an incarnation.
 // Equal incarnations are not enough: while the store is unavailable, entries know a restarted
@@ -214,7 +214,7 @@
 }
 
 // RecordSuccess records a success of a fingerprint: that an upstream ran a request to its end, or
-// for at least ProvenAfter. This clears earlier crashes of the fingerprint and lifts its
+// for at least MinSuccessRunTime. This clears earlier crashes of the fingerprint and lifts its
 // quarantine: a request that completes doesn't crash the upstream that runs it.
 func (q *Quarantiner) RecordSuccess(now time.Time, fp Fingerprint) {
 	q.lock.Lock()
@@ -236,8 +236,8 @@
 		p.broadcastsLeft = broadcastsPerItem
 	}
 	p.lastSuccess = success
-	p.crashes = slices.DeleteFunc(p.crashes, func(s knownCrash) bool { return isCleared(success, s.Ended) })
-	if since, ok := q.quarantined[fp]; ok && isCleared(success, since) {
+	p.crashes = slices.DeleteFunc(p.crashes, func(s knownCrash) bool { return isRefuted(success, s.Ended) })
+	if since, ok := q.quarantined[fp]; ok && isRefuted(success, since) {
 		delete(q.quarantined, fp)
 	}
 }
@@ -282,10 +282,10 @@
 	if _, ok := q.quarantined[fp]; ok || now.Sub(since) >= QuarantineDuration-minAdoptedRemaining {
 		return false
 	}
-	if at, ok := q.successes.last(fp); ok && isCleared(at, since) {
+	if at, ok := q.successes.last(fp); ok && isRefuted(at, since) {
 		q.applySuccess(fp, at)
 	}
-	if p, ok := q.suspects[fp]; ok && isCleared(p.lastSuccess, since) {
+	if p, ok := q.suspects[fp]; ok && isRefuted(p.lastSuccess, since) {
 		p.broadcastsLeft = broadcastsPerItem // the entry that sent the quarantine lacks this success
 		return false
 	}
@@ -309,7 +309,7 @@
 		if now.Sub(since) >= QuarantineDuration {
 			delete(q.quarantined, fp)
 			if p, ok := q.suspects[fp]; ok {
-				p.releasedAt = now
+				p.quarantineEndedAt = now
 			}
 		}
 	}
