--- a/controller/callerentries.go
+++ b/controller/callerentries.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// maxAddresses limits the addresses in a reply of the directory.
+	// maxAddresses is the maximum number of addresses that CallerAddresses returns.
 	maxAddresses = 64
-	// fastFraction is the fraction of the fastest entry's speed that an entry needs to
-	// count as fast.
+	// fastFraction is the minimum ratio of an entry's speed to that of the fastest entry
+	// at which preferredEntries classifies the entry as fast.
 	fastFraction = 0.5
-	// Callers are sent only to fast entries if there are at least minFastEntries of them,
-	// so that the loss of one affects few callers, and if they have at least
-	// minFastSpeedFraction of the total speed, so that together they can carry the load
-	// of a whole fleet that is at a fifth of its capacity.
+	// Callers are given only the addresses of fast entries if there are at least
+	// minFastEntries of these, so that the loss of one affects few callers, and if their
+	// speeds add up to at least minFastSpeedFraction of the speeds of all entries, so that
+	// they can carry the load of a whole fleet that is at a fifth of its capacity.
 	minFastEntries       = 6
 	minFastSpeedFraction = 0.2
-	// overloadedLag is the average delay of ticks above which an entry counts as
-	// overloaded, recoveredLag that below which it no longer does. A tick delayed by
-	// overloadedLag costs a tenth of a short prompt's latency target, and each request
-	// meets several such delays.
+	// An entry is overloaded from when the average delay of its ticks exceeds
+	// overloadedLag until the average falls below recoveredLag. A timer that fires
+	// overloadedLag late uses up a tenth of a short prompt's latency target, and each
+	// request is delayed by several timers.
 	overloadedLag, recoveredLag = 25 * time.Millisecond, 10 * time.Millisecond
-	// lagWeight is the weight of one tick in the average delay of ticks. The average
-	// thereby covers about a second.
+	// lagWeight is the weight, from 0 to 1, of the latest tick in the exponentially
+	// weighted average delay of ticks. The average thereby covers about a second.
 	lagWeight = 0.1
 	// maxTickDelay caps the delay counted for one tick, so that a process that was
 	// suspended for seconds is not taken for overloaded after it resumes.
@@ -34,7 +34,7 @@
 // readyEntry is an entry that accepts callers.
 type readyEntry struct {
 	name string
-	// address is the address that callers connect to.
+	// address is where the entry accepts callers.
 	address    netip.AddrPort
 	dataCentre string
 	capacity
@@ -42,16 +42,19 @@
 
 // capacity describes how much work an entry can do.
 type capacity struct {
-	// speed is the processor capacity in cores; 0 if unknown.
+	// speed is the processor capacity of the entry in cores; 0 if unknown.
 	speed float64
 	// overloaded is true if the entry's timers fire late.
 	overloaded bool
 }
 
-// lagMeter detects overload of this entry by the delay of its ticks.
+// lagMeter detects overload of this entry by the delay of its ticks: by how much more than
+// tickPeriod passed between two calls of state.tick.
 type lagMeter struct {
 	// average is the exponentially weighted average of the delays.
-	average    time.Duration
+	average time.Duration
+	// overloaded is true from when average exceeds overloadedLag until it falls below
+	// recoveredLag.
 	overloaded bool
 }
 
@@ -68,10 +71,10 @@
 	return m.overloaded != wasOverloaded
 }
 
-// preferredEntries returns the entries whose addresses callers are given: those that are fast
-// and not overloaded if there are enough of them, else all that are not overloaded, else all.
-// The work per request takes five times as long on an instance with a fifth of a core as on
-// one with a whole core.
+// preferredEntries returns those ready entries whose addresses callers are given: the ones
+// that are fast and not overloaded if there are enough of them (see minFastEntries); otherwise
+// all that are not overloaded; if all are overloaded, all. An entry with a fifth of a core
+// takes five times as long for the work per request as one with a whole core.
 func preferredEntries(ready []readyEntry) []readyEntry {
 	candidates := slices.DeleteFunc(slices.Clone(ready), func(e readyEntry) bool { return e.overloaded })
 	if len(candidates) == 0 {
@@ -88,7 +91,8 @@
 	return fast
 }
 
-// withoutCallers returns the names of ready entries whose addresses callers are not given.
+// withoutCallers returns the names of the ready entries that are not among the preferred ones, so
+// that callers are not given their addresses.
 func withoutCallers(ready, preferred []readyEntry) map[string]bool {
 	out := map[string]bool{}
 	for _, e := range ready {
@@ -109,8 +113,8 @@
 	return sum
 }
 
-// CallerAddresses returns up to maxAddresses addresses to which a caller in a data centre may
-// connect. Entries of that data centre come first.
+// CallerAddresses returns the addresses of up to maxAddresses (64) entries to which a caller in
+// the given data centre may connect. Entries of that data centre come first.
 func (c *Controller) CallerAddresses(dataCentre string) []netip.AddrPort {
 	var local, remote []netip.AddrPort
 	for _, e := range c.current.Load().callerEntries {
--- a/controller/callerentries_test.go
+++ b/controller/callerentries_test.go
@@ -63,7 +63,7 @@
 }
 
 // An entry whose ticks are late for a second is overloaded until its ticks have been on time for
-// some two seconds. A single suspension of its process does not count as overload.
+// some two seconds. A single suspension of its process does not make it overloaded.
 func TestOverloadDetection(t *testing.T) {
 	is := is.New(t)
 	var m lagMeter
--- a/controller/changes.go
+++ b/controller/changes.go
@@ -11,15 +11,16 @@
 	"github.com/sapphireramp/sapphireramp/quarantiner"
 )
 
-// logQuarantined logs decisions to refuse requests that crash upstreams. Source is the name of
-// the entry that reported them, or "own".
+// logQuarantined logs decisions to refuse requests that crash upstreams. Source is "own" if this
+// entry made the decisions, otherwise the name of the entry that they were adopted from.
 func (s *state) logQuarantined(now time.Time, decisions []quarantiner.Decision, source string) {
 	for _, d := range decisions {
 		s.controller.config.Log.Warn("quarantined", d.LogFields(now, source)...)
 	}
 }
 
-// applyMemberChanges logs state changes of other entries and marks the view as dirty.
+// applyMemberChanges logs state changes of other entries, records the times of deaths in diedAt,
+// and sets dirty if there is any change.
 func (s *state) applyMemberChanges(changes []prober.Change) {
 	for _, change := range changes {
 		s.controller.config.Log.Info("member", zap.String("name", change.Name), zap.String("from", string(change.From)),
@@ -31,13 +32,13 @@
 	}
 }
 
-// maxLoggedFaults is how many unreadable items from one reply of the store are logged
-// individually: enough to identify the process that writes them.
+// maxLoggedFaults is the maximum number of unreadable items from one reply of the store that are
+// logged individually: enough to identify the process that writes them.
 const maxLoggedFaults = 20
 
-// logStoreChanges logs changes of the state of the store and marks the view as dirty. Source
-// is "store", the name of the peer that the changes come from, or "hold_ended" for the end of a
-// retention.
+// logStoreChanges logs changes of the follower's state and sets dirty if there is any. Source is
+// "store" for changes read from the store, the name of the peer for changes received from one, or
+// "hold_ended" for upstreams that were retained after an outage of the store and are no longer.
 func (s *state) logStoreChanges(changes []follower.Change, source string) {
 	unreadable := 0
 	for _, change := range changes {
@@ -59,8 +60,8 @@
 	}
 }
 
-// logUnreadableItems logs unreadable items of the store that can't be attributed to an
-// upstream.
+// logUnreadableItems logs the errors of items of the store that can't be read or attributed to
+// an upstream: up to maxLoggedFaults individually, then the total number.
 func (s *state) logUnreadableItems(faults []error) {
 	for i, err := range faults {
 		if i == maxLoggedFaults {
@@ -71,7 +72,8 @@
 	}
 }
 
-// checkRevision asserts that the revision of the configuration is not less than before.
+// checkRevision asserts that the revision of the follower's configuration is at least the
+// revision before.
 func (s *state) checkRevision(before int64) {
 	_, after := s.follower.Config()
 	s.controller.config.Asserter.Check(after >= before, asserter.RevisionWentBack, "configuration revision went back to %d from %d", after, before)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -54,8 +54,8 @@
 	// two have the same IP address, and LoadAddress the same port at all entries.
 	CallerAddress, PeerAddress, LoadAddress netip.AddrPort
 	Store                                   Store
-	// MaxPropagation is the longest time from a change in the store until this
-	// entry must act on it.
+	// MaxPropagation is the maximum time from a change in the store until this entry
+	// uses the changed configuration or upstreams for new requests.
 	MaxPropagation time.Duration
 	// Speed is the processor capacity of this entry in cores; 0 if unknown.
 	Speed float64
@@ -81,18 +81,19 @@
 type Controller struct {
 	config    Config
 	sequencer *sequencer.Sequencer[*state]
-	// current is the view published last; never nil.
+	// current is the latest published view; never nil.
 	current atomic.Pointer[view]
-	// heartbeatPool carries heartbeats and fetchPool carries states: a heartbeat
-	// queued behind a large reply on the same connection would arrive late.
+	// heartbeatPool holds the connections for heartbeats, fetchPool those for fetches
+	// of the store's state from peers. They are separate because a heartbeat queued
+	// behind a large reply on the same connection would arrive late.
 	heartbeatPool, fetchPool *connector.Pool
 	// compressed caches the configuration in the form in which it is sent to peers.
 	compressed  compressedConfig
 	loadSenders loadSenders
 	loadCounts  loadCounts
-	// heartbeatRequests holds an element while heartbeats to all peers at once are
-	// requested. newPeers holds one while the view has peers to which this entry
-	// has not sent its full load yet.
+	// heartbeatRequests holds an element from a call of requestHeartbeats until
+	// sendHeartbeats handles it. newPeers holds one from a call of requestFullLoad
+	// until sendLoadUpdates handles it.
 	heartbeatRequests, newPeers chan struct{}
 	// background counts the goroutines that Run waits for before it returns.
 	background sync.WaitGroup
@@ -121,19 +122,20 @@
 	// table is the decoded configuration in force; nil before the first.
 	table  *matcher.Table
 	prober *prober.Prober
-	// contacts are all other entries known, by name.
+	// contacts holds the addresses of all other entries that this entry has received
+	// heartbeats from or that were listed in heartbeats, by name.
 	contacts map[string]contact
 	// capacities holds the capacity that each other entry reported, by name.
 	capacities map[string]capacity
 	lagMeter   lagMeter
 	// diedAt holds the time at which each other entry was last declared dead, by name.
 	diedAt map[string]time.Time
-	// seeds are the configured peer addresses through which other entries are found.
+	// seeds are the configured peer addresses. Heartbeats to them discover other entries.
 	seeds []netip.AddrPort
 	// stopping is true once the shutdown of this entry was announced.
 	stopping bool
-	// exitAt is when a stopping entry exits. Callers may use its address until
-	// addressValidUntil. Both are zero while the entry is not stopping.
+	// exitAt is when this entry exits. Callers may use its address until
+	// addressValidUntil. Both are zero unless stopping is true.
 	exitAt, addressValidUntil time.Time
 	// started is when Run was called.
 	started time.Time
@@ -143,41 +145,45 @@
 	lastSinceBoot time.Duration
 	// storeLost is true if the last call to the store failed.
 	storeLost bool
-	// fetching counts the fetches from peers in progress.
+	// fetching is the number of fetches from peers in progress; at most maxFetches.
 	fetching int
-	// dirty is true if a new view has to be published.
+	// dirty is true if the state has changed since the latest view was published.
 	dirty bool
-	// unreadableRevision is the newest revision of the configuration that could
-	// not be decoded; 0 if there was none.
+	// unreadableRevision is the newest revision of the configuration that this entry
+	// could not decode; 0 if there was none.
 	unreadableRevision int64
 }
 
 const (
 	// tickPeriod is the interval between calls of state.tick.
 	tickPeriod = 100 * time.Millisecond
-	// suspendThreshold is the gap between two ticks, ten periods, from which on
-	// this process counts as having been suspended.
+	// suspendThreshold is the time between two ticks above which this entry assumes
+	// that its process was suspended in between: ten times tickPeriod.
 	suspendThreshold = time.Second
-	// viewRefreshAge is by how much the time of the last confirmation in the
-	// published view may lag behind the follower's before a new view is published.
+	// viewRefreshAge is the maximum difference between the follower's time of the last
+	// confirmation and the one in the published view. If it is exceeded, a new view is
+	// published.
 	viewRefreshAge = 300 * time.Millisecond
-	// startupTime is how long after its start an entry may not yet know all other
-	// entries and their load: two heartbeats and one full load update.
+	// startupTime is the time after its start in which an entry may not yet have
+	// received the load of all other entries: two heartbeat periods, to find them, and
+	// one period of full load updates.
 	startupTime = 2*heartbeatPeriod + fullUpdatePeriod
 	// heartbeatPeriod is the interval between heartbeats: a fifth of deadTimeout.
 	heartbeatPeriod = 200 * time.Millisecond
-	// deadTimeout is the silence after which an entry is declared dead. Until then
-	// callers may still be given its address, and each of them loses up to that time.
+	// deadTimeout is the time from the first unanswered heartbeat to an entry until
+	// the entry is declared dead. Until then callers may still be given its address,
+	// and a caller that tries it can lose as much time.
 	deadTimeout = time.Second
-	// deadUpdateTime is how long load updates are still sent to an entry that was
-	// declared dead: killed processes restart within seconds.
+	// deadUpdateTime is how long load updates are still sent to an entry after it was
+	// declared dead: most killed processes restart within seconds.
 	deadUpdateTime = 10 * time.Second
-	// heartbeatNeighbours is the number of live entries that an entry sends heartbeats to in
-	// each heartbeatPeriod.
+	// heartbeatNeighbours is the number of live entries to which an entry sends a heartbeat
+	// in each heartbeatPeriod.
 	heartbeatNeighbours = 4
 )
 
-// New returns a controller that has no state yet. Run starts it.
+// New returns a controller without configuration, upstreams or peers. It reads the store and
+// exchanges heartbeats only while Run is running.
 func New(c Config) *Controller {
 	ctl := &Controller{
 		config: c, sequencer: sequencer.New[*state](), heartbeatPool: connector.NewPool(c.Dial), fetchPool: connector.NewPool(c.Dial),
@@ -226,15 +232,16 @@
 // do runs a command on the control goroutine and waits until it has run.
 func (c *Controller) do(command func(*state)) { c.sequencer.Do(command) }
 
-// publishDirty publishes a new view if the state has changed.
+// publishDirty publishes a new view if dirty is set. It runs after every command and tick.
 func (s *state) publishDirty() {
 	if s.dirty {
 		s.publish()
 	}
 }
 
-// tick detects overload and suspensions of this process, silent entries, upstreams whose
-// retention has expired and requests to quarantine.
+// tick detects overload and suspensions of this process, entries that answer no heartbeats,
+// upstreams that are no longer retained after an outage of the store, and requests to
+// quarantine. It runs once per tickPeriod.
 func (s *state) tick(now time.Time) {
 	sinceBoot := s.controller.config.SinceBoot()
 	// The monotonic clock stops while an instance is suspended; the time since
@@ -264,7 +271,8 @@
 	}
 }
 
-// requestFullLoad triggers sending all of this entry's load to new peers.
+// requestFullLoad makes sendLoadUpdates send all of this entry's load to the peers that are new
+// in the published view. It does not block.
 func (c *Controller) requestFullLoad() {
 	select {
 	case c.newPeers <- struct{}{}:
@@ -272,8 +280,8 @@
 	}
 }
 
-// incarnationToken identifies one incarnation of an entry in load updates. It differs
-// between incarnations because the load reported by an earlier one has ended with it.
+// incarnationToken returns the ID of one incarnation of an entry in load updates. Each
+// incarnation has its own because the requests of an earlier one ended when it exited.
 func incarnationToken(name string, incarnation uint64) dispatcher.CompactID {
 	return dispatcher.CompactIDOf(name + " " + strconv.FormatUint(incarnation, 10))
 }
@@ -283,17 +291,18 @@
 	return capacity{speed: s.controller.config.Speed, overloaded: s.lagMeter.overloaded}
 }
 
-// View returns the view published last, from which requests are served. The caller must
-// not modify the view.
+// View returns the latest published view, from which requests are served. It must not be
+// modified.
 func (c *Controller) View() *forwarder.View { return &c.current.Load().View }
 
-// IsReady reports whether this entry accepts callers: it has a configuration and is
-// not stopping.
+// IsReady reports whether this entry accepts callers: whether it has a configuration and
+// AnnounceShutdown was not called.
 func (c *Controller) IsReady() bool { return c.current.Load().ready }
 
-// AnnounceShutdown tells callers and other entries that this entry is shutting down and
-// exits at exitAt. Callers may use its address until addressValidUntil. IsReady is false
-// by the time it returns.
+// AnnounceShutdown marks this entry as stopping in its view and its heartbeats, and requests
+// heartbeats to other entries without waiting for the next period. The process is to exit at
+// exitAt; callers may use its address until addressValidUntil. IsReady returns false once
+// AnnounceShutdown has returned.
 func (c *Controller) AnnounceShutdown(addressValidUntil, exitAt time.Time) {
 	c.do(func(s *state) {
 		s.stopping, s.addressValidUntil, s.exitAt = true, addressValidUntil, exitAt
@@ -302,12 +311,13 @@
 	c.requestHeartbeats()
 }
 
-// SetSeeds replaces the seed addresses given to Run.
+// SetSeeds replaces the seeds, the peer addresses given to Run by which other entries are found.
 func (c *Controller) SetSeeds(seeds []netip.AddrPort) {
 	c.do(func(s *state) { s.seeds, s.dirty = seeds, true })
 }
 
-// requestHeartbeats triggers heartbeats to all live peers at once, to announce a change.
+// requestHeartbeats makes sendHeartbeats send heartbeats to up to maxImmediateHeartbeats live
+// peers without waiting for the next period, to spread a change. It does not block.
 func (c *Controller) requestHeartbeats() {
 	select {
 	case c.heartbeatRequests <- struct{}{}:
--- a/controller/fetch.go
+++ b/controller/fetch.go
@@ -15,44 +15,48 @@
 )
 
 const (
-	// fetchTimeout bounds a fetch from a peer. It is half of the shortest
-	// MaxPropagation, so that another peer can be asked after a timeout.
+	// fetchTimeout is the timeout of a fetch from a peer. It is half of the shortest
+	// Config.MaxPropagation in use, so that another peer can be asked after a timeout.
 	fetchTimeout = time.Second
-	// maxFetches is how many peers are asked at once: one more than needed, so
-	// that a dead peer does not delay a change.
+	// maxFetches is the maximum number of concurrent fetches: one more than needed, so
+	// that a peer that has died does not delay a change.
 	maxFetches = 2
 	// maxConfigSize is the largest decompressed configuration accepted, in bytes.
 	// Values in the platform's store are limited to a megabyte.
 	maxConfigSize = 8 << 20
 )
 
-// FetchArgs asks a peer for its state of the store.
+// FetchArgs holds the arguments of the net/rpc call Fetch, which returns a peer's copy of the
+// store's state.
 type FetchArgs struct {
-	// Have is the revision up to which the sender has all changes, HaveConfig the
-	// revision of its configuration. Both are 0 if it has none.
+	// Have is the store revision up to which the calling entry has all changes,
+	// HaveConfig the revision of its configuration. Each is 0 if it has none.
 	Have, HaveConfig int64
 }
 
-// FetchReply is an entry's state of the store, in reply to FetchArgs.
+// FetchReply is the reply to FetchArgs: the store's state as the called entry knows it.
 type FetchReply struct {
-	// State comes without the configuration. Config is the configuration as stored,
-	// compressed with DEFLATE; empty if the asking entry already has its revision.
+	// State holds the registrations; its Config is nil. The field Config beside it is the
+	// configuration as stored, compressed with DEFLATE; empty if the called entry's is not
+	// newer than the calling entry's.
 	State  follower.State
 	Config []byte
-	// Whole is true if State is complete, false if it holds only the changes
-	// since the revision that the asking entry has.
+	// Whole is true if State holds all registrations, false if it holds only the changes
+	// after FetchArgs.Have.
 	Whole bool
-	// Known is true if the sender has a complete state that was confirmed at least
-	// once; otherwise the reply is ignored. Confirmed is the time since the store
-	// last confirmed that state.
+	// Known is true if the called entry has a complete state that the store has
+	// confirmed as current; otherwise the calling entry ignores the reply. Confirmed is
+	// the time since the last such confirmation.
 	Known     bool
 	Confirmed time.Duration
-	// Disturbed is how long ago a call to the store last failed, at the sender or
-	// at an entry that reported it; negative if none did.
+	// Disturbed is how long ago a call to the store last failed, at the called entry
+	// or at one that reported a failure to it; negative if no failure is known.
 	Disturbed time.Duration
 }
 
-// Fetch replies with this entry's state of the store. It is called over net/rpc.
+// Fetch replies with the store's state as this entry knows it, or with the changes that the
+// calling entry lacks. It is called over net/rpc, and fails only if the configuration can't be
+// compressed.
 func (p *PeerService) Fetch(args FetchArgs, reply *FetchReply) error {
 	p.controller.do(func(s *state) {
 		now := time.Now()
@@ -71,11 +75,11 @@
 	return err
 }
 
-// neverFailed is the Disturbed value of an entry that knows of no failed store call.
+// neverFailed is the value of the Disturbed fields if no failed store call is known.
 const neverFailed = -1
 
 // storeFailureAge returns how long ago a store call last failed, at this entry or at one
-// that reported it; neverFailed if none did.
+// that reported a failure; neverFailed if no failure is known.
 func (s *state) storeFailureAge(now time.Time) time.Duration {
 	age, ever := s.follower.StoreFailureAge(now)
 	if !ever {
@@ -84,16 +88,17 @@
 	return age
 }
 
-// recordStoreFailure records that a store call failed at another entry the given time ago.
-// Negative ages are ignored.
+// recordStoreFailure records that a store call of another entry failed the given time ago. It
+// ignores negative ages, which stand for no failure.
 func (s *state) recordStoreFailure(now time.Time, age time.Duration) {
 	if age >= 0 {
 		s.follower.RecordStoreFailure(now.Add(-age))
 	}
 }
 
-// compressedConfig caches the configuration requested last in compressed form, so that it
-// is compressed once for all peers. Routes resemble each other and compress to a tenth.
+// compressedConfig caches the latest fetched configuration in compressed form, so that each
+// revision is compressed once for all peers. Routes resemble each other, so compression reduces
+// a configuration to a tenth of its size.
 type compressedConfig struct {
 	lock sync.Mutex
 	// revision is the revision of the configuration in data; 0 before the first.
@@ -101,8 +106,9 @@
 	data     []byte
 }
 
-// compress returns a configuration compressed with DEFLATE. It holds the lock while it
-// compresses, so that concurrent requests wait for one compression.
+// compress returns the configuration of a revision compressed with DEFLATE, from the cache if it
+// holds that revision. It holds the lock meanwhile, so that concurrent fetches wait for one
+// compression.
 func (c *compressedConfig) compress(revision int64, config []byte) ([]byte, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -124,7 +130,8 @@
 	return c.data, nil
 }
 
-// decompress reverses compress. It fails if the result exceeds maxConfigSize.
+// decompress returns the configuration that compress encoded as data. It fails if data is not
+// valid DEFLATE or the result exceeds maxConfigSize.
 func decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
 	config, err := io.ReadAll(io.LimitReader(r, maxConfigSize+1))
@@ -137,8 +144,9 @@
 	return config, nil
 }
 
-// fetchState fetches the state of the store from a peer and applies it. Source is the peer's
-// name, for the log. Have holds the revisions that this entry already has.
+// fetchState fetches the store's state from the peer at an address and merges it into the
+// follower. Source is the peer's name, for the log. Have holds the revisions that this entry
+// already has. A failed fetch is only logged.
 func (c *Controller) fetchState(address netip.AddrPort, source string, have FetchArgs) {
 	defer c.do(func(s *state) { s.fetching-- })
 	var reply FetchReply
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -221,7 +221,7 @@
 	return func(e *entry) bool { return e.requestCount() == n }
 }
 
-// All entries know each other and the state of the store soon after they start.
+// All entries discover each other and receive the state of the store soon after they start.
 func TestEntriesDiscoverEachOther(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		for _, e := range f.entries {
@@ -376,7 +376,7 @@
 	})
 }
 
-// Other entries know a request within milliseconds after one entry has placed it.
+// Other entries receive the load of a request within milliseconds after one entry has placed it.
 func TestLoadReachesOtherEntries(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		p, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
@@ -392,8 +392,8 @@
 	})
 }
 
-// An entry that has just started knows within a quarter of a second what others have placed,
-// and others drop what its earlier incarnation had placed.
+// An entry that has just started receives within a quarter of a second the load of the requests
+// that others have placed, and others drop the load that its earlier incarnation had reported.
 func TestRestartedEntryReceivesLoad(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		place := func(e *entry) *dispatcher.Placement {
@@ -437,7 +437,7 @@
 	})
 }
 
-// An upstream's new incarnation under an ID used before is known to all entries in a second.
+// A new incarnation of an upstream under an ID used before reaches all entries within a second.
 func TestNewIncarnationUnderTheSameIDReachesAllEntries(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		u := store.NewUpstreamRecord("app", netip.MustParseAddrPort("10.1.0.200:80"))
@@ -665,7 +665,7 @@
 	})
 }
 
-// The status of any entry reports which others get callers, and the speeds behind that.
+// The status of any entry reports which others get callers, and their speeds, which decide that.
 func TestStatusReportsWhichEntriesGetCallers(t *testing.T) {
 	const fast, slow = 6, 4
 	withSpeeds(t, fast+slow, fastUpTo(fast), func(f *fleet) {
@@ -684,8 +684,9 @@
 	})
 }
 
-// In a fleet of sixty an entry that has just started knows within a second and a half what others
-// have placed, and they know what it places, though it has exchanged heartbeats with few of them.
+// In a fleet of sixty an entry that has just started receives within a second and a half the load
+// of the requests that others have placed, and they receive the load of those that it places, though
+// it has exchanged heartbeats with few of them.
 func TestRestartedEntryReceivesLoadInALargeFleet(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(2 * time.Second)
@@ -721,7 +722,7 @@
 }
 
 // Half of a fleet is killed and restarts after its death was detected. Within a second and a half
-// after survivors and restarted entries have placed two requests each, all know all of them.
+// after survivors and restarted entries have placed two requests each, all have the load of all.
 func TestLoadReachesAllAfterHalfTheFleetRestarts(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -15,46 +15,49 @@
 )
 
 const (
-	// storeReaders is how many entries read the store on behalf of all: one more
-	// than needed, so that the death of one delays nothing.
+	// storeReaders is the number of live entries that read the store on behalf of all:
+	// one more than needed, so that the death of one delays no change.
 	storeReaders = 2
-	// watchTimeout is how long a watch waits for changes. It bounds the age of a
-	// confirmation, and how long a connection that fails silently goes undetected.
+	// watchTimeout is how long a watch of the store waits for a change. It limits the
+	// time between two confirmations of the state, and the time until a connection that
+	// fails silently is detected.
 	watchTimeout = 400 * time.Millisecond
-	// watchPause is the time between two watches, so that frequent changes cause few
-	// calls.
+	// watchPause is the time from the reply to a store call until the next watch, so
+	// that frequent changes cause few calls.
 	watchPause = 250 * time.Millisecond
-	// staleFraction is the fraction of MaxPropagation after which a confirmation
-	// is stale, so that an entry reads the store itself. That read takes up to a
-	// quarter of MaxPropagation.
+	// staleFraction is the ratio of a confirmation's age to Config.MaxPropagation above
+	// which an entry reads the store itself. That read takes up to a quarter of
+	// MaxPropagation.
 	staleFraction = 0.6
-	// trustFraction is the fraction of MaxPropagation up to which a confirmation
-	// guarantees that this entry missed no change that it must act on. The rest
-	// allows for slow replies, which are older than they seem.
+	// trustFraction is the ratio of a confirmation's age to Config.MaxPropagation up to
+	// which this entry certainly uses every change that is older than MaxPropagation.
+	// The rest allows for slow replies, whose content is older than their arrival.
 	trustFraction = 0.75
 	// readCheckPeriod is how often an entry checks whether it has to read the store.
 	readCheckPeriod = 50 * time.Millisecond
-	// readTimeout bounds a read of the complete state. The store usually replies
-	// within milliseconds; slow replies take hundreds.
+	// readTimeout is the timeout of a read of the complete state. The store usually
+	// replies within milliseconds; slow replies take hundreds of milliseconds.
 	readTimeout = 1500 * time.Millisecond
-	// minRetryDelay is the delay after the first failed store call. It doubles with each
-	// further failure, up to maxRetryDelay. In an outage every entry calls the store, and each
-	// call is paid for.
+	// minRetryDelay is the delay after the first failed store call. The delay doubles with
+	// each further failure, up to maxRetryDelay, because in an outage every entry calls the
+	// store, and each call is paid for.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	// retryDelayFleetSize is the number of live entries up to which maxRetryDelay applies
 	// to all. In larger fleets the limit for entries that are not store readers grows in
-	// proportion to the fleet, up to maxFleetRetryDelay, so that an outage causes no more
-	// calls and its end is detected as soon. With maxRetryDelay for all, 95 entries made
-	// 1,500 calls in an outage of 8 s, a hundredth of a day's calls.
+	// proportion to the number of live entries, up to maxFleetRetryDelay. An outage then
+	// causes no more calls than in a small fleet, and the readers detect its end as soon.
+	// With maxRetryDelay for all, 95 entries made 1,500 calls in an outage of 8 s, a
+	// hundredth of a day's calls.
 	retryDelayFleetSize = 20
 	maxFleetRetryDelay  = 2 * time.Second
-	// maxDoublings limits the doublings of minRetryDelay, so that the delay does not
-	// overflow. Every maximum is reached after fewer doublings.
+	// maxDoublings is the maximum number of doublings of minRetryDelay, so that the delay
+	// does not overflow. Both maximum delays are reached after fewer doublings.
 	maxDoublings = 10
 )
 
-// followStore reads the store whenever shouldReadStore is true, until the context ends.
+// followStore reads the store whenever shouldReadStore is true, until the context ends. It reads
+// the complete state first and after ErrHistoryGone, and otherwise watches for changes.
 func (c *Controller) followStore(ctx context.Context) {
 	readAll := true
 	failures := 0
@@ -87,8 +90,8 @@
 	}
 }
 
-// shouldReadStore reports whether this entry has to read the store: it is a store reader,
-// or the last confirmation is missing or stale.
+// shouldReadStore reports whether this entry has to read the store: it is a store reader, the
+// store has never confirmed its state, or the last confirmation is stale (see staleFraction).
 func (s *state) shouldReadStore(now time.Time) bool {
 	age, ok := s.follower.ConfirmationAge(now)
 	if !ok || age > fractionOf(s.controller.config.MaxPropagation, staleFraction) {
@@ -97,7 +100,7 @@
 	return s.isReader(s.liveNames())
 }
 
-// liveNames returns the names of all live entries, including this one.
+// liveNames returns the names of this entry and of all others in the state prober.Live.
 func (s *state) liveNames() []string {
 	names := []string{s.controller.config.Name}
 	for _, m := range s.prober.Members() {
@@ -136,11 +139,12 @@
 	return min(maxFleetRetryDelay, maxRetryDelay*time.Duration(max(retryDelayFleetSize, live))/retryDelayFleetSize)
 }
 
-// fractionOf returns p times a duration.
+// fractionOf returns p times d.
 func fractionOf(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
 
-// readStore makes one call to the store, a complete read or a watch for changes after a
-// revision, and applies the reply.
+// readStore makes one call to the store, a complete read if readAll is true, else a watch for
+// changes after a revision, and applies the reply. If anything changed, it requests heartbeats,
+// so that other entries fetch the change. It returns the error of the store or of the context.
 func (c *Controller) readStore(ctx context.Context, readAll bool, revision int64) error {
 	c.metrics.storeCalls.Inc(1)
 	var got follower.State
@@ -171,8 +175,8 @@
 	return nil
 }
 
-// recordStoreError records a failed store call. ErrHistoryGone is only logged: the store
-// replies, so there is no outage.
+// recordStoreError records a failed store call of this entry. It only logs ErrHistoryGone,
+// because the store did reply. Of several failures in a row it logs the first.
 func (s *state) recordStoreError(now time.Time, err error) {
 	if errors.Is(err, follower.ErrHistoryGone) {
 		s.controller.config.Log.Info("store_history_gone", zap.Int64("revision", s.follower.Revision()))
@@ -186,7 +190,8 @@
 	s.controller.config.Log.Warn("store_lost", zap.Error(err), zap.Int64("revision", s.follower.Revision()))
 }
 
-// recordStoreSuccess records that a store call succeeded.
+// recordStoreSuccess records that a store call of this entry succeeded, and logs it if the one
+// before had failed.
 func (s *state) recordStoreSuccess() {
 	if s.storeLost {
 		s.storeLost = false
@@ -194,9 +199,10 @@
 	}
 }
 
-// applyState merges a state by apply, which calls a method of the follower, and reports
-// whether anything changed. Source is "store" or the name of the peer that sent the state.
-// The configuration is decoded on the calling goroutine, not the control goroutine.
+// applyState decodes the configuration of a state, calls apply on the control goroutine to merge
+// the state into the follower, and reports whether that changed anything. Source is "store" or
+// the name of the peer that sent the state. Decoding runs on the calling goroutine, so as not to
+// block the control goroutine.
 func (c *Controller) applyState(got follower.State, source string, apply func(*state, time.Time, follower.State) []follower.Change) bool {
 	table := c.decodeConfig(&got, source)
 	changed := false
@@ -215,9 +221,10 @@
 	return changed
 }
 
-// decodeConfig decodes the configuration of a state. If the configuration is not newer than
-// the current one or not readable, it is removed from the state and nil is returned, so that
-// the current one stays in force.
+// decodeConfig returns the decoded configuration of a state, or nil if the state has none. If
+// the configuration is not newer than the current one and the last unreadable one, or is itself
+// unreadable, decodeConfig removes it from the state and returns nil, so that the current one
+// stays in force.
 func (c *Controller) decodeConfig(got *follower.State, source string) *matcher.Table {
 	if got.Config == nil {
 		return nil
--- a/controller/loadcounts.go
+++ b/controller/loadcounts.go
@@ -8,7 +8,7 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// messageCount counts messages and their bytes. The metric counts only the bytes.
+// messageCount counts messages and the bytes in them. The metric counts only the bytes.
 type messageCount struct {
 	messages, bytes atomic.Int64
 	metric          tally.Counter
@@ -25,20 +25,22 @@
 	return api.MessageCount{Messages: m.messages.Load(), Bytes: m.bytes.Load()}
 }
 
-// loadCounts counts the load updates that this entry sent, relayed and received. Messages
-// counted in malformed are also counted in received.
+// loadCounts counts the load updates that this entry sent, relayed and received since its start.
+// malformed counts the received messages that could not be decoded; received includes them.
 type loadCounts struct {
 	sent, relayed, received messageCount
 	malformed               atomic.Int64
 }
 
-// registerMetrics creates the metrics. It must be called before a message is counted.
+// registerMetrics creates the counters of the bytes sent, relayed and received. It must be called
+// before the first message is counted.
 func (c *loadCounts) registerMetrics(scope tally.Scope) {
 	c.sent.metric, c.relayed.metric = scope.Counter("load_bytes_told"), scope.Counter("load_bytes_relayed")
 	c.received.metric = scope.Counter("load_bytes_heard")
 }
 
-// status returns the counts for the status of this entry, with the numbers of peers in a view.
+// status returns the counts for the status of this entry, and the numbers of peers that the
+// view's paths lead to.
 func (c *loadCounts) status(v *view) *api.LoadUpdateCounts {
 	return &api.LoadUpdateCounts{
 		Peers: v.allPaths.count(), PlacingPeers: v.placingPaths.count(), RelayedCentres: len(v.allPaths.relayed),
--- a/controller/loadpaths.go
+++ b/controller/loadpaths.go
@@ -2,24 +2,28 @@
 
 import "net/netip"
 
-// minRelayEntries is the number of live entries that another data centre must have for load
-// updates to be relayed there: each goes to one entry, chosen at random, which sends it on to the
-// others. With fewer entries the messages saved do not outweigh those lost with a relay that has
-// just died.
+// minRelayEntries is the minimum number of entries, neither dead nor stopping, of another data
+// centre at which load updates are relayed there: each is sent to a random one of them, which sends
+// it to the others. With fewer entries the messages saved do not outweigh those lost with a relay
+// that has just died.
 const minRelayEntries = 4
 
-// loadPaths holds the destinations of a load update and how each is reached.
+// loadPaths holds the peers that a load update is to reach: those to send it to directly, and
+// those that receive it through a relay in their data centre.
 type loadPaths struct {
-	// direct are the addresses of the peers to send to directly: those in the own data
-	// centre and in data centres with few entries. local are those in the own data centre.
+	// direct holds the addresses of the peers to send to directly: those in local, those in
+	// data centres without relays, and the dead and stopping ones there. local holds the
+	// addresses of the peers in this entry's data centre.
 	direct, local []netip.AddrPort
-	// relayed has an element for each other data centre with many entries: the peers there
-	// that are neither dead nor stopping. Any of them can relay a message to the rest of
-	// its data centre, whose entries it knows best.
+	// relayed has an element for each other data centre with relays: the addresses of the
+	// peers there that are neither dead nor stopping. Each of these can relay a message to the
+	// other peers of its data centre, including dead and stopping ones.
 	relayed [][]netip.AddrPort
 }
 
-// buildLoadPaths returns the paths from a data centre to the peers for which accepts is true.
+// buildLoadPaths returns the paths of load updates from an entry in a data centre to the peers for
+// which accepts returns true. It uses relays in another data centre if that has at least
+// minRelayEntries possible relays, of which accepts returns true for at least two.
 func buildLoadPaths(dataCentre string, peers []peer, accepts func(peer) bool) loadPaths {
 	var paths loadPaths
 	relayCounts := map[string]int{}
@@ -54,7 +58,8 @@
 	return paths
 }
 
-// count returns the number of destinations, including those behind relays.
+// count returns the number of peers in direct and relayed. It omits the dead and stopping peers
+// of data centres with relays.
 func (p loadPaths) count() int {
 	n := len(p.direct)
 	for _, group := range p.relayed {
@@ -63,12 +68,12 @@
 	return n
 }
 
-// canRelay reports whether a peer may relay messages. A stopping peer may exit at any time
-// unannounced, so that messages to relay would be lost.
+// canRelay reports whether a peer may relay load updates: it is neither dead nor stopping. A
+// stopping peer may exit at any moment, and updates on their way to it would be lost.
 func (p peer) canRelay() bool { return !p.dead && !p.stopping }
 
-// anyPeer selects every peer.
+// anyPeer returns true. As a filter for buildLoadPaths, it accepts every peer.
 func anyPeer(peer) bool { return true }
 
-// isPlacing selects the peers that place requests.
+// isPlacing returns p.placing, as a filter for buildLoadPaths.
 func isPlacing(p peer) bool { return p.placing }
--- a/controller/loadsenders.go
+++ b/controller/loadsenders.go
@@ -7,21 +7,22 @@
 	"github.com/sapphireramp/sapphireramp/dispatcher"
 )
 
-// placingTime is how long an entry counts as placing requests after its last load update:
-// three periods of full updates. Callers keep using an address for a while after the
-// directory stopped listing it.
+// placingTime is how long after its last load update an entry is still assumed to place requests
+// on upstreams: three periods of full load updates. An entry gets requests for a while after
+// callers are no longer given its address.
 const placingTime = 3 * fullUpdatePeriod
 
 // loadSenders records which other entries sent load updates recently. Entries without
 // requests send none.
 type loadSenders struct {
 	lock sync.Mutex
-	// lastReceived is when the last load update of an entry's incarnation was received.
+	// lastReceived holds the time at which the last load update of each incarnation of an entry
+	// was received.
 	lastReceived map[dispatcher.CompactID]time.Time
 }
 
-// received records that a load update of an entry's incarnation was received, and reports
-// whether none was within placingTime before.
+// received records that a load update from an incarnation of an entry was received now. It reports
+// whether that was the first one from it in placingTime.
 func (l *loadSenders) received(now time.Time, sender dispatcher.CompactID) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -33,9 +34,9 @@
 	return !known || now.Sub(last) > placingTime
 }
 
-// markPlacing sets placing to false for each peer whose address callers are not given and that
-// sent no load update within placingTime, and to true for all others. Only placing peers need to
-// receive changes of load at once.
+// markPlacing sets the field placing of each peer: to false if the peer is in withoutCallers, so
+// that callers are not given its address, and sent no load update within placingTime; otherwise to
+// true. Only placing peers are sent each change of load; the others get the periodic full load.
 func (l *loadSenders) markPlacing(now time.Time, peers []peer, withoutCallers map[string]bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/controller/loadupdates.go
+++ b/controller/loadupdates.go
@@ -15,20 +15,25 @@
 )
 
 const (
-	// updateDelay is the delay between a change of load and its update: shorter than an
-	// engine's shortest forward pass, and long enough to combine several changes.
+	// updateDelay is the time from a change of this entry's load until it is sent to other
+	// entries: shorter than an engine's shortest forward pass, and long enough to combine
+	// several changes in one update.
 	updateDelay = 5 * time.Millisecond
-	// fullUpdatePeriod is how often the full load is sent again, because datagrams get lost.
+	// fullUpdatePeriod is the interval at which an entry sends its full load, to make up for
+	// lost datagrams.
 	fullUpdatePeriod = 700 * time.Millisecond
-	// longPromptRelays is the number of relays in another data centre for the update about a
-	// long prompt. If half of its entries have just died undetected, one update in sixteen is
-	// lost. Long prompts are rare enough for the extra messages.
+	// longPromptRelays is the number of relays to which an update about a long prompt is sent in
+	// each other data centre. If half of the entries there have just died undetected, all four
+	// relays are dead for one update in sixteen. Long prompts are rare enough for the extra
+	// messages.
 	longPromptRelays = 4
-	// maxDatagram is the size in bytes of the buffer for one received load update.
+	// maxDatagram is the maximum size of a received load update in bytes; the rest of a longer
+	// datagram is dropped.
 	maxDatagram = 2048
 )
 
-// sendLoadUpdates sends this entry's load at upstreams to other entries until the context ends.
+// sendLoadUpdates sends this entry's load at upstreams to other entries until the context ends:
+// all of it each fullUpdatePeriod and to new peers, and changes after updateDelay.
 func (c *Controller) sendLoadUpdates(ctx context.Context, socket net.PacketConn) {
 	fullUpdateTicker := time.NewTicker(fullUpdatePeriod)
 	defer fullUpdateTicker.Stop()
@@ -52,9 +57,10 @@
 	}
 }
 
-// sendChanges sends the changes of load since the last call, or the full load if all is true.
-// Updates about long prompts that await their first byte go through several relays: an entry that
-// misses one places requests on the same engines, which delays them by seconds.
+// sendChanges sends the full load to all peers if all is true, else the changes of load since the
+// last call to the placing peers. Updates about long prompts that await their first byte go through
+// several relays per data centre: an entry that misses such an update places requests on the same
+// engines, which delays these requests by seconds.
 func (c *Controller) sendChanges(socket net.PacketConn, all bool) {
 	loads := c.config.Dispatcher.TakeLoadChanges(time.Now(), all)
 	if all {
@@ -82,9 +88,10 @@
 	return dispatcher.EncodeLoadUpdates(incarnationToken(c.config.Name, c.config.Incarnation), loads)
 }
 
-// sendAlong sends messages along paths: directly where possible, otherwise to the given number of
-// relays in each other data centre, with a prefix that selects the entries to relay to. Traffic
-// between data centres thus grows with the number of data centres, not with that of entries.
+// sendAlong sends messages to the peers in paths.direct, and to the given number of relays, chosen
+// at random, in each data centre in paths.relayed. Messages to relays have a prefix that selects
+// the entries to relay to. Traffic between data centres thus grows with the number of data centres
+// and not of entries.
 func (c *Controller) sendAlong(socket net.PacketConn, messages [][]byte, paths loadPaths, relayTo dispatcher.RelayTarget, relays int) {
 	for _, m := range messages {
 		c.sendEach(socket, m, paths.direct, &c.loadCounts.sent)
@@ -97,8 +104,9 @@
 	}
 }
 
-// sendAllToNewPeers sends the full load to those peers that are not in sent, by name and
-// incarnation. It returns all current peers, to be passed as sent to the next call.
+// sendAllToNewPeers sends the full load to each peer of the view whose incarnation differs from the
+// one in sent under the peer's name, or that is not in sent. It returns the incarnations of all
+// current peers by name, to be passed as sent to the next call.
 func (c *Controller) sendAllToNewPeers(socket net.PacketConn, sent map[string]uint64) map[string]uint64 {
 	peers := c.current.Load().peers
 	var messages [][]byte
@@ -123,7 +131,8 @@
 	}
 }
 
-// send sends one message and counts it, also if sending fails. Errors are only logged.
+// send sends one message to an address and counts it, even if sending fails. It only logs errors,
+// because the full load is sent again each fullUpdatePeriod.
 func (c *Controller) send(socket net.PacketConn, message []byte, to netip.AddrPort, count *messageCount) {
 	count.add(len(message))
 	if _, err := socket.WriteTo(message, net.UDPAddrFromAddrPort(to)); err != nil {
@@ -131,8 +140,8 @@
 	}
 }
 
-// receiveLoadUpdates passes the load of other entries to the dispatcher, and relays it where
-// requested, until the socket is closed.
+// receiveLoadUpdates passes received load updates to the dispatcher until the socket is closed. It
+// sends those with a relay prefix on to the other peers in this entry's data centre.
 func (c *Controller) receiveLoadUpdates(socket net.PacketConn) {
 	buffer := make([]byte, maxDatagram)
 	var malformed logLimiter
--- a/controller/loglimiter.go
+++ b/controller/loglimiter.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// logPeriod is the shortest interval between log lines about malformed load updates. While a
-// hundred entries are upgraded, which takes minutes, a thousand messages of another version
-// arrive each second.
+// logPeriod is the minimum interval between two log lines about malformed load updates. While a
+// hundred entries are upgraded, which takes minutes, each receives a thousand messages of another
+// version per second.
 const logPeriod = time.Second
 
-// logLimiter allows one log line per logPeriod.
+// logLimiter limits the log lines about one event to one per logPeriod. The zero value is ready
+// to use.
 type logLimiter struct {
-	// next is when the next line may be logged, skipped counts the lines suppressed since
-	// the last one.
+	// next is the time from which the next line may be logged. skipped is the number of lines
+	// suppressed since the last logged one.
 	next    time.Time
 	skipped int
 }
 
-// allow reports whether a line may be logged now, and if so how many were suppressed since
-// the last one.
+// allow reports whether a line may be logged now, and if so returns the number of lines suppressed
+// since the last logged one.
 func (l *logLimiter) allow(now time.Time) (skipped int, ok bool) {
 	if now.Before(l.next) {
 		l.skipped++
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -19,27 +19,28 @@
 const (
 	// rpcName is the net/rpc service name of PeerService.
 	rpcName = "Peer"
-	// heartbeatTimeout bounds an exchange of heartbeats: two periods.
+	// heartbeatTimeout is the timeout of a heartbeat and its reply: two heartbeat periods.
 	heartbeatTimeout = 400 * time.Millisecond
-	// maxContacts is the number of contacts listed in a reply to an entry that knows
-	// fewer entries than the sender, minContacts the number in any other heartbeat.
-	// At least one is listed because two entries may know different ones.
+	// maxContacts is the maximum number of contacts in a reply to an entry that knows
+	// fewer entries than the sender, minContacts the maximum in any other heartbeat. The
+	// latter is not 0 because two entries may know equally many, but different, entries.
 	maxContacts = 16
 	minContacts = 1
-	// maxImmediateHeartbeats limits the heartbeats sent at once after a change. The
-	// remaining entries receive the change with the periodic heartbeats.
+	// maxImmediateHeartbeats is the maximum number of heartbeats that an entry sends outside
+	// the period after the store's state changed or its own shutdown began. The remaining
+	// entries receive the change with the periodic heartbeats.
 	maxImmediateHeartbeats = 16
 )
 
-// contact holds the addresses of another entry.
+// contact holds the addresses of another entry, from a heartbeat.
 type contact struct {
 	name                       string
 	callerAddress, peerAddress netip.AddrPort
 	dataCentre                 string
 }
 
-// Contact is a contact as encoded in heartbeats: Callers is the address for callers, Peers
-// that for heartbeats and fetches.
+// Contact holds the addresses of an entry as encoded in heartbeats: at Callers it accepts
+// callers, at Peers heartbeats and fetches.
 type Contact struct {
 	Name           string
 	Callers, Peers netip.AddrPort
@@ -49,30 +50,30 @@
 // Beat is the heartbeat that entries send to each other, and the reply to it.
 type Beat struct {
 	api.Heartbeat
-	// Contacts are some of the other entries that the sender knows, Knows is the
-	// number of all other entries that it knows.
+	// Contacts lists some of the other entries whose addresses the sender has. Knows is
+	// the number of all of these.
 	Contacts []Contact
 	Knows    int
-	// Known is true if the sender has a confirmed state of the store. Content is
-	// the revision of the newest change in it, Confirmed the time since the store
-	// confirmed it.
+	// Known is true if the sender has the store's complete state and the store has
+	// confirmed it as current. Content is the revision of the newest change in that
+	// state, Confirmed the time since the last confirmation.
 	Known     bool
 	Content   int64
 	Confirmed time.Duration
 	// Disturbed is how long ago a call to the store last failed, at the sender or
-	// at an entry that reported it; negative if none did.
+	// at an entry that reported a failure to it; negative if no failure is known.
 	Disturbed time.Duration
-	// Speed is the capacity of the sender in processor cores; 0 if unknown.
+	// Speed is the processor capacity of the sender in cores; 0 if unknown.
 	// Strained is true if the sender is overloaded: its timers fire late.
 	Speed    float64
 	Strained bool
 }
 
-// errStopped is returned to peers by an entry whose control goroutine has ended while its
-// connections are still open.
+// errStopped is the error that peers receive for a heartbeat to an entry whose control goroutine
+// has ended while its connections are still open.
 var errStopped = errors.New("this entry has stopped")
 
-// PeerService serves the net/rpc calls of other entries.
+// PeerService serves the net/rpc calls Beat and Fetch of other entries.
 type PeerService struct{ controller *Controller }
 
 // Beat processes the heartbeat of another entry and replies with one of this entry. It
@@ -115,8 +116,8 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats each heartbeatPeriod and after requestHeartbeats, until the
-// context ends.
+// sendHeartbeats sends heartbeats when it starts, then each heartbeatPeriod and after
+// requestHeartbeats, until the context ends.
 func (c *Controller) sendHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatPeriod)
 	defer tick.Stop()
@@ -134,8 +135,8 @@
 	}
 }
 
-// exchangeHeartbeats sends a heartbeat to each address that heartbeatTargets returns. It does
-// not wait for the replies, which are processed on arrival.
+// exchangeHeartbeats sends a heartbeat to each address that heartbeatTargets(now, all) returns.
+// It does not wait for the replies, which are processed as they arrive.
 func (c *Controller) exchangeHeartbeats(all bool) {
 	var targets []netip.AddrPort
 	var beat Beat
@@ -158,9 +159,10 @@
 	}
 }
 
-// heartbeatTargets returns the peers to send a heartbeat to: if all is true, up to
-// maxImmediateHeartbeats of the live entries, chosen at random, else the neighbours of this
-// round and the seeds at which no live entry is known.
+// heartbeatTargets returns the addresses to send a heartbeat to. If all is true, they are those of
+// up to maxImmediateHeartbeats live and stopping entries, chosen at random. Otherwise they are those
+// that the prober selects for this round, and the seeds that are not the address of a live or
+// stopping entry.
 func (s *state) heartbeatTargets(now time.Time, all bool) []netip.AddrPort {
 	live := map[netip.AddrPort]bool{s.controller.config.PeerAddress: true}
 	var out []netip.AddrPort
@@ -189,7 +191,8 @@
 	return out
 }
 
-// heartbeat returns a heartbeat of this entry that lists at most limit contacts.
+// heartbeat returns a heartbeat of this entry that lists at most limit contacts, without Quarantine.
+// It takes the notices in it from the prober, so the heartbeat must be sent.
 func (s *state) heartbeat(now time.Time, limit int) Beat {
 	c := s.controller.config
 	_, revision := s.follower.Config()
@@ -211,8 +214,9 @@
 	return b
 }
 
-// receiveHeartbeat processes a heartbeat or the reply to one, and starts a fetch if the sender
-// has a newer state of the store and fewer than maxFetches are in progress.
+// receiveHeartbeat processes a heartbeat or the reply to one. It starts a fetch if the sender has
+// a newer state of the store than this entry, or this entry has none, and fewer than maxFetches
+// are in progress. If both have the same state, it adopts the sender's confirmation.
 func (c *Controller) receiveHeartbeat(b Beat) {
 	fetch := false
 	var have FetchArgs
@@ -236,7 +240,8 @@
 	}
 }
 
-// applyHeartbeat updates the contacts, the members and the sender's capacity from a heartbeat.
+// applyHeartbeat updates the contacts, the prober and the sender's capacity from a heartbeat, and
+// sets dirty if that changes what is published of other entries.
 func (s *state) applyHeartbeat(now time.Time, b Beat) {
 	before, wasKnown := s.prober.Find(b.From)
 	s.addContact(now, contact{name: b.From, callerAddress: b.Address, peerAddress: b.PeerAddress, dataCentre: b.DataCentre})
@@ -255,7 +260,8 @@
 	}
 }
 
-// addContact records a contact unless an entry of its name is known already or it is this entry.
+// addContact records a contact and adds it to the prober, unless it is this entry or there is a
+// contact of its name already.
 func (s *state) addContact(now time.Time, added contact) {
 	if added.name == s.controller.config.Name {
 		return
--- a/controller/status.go
+++ b/controller/status.go
@@ -6,8 +6,8 @@
 	"github.com/sapphireramp/sapphireramp/api"
 )
 
-// Status returns the state of this entry and what it knows of upstreams and other entries, for
-// operators.
+// Status returns the state of this entry and its view of upstreams and other entries, for
+// operators. It leaves InFlight zero.
 func (c *Controller) Status() api.Status {
 	var status api.Status
 	c.do(func(s *state) { status = s.status(time.Now()) })
@@ -28,7 +28,8 @@
 	return status
 }
 
-// status returns the part of the status that comes from the control state.
+// status returns the fields of the status that come from the control state: those of this entry,
+// the revision and age of the configuration, and the members.
 func (s *state) status(now time.Time) api.Status {
 	c := s.controller.config
 	_, revision := s.follower.Config()
--- a/controller/view.go
+++ b/controller/view.go
@@ -8,7 +8,8 @@
 	"github.com/sapphireramp/sapphireramp/prober"
 )
 
-// view is a snapshot of the control state, from which requests are served. It is immutable.
+// view is a snapshot of the control state, from which requests are served. It is immutable once
+// published.
 type view struct {
 	forwarder.View
 	// ready is true if this entry accepts callers.
@@ -16,7 +17,8 @@
 	// callerEntries are the entries whose addresses callers are given.
 	callerEntries []readyEntry
 	peers         []peer
-	// allPaths lead to all peers, placingPaths to the peers that place requests.
+	// allPaths are the paths of load updates to all peers, placingPaths those to the peers
+	// whose field placing is true.
 	allPaths, placingPaths loadPaths
 }
 
@@ -28,16 +30,17 @@
 	address     netip.AddrPort
 	loadAddress netip.AddrPort
 	dataCentre  string
-	// dead is true for a peer that was declared dead recently. It still receives load
-	// updates, but is not counted in countLive. stopping is true for a peer that has
+	// dead is true for a peer that was declared dead within deadUpdateTime. It is still
+	// sent load updates, but countLive omits it. stopping is true for a peer that has
 	// announced its shutdown.
 	dead, stopping bool
-	// placing is false if the peer gets no new callers and sent no load update recently.
+	// placing is false if callers are not given the peer's address and the peer sent no
+	// load update within placingTime, so that it probably places no requests.
 	placing bool
 }
 
-// publish replaces the current view with one of the present state, and updates the
-// dispatcher and the metrics accordingly.
+// publish replaces the current view with one of the present state, and passes the peers and the
+// usable upstreams on to the dispatcher, the quarantiner and the metrics.
 func (s *state) publish() {
 	s.dirty = false
 	c := s.controller
@@ -78,7 +81,9 @@
 	}
 }
 
-// addMembers adds the other entries to a view, and returns the number of those that are live.
+// addMembers adds the other entries to a view: those that accept callers to callerEntries, and all
+// but those that died more than deadUpdateTime ago to peers. It returns the number of entries that
+// are live or stopping.
 func (s *state) addMembers(v *view) int {
 	c, live := s.controller, 0
 	for _, m := range s.prober.Members() {
@@ -104,10 +109,10 @@
 	return live
 }
 
-// forgetRestarted drops the load of earlier incarnations of restarted entries, and reports whether
-// any peer is new, in which case this entry's full load has to be sent to it. Otherwise a restarted
-// entry would not know for up to fullUpdatePeriod what others have placed, and would put long
-// prompts on the engines with the most responses in progress.
+// forgetRestarted makes the dispatcher drop the load of earlier incarnations of restarted entries.
+// It reports whether any peer is new or restarted, so that this entry's full load has to be sent to
+// it. Otherwise a restarted entry would have no load of others for up to fullUpdatePeriod, and would
+// place long prompts on the engines with the most responses in progress.
 func (s *state) forgetRestarted(peers []peer) bool {
 	c := s.controller
 	before := incarnations(c.current.Load().peers)
@@ -142,8 +147,9 @@
 	return out
 }
 
-// isLoadIncomplete reports whether this entry may not know all requests placed by others: it
-// has just started, or no other entry is live although there are seeds for some.
+// isLoadIncomplete reports whether this entry may lack the load of other entries: it started less
+// than startupTime ago, or no other entry is live although there is more than one seed, one of which
+// may be its own address. Live is the number of other entries that are live or stopping.
 func (s *state) isLoadIncomplete(live int) bool {
 	if live == 0 {
 		return len(s.seeds) > 1
