--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,7 +1,7 @@
-// Package follower tracks the state of the platform's store as one entry knows it:
-// the configuration in force and the upstreams that may be sent work. It merges
-// complete reads, changes, and states that other entries have read, in any order,
-// and never replaces anything by an older revision. It does no I/O.
+// Package follower maintains one entry's copy of the state of the platform's store:
+// the configuration in force and the registrations of upstreams. It merges what the
+// entry itself or other entries have read, complete states and changes, in any order,
+// and never replaces an item by an older revision. It does no I/O.
 package follower
 
 import (
@@ -15,20 +15,21 @@
 )
 
 const (
-	// reregisterTime is how long after an outage of the store an upstream whose
-	// registration lapsed may take to register again. The platform's documentation
+	// reregisterTime is the maximum time that an upstream takes to register again after an
+	// outage of the store in which its registration lapsed. The platform's documentation
 	// promises about two seconds; 300 ms are added for the propagation to the entry.
 	reregisterTime = 2300 * time.Millisecond
-	// removalTTL is how long the removal of a registration is remembered, so that an
+	// removalTTL is the time for which the removal of a registration is kept, so that an
 	// older state from a peer does not restore the registration. Every state that a peer
 	// sends was confirmed by the store more recently than this.
 	removalTTL = 5 * time.Minute
-	// maxReadGap is the longest time between two reads of the store in which no outage
-	// can have gone undetected: a watch, its reply and the pause after it take 0.7 s,
-	// and every lease of an upstream is at least twice this long.
+	// maxReadGap is the maximum time between two successful reads of the store in which
+	// no registration can have lapsed in an outage that this entry did not notice. A
+	// watch, its reply and the pause after it take 0.7 s, and every lease of a
+	// registration is at least twice maxReadGap.
 	maxReadGap = 1500 * time.Millisecond
-	// defaultMaxUseAfterRemoval applies until SetMaxUseAfterRemoval is called. It is the shortest
-	// bound that a platform has set.
+	// defaultMaxUseAfterRemoval applies until SetMaxUseAfterRemoval is called. It is the
+	// shortest limit that a platform has set.
 	defaultMaxUseAfterRemoval = 2 * time.Second
 )
 
@@ -41,33 +42,36 @@
 	Instance dispatcher.Instance
 	// Revision is the store revision of the registration's last change.
 	Revision int64
-	// Gone is true if the registration was removed; Instance then only has its ID.
+	// Gone is true if the registration was removed; only Instance.ID is then certain to
+	// be set.
 	Gone bool
-	// Doubtful is true if the registration may have lapsed in an outage of the store
-	// rather than been removed, because the entry that read the removal had failed or
-	// missed reads before. An entry that receives the removal decides by its own
-	// records whether to retain the upstream.
+	// Doubtful is true for a removal that may be the lapse of a lease in an outage of
+	// the store, because reads of the entry that read the removal had failed or been
+	// interrupted before. An entry that receives the removal decides by its own record
+	// of store failures whether to retain the upstream.
 	Doubtful bool
-	// Fault is why the registration could not be read, nil if it could. An
-	// unreadable upstream counts as leaving.
+	// Fault is why the registration could not be read; nil if it could. An upstream
+	// whose registration is unreadable has Instance.Leaving set and gets no new work.
 	Fault error
 }
 
-// State is the content of the store as of a revision: all of it, or only some changes.
+// State is the content of the store as of a revision, or only the changes up to that
+// revision since an earlier one.
 type State struct {
 	// Revision is the store revision up to which the state is current.
 	Revision int64
-	// Config is the configuration as stored, in bytes; nil if the state does not
-	// include it. ConfigRevision is the revision of its last change.
+	// Config holds the configuration's bytes as stored; nil if the state does not
+	// include it. ConfigRevision is the store revision of its last change.
 	Config         []byte
 	ConfigRevision int64
-	Instances      []Listed
-	// Faults are the errors of unreadable items that can't be attributed to an
-	// upstream; empty in a state from another entry.
+	// Instances holds the registrations and removals, at most one for each ID.
+	Instances []Listed
+	// Faults holds the errors of unreadable items of the store that can't be attributed
+	// to an upstream; empty in a state from another entry.
 	Faults []error
 }
 
-// Change is one change of a Follower's state, for the log.
+// Change is one change of a Follower's state. Its fields are logged.
 type Change struct {
 	// ID is the ID of the instance; empty for a change of the configuration.
 	ID string
@@ -85,10 +89,11 @@
 	KindAppeared = "appeared"
 	// KindLeaving: an upstream started to drain.
 	KindLeaving = "leaving"
-	// KindGone: a registration was removed, or the retention of its upstream ended.
+	// KindGone: an upstream is no longer used: its registration was removed, or the time
+	// for which it was retained after that has ended.
 	KindGone = "gone"
-	// KindRetainedAfterOutage: a registration was removed. Its upstream is retained, since the
-	// registration may have lapsed in an outage of the store.
+	// KindRetainedAfterOutage: a registration was removed, but its upstream is still used
+	// for a while, since the registration may have lapsed in an outage of the store.
 	KindRetainedAfterOutage = "held_after_outage"
 	// KindConfig: the configuration has a new revision.
 	KindConfig = "configuration"
@@ -96,61 +101,64 @@
 	KindUnreadable = "unreadable"
 )
 
-// knownInstance is the last known registration of an instance, present or removed.
+// knownInstance is the latest registration of an instance that was applied, or its removal.
 type knownInstance struct {
 	listed Listed
 	// retainedUntil is the time until which an instance without registration is still
 	// used, since it may register again after an outage of the store; zero if the
 	// instance is not retained.
 	retainedUntil time.Time
-	// removedAt is when the removal became known; zero if the registration is present.
+	// removedAt is when the removal was applied; zero if the registration is present.
 	removedAt time.Time
 }
 
-// Follower holds the state of the store as known to one entry. It is not safe for concurrent
+// Follower holds one entry's copy of the state of the store. It is not safe for concurrent
 // use.
 type Follower struct {
-	// revision is the store revision up to which all changes are known.
+	// revision is the store revision up to which all changes were applied; 0 at first.
 	revision int64
-	// baseRevision is the revision after which every removal is remembered. Earlier removals
-	// may be forgotten, or unknown because they preceded a complete state.
+	// baseRevision is the store revision after which instances has every removal. Earlier
+	// removals may be missing: dropped after removalTTL, or not part of a complete state.
 	baseRevision int64
-	// newestRevision is the revision of the newest change applied.
+	// newestRevision is the store revision of the newest change applied; 0 at first.
 	newestRevision int64
 	config         []byte
 	configRevision int64
-	// instances are the known registrations by ID, including remembered removals.
+	// instances holds the registrations, and removals for removalTTL, by instance ID.
 	instances map[string]*knownInstance
-	// lastFailureAt is when a store call last failed, at this entry or at one that
-	// reported it; zero if none did.
+	// lastFailureAt is when a store call last failed, of this entry or of another one
+	// according to its heartbeat or fetch reply; zero if no failure is known.
 	lastFailureAt time.Time
-	// ownFailureAt and ownReadAt are when this entry's own calls to the store last
-	// failed and last succeeded; zero if they never did.
+	// ownFailureAt is when a store call of this entry last failed, ownReadAt when one last
+	// succeeded; zero if none did.
 	ownFailureAt, ownReadAt time.Time
-	// maxUseAfterRemoval is the longest time for which a removed upstream may still get work.
+	// maxUseAfterRemoval is the longest time for which an upstream may still get work after
+	// its registration was removed intentionally.
 	maxUseAfterRemoval time.Duration
-	// confirmedAt is when the store last confirmed the state, to this entry or to the
-	// peer that reported the confirmation; zero if it never did.
+	// confirmedAt is when a reply of the store last showed that this state is current, to
+	// this entry or to a peer with the same state; zero if none did.
 	confirmedAt time.Time
 }
 
-// New returns a Follower without state, with the default bound on removals.
+// New returns a Follower without configuration and upstreams. After an intentional removal it uses
+// an upstream for at most 2 s, unless SetMaxUseAfterRemoval sets another limit.
 func New() *Follower {
 	return &Follower{instances: map[string]*knownInstance{}, maxUseAfterRemoval: defaultMaxUseAfterRemoval}
 }
 
-// SetMaxUseAfterRemoval sets the longest time for which an upstream may get work after the removal of
-// its registration.
+// SetMaxUseAfterRemoval sets the longest time for which an upstream may get work after its
+// registration was removed intentionally, that is, other than by a lapse in an outage of the store.
 func (f *Follower) SetMaxUseAfterRemoval(bound time.Duration) { f.maxUseAfterRemoval = bound }
 
-// ApplyPeerSnapshot merges a complete state from another entry. Upstreams missing from it count
-// as removed. A state older than the present one is ignored.
+// ApplyPeerSnapshot merges a complete state from another entry and returns the changes. It treats
+// upstreams that are missing from the state as removed, and ignores a state with a lower revision
+// than the present one.
 func (f *Follower) ApplyPeerSnapshot(now time.Time, s State) []Change {
 	return f.mergeSnapshot(now, s, f.retentionTime(now))
 }
 
-// mergeSnapshot merges a complete state. Upstreams missing from it are retained for the given
-// time.
+// mergeSnapshot merges a complete state and returns the changes. Upstreams that are missing from
+// it are retained for the given time. It ignores a state with a lower revision than the present one.
 func (f *Follower) mergeSnapshot(now time.Time, s State, retention time.Duration) []Change {
 	if s.Revision < f.revision {
 		return nil
@@ -171,11 +179,11 @@
 	return changes
 }
 
-// ApplyStoreRead merges a complete state or changes that this entry itself has read from the
-// store. A removal may be a lapse only if a call of this entry failed since its last successful
-// read, or if this entry was not reading while calls of others failed. Failures at other entries
-// are irrelevant to an entry whose reads succeeded throughout: the removals it reads are
-// intended, and it passes them on as such. Otherwise, if the store fails only some entries, a
+// ApplyStoreRead merges what this entry itself has just read from the store, a complete state or
+// changes, and returns the changes. It treats a removal as a possible lapse of the registration
+// only if a store call of this entry failed since its last successful one, or if that was more
+// than maxReadGap ago. If the reads of this entry succeeded throughout, removals are intentional,
+// whatever failures other entries report. Otherwise, if the store failed only some entries, a
 // removed upstream would get work for 2.3 s, more than the 2 s that the platform allows.
 func (f *Follower) ApplyStoreRead(now time.Time, s State, complete bool) []Change {
 	doubtful := f.ownFailureAt.After(f.ownReadAt) || now.Sub(f.ownReadAt) > maxReadGap
@@ -198,8 +206,9 @@
 	return changes
 }
 
-// ApplyChanges merges changes from another entry. A change applies if its revision is greater
-// than that of the last known change of the same upstream, or of the configuration.
+// ApplyChanges merges changes read from the store or received from another entry, and returns
+// those that had an effect. It ignores a change whose revision is not greater than that of the
+// last applied change of the same upstream, or of the configuration.
 func (f *Follower) ApplyChanges(now time.Time, s State) []Change {
 	var changes []Change
 	if s.Config != nil && s.ConfigRevision > f.configRevision {
@@ -214,7 +223,8 @@
 	return changes
 }
 
-// applyListed applies one registration or removal if it is newer than the known one.
+// applyListed applies a registration or removal if its revision is greater than that of the last
+// one applied under the same ID, and returns the changes.
 func (f *Follower) applyListed(now time.Time, l Listed) []Change {
 	id := l.Instance.ID
 	k, ok := f.instances[id]
@@ -245,9 +255,9 @@
 	return nil
 }
 
-// remove records that a registration is gone. If retention is positive, the upstream is
-// retained for that time, because the registration may have lapsed in an outage of the store
-// and the upstream may register again.
+// remove records the removal of a registration and returns the change, if the registration was
+// present. If retention is positive and the upstream was not leaving, the upstream is used for
+// that time, as the registration may have lapsed in an outage and the upstream may register again.
 func (f *Follower) remove(now time.Time, id string, revision int64, retention time.Duration) []Change {
 	k, ok := f.instances[id]
 	if !ok {
@@ -268,11 +278,11 @@
 	return []Change{{ID: id, Kind: KindGone, Revision: revision}}
 }
 
-// retentionTime returns how much longer an upstream whose registration lapsed in the last outage
-// of the store may take to register again; 0 if the store confirmed the state since. If only other
-// entries reported failures, the outage may affect only those, so maxUseAfterRemoval limits the result.
-// If that was a real outage, too short for this entry to have called the store in it, an upstream
-// dropped too early is used again as soon as it registers.
+// retentionTime returns for how much longer an upstream is used whose registration lapsed in the
+// last outage of the store: until reregisterTime after the last failed store call. It returns 0 if
+// the store confirmed the state since. If only calls of other entries failed, the removal may be
+// intentional, so the upstream is used for at most maxUseAfterRemoval after the last confirmation.
+// An upstream that is dropped too early by that is used again as soon as it registers.
 func (f *Follower) retentionTime(now time.Time) time.Duration {
 	if f.lastFailureAt.IsZero() || f.confirmedAt.After(f.lastFailureAt) {
 		return 0
@@ -284,21 +294,22 @@
 	return max(0, remaining)
 }
 
-// RecordOwnStoreFailure records that a store call of this entry failed at a time.
+// RecordOwnStoreFailure records that a store call of this entry failed at the given time.
 func (f *Follower) RecordOwnStoreFailure(at time.Time) {
 	f.ownFailureAt = at
 	f.RecordStoreFailure(at)
 }
 
-// RecordStoreFailure records that a store call of this or another entry failed at a time.
+// RecordStoreFailure records that a store call of any entry failed at the given time. It ignores
+// failures earlier than the last one recorded.
 func (f *Follower) RecordStoreFailure(at time.Time) {
 	if at.After(f.lastFailureAt) {
 		f.lastFailureAt = at
 	}
 }
 
-// StoreFailureAge returns how long ago a store call last failed, at this entry or at one that
-// reported it, and false if none did.
+// StoreFailureAge returns the time since the last store failure recorded for any entry, and
+// whether there was one.
 func (f *Follower) StoreFailureAge(now time.Time) (time.Duration, bool) {
 	if f.lastFailureAt.IsZero() {
 		return 0, false
@@ -310,19 +321,19 @@
 // of this process, when the age of the state is unknown.
 func (f *Follower) ClearConfirmation() { f.confirmedAt = time.Time{} }
 
-// Confirm records that the store confirmed the present state at a time, to this entry or to
-// a peer.
+// Confirm records that a reply of the store at the given time, to this entry or to a peer with
+// the same state, showed that the present state was current.
 func (f *Follower) Confirm(at time.Time) {
 	if at.After(f.confirmedAt) {
 		f.confirmedAt = at
 	}
 }
 
-// ConfirmedAt returns when the store last confirmed the state; zero if it never did.
+// ConfirmedAt returns the latest time passed to Confirm; zero if there is none, or none since
+// ClearConfirmation.
 func (f *Follower) ConfirmedAt() time.Time { return f.confirmedAt }
 
-// ConfirmationAge returns how long ago the store last confirmed the state, and false if it
-// never did.
+// ConfirmationAge returns the time since ConfirmedAt, and false if that is zero.
 func (f *Follower) ConfirmationAge(now time.Time) (time.Duration, bool) {
 	if f.confirmedAt.IsZero() {
 		return 0, false
@@ -330,8 +341,8 @@
 	return now.Sub(f.confirmedAt), true
 }
 
-// Tick ends expired retentions and forgets removals older than removalTTL. It returns the
-// instances whose retention ended.
+// Tick stops the use of upstreams that were retained after an outage and have not registered again
+// in time, and returns a KindGone change for each. It also drops removals older than removalTTL.
 func (f *Follower) Tick(now time.Time) []Change {
 	var changes []Change
 	for id, k := range f.instances {
@@ -350,7 +361,8 @@
 	return changes
 }
 
-// UsableInstances returns the upstreams that may be sent new work, sorted by ID.
+// UsableInstances returns the upstreams that may be sent new requests, sorted by ID: those that are
+// registered or retained after an outage, and not leaving.
 func (f *Follower) UsableInstances() []dispatcher.Instance {
 	var out []dispatcher.Instance
 	for _, k := range f.instances {
@@ -366,20 +378,21 @@
 // Config returns the configuration as stored and its revision; nil and 0 before the first.
 func (f *Follower) Config() ([]byte, int64) { return f.config, f.configRevision }
 
-// Revision returns the store revision up to which all changes are known.
+// Revision returns the store revision up to which all changes were applied; 0 at first.
 func (f *Follower) Revision() int64 { return f.revision }
 
-// NewestRevision returns the revision of the newest change applied. Two followers with the
-// same NewestRevision have the same state.
+// NewestRevision returns the store revision of the newest change applied; 0 at first. Two followers
+// with the same NewestRevision have the same configuration and registrations.
 func (f *Follower) NewestRevision() int64 { return f.newestRevision }
 
-// HasState reports whether a complete state was ever applied, which always includes a
-// configuration.
+// HasState reports whether a complete state was ever applied. It checks for a configuration, which
+// every complete state includes.
 func (f *Follower) HasState() bool { return f.configRevision > 0 }
 
-// ChangesSince returns the changes for an entry that has all changes up to a revision. If a
-// removal since then may have been forgotten, it returns the complete state, and complete is true.
-// The configuration is omitted if its revision is not greater than configRevision, the entry's own.
+// ChangesSince returns the changes for another entry that has all changes up to a revision. If
+// a removal since then may have been dropped, it returns the complete state and complete is true.
+// The state omits the configuration if its revision is at most configRevision, the revision of the
+// other entry's configuration.
 func (f *Follower) ChangesSince(revision, configRevision int64) (s State, complete bool) {
 	s.Revision = f.revision
 	if f.configRevision > configRevision {
--- a/follower/outage_test.go
+++ b/follower/outage_test.go
@@ -19,8 +19,8 @@
 	staleAge = 1200 * time.Millisecond
 	// removalBound is the time for which a removed upstream may still get work.
 	removalBound = 2 * time.Second
-	// failureFreeTime is the time since the store last failed the entry's calls, and since
-	// it last failed the calls of all entries at once, after which removalBound applies.
+	// failureFreeTime is the minimum time since a store call of the entry last failed, and
+	// since the calls of all entries last failed at once, for removalBound to be checked.
 	failureFreeTime = 3 * time.Second
 )
 
