--- a/connector/activeconns.go
+++ b/connector/activeconns.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// ActiveConns tracks the active connections of an http.Server: those on which a request is being
-// served or may be on its way. A new connection is active until its first response is complete. It
-// is safe for concurrent use.
+// ActiveConns tracks the active connections of an http.Server: those in http.StateActive, and those
+// in http.StateNew, whose first request may be on its way. It is safe for concurrent use.
 type ActiveConns struct {
 	lock sync.Mutex
 	// conns is the set of active connections.
@@ -19,7 +18,8 @@
 // NewActiveConns returns an ActiveConns that tracks no connection yet.
 func NewActiveConns() *ActiveConns { return &ActiveConns{conns: map[net.Conn]bool{}} }
 
-// OnStateChange updates the tracked connections. It is to be set as ConnState of the http.Server.
+// OnStateChange updates the set of active connections. It must be set as ConnState of the
+// http.Server before the server starts.
 func (a *ActiveConns) OnStateChange(c net.Conn, s http.ConnState) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -37,9 +37,9 @@
 	return len(a.conns)
 }
 
-// WaitIdle blocks until no connection is active or the deadline has passed; a zero deadline never
-// passes. It checks at intervals of poll. It must return before Shutdown of the server is called,
-// because from then on the server drops the requests that it reads.
+// WaitIdle blocks until no connection is active or the deadline has passed; with a zero deadline it
+// waits without limit. It checks at intervals of poll. Call http.Server.Shutdown only after it has
+// returned, because from then on the server drops the requests that it reads.
 func (a *ActiveConns) WaitIdle(deadline time.Time, poll time.Duration) {
 	for a.Count() > 0 && (deadline.IsZero() || time.Now().Before(deadline)) {
 		time.Sleep(poll)
--- a/connector/exitdetector.go
+++ b/connector/exitdetector.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// probeDelay is the wait between the break of a connection and the probe of its address. An
-	// exiting process closes its connections and its listener one after the other.
+	// probeDelay is the time from the call of HasExited, after a connection broke, until the probe
+	// of its address. An exiting process may close its listener later than its connections.
 	probeDelay = 50 * time.Millisecond
-	// probeTimeout bounds the connection attempt of a probe.
+	// probeTimeout is the timeout of the connection attempt that probes an address.
 	probeTimeout = 250 * time.Millisecond
 )
 
-// ExitDetector detects whether the process behind a broken connection has exited. It is safe for
-// concurrent use.
+// ExitDetector detects, after a connection broke, whether the process at its other end has exited.
+// It is safe for concurrent use.
 type ExitDetector struct {
 	dial DialFunc
-	// probes are the probes in progress, by address.
+	// probes holds the probes in progress by address, so that concurrent calls share one.
 	probes singleflight.Group
 }
 
-// NewExitDetector returns an ExitDetector that connects by dial.
+// NewExitDetector returns an ExitDetector that opens its connections with dial.
 func NewExitDetector(dial DialFunc) *ExitDetector { return &ExitDetector{dial: dial} }
 
 // HasExited reports whether the process at an address has exited, that is, whether connections to
--- a/connector/pool.go
+++ b/connector/pool.go
@@ -1,6 +1,6 @@
 // Package connector keeps net/rpc connections to other entries, with a timeout for
-// every call. It also tracks the active connections of a server, and detects whether
-// the process behind a broken connection has exited.
+// every call. It also tracks the active connections of an HTTP server, and detects
+// whether the process at the other end of a broken connection has exited.
 package connector
 
 import (
@@ -17,39 +17,42 @@
 // ErrTimeout is returned by Pool.Call if the peer did not reply before the timeout.
 var ErrTimeout = errors.New("peer did not reply before the timeout")
 
-// DialFunc opens a connection, like net.Dialer.DialContext.
+// DialFunc opens a connection. Its arguments and results are those of net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// idleTimeout is how long a connection without a call is kept. Entries call peers chosen at
-// random, so that otherwise every two entries would end up with a connection between them.
+// idleTimeout is the time after the end of its last call from which a connection may be closed.
+// Entries call random peers, so without it each would end up with a connection to every other.
 const idleTimeout = 30 * time.Second
 
-// Pool holds one connection to each peer called within idleTimeout. It is safe for
-// concurrent use.
+// Pool holds at most one net/rpc connection to each peer. When it opens one, it closes those
+// without a call for idleTimeout. It is safe for concurrent use.
 type Pool struct {
 	dial DialFunc
 	lock sync.Mutex
-	// clients are the open connections by the address of the peer.
+	// clients holds the open connections by the address of the peer.
 	clients map[netip.AddrPort]*client
-	closed  bool
+	// closed is true once Close was called.
+	closed bool
 }
 
 // client is one connection of a pool. The lock of the pool guards its fields.
 type client struct {
 	*rpc.Client
-	// inFlight is the number of calls in progress, lastUsed is when the last one ended.
+	// inFlight is the number of calls in progress. lastUsed is when the last call ended; zero if
+	// none has.
 	inFlight int
 	lastUsed time.Time
 }
 
-// NewPool returns a pool without connections, which opens them by dial.
+// NewPool returns a pool without connections. It opens each with dial at the first call.
 func NewPool(dial DialFunc) *Pool {
 	return &Pool{dial: dial, clients: map[netip.AddrPort]*client{}}
 }
 
-// Call calls a method of a peer and waits for the reply or the timeout. It connects first if
-// there is no connection. A connection that fails or times out is closed and not reused. An
-// error of the called method is returned as an rpc.ServerError.
+// Call calls a net/rpc method of the peer at an address and waits for the reply. It connects first
+// if there is no connection; the timeout applies to the connecting and to the call separately. If
+// the method itself fails, the error wraps an rpc.ServerError. After any other error of the call,
+// such as ErrTimeout, the connection is closed.
 func (p *Pool) Call(address netip.AddrPort, method string, args, reply any, timeout time.Duration) error {
 	c, err := p.client(address, timeout)
 	if err != nil {
@@ -75,8 +78,8 @@
 	return nil
 }
 
-// client returns the connection to a peer, after opening one if there is none. It counts one more
-// call on the connection, which must be ended with release.
+// client returns the connection to a peer and opens one if there is none. It increments the
+// connection's inFlight, which the caller must decrement with release after its call.
 func (p *Pool) client(address netip.AddrPort, timeout time.Duration) (*client, error) {
 	if c := p.acquire(address); c != nil {
 		return c, nil
@@ -103,7 +106,7 @@
 	return opened, nil
 }
 
-// acquire counts one more call on the connection to a peer and returns it; nil if there is none.
+// acquire returns the connection to a peer and increments its inFlight; nil if there is none.
 func (p *Pool) acquire(address netip.AddrPort) *client {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -115,7 +118,7 @@
 	return c
 }
 
-// release ends a call on a connection.
+// release decrements the inFlight of a connection after a call.
 func (p *Pool) release(c *client) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -123,9 +126,9 @@
 	c.lastUsed = time.Now()
 }
 
-// closeIdle closes connections on which no call ended within idleTimeout or is in progress. It is
-// called before a connection is added, so that there are at most as many as peers called within
-// idleTimeout. The caller must hold the lock.
+// closeIdle closes the connections on which no call is in progress and none ended within
+// idleTimeout. It runs before a connection is added, so that there are at most as many connections
+// as peers called within idleTimeout. The lock must be held.
 func (p *Pool) closeIdle(now time.Time) {
 	for address, c := range p.clients {
 		if c.inFlight == 0 && now.Sub(c.lastUsed) >= idleTimeout {
@@ -145,7 +148,7 @@
 	_ = c.Close()
 }
 
-// Close closes all connections. Later calls fail.
+// Close closes all connections, so that calls in progress fail, and so do later calls.
 func (p *Pool) Close() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/connector/pool_test.go
+++ b/connector/pool_test.go
@@ -51,7 +51,7 @@
 }
 
 // In a fleet of a thousand entries each calls another one every 0.1 s. When connections were never
-// closed, each entry held one to every other, with a queue, buffers and codecs of some 50 KB at
+// closed, each entry had one to every other, with a queue, buffers and codecs of some 50 KB at
 // either end, which was most of its memory.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/connector/queue.go
+++ b/connector/queue.go
@@ -6,36 +6,39 @@
 	"sync"
 )
 
-// maxPendingWrites limits the writes queued on one connection to a peer; the connection is closed
-// when it is exceeded. One write is one message.
+// maxPendingWrites is the maximum number of writes queued on one connection to a peer. A write
+// beyond it closes the connection.
 const maxPendingWrites = 1024
 
-// errQueueFull is returned by Write if maxPendingWrites are queued, because the peer reads too
-// slowly or not at all.
+// errQueueFull is returned by queuedConn.Write if maxPendingWrites are queued already, because the
+// peer reads too slowly or not at all.
 var errQueueFull = errors.New("write queue of peer connection is full")
 
 // queuedConn is a connection whose writes never block. net/rpc holds a lock while it writes, so
-// that one peer that does not read would otherwise block every caller beyond its timeout.
+// that a peer that does not read would otherwise block every call to it beyond the call's timeout.
 type queuedConn struct {
 	net.Conn
 	lock sync.Mutex
-	// pending holds at most maxPendingWrites messages.
+	// pending holds the queued writes in order, at most maxPendingWrites.
 	pending [][]byte
 	// wake holds an element if pending may not be empty.
-	wake   chan struct{}
+	wake chan struct{}
+	// closed is closed by the first call of Close, which once detects.
 	closed chan struct{}
 	once   sync.Once
 }
 
 // NewQueuedConn wraps a connection so that its writes never block. A goroutine writes the queued
-// messages until the connection is closed.
+// data until the connection is closed or a write fails. A failed read closes the connection too.
 func NewQueuedConn(c net.Conn) net.Conn {
 	q := &queuedConn{Conn: c, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go q.writePending()
 	return q
 }
 
-// Write queues a copy of p. If the queue is full it closes the connection and returns an error.
+// Write queues a copy of p and returns len(p); a later failure to send it is not reported. It
+// returns net.ErrClosed if the connection is closed. If maxPendingWrites (1024) writes are queued, it
+// closes the connection and returns an error.
 func (q *queuedConn) Write(p []byte) (int, error) {
 	select {
 	case <-q.closed:
@@ -53,7 +56,7 @@
 	return len(p), nil
 }
 
-// enqueue appends a message to the queue, and reports false if the queue is full.
+// enqueue appends a message to the queue and returns true, or returns false if the queue is full.
 func (q *queuedConn) enqueue(message []byte) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -74,7 +77,7 @@
 	return pending
 }
 
-// Read reads from the connection and closes it after an error, since a net/rpc client does not
+// Read reads from the connection and closes it after any error, since a net/rpc client does not
 // close its connection when the peer has closed the other end.
 func (q *queuedConn) Read(p []byte) (int, error) {
 	n, err := q.Conn.Read(p)
@@ -101,7 +104,8 @@
 	}
 }
 
-// Close closes the connection and drops the queued messages. Only the first call has an effect.
+// Close closes the connection; writes that are still queued may be dropped. Only the first call has
+// an effect; later ones return nil.
 func (q *queuedConn) Close() error {
 	var err error
 	q.once.Do(func() {
