--- a/sequencer/sequencer.go
+++ b/sequencer/sequencer.go
@@ -1,4 +1,5 @@
-// Package sequencer serialises commands on state that a single goroutine owns.
+// Package sequencer runs functions that access shared state one after the other, on the single
+// goroutine that owns the state.
 package sequencer
 
 import (
@@ -6,20 +7,20 @@
 	"time"
 )
 
-// Sequencer runs commands on a state of type S one after the other. It is safe for concurrent
-// use. A command must not call Do, which would deadlock.
+// Sequencer runs commands, functions that access a state of type S, one after the other on the
+// goroutine of Run. It is safe for concurrent use. A command must not call Do: it would deadlock.
 type Sequencer[S any] struct {
 	commands chan func(S)
 	stopped  chan struct{}
 }
 
-// New returns a Sequencer whose commands wait until Run is called.
+// New returns a Sequencer. Calls of Do block until Run is called.
 func New[S any]() *Sequencer[S] {
 	return &Sequencer[S]{commands: make(chan func(S)), stopped: make(chan struct{})}
 }
 
-// Do runs a command on the state and waits until it has run. Before Run is called Do blocks, and
-// after Run has returned it does nothing.
+// Do runs a command on the goroutine of Run and waits until it has run. Before Run is called Do
+// blocks; after Run has returned Do returns without running the command.
 func (q *Sequencer[S]) Do(command func(S)) {
 	done := make(chan struct{})
 	wrapped := func(s S) {
@@ -33,11 +34,12 @@
 	}
 }
 
-// Stopped returns a channel that is closed when Run returns.
+// Stopped returns a channel that is closed when Run returns. From then on no command runs.
 func (q *Sequencer[S]) Stopped() <-chan struct{} { return q.stopped }
 
-// Run runs the commands on the state, and tick once per period with the current time, until
-// the context ends. It calls afterEach after every command and every tick.
+// Run runs the commands passed to Do on the state, and tick with the current time once per period,
+// until the context ends. It calls afterEach after every command and every tick, on the same
+// goroutine. It must be called only once.
 func (q *Sequencer[S]) Run(ctx context.Context, state S, period time.Duration, tick func(time.Time), afterEach func()) {
 	defer close(q.stopped)
 	ticker := time.NewTicker(period)
