--- a/lister/lister.go
+++ b/lister/lister.go
@@ -10,17 +10,17 @@
 	"github.com/sapphireramp/sapphireramp/validator"
 )
 
-// neverConfirmed is the age of a missing list.
+// neverConfirmed is the result of ConfirmationAge if there is no list.
 const neverConfirmed = time.Duration(-1)
 
-// minAgeDifference is how much more recently than the list in use a peer's list must have been confirmed
-// to replace it.
+// minAgeDifference is by how much a peer's list must have been confirmed more recently than the list
+// in use to replace it.
 const minAgeDifference = 2 * time.Second
 
 // Lister holds the instance list in use. It is not safe for concurrent use.
 type Lister struct {
-	// staleAfter is the time since the last confirmation after which a peer's list may replace
-	// the list in use.
+	// staleAfter is the time since the platform last confirmed the list in use from which a
+	// peer's list may replace it.
 	staleAfter time.Duration
 	// data is the list as the platform encoded it, nil if there is none.
 	data []byte
@@ -31,8 +31,8 @@
 	confirmedAt time.Time
 }
 
-// New returns a Lister without a list. A list is stale if the platform has not confirmed it
-// for staleAfter.
+// New returns a Lister without a list. A peer's list may replace the list in use only if the
+// platform has not confirmed the list in use for staleAfter.
 func New(staleAfter time.Duration) *Lister {
 	return &Lister{staleAfter: staleAfter}
 }
@@ -41,11 +41,11 @@
 // must not be modified.
 func (l *Lister) Current() []byte { return l.data }
 
-// Digest returns the digest of the list in use; empty if there is none.
+// Digest returns validator.Digest of the list in use; empty if there is none.
 func (l *Lister) Digest() string { return l.digest }
 
-// ConfirmationAge returns the time since the platform last confirmed the list in use; negative if there is
-// none.
+// ConfirmationAge returns the time since the platform last confirmed the list in use; negative if
+// there is no list.
 func (l *Lister) ConfirmationAge(now time.Time) time.Duration {
 	if l.data == nil {
 		return neverConfirmed
@@ -53,9 +53,10 @@
 	return max(0, now.Sub(l.confirmedAt))
 }
 
-// ShouldFetch reports whether a peer's list is recent enough to replace the list in use. Digest is
-// the digest of the peer's list, empty if it has none. Age is the time since the platform last
-// confirmed the peer's list, negative if it never did.
+// ShouldFetch reports whether a peer's list is to replace the list in use: there is none in use, or
+// the platform has not confirmed the one in use for staleAfter and has confirmed the peer's more
+// recently, by more than minAgeDifference. Digest is the digest of the peer's list, empty if it has
+// none. Age is the time since the platform last confirmed the peer's list, negative if it never did.
 func (l *Lister) ShouldFetch(now time.Time, digest string, age time.Duration) bool {
 	if age < 0 || digest == "" {
 		return false
@@ -66,10 +67,10 @@
 	return l.ConfirmationAge(now) > l.staleAfter && age+minAgeDifference < l.ConfirmationAge(now)
 }
 
-// Offer replaces the list in use by data if the platform confirmed data just now or ShouldFetch is
-// true of it, and reports whether the list has changed. Age is the time since the platform
-// confirmed data: 0 if this entry has just read it there, negative if it never did. Nil data with
-// an age of 0 means that the platform confirmed the list in use.
+// Offer replaces the list in use by data if age is 0 or ShouldFetch returns true for data, and
+// reports whether the list has changed. Age is the time since the platform confirmed data: 0 if
+// this entry has just read data there, negative if the platform never did. Nil data with an age of
+// 0 means that the platform has just confirmed the list in use.
 func (l *Lister) Offer(now time.Time, data []byte, age time.Duration) bool {
 	if age < 0 {
 		return false
