--- a/quarantiner/evaluate.go
+++ b/quarantiner/evaluate.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// minCrashes is the number of incarnations that must have exited one after the other, each
-	// while it ran requests with a fingerprint, before the fingerprint can be quarantined.
+	// minCrashes is the minimum number of crashes, one after the other, for which a fingerprint is
+	// quarantined.
 	minCrashes = 3
-	// conclusiveCrashes is the number of crashes from which it no longer matters whether another
-	// fingerprint on the same incarnations has as many, or whether half of all upstreams exited at
-	// the time.
+	// conclusiveCrashes is the number of crashes from which a fingerprint can be quarantined even
+	// if another fingerprint that ran on the same incarnations has as many crashes, or if half of
+	// all upstreams exited at the time.
 	conclusiveCrashes = 4
-	// minCrashAge is the age from which a crash counts: by then every entry has reported which
-	// other requests the incarnation ran. From conclusiveCrashes on, conclusiveMinCrashAge applies,
-	// because other requests matter less and each further retry crashes one more upstream.
+	// minCrashAge is the age from which assess includes a crash: by then every entry has reported
+	// which other requests the incarnation ran. For a fingerprint with conclusiveCrashes the age is
+	// conclusiveMinCrashAge, because other requests matter less and each retry crashes one more
+	// upstream.
 	minCrashAge           = time.Second
 	conclusiveMinCrashAge = 300 * time.Millisecond
-	// coincidenceWindow is the maximum time between two exits that count as part of one outage, or
-	// between two reports of the same exit.
+	// coincidenceWindow is the maximum time between two exits that are assumed to have the same
+	// cause, and between the times that two entries report for the same exit.
 	coincidenceWindow = time.Second
 	// maxOutageDuration is the maximum time from the first to the last exit of an outage.
 	maxOutageDuration = 3 * time.Second
-	// timestampSlack is the maximum error of the time between two crashes: entries send each other
-	// ages, not times.
+	// timestampSlack is the assumed maximum error of the difference between two times of crashes.
+	// Entries send each other ages, not times, so the time in transit shifts a received time.
 	timestampSlack = 50 * time.Millisecond
 	// minProbability and maxProbability bound the estimated probability that an incarnation exits
 	// for a reason other than the request that it runs.
 	minProbability, maxProbability = 0.05, 0.95
-	// significanceLevel is the maximum probability of the crashes of a fingerprint, assuming that
-	// it caused none of them, at which the fingerprint is quarantined.
+	// significanceLevel is the maximum estimated probability of a fingerprint's crashes, assuming
+	// that it caused none of them, at which the fingerprint is quarantined.
 	significanceLevel = 1.0 / 300
 )
 
 // incarnationExit is the exit of an upstream incarnation.
 type incarnationExit struct {
-	// at is the time at which the responses of the incarnation broke off, according to one of the
-	// crashes that report the exit.
+	// at is the time at which the responses of the incarnation broke off: the field Ended of one of
+	// the crashes that report the exit.
 	at time.Time
 	// running holds the fingerprints that the incarnation ran when it exited, with the time at
 	// which a request with the fingerprint was first sent to it.
@@ -52,13 +53,13 @@
 	return ok
 }
 
-// Evaluate drops expired state, quarantines the fingerprints that the known crashes speak against,
-// and returns the new quarantines.
+// Evaluate drops expired state, quarantines each fingerprint whose recorded crashes are unlikely
+// to have another cause, and returns the new quarantines.
 //
-// A fingerprint that was merely running when upstreams exited is distinguished from one that
-// crashes them by three signs: a fingerprint that is already quarantined ran on the same
-// incarnation; upstreams that did not run the fingerprint exited at the same time, as in an outage;
-// or another fingerprint on the same incarnations has as many crashes.
+// Three signs show that a fingerprint was merely running when an upstream exited, and did not crash
+// it: another fingerprint that ran on the same incarnation is already quarantined; upstreams that
+// did not run the fingerprint exited at the same time, as in an outage; or another fingerprint on
+// the same incarnation has as many crashes, or was sent later and has at least two.
 func (q *Quarantiner) Evaluate(now time.Time) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// incarnationExits holds the exits of all incarnations that are known to have run a request.
+// incarnationExits holds the exits of upstream incarnations that the recorded crashes report.
 type incarnationExits struct {
 	// all holds every exit, in no particular order.
 	all []*incarnationExit
@@ -89,7 +90,7 @@
 	byIncarnation map[IncarnationHash][]*incarnationExit
 }
 
-// collectExits groups the known crashes by the exit that they report. The caller holds the lock.
+// collectExits groups the recorded crashes by the exit that they report. The lock must be held.
 func (q *Quarantiner) collectExits() incarnationExits {
 	exits := incarnationExits{byIncarnation: map[IncarnationHash][]*incarnationExit{}}
 	for fp, p := range q.suspects {
@@ -118,8 +119,10 @@
 	return nil
 }
 
-// mostSignificant returns the decision with the lowest probability among the fingerprints to
-// quarantine, and whether there is any. The caller holds the lock.
+// mostSignificant returns the decision to quarantine the fingerprint whose crashes are the least
+// probable if it caused none of them, and whether there is any fingerprint to quarantine. It skips
+// fingerprints that are quarantined or have no crash since their last quarantine. The lock must be
+// held.
 func (q *Quarantiner) mostSignificant(now time.Time, exits incarnationExits) (Decision, bool) {
 	var found []Decision
 	for fp, p := range q.suspects {
@@ -138,8 +141,10 @@
 	}), true
 }
 
-// assess counts the crashes that speak against a fingerprint, and estimates how probable these
-// crashes are if the fingerprint causes none of them.
+// assess returns the decision to quarantine a fingerprint, with the number of its crashes that no
+// other fingerprint or outage explains, and the estimated probability of these if the fingerprint
+// caused none of them. Whether both justify a quarantine, mostSignificant checks. The lock must be
+// held.
 func (q *Quarantiner) assess(now time.Time, fp Fingerprint, p *suspect, exits incarnationExits) Decision {
 	d := Decision{Fingerprint: fp, Probability: 1, Until: now.Add(QuarantineDuration)}
 	var counted []*incarnationExit
@@ -154,8 +159,8 @@
 			continue
 		}
 		counted = append(counted, e)
-		// Crashes of requests that ran at the same time may be due to one outage, so they count
-		// once.
+		// Crashes of requests that ran at the same time may be due to one outage, so only the first
+		// is included.
 		if s.LastSent.Before(lastExit.Add(-timestampSlack)) || q.hasLikelierCause(fp, p, e) {
 			continue
 		}
@@ -169,9 +174,9 @@
 	return d
 }
 
-// isOutage reports whether the counted exits lie within maxOutageDuration, and at least half of all
-// upstreams exited between the first and the last of them, or within coincidenceWindow before or
-// after. The counted exits are sorted by time.
+// isOutage reports whether the given exits of one fingerprint are probably due to an outage: they
+// lie within maxOutageDuration, and at least half of all upstreams exited between the first and the
+// last of them, or within coincidenceWindow before or after. The exits must be sorted by time.
 func (q *Quarantiner) isOutage(counted []*incarnationExit, exits incarnationExits) bool {
 	if len(counted) == 0 || counted[len(counted)-1].at.Sub(counted[0].at) > maxOutageDuration {
 		return false
@@ -186,8 +191,8 @@
 	return 2*exitCount >= q.upstreamCount
 }
 
-// ranQuarantinedOther reports whether the incarnation also ran another fingerprint that is quarantined,
-// which explains the exit.
+// ranQuarantinedOther reports whether the incarnation that exited was also running another
+// fingerprint, one that is quarantined and thus the probable cause. The lock must be held.
 func (q *Quarantiner) ranQuarantinedOther(fp Fingerprint, e *incarnationExit) bool {
 	for other := range e.running {
 		if _, ok := q.quarantined[other]; ok && other != fp {
@@ -197,9 +202,10 @@
 	return false
 }
 
-// outageProbability estimates the probability that an incarnation exited at the time of the crash
-// for another reason, such as an outage. The estimate is the fraction of all upstreams that exited
-// at the same time without running the fingerprint.
+// outageProbability estimates the probability, from 0 to 1, that an incarnation exited at the time
+// of the crash for another reason, such as an outage. The estimate is the fraction of all upstreams
+// that exited within coincidenceWindow of the crash without running the fingerprint or another one
+// that is quarantined, but at least minProbability and at most maxProbability.
 func (q *Quarantiner) outageProbability(fp Fingerprint, crash Crash, exits incarnationExits) float64 {
 	others := 0
 	for _, e := range exits.all {
@@ -210,10 +216,10 @@
 	return math.Min(maxProbability, math.Max(minProbability, float64(others)/float64(max(1, q.upstreamCount))))
 }
 
-// hasLikelierCause reports whether another fingerprint that ran on the incarnation explains the exit
-// equally well. The other one does if it has at least as many crashes, unless this one has
-// conclusiveCrashes, or if it has minSuspectCrashes and was sent later: a request that crashes an
-// upstream does so soon after it starts, so the one sent last is the more likely cause.
+// hasLikelierCause reports whether another fingerprint that ran on the incarnation is at least as
+// likely a cause of the exit. That is so if the other one has at least as many crashes, unless this
+// one has conclusiveCrashes, or if the other one has minSuspectCrashes and was sent later: a request
+// that crashes an upstream does so soon after it starts, so the one sent last is likelier.
 func (q *Quarantiner) hasLikelierCause(fp Fingerprint, p *suspect, e *incarnationExit) bool {
 	for other, since := range e.running {
 		if other == fp {
--- a/quarantiner/fingerprint.go
+++ b/quarantiner/fingerprint.go
@@ -11,8 +11,9 @@
 // are sent to. It is a hash of the parts of a request that determine its content.
 type Fingerprint uint64
 
-// FingerprintOf returns the fingerprint of a request with the given parts. The order of the parts
-// and the boundaries between them matter.
+// FingerprintOf returns the fingerprint of a request with the given parts, such as the caller's
+// organisation, the path and the body. It depends on the order of the parts and on the boundaries
+// between them.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	h := xxhash.New()
 	for _, p := range parts {
--- a/quarantiner/gossip.go
+++ b/quarantiner/gossip.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// broadcastsPerItem is the number of heartbeats in which an entry broadcasts a crash or a
-	// success, whether it observed or received it. An item reaches the whole fleet in a number of
-	// rounds that grows with the logarithm of the fleet's size.
+	// broadcastsPerItem is the number of updates in which an entry sends a crash or a success to
+	// other entries, whether it observed or received it. An item reaches the whole fleet in a number
+	// of heartbeat rounds that grows with the logarithm of the fleet's size.
 	broadcastsPerItem = 8
-	// maxBroadcastAge is the age up to which a crash is broadcast. A further success of a
-	// fingerprint is broadcast only if it is later than the last known one by more than
-	// maxBroadcastAge.
+	// maxBroadcastAge is the age up to which a crash is sent to other entries. A further success of
+	// a fingerprint is sent only if it is more than maxBroadcastAge later than the last recorded one.
 	maxBroadcastAge = 1500 * time.Millisecond
 	// maxItemsPerUpdate is the maximum number of crashes, and also of successes, in one update.
 	maxItemsPerUpdate = 32
 )
 
-// TakeHeartbeatUpdate returns the update to send with the next heartbeat: recent crashes and successes,
-// and the digest of the quarantines. Each call counts as one broadcast of the items that it
-// returns.
+// TakeHeartbeatUpdate returns the update to send with the next heartbeat: recent crashes and
+// successes, and the digest of the quarantines. Each call uses up one of the 8 broadcasts of each
+// crash and success that it returns, so the result must be sent.
 func (q *Quarantiner) TakeHeartbeatUpdate(now time.Time) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.nextUpdate(now)
 }
 
-// TakeReplyUpdate returns the update to send in response to an update from another entry. If the other
-// entry's quarantines differ, it includes all quarantines of this entry.
+// TakeReplyUpdate returns the update to send in response to an update received from another entry.
+// It differs from TakeHeartbeatUpdate in that it includes all quarantines of this entry if the
+// received update has another digest.
 func (q *Quarantiner) TakeReplyUpdate(now time.Time, received api.QuarantineNews) api.QuarantineNews {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -45,8 +45,8 @@
 	return update
 }
 
-// nextUpdate returns the next update without quarantines, and counts it as a broadcast of its
-// items. The caller holds the lock.
+// nextUpdate returns the next update, without the list of quarantines, and decrements broadcastsLeft
+// of each crash and success in it. The lock must be held.
 func (q *Quarantiner) nextUpdate(now time.Time) api.QuarantineNews {
 	update := api.QuarantineNews{Digest: q.digest()}
 	for _, s := range q.crashesToBroadcast(now) {
@@ -62,8 +62,9 @@
 	return update
 }
 
-// crashesToBroadcast returns the crashes for the next update. If there are more than
-// maxItemsPerUpdate, those of the fingerprints with the most crashes are returned.
+// crashesToBroadcast returns the crashes for the next update: those not older than maxBroadcastAge
+// with broadcastsLeft. If there are more than maxItemsPerUpdate, it returns those of the
+// fingerprints with the most crashes. The lock must be held.
 func (q *Quarantiner) crashesToBroadcast(now time.Time) []*knownCrash {
 	var out []*knownCrash
 	for _, p := range q.suspects {
@@ -79,8 +80,8 @@
 	return out[:min(len(out), maxItemsPerUpdate)]
 }
 
-// digest returns a hash of the quarantined fingerprints. Entries with equal quarantines have equal
-// digests.
+// digest returns a hash of the set of quarantined fingerprints, for api.QuarantineNews.Digest. It
+// does not depend on their order or on when they were quarantined.
 func (q *Quarantiner) digest() uint32 {
 	sum := uint32(0)
 	for fp := range q.quarantined {
@@ -89,8 +90,8 @@
 	return sum
 }
 
-// ApplyUpdate applies an update received from another entry, and returns the quarantines that it
-// added.
+// ApplyUpdate records the crashes, successes and quarantines in an update received from another
+// entry. It returns the quarantines that it added.
 func (q *Quarantiner) ApplyUpdate(now time.Time, update api.QuarantineNews) []Decision {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -1,8 +1,9 @@
 // Package quarantiner detects requests that crash the upstreams that run them and quarantines them
-// for a fixed time. Requests are identified by a fingerprint of their content, so a repeat under
-// another request ID or at another entry counts as the same request. Entries gossip which upstreams
-// exited while they ran which fingerprints; each entry decides on the crashes that it recorded or
-// received, and a quarantine decided by one entry is adopted by all.
+// for a fixed time. Requests are identified by a fingerprint of their content, so a repeat has the
+// same fingerprint under another request ID and at another entry. Entries send each other, with
+// heartbeats, the crashes that they observe: which upstreams exited while they ran which
+// fingerprints. Each entry decides by the crashes that it observed or received, and a quarantine
+// decided by one entry is adopted by all.
 //
 // The package does no I/O. All state is bounded in size and expires.
 package quarantiner
@@ -17,7 +18,8 @@
 	"go.uber.org/zap"
 )
 
-// IncarnationHash identifies one process lifetime of an upstream. It is a hash of the incarnation ID.
+// IncarnationHash is a hash that identifies an incarnation of an upstream, that is, one lifetime of
+// its process.
 type IncarnationHash uint32
 
 // Crash is the exit of an upstream incarnation while it ran requests with a fingerprint.
@@ -31,23 +33,24 @@
 }
 
 const (
-	// MinSuccessRunTime is the time for which an upstream must have streamed a response before the
-	// request counts as a success: a request that crashes an upstream does so soon after it starts.
+	// MinSuccessRunTime is the time for which an upstream must have streamed an unfinished response
+	// for RecordSuccess to be called: a request that crashes an upstream does so soon after it starts.
 	MinSuccessRunTime = 2 * time.Second
 	// QuarantineDuration is the time for which requests with a quarantined fingerprint are refused.
 	QuarantineDuration = 5 * time.Minute
 	// crashTTL is the age at which a crash is dropped. It spans several quarantines, because a
 	// fingerprint is quarantined again after a single new crash.
 	crashTTL = 30 * time.Minute
-	// successTTL is the time after a success of a fingerprint in which crashes don't count against
-	// it: in an outage, a popular request is running on almost every upstream that exits.
+	// successTTL is the time after a success of a fingerprint in which its crashes are ignored: in an
+	// outage, a popular request is running on almost every upstream that exits.
 	successTTL = time.Minute
-	// minAdoptedRemaining is the remaining time below which a quarantine isn't adopted from another
-	// entry. Entries end the same quarantine at slightly different times, and without this limit
-	// they would pass it back to each other forever.
+	// minAdoptedRemaining is the time that must remain of another entry's quarantine for this entry
+	// to adopt it. Entries end the same quarantine at slightly different times, and without this
+	// limit they would pass it back to each other forever.
 	minAdoptedRemaining = 10 * time.Second
-	// minSuspectCrashes is the number of crashes from which a request is not retried on a second
-	// upstream after the first one broke off: the retry would probably crash one more incarnation.
+	// minSuspectCrashes is the number of crashes of its fingerprint from which a request is not
+	// retried on a second upstream after the response of the first one broke off: the retry would
+	// probably crash one more incarnation.
 	minSuspectCrashes = 2
 	// maxSuspects is the maximum number of suspects, maxCrashesPerSuspect that of the crashes kept
 	// for each, and maxQuarantined that of the fingerprints quarantined at once.
@@ -56,17 +59,17 @@
 	maxQuarantined       = 256
 )
 
-// suspect is the state kept of a fingerprint that upstreams were running when they exited.
+// suspect is the state kept of a fingerprint with a recent crash, or with a success since.
 type suspect struct {
-	// crashes is sorted by Ended. It holds only crashes later than lastSuccess plus successTTL.
+	// crashes is sorted by Ended. All are later than lastSuccess plus successTTL.
 	crashes []knownCrash
-	// lastSuccess is the time of the last known success of a request with the fingerprint; zero if
-	// there is none.
+	// lastSuccess is the time of the last success of the fingerprint that this entry observed or
+	// received; zero if there is none.
 	lastSuccess time.Time
 	// broadcastsLeft is the number of updates that are still to contain lastSuccess.
 	broadcastsLeft int
-	// quarantineEndedAt is the time at which the last quarantine of the fingerprint expired; zero if there
-	// was none. Only a later crash can quarantine the fingerprint again.
+	// quarantineEndedAt is the time at which the last quarantine of the fingerprint expired; zero if
+	// none did. Only a later crash can make Evaluate quarantine the fingerprint again.
 	quarantineEndedAt time.Time
 }
 
@@ -87,9 +90,10 @@
 // Decision is the decision to quarantine a fingerprint.
 type Decision struct {
 	Fingerprint Fingerprint
-	// Crashes is the number of crashes that count against the fingerprint. Probability is the
-	// estimated probability of these crashes if the fingerprint causes none of them. Both are zero
-	// for a quarantine adopted from another entry.
+	// Crashes is the number of crashes for which the fingerprint is quarantined, without those that
+	// another fingerprint or an outage explains. Probability is the estimated probability, from 0 to
+	// 1, of these crashes if the fingerprint caused none of them. Both are zero for a quarantine
+	// adopted from another entry.
 	Crashes     int
 	Probability float64
 	// Until is the time at which the quarantine expires.
@@ -105,11 +109,13 @@
 	}
 }
 
-// Quarantiner keeps the known crashes and the active quarantines. It is safe for concurrent use.
+// Quarantiner keeps the crashes and successes that this entry observed or received from other
+// entries, and the active quarantines. It is safe for concurrent use.
 type Quarantiner struct {
 	// lock guards all other fields.
 	lock sync.Mutex
-	// suspects holds the fingerprints with recent crashes or with a success that cleared them.
+	// suspects holds the state of fingerprints with a recent crash, or with a success since; at most
+	// maxSuspects.
 	suspects map[Fingerprint]*suspect
 	// quarantined holds the time at which each active quarantine began.
 	quarantined map[Fingerprint]time.Time
@@ -118,8 +124,8 @@
 	successes successCache
 	// upstreamCount is the number of upstreams of the whole deployment.
 	upstreamCount int
-	// needsEvaluation is true if a crash was recorded since the last call of Evaluate, or was too
-	// recent to count in that call.
+	// needsEvaluation is true if a crash was recorded since the last call of Evaluate, or was younger
+	// than minCrashAge in that call.
 	needsEvaluation bool
 }
 
@@ -135,16 +141,17 @@
 	q.upstreamCount = n
 }
 
-// RecordCrash records that an upstream exited while it ran a request, as this entry observed. The
-// crash is broadcast to the other entries.
+// RecordCrash records a crash that this entry observed, and sends it to the other entries with the
+// next heartbeats. It ignores crashes that a recent success refutes, and those older than 30 minutes.
 func (q *Quarantiner) RecordCrash(now time.Time, crash Crash) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.recordCrash(now, crash)
 }
 
-// recordCrash adds a crash, or merges it with a known crash that reports the same exit. It ignores
-// crashes that a success clears and crashes older than crashTTL. The caller holds the lock.
+// recordCrash adds a crash, or merges it with a recorded crash that reports the same exit. It
+// ignores a crash that came before, or within successTTL after, a success of its fingerprint (see
+// isRefuted), and a new crash that is older than crashTTL. The lock must be held.
 func (q *Quarantiner) recordCrash(now time.Time, crash Crash) {
 	if crash.FirstSent.IsZero() {
 		crash.FirstSent = crash.LastSent
@@ -167,19 +174,20 @@
 	q.needsEvaluation = true
 }
 
-// isRefuted reports whether a success shows that a crash was not caused by the fingerprint: the
-// crash came before it or within successTTL after it.
+// isRefuted reports whether the success of a fingerprint at one time shows that the fingerprint did
+// not cause an exit at the time ended: the exit came before the success or within successTTL after.
 func isRefuted(success, ended time.Time) bool { return !ended.After(success.Add(successTTL)) }
 
-// isSameExit reports whether two crashes of a fingerprint report the same exit of an incarnation.
-// Equal incarnations are not enough: while the store is unavailable, entries know a restarted
-// upstream by its previous incarnation ID.
+// isSameExit reports whether two crashes of a fingerprint report the same exit of an incarnation:
+// the incarnations are equal and the exits at most coincidenceWindow apart. Equal incarnations are
+// not enough, because while the store is unavailable, entries use the ID of the previous incarnation
+// for a restarted upstream.
 func (c Crash) isSameExit(o Crash) bool {
 	return c.Incarnation == o.Incarnation && c.Ended.Sub(o.Ended).Abs() <= coincidenceWindow
 }
 
-// merge adds another report of the same exit. If it extends the time from FirstSent to LastSent by
-// more than timestampSlack at either end, the crash is broadcast again.
+// merge adds another report of the same exit: it keeps the earlier FirstSent and the later LastSent.
+// If either changes by more than timestampSlack, the crash is sent to other entries again.
 func (k *knownCrash) merge(crash Crash) {
 	if k.FirstSent.Sub(crash.FirstSent) > timestampSlack || crash.LastSent.Sub(k.LastSent) > timestampSlack {
 		k.broadcastsLeft = broadcastsPerItem
@@ -192,8 +200,9 @@
 	}
 }
 
-// ensureSuspect returns the state of a fingerprint, and creates it if needed. At maxSuspects it
-// evicts the fingerprint with the fewest crashes, and of several the least recently active one.
+// ensureSuspect returns the state of a fingerprint, and creates it if there is none. If there are
+// maxSuspects already, it first evicts the fingerprint with the fewest crashes, and of several the
+// one whose last crash or success is the oldest. The lock must be held.
 func (q *Quarantiner) ensureSuspect(fp Fingerprint) *suspect {
 	if p, ok := q.suspects[fp]; ok {
 		return p
@@ -213,9 +222,9 @@
 	return p
 }
 
-// RecordSuccess records a success of a fingerprint: that an upstream ran a request to its end, or
-// for at least MinSuccessRunTime. This clears earlier crashes of the fingerprint and lifts its
-// quarantine: a request that completes doesn't crash the upstream that runs it.
+// RecordSuccess records a success of a fingerprint: that an upstream completed a request, or streamed
+// its response for at least MinSuccessRunTime. It removes the earlier crashes of the fingerprint and
+// ends its quarantine if that began earlier: a request that completes doesn't crash its upstream.
 func (q *Quarantiner) RecordSuccess(now time.Time, fp Fingerprint) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -225,8 +234,9 @@
 	}
 }
 
-// applySuccess removes the crashes of a fingerprint that a success clears, and lifts the quarantine
-// if the success clears that as well. The caller holds the lock.
+// applySuccess applies a success of a fingerprint if it is later than the last recorded one: it
+// removes the crashes, and ends a quarantine, that came before the success or within successTTL
+// after it. The lock must be held.
 func (q *Quarantiner) applySuccess(fp Fingerprint, success time.Time) {
 	p := q.ensureSuspect(fp)
 	if !success.After(p.lastSuccess) {
@@ -242,8 +252,8 @@
 	}
 }
 
-// QuarantinedUntil returns the time at which the quarantine of a fingerprint expires; ok is false
-// if the fingerprint is not quarantined.
+// QuarantinedUntil returns the time at which the quarantine of a fingerprint expires, and whether
+// the fingerprint is quarantined now. If ok is false, until is meaningless.
 func (q *Quarantiner) QuarantinedUntil(now time.Time, fp Fingerprint) (until time.Time, ok bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -252,8 +262,8 @@
 	return until, ok && until.After(now)
 }
 
-// CrashCount returns the number of known exits of upstreams while they ran a request with the
-// fingerprint, since its last success and within crashTTL; at most maxCrashesPerSuspect.
+// CrashCount returns the number of recorded crashes of the fingerprint: those within 30 minutes and
+// more than a minute after its last success, at most the latest 8.
 func (q *Quarantiner) CrashCount(fp Fingerprint) int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -263,21 +273,23 @@
 	return 0
 }
 
-// IsSuspect reports whether a request with the fingerprint must not be sent to a second upstream
-// after its first one broke off.
+// IsSuspect reports whether a request with the fingerprint must not be retried on another upstream
+// after the response of the first one broke off: CrashCount is at least 2.
 func (q *Quarantiner) IsSuspect(fp Fingerprint) bool { return q.CrashCount(fp) >= minSuspectCrashes }
 
-// QuarantinedCount returns the number of quarantined fingerprints.
+// QuarantinedCount returns the number of quarantined fingerprints. It includes expired quarantines
+// until the next call of Evaluate.
 func (q *Quarantiner) QuarantinedCount() int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return len(q.quarantined)
 }
 
-// addQuarantine quarantines a fingerprint from the given start time, and reports whether that added
-// a quarantine. It adds none if the fingerprint is quarantined already, if less than
-// minAdoptedRemaining of the quarantine remains, if a success clears it, or if the limit is reached
-// and all other quarantines are as new. The caller holds the lock.
+// addQuarantine quarantines a fingerprint from the time since on, and reports whether that added a
+// quarantine. It adds none if the fingerprint is quarantined already, if at most minAdoptedRemaining
+// of the quarantine remains, if since is before or within successTTL after a success of the
+// fingerprint, or if maxQuarantined is reached and no quarantine is older. If one is, the oldest is
+// dropped. The lock must be held.
 func (q *Quarantiner) addQuarantine(now time.Time, fp Fingerprint, since time.Time) bool {
 	if _, ok := q.quarantined[fp]; ok || now.Sub(since) >= QuarantineDuration-minAdoptedRemaining {
 		return false
@@ -302,8 +314,8 @@
 	return true
 }
 
-// expire ends quarantines older than QuarantineDuration and drops crashes and successes older than
-// crashTTL. The caller holds the lock.
+// expire ends quarantines that began QuarantineDuration ago or earlier, drops crashes older than
+// crashTTL, and drops suspects without crashes whose last success is older. The lock must be held.
 func (q *Quarantiner) expire(now time.Time) {
 	for fp, since := range q.quarantined {
 		if now.Sub(since) >= QuarantineDuration {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -405,15 +405,15 @@
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(popular), 0)
 	f.advance(successTTL)
-	// Once successTTL has passed, the request counts as the cause of new crashes, even on more than half of
-	// the upstreams.
+	// Once successTTL has passed, the fingerprint is quarantined for new crashes, even on more than half
+	// of the upstreams.
 	f.crashInTurn(10, 4, popular)
 	f.advance(2 * time.Second)
 	is.Equal(f.refusing(popular), 6)
 }
 
 // While the store is unavailable, all entries know a restarted upstream by its previous incarnation
-// ID. Its next exit must still count as another crash.
+// ID. Its next exit must still be recorded as another crash.
 func TestRepeatedCrashesOfOneIncarnationID(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 6)
@@ -454,7 +454,7 @@
 	is.Equal(f.refusing(fingerprint("popular")), 6)
 }
 
-// A popular request meets an outage twice, and then runs on an upstream that another request
+// A popular request is running in two outages, and then runs on an upstream that another request
 // crashes, which is not quarantined yet. Only that other request must be quarantined.
 func TestOutageBeforeCrashingRequest(t *testing.T) {
 	is := is.New(t)
