--- a/prober/prober.go
+++ b/prober/prober.go
@@ -25,85 +25,92 @@
 
 // States of a member.
 const (
-	// Listed members are in the instance list, or were announced by a notice, but have sent no
-	// heartbeat yet.
+	// Listed members are in the instance list, or were reported alive by a notice, but this entry
+	// has received no heartbeat from their incarnation.
 	Listed State = "listed"
-	// Live members have sent a heartbeat and are not known to be stopping or dead.
+	// Live members have sent this entry a heartbeat, and neither this entry nor a notice has since
+	// found them stopping or dead.
 	Live State = "live"
-	// Stopping members are alive but shutting down, and accept no new callers.
+	// Stopping members are shutting down, according to their heartbeat or a notice. They still run
+	// but accept no new callers.
 	Stopping State = "stopping"
-	// Dead members have stopped responding to heartbeats, as observed by this entry or reported in
-	// a notice.
+	// Dead members have not answered heartbeats for Config.SuspectAfter, as observed by this entry
+	// or reported in a notice.
 	Dead State = "dead"
 )
 
 const (
 	// maxNotices is the maximum number of notices in one heartbeat.
 	maxNotices = 16
-	// noticeRounds times Config.Neighbours is the number of heartbeats that carry a notice.
+	// noticeRounds is the number of rounds in which this entry sends a notice: a notice is sent with
+	// noticeRounds times Config.Neighbours heartbeats.
 	noticeRounds = 4
-	// minUnanswered is the minimum number of consecutive unanswered heartbeats before a member can
-	// be declared dead: a single heartbeat may have been lost.
+	// minUnanswered is the minimum number of heartbeats sent to a member, since the last one
+	// received from it, for which it can be declared dead: a single heartbeat may have been lost.
 	minUnanswered = 2
 	// warmUpRounds is the number of rounds after which most other members have sent this entry a
-	// heartbeat. Only from then on is a member announced by a notice when its first heartbeat
-	// arrives; earlier, the notices about all members would delay those about deaths.
+	// heartbeat. Only from then on does this entry create a notice when it receives a member's first
+	// heartbeat; earlier, the notices about all members would delay those about deaths.
 	warmUpRounds = 50
-	// noticeTTL is the time for which a notice is remembered after it was last received, so that
-	// repetitions are ignored.
+	// noticeTTL is the time for which a notice is kept after it was last received, so that
+	// repetitions of it are ignored.
 	noticeTTL = 5 * time.Minute
 )
 
 // Member is this entry's view of another entry.
 type Member struct {
 	Name string
-	// Incarnation is the newest known incarnation; 0 if none is known.
+	// Incarnation is the highest incarnation in a heartbeat of the member or a notice about it; 0 if
+	// there was none.
 	Incarnation uint64
-	// Address is the address at which the member accepts callers, PeerAddress that at which it
-	// accepts heartbeats.
+	// Address is the address at which the member accepts callers, PeerAddress the one at which it
+	// accepts heartbeats. Both come from its heartbeat or the instance list; either can be invalid.
 	Address     netip.AddrPort
 	PeerAddress netip.AddrPort
 	// DataCentre is the data centre of the member, from its heartbeat or the instance list.
 	DataCentre string
 	State      State
-	// Ready is true if the member accepts callers.
+	// Ready is true if the member accepts callers, according to its last heartbeat or a notice.
 	Ready bool
-	// LastHeartbeat is the time at which the last heartbeat of this incarnation was received; zero
-	// if none was. For a live or stopping member, ResetSilence sets it to the current time.
+	// LastHeartbeat is the time at which this entry received the last heartbeat of Incarnation; zero
+	// if it received none. For a live or stopping member, RestartSilenceDetection sets it to the
+	// current time.
 	LastHeartbeat time.Time
 
-	// ringPosition is the distance of the member from the prober's own entry on the ring of hashed
-	// names.
+	// ringPosition is the hash of the member's name minus the hash of this entry's name, modulo
+	// 2^64: the distance from this entry to the member on the ring of hashed names.
 	ringPosition uint64
-	// isListed is true if the last instance list contained the member.
+	// isListed is true if the last list passed to ApplyInstanceList contained the member.
 	isListed bool
 	// unanswered is the number of heartbeats sent to the member since its last heartbeat was
 	// received, and firstUnanswered the time at which the first of them was sent.
 	unanswered      int
 	firstUnanswered time.Time
-	// noticeSequence is the sequence number of the newest notice about this incarnation.
+	// noticeSequence is the sequence number of the last notice about Incarnation that this entry
+	// applied or created; 0 if there is none.
 	noticeSequence uint64
-	// announceWhenReady is true for a member that is new or live again, until it accepts callers.
-	// The other entries are sent a notice about the member only then.
+	// announceWhenReady is true for a member that is new or live again, from its first heartbeat
+	// until it accepts callers. A notice that it is live is then sent to the other entries.
 	announceWhenReady bool
 }
 
 // Config is the configuration of a Prober.
 type Config struct {
-	// Name and Incarnation identify the entry that runs the prober.
+	// Name and Incarnation identify the entry that uses the prober.
 	Name        string
 	Incarnation uint64
-	// DataCentre is the data centre of the entry. If all data centres have enough members, most
-	// heartbeats stay within it. It is empty if heartbeats need not stay within data centres.
+	// DataCentre is the data centre of the entry. If every data centre has at least 5 entries, most
+	// heartbeats go to members in this one. If it is empty, heartbeats go to any data centre.
 	DataCentre string
-	// Neighbours is the number of live members that are sent heartbeats in a round.
+	// Neighbours is the number of members, not counting dead ones, to which heartbeats are sent in
+	// each round.
 	Neighbours int
-	// SuspectAfter is the time since the first unanswered heartbeat after which a silent member is
-	// declared dead.
+	// SuspectAfter is the time after which a member is declared dead, counted from the first
+	// heartbeat sent to it since its last one was received.
 	SuspectAfter time.Duration
 }
 
-// Change is a change of the state of a member, for the log.
+// Change is a change of the state of a member. Its fields are logged.
 type Change struct {
 	Name string
 	From State
@@ -115,13 +122,14 @@
 // knownNotice is a notice that was received from another entry or created by this one.
 type knownNotice struct {
 	notice api.Notice
-	// sendsLeft is the number of heartbeats that are still to carry the notice.
+	// sendsLeft is the number of heartbeats with which the notice is still to be sent.
 	sendsLeft int
 	// lastReceived is the time at which the notice was last received, or was created.
 	lastReceived time.Time
 }
 
-// Prober maintains the view of the other entries. It is not safe for concurrent use.
+// Prober tracks the state of every other entry (listed, live, stopping or dead), as its own entry
+// knows it from heartbeats, notices and silence. It is not safe for concurrent use.
 type Prober struct {
 	config  Config
 	members map[string]*Member
@@ -129,18 +137,18 @@
 	ring []*Member
 	// notices holds the notices received or created within noticeTTL.
 	notices map[api.Notice]*knownNotice
-	// round counts the calls of BeginRound.
+	// round is the number of calls of NextHeartbeatTargets so far.
 	round uint64
 }
 
-// New returns a prober without members.
+// New returns a prober without members. ApplyInstanceList and ReceiveHeartbeat add members.
 func New(config Config) *Prober {
 	return &Prober{config: config, members: map[string]*Member{}, notices: map[api.Notice]*knownNotice{}}
 }
 
-// ApplyInstanceList adds the entries of an instance list as members. Members that are not in the
-// list are removed if they are dead or were never live; live ones stay, because the list lags
-// behind.
+// ApplyInstanceList adds the entries of an instance list, except this entry, as members. It removes
+// members that are not in the list and in the state Listed or Dead. Live and stopping ones stay,
+// because the list lags behind the actual state.
 func (p *Prober) ApplyInstanceList(now time.Time, instances []api.Instance) {
 	for _, m := range p.members {
 		m.isListed = false
@@ -164,7 +172,8 @@
 	}
 }
 
-// ensureMember returns the member with the given name, and adds it if needed.
+// ensureMember returns the member with the given name, after adding it in the state Listed if there
+// is none.
 func (p *Prober) ensureMember(name string) *Member {
 	if m, ok := p.members[name]; ok {
 		return m
@@ -195,10 +204,11 @@
 	p.ring = slices.DeleteFunc(p.ring, func(o *Member) bool { return o == m })
 }
 
-// ReceiveHeartbeat processes a heartbeat from another entry, or the response to one, and returns
-// the resulting changes. A heartbeat of an earlier incarnation has arrived late and is ignored. If
-// a member begins to shut down, or a new or returned one to accept callers, a notice is sent to all
-// entries, since in a large fleet most of them rarely exchange heartbeats with the member.
+// ReceiveHeartbeat updates the sender of a heartbeat, or of the response to one, from the heartbeat,
+// processes the notices in it, and returns the resulting changes of state. It ignores heartbeats
+// that arrive late: those of an earlier incarnation, and those sent before the sender began to shut
+// down. If a member begins to shut down, or one that is new or was dead begins to accept callers, a
+// notice is sent to all entries, since in a large fleet most rarely exchange heartbeats with it.
 func (p *Prober) ReceiveHeartbeat(now time.Time, heartbeat api.Heartbeat) []Change {
 	if heartbeat.From == p.config.Name {
 		return nil
@@ -237,7 +247,7 @@
 	return changes
 }
 
-// setState sets the state of a member, and returns the change if there is one.
+// setState sets the state of a member, and returns the change, or nil if the state is the same.
 func (p *Prober) setState(m *Member, to State, reason string) []Change {
 	if m.State == to {
 		return nil
@@ -247,9 +257,10 @@
 	return []Change{c}
 }
 
-// ReceiveNotice processes a notice about an instance, and returns the resulting changes. A notice
-// that was not known is passed on with the next heartbeats; a notice about another kind of instance
-// or about this entry has no other effect. A notice about an entry that is not a member is ignored.
+// ReceiveNotice processes a notice about an instance, and returns the resulting changes of state. A
+// notice that was not received or created within noticeTTL (5 minutes) is queued for the next
+// heartbeats and applied to the member that it is about. If it is about this entry or an instance
+// that is no entry, it is only queued; if it is about an entry that is not a member, it is ignored.
 func (p *Prober) ReceiveNotice(now time.Time, n api.Notice) []Change {
 	if k, known := p.notices[n]; known {
 		k.lastReceived = now
@@ -296,10 +307,11 @@
 	return p.setState(m, Listed, "notice")
 }
 
-// isOutdated reports whether a notice about the member's current incarnation adds nothing to newer
-// ones processed before. Of two notices with the same sequence number, one of a death takes
-// precedence: a neighbour that still receives heartbeats refutes it with the next sequence number.
-// An incarnation that shuts down is never live again.
+// isOutdated reports whether a notice about a member's current incarnation must not be applied,
+// because newer ones were, or because it reports a stopping member as live or as stopping: an
+// incarnation that shuts down is never live again. Of two notices with the same sequence number, one
+// of a death takes precedence: an entry that still receives heartbeats from the member refutes it by
+// a notice with the next sequence number.
 func (p *Prober) isOutdated(m *Member, n api.Notice) bool {
 	if n.State == api.NoticeLeaving || m.State == Stopping && n.State == api.NoticeLive {
 		return m.State == Stopping
@@ -310,25 +322,27 @@
 	return n.Sequence < m.noticeSequence
 }
 
-// announce creates a notice that a member is in the given state, and queues it.
+// announce creates a notice that a member is in the given state, one of the api.Notice constants,
+// with the next sequence number, and queues it for the next heartbeats.
 func (p *Prober) announce(now time.Time, m *Member, state string) {
 	m.noticeSequence++
 	p.queueNotice(now, api.Notice{Kind: api.KindEntry, Name: m.Name, Incarnation: m.Incarnation, State: state, Sequence: m.noticeSequence, Ready: m.Ready})
 }
 
-// queueNotice records a notice, to be sent with the next heartbeats.
+// queueNotice records a notice as received now, and queues it for the next heartbeats.
 func (p *Prober) queueNotice(now time.Time, n api.Notice) {
 	p.notices[n] = &knownNotice{notice: n, sendsLeft: noticeRounds * p.config.Neighbours, lastReceived: now}
 }
 
-// HasNotice reports whether a notice was received or created within noticeTTL (5 minutes).
+// HasNotice reports whether an identical notice was received or created within the last 5 minutes
+// (noticeTTL). It returns false for a notice that ReceiveNotice ignored.
 func (p *Prober) HasNotice(n api.Notice) bool {
 	_, ok := p.notices[n]
 	return ok
 }
 
-// TakeNotices returns up to maxNotices notices to send with the next heartbeat. Each call counts as
-// one heartbeat that carries them.
+// TakeNotices returns up to 16 (maxNotices) notices to send with the next heartbeat. Each call uses
+// up one of the limited number of times that each of them is sent.
 func (p *Prober) TakeNotices() []api.Notice {
 	var out []api.Notice
 	for _, k := range p.notices {
@@ -341,8 +355,9 @@
 	return out
 }
 
-// NextHeartbeatTargets begins a round and returns the members to send a heartbeat to. They include dead
-// members, so that the end of a partition is detected.
+// NextHeartbeatTargets begins a round and returns copies of the members to send a heartbeat to in
+// it. It records an unanswered heartbeat for each, so a heartbeat must be sent to all of them. They
+// can include dead members, so that the end of a network partition is detected.
 func (p *Prober) NextHeartbeatTargets(now time.Time) []Member {
 	p.round++
 	successors := (p.config.Neighbours + 1) / 2
@@ -365,15 +380,15 @@
 	return out
 }
 
-// minMembersPerCentre is the number of live members that every data centre must have for most
-// heartbeats to stay within data centres. It is one more than the 4 members to which an entry with
-// package controller sends heartbeats in a round: in a smaller data centre, members would be
-// monitored by too few others.
+// minMembersPerCentre is the minimum number of entries, not counting dead ones, that every data
+// centre must have for most heartbeats to stay within data centres. It is one more than the 4 members
+// to which an entry with package controller sends heartbeats in a round: in a smaller data centre too
+// few entries would send heartbeats to each.
 const minMembersPerCentre = 5
 
-// localFilter returns a filter for the recipients of most heartbeats: members of the own data
-// centre, or all members if some data centre has fewer than minMembersPerCentre. Without the
-// filter, four in five heartbeats of a fleet of 95 entries in five data centres crossed between
+// localFilter returns the filter for the recipients of most heartbeats: it accepts members in this
+// entry's data centre, or all members if some data centre has fewer than minMembersPerCentre. Without
+// the filter, four in five heartbeats of a fleet of 95 entries in five data centres crossed between
 // them and made up half of the bytes that did; with it, a quarter of the heartbeats cross.
 func (p *Prober) localFilter() func(*Member) bool {
 	live := map[string]int{}
@@ -391,8 +406,9 @@
 	return func(m *Member) bool { return m.DataCentre == p.config.DataCentre }
 }
 
-// choose adds members that the filter accepts to those chosen, starting at an index of the ring. It
-// stops once the wanted number of chosen members are not dead, or twice that number are chosen.
+// choose returns chosen with further members appended, for which accepts returns true and that have
+// a valid PeerAddress. It goes once round the ring from an index, and stops once the wanted number of
+// members are chosen, not counting dead ones, or twice that number with them.
 func (p *Prober) choose(start, wanted int, chosen []*Member, accepts func(*Member) bool) []*Member {
 	live := 0
 	for _, m := range chosen {
@@ -416,9 +432,10 @@
 	return chosen
 }
 
-// Tick declares members dead that have not answered heartbeats for SuspectAfter, and returns the
-// changes. The death of a member to which this entry sends no heartbeats is reported by notices of
-// others. Tick also drops expired notices.
+// Tick declares members dead that have not answered at least two heartbeats for longer than
+// Config.SuspectAfter, queues a notice of each death, and returns the changes of state. Members to
+// which this entry sends no heartbeats are declared dead by notices of other entries. Tick also drops
+// notices that were last received more than 5 minutes ago.
 func (p *Prober) Tick(now time.Time) []Change {
 	var changes []Change
 	for _, m := range p.ring {
@@ -437,8 +454,9 @@
 	return changes
 }
 
-// RestartSilenceDetection restarts the detection of silent members. It is called after this process was
-// suspended for a while, as heartbeats that it did not process in that time don't show that members
+// RestartSilenceDetection drops the record of unanswered heartbeats of all members, and treats live
+// and stopping members as if a heartbeat from them had just been received. It is to be called after
+// this process was suspended: that it processed no heartbeats meanwhile does not show that members
 // are dead.
 func (p *Prober) RestartSilenceDetection(now time.Time) {
 	for _, m := range p.members {
