--- a/api/api.go
+++ b/api/api.go
@@ -1,14 +1,15 @@
 // Package api defines the wire types, paths and headers that sapphireramp exchanges with callers,
 // upstreams and the platform, and between its own instances. It contains no logic except
-// conversions; the types used internally are in the packages that work with them.
+// conversions; types that stay within a process are in the packages that use them.
 //
 // An entry is a process that accepts requests of callers and sends them to upstreams: engines, which
 // run models, or other services. The keeper of an engine is the entry that grants the engine's KV
-// memory. Granted memory in use at an engine is a hold.
+// memory to requests. Memory that an engine has set aside for a request is a hold.
 //
 // Entries of the command gateway run on the users' platform: they read its settings, configuration
 // and instance registrations through package platform. Other entries have a settings file and a
-// configuration document of their own. Fields that only one kind of entry sets state that.
+// configuration document of their own. The comment of a field that only one of these two kinds of
+// entry sets says so.
 package api
 
 import (
@@ -22,26 +23,28 @@
 	// HeaderTimeout is the caller's time limit for a request in decimal seconds, counted from the
 	// arrival of the request. It is a duration, so clocks need not agree.
 	HeaderTimeout = "X-Request-Timeout"
-	// HeaderIdempotencyKey is the Ticket of a request that may run at most once.
+	// HeaderIdempotencyKey is the value of Ticket.Ticket, on a request that may run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRepeatable is "false" on a request that may run at most once.
+	// HeaderRepeatable is "false" on a request that may run at most once, so that it must not be
+	// sent to an upstream a second time.
 	HeaderRepeatable = "X-Repeatable"
 	// HeaderRequestID is the id of a request: 128 random bits.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderAttemptID is the id of one attempt of a request: 128 random bits.
 	HeaderAttemptID = "X-Attempt-Id"
-	// HeaderOwner is the name of the entry that makes an attempt or a hold, and thereby owns it.
+	// HeaderOwner is the name of the entry that sends an attempt or requests a hold, as
+	// EngineHold.Owner reports it.
 	HeaderOwner = "X-Owner"
 	// HeaderOwnerIncarnation is the incarnation of the entry in HeaderOwner.
 	HeaderOwnerIncarnation = "X-Owner-Incarnation"
 	// HeaderPriority is the scheduling priority at the engine: an integer, where a higher one is
 	// scheduled first.
 	HeaderPriority = "X-Priority"
-	// HeaderResumeFrom is the number of answer tokens that the caller already has. The engine
-	// continues after them.
+	// HeaderResumeFrom is the number of answer tokens that the caller has already received, on an
+	// attempt that resumes an interrupted answer. The engine continues after them.
 	HeaderResumeFrom = "X-Resume-From"
-	// HeaderGroupHolds lists, separated by commas, the ids of the holds whose memory a request to a
-	// group of engines may use.
+	// HeaderGroupHolds lists, separated by commas, the ids of the holds whose memory a request may
+	// use at a group of engines, which hold the shards of one long prompt together.
 	HeaderGroupHolds = "X-Group-Holds"
 	// HeaderOutcome is the Outcome of the request, in responses to callers.
 	HeaderOutcome = "X-Outcome"
@@ -53,17 +56,18 @@
 	HeaderStarted = "X-Started"
 )
 
-// Outcome states whether a request was executed.
+// Outcome states whether an upstream executed a request, as reported to the caller.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// OutcomeAnswered means that an upstream answered the request.
+	// OutcomeAnswered means that an upstream executed and answered the request.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeNotRun means that the request certainly was not executed.
+	// OutcomeNotRun means that no upstream executed the request: it was sent to none, or those that
+	// it was sent to confirmed that they did not start it.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown means that the request was sent to an upstream and that nothing confirms
-	// whether it was executed there.
+	// OutcomeUnknown means that the request was sent to an upstream, and that the upstream may or
+	// may not have executed it.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -80,10 +84,10 @@
 	CodeDeadlinePast = "deadline_past"
 	// CodeDeadlineExceeded is for a request whose time limit ended before its answer.
 	CodeDeadlineExceeded = "deadline_exceeded"
-	// CodeOverloaded is for a request that finds no capacity at the entry or at the engines.
+	// CodeOverloaded is for a request for which the entry or the engines have no capacity.
 	CodeOverloaded = "overloaded"
-	// CodeOrganisationLimit is for a request above the limit of its organisation on requests in
-	// flight.
+	// CodeOrganisationLimit is for a request of an organisation that already has its maximum number
+	// of requests in flight.
 	CodeOrganisationLimit = "organisation_limit"
 	// CodeNoUpstream is for a request that no upstream can accept or answer in time.
 	CodeNoUpstream     = "no_upstream"
@@ -98,7 +102,8 @@
 	CodeTicketRequired = "ticket_required"
 	CodeTicketUnknown  = "ticket_unknown"
 	CodeTicketExpired  = "ticket_expired"
-	// CodeTicketOwnerGone is for a ticket whose issuing entry can't be reached or has restarted.
+	// CodeTicketOwnerGone is for a ticket whose issuing entry can't be reached or has restarted
+	// since it issued the ticket.
 	CodeTicketOwnerGone = "ticket_owner_gone"
 	// CodeTicketInProgress is for a ticket whose request is still running.
 	CodeTicketInProgress = "ticket_in_progress"
@@ -120,7 +125,8 @@
 	// Param is the name of the invalid parameter or header; empty if none is invalid.
 	Param   string  `json:"param,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// RetryAfterSeconds is how long the caller should wait before a retry; 0 if a retry would not help.
+	// RetryAfterSeconds is the time in seconds that the caller should wait before a retry; 0 if a retry
+	// would not help.
 	RetryAfterSeconds float64 `json:"retry_after_seconds,omitempty"`
 	// Elsewhere lists the addresses of other entries that accept callers; empty unless this entry
 	// is shutting down.
@@ -141,7 +147,8 @@
 	// by the caller.
 	Temperature *float64 `json:"temperature,omitempty"`
 	TopP        *float64 `json:"top_p,omitempty"`
-	// Seed makes sampling deterministic, so that another engine can resume the answer.
+	// Seed is the seed of the engine's random sampling. Engines with the same seed generate the same
+	// answer, so that another engine can resume it. 0 if not set by the caller.
 	Seed uint64 `json:"seed,omitempty"`
 }
 
@@ -159,7 +166,7 @@
 	Error *ErrorDetail `json:"error,omitempty"`
 }
 
-// CompletionChoice is the text of a chunk. Each chunk has exactly one choice.
+// CompletionChoice holds the text of a chunk. Each chunk has exactly one choice.
 type CompletionChoice struct {
 	Index int    `json:"index"`
 	Text  string `json:"text"`
@@ -209,8 +216,8 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// HTTPStatus returns the HTTP status for one of the Code constants; it is 503 for codes without a more
-// specific status.
+// HTTPStatus returns the HTTP status of an error response with the given code, one of the Code
+// constants. It returns 503 for unknown codes and those without a more specific status.
 func HTTPStatus(code string) int {
 	switch code {
 	case CodeBadRequest, CodePromptTooLong, CodeDeadlinePast, CodeTicketRequired, CodeTicketUnknown:
--- a/api/entry.go
+++ b/api/entry.go
@@ -15,7 +15,7 @@
 	PathMetrics   = "/metrics"
 )
 
-// Addresses is the response to PathAddresses: the entries that a caller may connect to.
+// Addresses is the response at PathAddresses: the entries that a caller may connect to.
 type Addresses struct {
 	Entries []EntryAddress
 	// LifeSeconds is how long the caller may cache the response, in seconds.
@@ -29,12 +29,12 @@
 	DataCentre string
 }
 
-// Ticket is the response to PathTickets. A caller sends a ticket with a request that may run at most
+// Ticket is the response at PathTickets. A caller sends a ticket with a request that may run at most
 // once: however often the request is sent with the same ticket, it is executed at most once.
 type Ticket struct {
 	// Ticket is the value for HeaderIdempotencyKey.
 	Ticket string
-	// LifeSeconds is how long the ticket may be used, in seconds.
+	// LifeSeconds is how long the ticket may be used, in seconds from when it was issued.
 	LifeSeconds float64
 }
 
@@ -52,24 +52,26 @@
 	// platform.
 	Revision uint64
 	Digest   string
-	// Confirmed is how long ago the platform last confirmed the entry's state; negative if it never
-	// did. Set on the users' platform only.
+	// Confirmed is how long ago the platform last confirmed that the entry's copy of the configuration
+	// and of the upstreams is current; negative if it never did. Set on the users' platform only.
 	Confirmed time.Duration `json:",omitempty"`
 	// Quarantined is the number of fingerprints whose requests are refused because they crash
 	// upstreams. Set on the users' platform only.
 	Quarantined int `json:",omitempty"`
-	// Superseded lists the digests of configuration documents that lost to a document with the same
-	// revision and a higher digest, oldest first.
+	// Superseded lists the digests of configuration documents that the entry replaced by, or rejected
+	// for, a document with the same revision and a higher digest, oldest first.
 	Superseded []string
-	// Members holds the other entries as this entry sees them, Engines the engines or, on the users'
-	// platform, all upstreams.
+	// Members holds this entry's view of each other entry, Engines its view of each engine or, on the
+	// users' platform, of each upstream.
 	Members []MemberStatus
 	Engines []EngineStatus
 	// InFlight is the number of requests in flight at the entry.
 	InFlight int
-	// Violations holds the number of violations of each invariant, by its name.
+	// Violations holds the number of violations of each invariant since the start of the entry, by the
+	// names in package asserter.
 	Violations map[string]int
-	// LoadNews holds the counts of load updates. Set on the users' platform only.
+	// LoadNews holds the counts of load updates, by which entries send each other their load at
+	// upstreams. Set on the users' platform only.
 	LoadNews *LoadUpdateCounts `json:",omitempty"`
 }
 
@@ -94,23 +96,24 @@
 	Messages, Bytes int64
 }
 
-// MemberStatus is an entry's view of another entry.
+// MemberStatus is the reporting entry's view of another entry, the member.
 type MemberStatus struct {
 	Name string
 	// State is the member's prober.State as text: listed, live, stopping or dead.
 	State       string
 	Incarnation uint64
-	// Heard is the time since the last heartbeat from the member; 0 if none has arrived.
+	// Heard is the time since the reporting entry received the last heartbeat from the member; 0 if it
+	// received none.
 	Heard time.Duration
-	// Speed is the speed of the member's machine in processor cores; 0 if unknown.
+	// Speed is the processor capacity of the member in cores; 0 if unknown.
 	Speed float64
-	// Strained is true if the member reports that it is overloaded.
+	// Strained is true if the member reports that it is overloaded: that its timers fire late.
 	Strained bool
 	// Takes is true if the reporting entry gives callers the member's address.
 	Takes bool
 }
 
-// EngineStatus is an entry's view of one engine; on the users' platform, of any upstream.
+// EngineStatus is the reporting entry's view of one engine; on the users' platform, of any upstream.
 type EngineStatus struct {
 	Name       string
 	Address    netip.AddrPort
@@ -121,31 +124,33 @@
 	Version string
 	// Keeper is the name of the entry that grants the engine's memory.
 	Keeper string
-	// Fence is the highest fencing number that the engine reports.
+	// Fence is the highest fencing number of an order that the engine has received, as it reports it.
 	Fence uint64
 	// MemoryTokens and UsedTokens are the capacity of the engine's KV memory and its use, in tokens.
 	MemoryTokens int
 	UsedTokens   int
 	// QueuedTokens is the estimated number of prompt tokens that wait to be prefilled.
 	QueuedTokens int
-	// Holds is the number of holds in the engine's latest list, Grants the number of grants of memory
-	// that are not in that list yet.
+	// Holds is the number of holds in the latest list of holds received from the engine, Grants the
+	// number of grants of its memory that are not in that list yet.
 	Holds  int
 	Grants int
-	// InFlight is the number of requests in flight at the engine.
+	// InFlight is the number of requests of the reporting entry in flight at the engine; on the users'
+	// platform, it includes the requests that other entries report to have there.
 	InFlight int
-	// Service is the name of the upstream's service, Failures the estimated fraction of its requests
-	// that fail, from 0 to 1. Both are set on the users' platform only.
+	// Service is the name of the upstream's service, Failures the estimated fraction, from 0 to 1, of
+	// the requests sent to the upstream that fail. Both are set on the users' platform only.
 	Service  string  `json:",omitempty"`
 	Failures float64 `json:",omitempty"`
-	// PausedFor is the time left until the end of the upstream's backoff; 0 if there is none.
+	// PausedFor is the time left for which the upstream asked to be sent no requests; 0 if it did not.
 	PausedFor time.Duration `json:",omitempty"`
-	// Heard is true if the reporting entry is the engine's keeper and has received its list of holds.
+	// Heard is true if the reporting entry is the engine's keeper and has received a list of holds from
+	// the engine.
 	Heard bool
 }
 
-// Notice reports the state of an instance and is gossiped between entries. A notice about one
-// incarnation of the instance never applies to a later incarnation.
+// Notice reports that an instance is leaving, dead or live. Entries pass notices on to each other with
+// heartbeats. A notice is only about the incarnation that it names, not about later ones.
 type Notice struct {
 	// Kind is KindEntry, KindEngine or KindService.
 	Kind        string
@@ -155,11 +160,11 @@
 	State string
 	// Sequence orders the notices about one incarnation; a higher number is newer.
 	Sequence uint64
-	// Ready is true if the notice is about an entry that accepts callers.
+	// Ready is true if the instance is an entry that accepts callers.
 	Ready bool
 }
 
-// States in a Notice.
+// Values of Notice.State: the instance is shutting down, has stopped responding, or responds.
 const (
 	NoticeLeaving = "leaving"
 	NoticeDead    = "dead"
@@ -180,8 +185,8 @@
 	// it needs to accept callers.
 	Stopping bool
 	Ready    bool
-	// Revision and Digest identify the configuration in force at the sender. Digest is a prefix of
-	// the document's digest.
+	// Revision and Digest identify the configuration in force at the sender. Digest is a prefix of the
+	// digest of the configuration document; empty on the users' platform.
 	Revision uint64
 	Digest   string
 	Notices  []Notice
@@ -191,27 +196,29 @@
 	ListAge    time.Duration
 	// Loads holds the loads of the engines whose keeper is the sender.
 	Loads []LoadDigest
-	// Quarantine holds the sender's recent reports of requests that crash upstreams. In the response to
-	// a heartbeat it includes all quarantines of the sender if those of the two entries differ.
+	// Quarantine reports the recent crashes and successes of requests that may crash upstreams. In the
+	// response to a heartbeat it includes all quarantines of the sender if those of the two entries
+	// differ.
 	Quarantine QuarantineNews
 }
 
-// FetchArgs holds the arguments of the call Fetch, by which an entry gets the configuration document and
-// the instance list of another entry. From is the name of the calling entry.
+// FetchArgs holds the arguments of the net/rpc call Fetch, by which an entry gets the configuration
+// document and the instance list of another entry. From is the name of the calling entry.
 type FetchArgs struct{ From string }
 
-// FetchReply is the reply to the call Fetch.
+// FetchReply is the reply to the net/rpc call Fetch.
 type FetchReply struct {
 	// Document is the configuration document in force, as published; List is the instance list as
 	// the platform sent it. Each is empty if the called entry has none.
 	Document []byte
 	List     []byte
-	// ListAge is how long ago the platform last confirmed the list to the called entry.
+	// ListAge is how long ago the platform last confirmed List, to the called entry or the entry that
+	// it got List from; negative if List is empty.
 	ListAge time.Duration
 }
 
-// AskArgs holds the arguments of the call Ask, by which an entry requests a grant of memory for an attempt
-// from the keeper of an engine.
+// AskArgs holds the arguments of the net/rpc call Ask, by which an entry requests a grant of an engine's
+// KV memory for an attempt from the keeper of that engine.
 type AskArgs struct {
 	// Engine is the name of the engine, Model the name of the model that the attempt needs.
 	Engine string
@@ -229,21 +236,23 @@
 	Remaining time.Duration
 }
 
-// AskReply is the reply to the call Ask.
+// AskReply is the reply to the net/rpc call Ask.
 type AskReply struct {
 	// Keeper is false if the called entry is not the keeper of the engine; the other fields are then
 	// zero.
-	Keeper  bool
+	Keeper bool
+	// Granted is true if the keeper grants the memory to the attempt.
 	Granted bool
-	// Reason is the keeper.Reason for granting or refusing.
+	// Reason is why the keeper grants or refuses: the text of a keeper.Reason.
 	Reason string
-	// Wait is the estimated time for which the prompt would queue before its prefill starts.
+	// Wait is the estimated time for which the prompt would queue at the engine before its prefill
+	// starts.
 	Wait time.Duration
 	// Load is the keeper's estimate of the engine's load. It may be zero if the engine is leaving.
 	Load LoadDigest
 }
 
-// LoadDigest is the load of one engine, estimated by its keeper.
+// LoadDigest is a summary of the load of one engine, as estimated by its keeper.
 type LoadDigest struct {
 	Engine      string
 	Incarnation uint64
@@ -252,6 +261,7 @@
 	// QueuedTokens is the number of prompt tokens that wait to be prefilled, by length class; the
 	// shortest class is the first. Trailing classes may be missing.
 	QueuedTokens []int
-	// FreeTokens is the KV memory that is neither held nor granted, in tokens.
+	// FreeTokens is the size in tokens of the engine's KV memory that is neither in use by a hold nor
+	// granted to an attempt.
 	FreeTokens int
 }
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -1,7 +1,7 @@
 package api
 
-// Paths at which engines, services and the platform serve entries. PathCompletions and PathServices
-// are also paths at which an entry serves callers.
+// Paths at which engines, services and the platform serve requests of entries. At PathCompletions and
+// PathServices an entry also serves requests of callers.
 const (
 	PathCompletions = "/v1/completions"
 	// PathServices is followed by the names of a service and of a call, with a slash between them.
@@ -12,7 +12,8 @@
 	// PathStreams is followed by the id of the attempt whose stream is to be ended.
 	PathStreams     = "/v1/streams/"
 	PathCacheEvents = "/v1/cache/events"
-	// PathKVTransfer is followed by a prefix, a slash and "export" or "import".
+	// PathKVTransfer is followed by the hash of a cached prompt prefix (EngineCacheEvent.Prefix), a
+	// slash and "export" or "import".
 	PathKVTransfer = "/v1/kv/"
 	PathConfig     = "/config"
 	PathInstances  = "/instances"
@@ -28,7 +29,7 @@
 	Version     string   `json:"version"`
 	Adapters    []string `json:"adapters"`
 	Role        string   `json:"role"`
-	// Fence is the highest fencing number of an order that the engine has seen.
+	// Fence is the highest fencing number of an order that the engine has received.
 	Fence uint64 `json:"fence"`
 	// MemoryTokens is the capacity of the engine's KV memory, UsedTokens the size of its part in use,
 	// both in tokens.
@@ -40,7 +41,7 @@
 	Streams int `json:"streams"`
 }
 
-// EngineHold is KV memory of an engine that is held for an attempt, a prompt or a transfer.
+// EngineHold is KV memory of an engine that is reserved for an attempt, a prompt or a transfer.
 type EngineHold struct {
 	ID string `json:"id"`
 	// Owner is the name of the entry that owns the hold, Incarnation the incarnation of that entry.
@@ -48,9 +49,9 @@
 	Incarnation uint64 `json:"incarnation"`
 	// Kind is one of the Hold constants.
 	Kind string `json:"kind"`
-	// Tokens is the size of the held memory in tokens.
+	// Tokens is the size of the reserved memory in tokens.
 	Tokens int `json:"tokens"`
-	// AgeSeconds is the time in seconds since the hold was made or last renewed.
+	// AgeSeconds is the time in seconds since the hold was created or last renewed.
 	AgeSeconds float64 `json:"age_seconds"`
 }
 
@@ -58,10 +59,11 @@
 const (
 	// HoldStream is the memory of a running stream.
 	HoldStream = "stream"
-	// HoldGroup is the memory of one shard of a prompt that a group of engines holds.
+	// HoldGroup is the memory of one shard, a piece of a long prompt, at an engine of the group that
+	// holds the prompt together.
 	HoldGroup = "group"
-	// HoldImport and HoldExport are memory in use while the KV cache of a prefix is imported or
-	// exported.
+	// HoldImport and HoldExport are memory in use while the KV cache of a prompt prefix is imported
+	// into, or exported from, the engine.
 	HoldImport = "import"
 	HoldExport = "export"
 )
@@ -71,8 +73,8 @@
 	Holds []EngineHold `json:"holds"`
 }
 
-// EngineHoldRenewal is a request to reset the age of holds. The response has the same type and lists
-// the requested holds that the engine does not have.
+// EngineHoldRenewal is a request to an engine to reset the age of holds to 0. The response has the
+// same type and lists those of the holds that the engine does not have.
 type EngineHoldRenewal struct {
 	// IDs lists the ids of the holds.
 	IDs []string `json:"ids"`
@@ -81,21 +83,23 @@
 // EngineOrder is an order to an engine to load another model, version or adapters, or to change its
 // role.
 type EngineOrder struct {
-	// Fence is the fencing number of the order. An engine that checks fences refuses an order whose
-	// number is not above EngineLoad.Fence.
+	// Fence is the fencing number of the order, chosen above the highest one that the engine had
+	// reported. An engine that checks fencing numbers refuses an order whose number is not above
+	// EngineLoad.Fence.
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
-	// Issuer is the name of the entry that sends the order. An engine that checks orders refuses
-	// those of unknown issuers.
+	// Issuer is the name of the entry that sends the order. An engine that checks issuers refuses
+	// orders of unknown ones.
 	Issuer string `json:"issuer"`
 }
 
-// EngineCacheEvent reports that a prefix was added to or dropped from an engine's cache.
+// EngineCacheEvent reports that the KV cache of a prompt prefix was added to or dropped from an
+// engine's memory.
 type EngineCacheEvent struct {
-	// Sequence is the number of the event among the events of the engine.
+	// Sequence numbers the events of the engine in their order.
 	Sequence uint64 `json:"sequence"`
 	// Prefix is a hash that identifies the prefix.
 	Prefix string `json:"prefix"`
