--- a/follower/follower.go
+++ b/follower/follower.go
@@ -280,9 +280,10 @@
 
 // retentionTime returns for how much longer an upstream is used whose registration lapsed in the
 // last outage of the store: until reregisterTime after the last failed store call. It returns 0 if
-// the store confirmed the state since. If only calls of other entries failed, the removal may be
-// intentional, so the upstream is used for at most maxUseAfterRemoval after the last confirmation.
-// An upstream that is dropped too early by that is used again as soon as it registers.
+// the store confirmed the state since. If no call of this entry has failed since its last successful
+// one, the outage may affect only other entries and the removal be intentional, so the upstream is
+// used for at most maxUseAfterRemoval after the last confirmation. If it was a real outage, too short
+// for this entry to have called the store in it, the upstream is used again once it registers.
 func (f *Follower) retentionTime(now time.Time) time.Duration {
 	if f.lastFailureAt.IsZero() || f.confirmedAt.After(f.lastFailureAt) {
 		return 0
