--- a/prober/prober.go
+++ b/prober/prober.go
@@ -25,8 +25,8 @@
 
 // States of a member.
 const (
-	// Listed members are in the instance list, or were reported alive by a notice, but this entry
-	// has received no heartbeat from their incarnation.
+	// Listed members are in the instance list, or were reported live by a notice, but have sent this
+	// entry no heartbeat yet, or none since they were dead or restarted.
 	Listed State = "listed"
 	// Live members have sent this entry a heartbeat, and neither this entry nor a notice has since
 	// found them stopping or dead.
