--- a/controller/callerentries_test.go
+++ b/controller/callerentries_test.go
@@ -22,8 +22,10 @@
 	return out
 }
 
-// Callers are sent to the fast entries if there are enough of them, and to all others as well
-// if few are fast, if speeds are unknown or if most fast ones are overloaded.
+// The work per request takes five times as long on an instance with a fifth of a core. Guards
+// against callers being sent to slow entries although enough fast ones can carry the load, and
+// against callers being crowded onto entries that are too few, too weak or overloaded. Entries
+// that report no speed must not distort the choice.
 func TestPreferredEntries(t *testing.T) {
 	unknown := readyEntries(0, 9)
 	for i := range unknown {
@@ -62,8 +64,10 @@
 	}
 }
 
-// An entry whose ticks are late for a second is overloaded until its ticks have been on time for
-// some two seconds. A single suspension of its process does not make it overloaded.
+// An entry is overloaded while its 100 ms timer fires late on average; callers are then sent to
+// other entries. Guards against flapping: the state must not end while the average delay is between
+// recoveredLag and overloadedLag. Also guards against an entry losing its callers because its
+// process was suspended once.
 func TestOverloadDetection(t *testing.T) {
 	is := is.New(t)
 	var m lagMeter
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -221,7 +221,8 @@
 	return func(e *entry) bool { return e.requestCount() == n }
 }
 
-// All entries discover each other and receive the state of the store soon after they start.
+// All entries discover each other and receive the state of the store soon after they start. An
+// entry that others have not discovered gets no callers.
 func TestEntriesDiscoverEachOther(t *testing.T) {
 	withFleet(t, 7, func(f *fleet) {
 		for _, e := range f.entries {
@@ -309,7 +310,8 @@
 	}
 }
 
-// Changes take effect in time though the store replies late and drops its history.
+// Changes take effect in time though the store replies late and drops its history, so that entries
+// can't watch on from their revision and must read the complete state.
 func TestSlowStoreWithoutHistory(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		f.store.SetMode(store.Slow)
@@ -377,6 +379,7 @@
 }
 
 // Other entries receive the load of a request within milliseconds after one entry has placed it.
+// Otherwise they would place requests on the same upstreams.
 func TestLoadReachesOtherEntries(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		p, refusal := f.entries[0].dispatcher.Place(time.Now(), dispatcher.Demand{Service: "app"})
@@ -394,6 +397,7 @@
 
 // An entry that has just started receives within a quarter of a second the load of the requests
 // that others have placed, and others drop the load that its earlier incarnation had reported.
+// Guards against placements by an incomplete view, and by requests that ended with the exit.
 func TestRestartedEntryReceivesLoad(t *testing.T) {
 	withFleet(t, 3, func(f *fleet) {
 		place := func(e *entry) *dispatcher.Placement {
@@ -438,6 +442,8 @@
 }
 
 // A new incarnation of an upstream under an ID used before reaches all entries within a second.
+// Guards against entries that overlook such a change: they would go on counting the requests,
+// failures and memory of the old incarnation for the new one.
 func TestNewIncarnationUnderTheSameIDReachesAllEntries(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		u := store.NewUpstreamRecord("app", netip.MustParseAddrPort("10.1.0.200:80"))
@@ -614,8 +620,9 @@
 }
 
 // A burst at a fleet of 8 fast and 22 slow entries: callers are given only the fast ones, so
-// only these need to receive each change at once. A slow entry that places a request all the
-// same receives the changes from then on.
+// only these need to receive each change at once. Guards against sending each change to entries
+// that place no requests, and against leaving out a slow entry that places one all the same: it
+// receives the changes from then on.
 func TestLoadChangesGoToPlacingEntries(t *testing.T) {
 	const fast, slow = 8, 22
 	withSpeeds(t, fast+slow, fastUpTo(fast), func(f *fleet) {
@@ -721,8 +728,10 @@
 	})
 }
 
-// Half of a fleet is killed and restarts after its death was detected. Within a second and a half
-// after survivors and restarted entries have placed two requests each, all have the load of all.
+// Half of a fleet is killed and restarts after its death was detected: the survivors have declared
+// the restarted entries dead, and these have not discovered any other entry yet. Guards against load
+// updates that miss either side: within a second and a half after all entries have placed two
+// requests each, all have the load of all.
 func TestLoadReachesAllAfterHalfTheFleetRestarts(t *testing.T) {
 	withFleet(t, 60, func(f *fleet) {
 		time.Sleep(10 * time.Second) // until all have exchanged heartbeats
--- a/controller/follow.go
+++ b/controller/follow.go
@@ -124,7 +124,7 @@
 	return heavier < storeReaders
 }
 
-// maxRetryDelay returns the longest delay of this entry after failed store calls.
+// maxRetryDelay returns the limit of this entry's growing delay between failed store calls.
 func (s *state) maxRetryDelay() time.Duration {
 	live := s.liveNames()
 	if s.isReader(live) {
