--- a/lister/lister.go
+++ b/lister/lister.go
@@ -19,8 +19,8 @@
 
 // Lister holds the instance list in use. It is not safe for concurrent use.
 type Lister struct {
-	// staleAfter is the time since the platform last confirmed the list in use from which a
-	// peer's list may replace it.
+	// After staleAfter without a confirmation by the platform, a peer's list may replace the
+	// list in use.
 	staleAfter time.Duration
 	// data is the list as the platform encoded it, nil if there is none.
 	data []byte
