--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -425,7 +425,8 @@
 	is.Equal(f.refusing(fingerprint("bad")), 6)
 }
 
-// If more fingerprints crash upstreams than can be quarantined, the limit holds.
+// More fingerprints crash upstreams than can be quarantined at once. The number of quarantines must
+// stay within the limit, which bounds the memory and the size of updates.
 func TestMoreCrashingFingerprintsThanQuarantineLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, 6000)
