--- a/api/api.go
+++ b/api/api.go
@@ -147,8 +147,8 @@
 	// by the caller.
 	Temperature *float64 `json:"temperature,omitempty"`
 	TopP        *float64 `json:"top_p,omitempty"`
-	// Seed is the seed of the engine's random sampling. Engines with the same seed generate the same
-	// answer, so that another engine can resume it. 0 if not set by the caller.
+	// Seed makes sampling deterministic, so that another engine can resume the answer. If the caller
+	// sets none (0), the entry chooses a random seed before it sends the request to an engine.
 	Seed uint64 `json:"seed,omitempty"`
 }
 
--- a/api/entry.go
+++ b/api/entry.go
@@ -142,7 +142,8 @@
 	// the requests sent to the upstream that fail. Both are set on the users' platform only.
 	Service  string  `json:",omitempty"`
 	Failures float64 `json:",omitempty"`
-	// PausedFor is the time left for which the upstream asked to be sent no requests; 0 if it did not.
+	// PausedFor is the time for which the reporting entry still sends the upstream no requests, because
+	// the upstream asked it to; 0 if no such time is running.
 	PausedFor time.Duration `json:",omitempty"`
 	// Heard is true if the reporting entry is the engine's keeper and has received a list of holds from
 	// the engine.
