--- a/controller/follow.go
+++ b/controller/follow.go
@@ -176,7 +176,8 @@
 }
 
 // recordStoreError records a failed store call of this entry. It only logs ErrHistoryGone,
-// because the store did reply. Of several failures in a row it logs the first.
+// because the store did reply, so there is no outage. Of other failures in a row it logs the
+// first.
 func (s *state) recordStoreError(now time.Time, err error) {
 	if errors.Is(err, follower.ErrHistoryGone) {
 		s.controller.config.Log.Info("store_history_gone", zap.Int64("revision", s.follower.Revision()))
--- a/controller/loadpaths.go
+++ b/controller/loadpaths.go
@@ -17,7 +17,8 @@
 	direct, local []netip.AddrPort
 	// relayed has an element for each other data centre with relays: the addresses of the
 	// peers there that are neither dead nor stopping. Each of these can relay a message to the
-	// other peers of its data centre, including dead and stopping ones.
+	// other peers of its data centre, including dead and stopping ones, because its view of
+	// its own data centre is the most recent.
 	relayed [][]netip.AddrPort
 }
 
