--- a/follower/follower.go
+++ b/follower/follower.go
@@ -183,8 +183,9 @@
 // changes, and returns the changes. It treats a removal as a possible lapse of the registration
 // only if a store call of this entry failed since its last successful one, or if that was more
 // than maxReadGap ago. If the reads of this entry succeeded throughout, removals are intentional,
-// whatever failures other entries report. Otherwise, if the store failed only some entries, a
-// removed upstream would get work for 2.3 s, more than the 2 s that the platform allows.
+// whatever failures other entries report, and are passed on to other entries as such. Otherwise, if
+// the store failed only some entries, a removed upstream would get work for 2.3 s, more than the 2 s
+// that the platform allows.
 func (f *Follower) ApplyStoreRead(now time.Time, s State, complete bool) []Change {
 	doubtful := f.ownFailureAt.After(f.ownReadAt) || now.Sub(f.ownReadAt) > maxReadGap
 	retention := time.Duration(0)
