--- a/connector/queue.go
+++ b/connector/queue.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// maxPendingWrites is the maximum number of writes queued on one connection to a peer. A write
-// beyond it closes the connection.
+// maxPendingWrites is the maximum number of writes queued on one connection to a peer; one write is
+// one net/rpc message. A write beyond it closes the connection.
 const maxPendingWrites = 1024
 
 // errQueueFull is returned by queuedConn.Write if maxPendingWrites are queued already, because the
