--- a/server/crash.go
+++ b/server/crash.go
@@ -52,7 +52,7 @@
 
 // detectCrash sets x.interrupted and checks in the background whether an interrupted attempt ended because
 // its upstream's process exited. If so, it records a crash for the quarantine; but if the answer had lasted
-// for quarantiner.ProvenAfter, it records a success, as the upstream evidently could run the request. If
+// for quarantiner.MinSuccessRunTime, it records a success, as the upstream evidently could run the request. If
 // ctx, the attempt's context, has ended, as on a timeout or if the caller disconnects, the interruption shows
 // nothing about the upstream and detectCrash does nothing.
 func (x *exchange) detectCrash(ctx context.Context, attempt attemptInfo) {
