--- a/_scripts/red.sh
+++ b/_scripts/red.sh
@@ -75,7 +75,7 @@
 red first-config forwarder/forwarder.go 's/f\.awaitConfig\(x\)$/f.view()/m' $p TestRequestWaitsForConfigAfterStart
 red newest-first predictor/queue.go 's/return !a\.Arrived\.Before\(b\.Arrived\)/return a.Arrived.Before(b.Arrived)/' ./predictor TestOrderOfPrefill
 red packing dispatcher/search.go 's/return unpackedCost \* promptValue/return 0 * promptValue/' ./dispatcher TestShortPromptsLeaveEnginesToLongOnes
-red blind dispatcher/search.go 's/packs: !b\.isolated && /packs: /' ./dispatcher TestIsolatedEntriesSpreadRequests
+red blind dispatcher/search.go 's/isPacking: !b\.isolated && /isPacking: /' ./dispatcher TestIsolatedEntriesSpreadRequests
 red costly dispatcher/admit.go 's/if promptValue\(d\.PromptTokens\)-totalCost-price > 0/if price >= 0/' ./dispatcher TestCostlyPromptIsRefusedUnderBacklog
 red held follower/follower.go 's/ok && !k\.listed\.Instance\.Leaving && retention > 0/false/' ./follower TestLapsedInstancesAreRetained
 red older-state follower/follower.go 's/if s\.Revision < f\.revision \{\n\t\treturn nil\n\t\}//' ./follower TestOlderStateChangesNothing
@@ -86,7 +86,7 @@
 red helper-fault forwarder/attempt.go 's/a\.helperAtFault = true//' $p TestFullHelperIsReplaced
 red jitter dispatcher/search.go 's/est\.cost \+= est\.jitter/_ = est.jitter/' ./dispatcher TestSimultaneousChoicesSpread
 red joins predictor/pass.go 's/if t\.inPass/if t.decoding/' ./predictor TestAnswerStartedDuringPass
-red estimate predictor/forecast.go 's/tasks\[i\]\.eventsLeft = max/_ = max/' ./predictor TestAnswerBeyondEstimateContinues
+red estimate predictor/simulator.go 's/tasks\[i\]\.eventsLeft = max/_ = max/' ./predictor TestAnswerBeyondEstimateContinues
 red elsewhere-begins predictor/pass.go 's/if q\.isSimulation && t\.isAwaitingShards\(\)/if false/' ./predictor TestShardedAnswerStartsAfterOtherShards
 red seen-pass predictor/queue.go 's/if q\.passEnd\.IsZero\(\) \|\| !q\.passDecodes \|\| now\.Sub\(q\.lastObservedEnd\) < maxEventSkew/if true/' ./predictor TestObservedEventsCorrectPasses
 red filled-steps predictor/pass.go 's/q\.schedulePrefill\(steps\*chunk, 0\)/q.schedulePrefill(q.tasks[first].tokensLeft, 0)/' ./predictor TestFirstEventsOfShortPrompts
@@ -99,7 +99,7 @@
 red removal follower/follower.go 's/doubtful := .*/doubtful := true/; s/!f\.ownFailureAt\.After\(f\.ownReadAt\) && !f\.confirmedAt/false \&\& !f.confirmedAt/' ./follower TestRemovalsAndLapsesInEveryOrder
 red lapse follower/follower.go 's/doubtful := .*/doubtful := false/' ./follower TestRemovalsAndLapsesInEveryOrder
 red run-replaced dispatcher/dispatcher.go 's/if ok && !u\.instance\.SameIncarnation\(i\)/if false/' ./dispatcher 'TestNewIncarnationStartsEmpty|TestOnRestartIsCalledOnce|TestLateReportsOfEarlierIncarnationAreIgnored'
-red run-told dispatcher/instance.go 's/if i\.Started\.IsZero\(\) \{\n\t\treturn WireIDOf/if true {\n\t\treturn WireIDOf/' ./dispatcher TestLoadUpdatesCountForTheirIncarnationOnly
+red run-told dispatcher/instance.go 's/if i\.Started\.IsZero\(\) \{\n\t\treturn CompactIDOf/if true {\n\t\treturn CompactIDOf/' ./dispatcher TestLoadUpdatesCountForTheirIncarnationOnly
 red one-address platform/headers.go 's/ \|\| status == http\.StatusMisdirectedRequest//' ./forwarder TestTwoIDsWithOneAddressAreTwoInstances
 red run-lost forwarder/attempt.go 's/p\.OnRestart\(.*\)\n/\n/' $p 'TestStreamContinuesAfterEngineRestart|TestAtMostOnceRequestEndsOnUpstreamRestart|TestGroupStartsOverAfterHelperRestart'
 red group-again forwarder/stream.go 's/ && len\(p\.HelperMemoryTokens\) == 0/ /; s/ && !a\.isLostToRestart\(\)//' $p TestGroupStartsOverAfterHelperRestart
@@ -125,7 +125,7 @@
 red stop-admits forwarder/stop.go 's/return x\.limitToStop\(v, d\)/d.Admitted = true\n\treturn x.limitToStop(v, d)/' $p TestStoppingEntryRefusesTooCostlyPrompt
 red stop-unknown-length dispatcher/place.go 's/d\.MaxAnswerTokens <= 0 \|\| //' ./launcher TestStoppingEntryCutsNoStreamOfUnknownLength
 red stop-longest dispatcher/admit.go 's/events := d\.MaxAnswerTokens/events := d.Answer/' ./dispatcher TestLongestAnswerEndsBeforeEntryStops
-red stop-slow-engine dispatcher/admit.go 's/\* answering\.upstream\.health\.pace\(now\)\n\treturn/+ 0*answering.upstream.health.pace(now)\n\treturn/' ./dispatcher TestSlowEngineExtendsLatestEnd
+red stop-slow-engine dispatcher/admit.go 's/\* answering\.upstream\.health\.slowdown\(now\)\n\treturn/+ 0*answering.upstream.health.slowdown(now)\n\treturn/' ./dispatcher TestSlowEngineExtendsLatestEnd
 red end-while-sending forwarder/limits.go 's/stop := context\.AfterFunc\(x\.ctx, func\(\) \{[^}]*\}\)/stop := func() {}/' ./launcher TestExitingEntryRefusesIncompleteRequests
 red stop-unconfigured forwarder/forwarder.go 's/ \&\& !v\.Stopping//' $p TestStoppingEntryWithoutConfiguration
 red stop-begun forwarder/watchdog.go 's/ \&\& !begun \{/ {/' $p TestSilentStreamResumesAtStoppingEntry
@@ -147,12 +147,12 @@
 red quarantined forwarder/crash.go 's/until, ok := f\.quarantine\.QuarantinedUntil\(now, x\.fingerprint\)/until, ok := now, false/' ./launcher TestRequestThatCrashesUpstreamsIsQuarantined
 red quarantine-told quarantiner/gossip.go 's/if update\.Digest == received\.Digest/if true/' $q TestNewEntryReceivesAllQuarantines
 red strikes-told quarantiner/gossip.go 's/return out\[:min\(len\(out\), maxItemsPerUpdate\)\]/return nil/' $q TestFingerprintWithThreeCrashesIsRefusedByAllEntries
-red bystanders quarantiner/evaluate.go 's/ \|\| q\.hasRival\(fp, p, e\)//' $q 'TestConcurrentRequestsAreNotRefused|TestOutageBeforeCrashingRequest'
+red bystanders quarantiner/evaluate.go 's/ \|\| q\.hasLikelierCause\(fp, p, e\)//' $q 'TestConcurrentRequestsAreNotRefused|TestOutageBeforeCrashingRequest'
 red explained quarantiner/evaluate.go 's/; ok \&\& other != fp \{/; false \&\& ok \&\& other != fp {/' $q TestConcurrentRequestsAreNotRefused
 red outage-strikes quarantiner/evaluate.go 's/others\+\+/_ = e/' $q TestOutagesFarApartRefuseNothing
 red outage-half quarantiner/evaluate.go 's/ \&\& q\.isOutage\(counted, exits\)/ \&\& false/' $q TestOutageOfHalfOfUpstreams
 red strikes-at-once quarantiner/evaluate.go 's/if s\.LastSent\.Before\(lastExit/if false \&\& s.LastSent.Before(lastExit/' $q TestConcurrentCrashesCountOnce
-red answers-remembered quarantiner/quarantiner.go 's/; ok && isCleared\(at, crash\.Ended\)/; false && ok && isCleared(at, crash.Ended)/' $q TestOutageDuringPopularRequest
+red answers-remembered quarantiner/quarantiner.go 's/; ok && isRefuted\(at, crash\.Ended\)/; false && ok && isRefuted(at, crash.Ended)/' $q TestOutageDuringPopularRequest
 red suspects-bounded quarantiner/quarantiner.go 's/len\(q\.suspects\) >= maxSuspects/false/' $q TestMemoryAndUpdatesAreBounded
 red strikes-told-on quarantiner/gossip.go 's/s\.broadcastsLeft--/_ = s/' $q TestTrafficOfTargetFleet
 red proven forwarder/stream.go 's/if a\.recordEvent\(time\.Now\(\)\)/if a.recordEvent(time.Now()) \&\& false/' ./forwarder TestCrashCountsAgainstRequestJustBegun
@@ -165,7 +165,7 @@
 red calls-quarantined server/call.go 's/if f := x\.checkQuarantine\(\); f != nil/if f := x.checkQuarantine(); false \&\& f != nil/' ./server TestCallThatCrashesServicesIsQuarantined
 red calls-spread dispatcher/place.go 's/cost \+= plainJitter \* b\.random\.Float64\(\)/_ = plainJitter/' ./server 'TestCallsAreSpreadOverInstances|TestCallBesideCrashingCallIsNotQuarantined'
 red calls-health server/call.go 's/return dispatcher\.Incomplete\n\}/return dispatcher.Answered\n}/' ./server TestCallsAvoidAFrozenInstance
-red local-board dispatcher/requestload.go 's/if b\.isLocal \{/if false {/g' ./dispatcher TestLocalDispatcherExportsNothing
+red local-board dispatcher/requestload.go 's/if b\.isUnreported \{/if false {/g' ./dispatcher TestUnreportedDispatcherHasNoLoadChanges
 red late-word-streams forwarder/attempt.go 's/if eventsBefore == 0 \{/if true {/' ./forwarder TestStreamFromNewIncarnationContinues
 red late-word-calls dispatcher/dispatcher.go 's/restartedAt\.IsZero\(\) \|\| !a\.request/true || !a.request/' ./forwarder TestRequestToNewIncarnationIsAnswered
 red blocked-takes-nothing dispatcher/place.go 's/if u\.health\.isBlocked\(now\) \{/if false {/' ./dispatcher TestUnreachableUpstreamsAcceptNothing
@@ -190,7 +190,7 @@
 red told-failures dispatcher/requestload.go 's/b\.recordOutcome\(now, r, load\)/_ = load/' ./dispatcher TestFailuresAreReportedToPeers
 red told-own-links dispatcher/placement.go 's/return OutcomeUnknown/return OutcomeFailed/' ./dispatcher TestOutcomeIsReportedOnce
 red middle-packed dispatcher/search.go 's/return unpackedCost \* promptValue/return 0 * promptValue/' ./dispatcher TestMediumPromptsLeaveEnginesToLongOnes
-red middle-firsts dispatcher/search.go 's/if !s\.packs \{\n\t\treturn s\.order/if true {\n\t\treturn s.order/' ./dispatcher TestMediumPromptsLeaveEnginesToLongOnes
+red middle-firsts dispatcher/search.go 's/if !s\.isPacking \{\n\t\treturn s\.order/if true {\n\t\treturn s.order/' ./dispatcher TestMediumPromptsLeaveEnginesToLongOnes
 red answer-of-first dispatcher/requestload.go 's/if a\.job\.Decodes/if a == r.assignments[0]/' ./dispatcher TestAnswerCountsForTheAnsweringEngine
 red counted-from-none forwarder/metrics.go 's/\tm\.requestCounter\(outcomeAnswered\).*\n//' ./forwarder TestRequestCounterStartsAtZero
 exit $wrong
