--- a/_scripts/red.sh
+++ b/_scripts/red.sh
@@ -107,8 +107,8 @@
 red value-fault platform/store.go 's/l\.Instance, l\.Fault = unusableInstance\(id\), err/l.Instance.Service = "app"/' ./platform TestUndecodableValueAffectsOnlyItsItem
 red unused-memory forwarder/group.go 's/g\.cancelAttempt\(errMemoryUnused\)\n\t\t\treturn/_ = errMemoryUnused/' $p TestUnusedMemoryIsReleased
 red relays controller/loadpaths.go 's/relayCounts\[name\] < minRelayEntries/true/' ./controller TestLoadCrossesBetweenDataCentresOnce
-red relayed controller/loadupdates.go 's/case dispatcher\.RelayToPlacing:/case dispatcher.Relay(99):/' ./controller TestLoadCrossesBetweenDataCentresOnce
-red relayed-to-all controller/loadupdates.go 's/case dispatcher\.RelayToAll:/case dispatcher.Relay(99):/' ./controller TestLoadChangesGoToPlacingEntries
+red relayed controller/loadupdates.go 's/case dispatcher\.RelayToPlacing:/case dispatcher.RelayTarget(99):/' ./controller TestLoadCrossesBetweenDataCentresOnce
+red relayed-to-all controller/loadupdates.go 's/case dispatcher\.RelayToAll:/case dispatcher.RelayTarget(99):/' ./controller TestLoadChangesGoToPlacingEntries
 red told-to-placing controller/loadupdates.go 's/paths := c\.current\.Load\(\)\.placingPaths/paths := c.current.Load().allPaths/; s/paths, dispatcher\.RelayToPlacing/paths, dispatcher.RelayToAll/g' ./controller TestLoadChangesGoToPlacingEntries
 red asked-all-the-same controller/loadsenders.go 's/= sentLately \|\|/= sentLately \&\& false ||/' ./controller TestLoadChangesGoToPlacingEntries
 red newcomers-told controller/loadupdates.go 's/sent = c\.sendAllToNewPeers\(socket, sent\)/_ = sent/' ./controller TestRestartedEntryReceivesLoad\$
@@ -122,9 +122,9 @@
 red stop-retry forwarder/stop.go 's/if v\.OtherEntries > 0 \{/if true {/' $p TestLastStoppingEntryServesShortRequests
 red stop-told forwarder/stop.go 's/d\.Remaining = min\(d\.Remaining, d\.EndWithin\)/_ = d.Remaining/' ./forwarder TestStopDeadlineIsBroadcast
 red stop-silence forwarder/watchdog.go 's/d = x\.limitToStop\(v, d\)/_ = d/' $p TestSilentEngineIsKeptIfNoOtherEndsInTime
-red stop-admits forwarder/stop.go 's/return x\.limitToStop\(v, d\)/d.Admitted = true\n\treturn x.limitToStop(v, d)/' $p TestStoppingEntryRefusesTooCostlyPrompt
+red stop-admits forwarder/stop.go 's/return x\.limitToStop\(v, d\)/d.SentBefore = true\n\treturn x.limitToStop(v, d)/' $p TestStoppingEntryRefusesTooCostlyPrompt
 red stop-unknown-length dispatcher/place.go 's/d\.MaxAnswerTokens <= 0 \|\| //' ./launcher TestStoppingEntryCutsNoStreamOfUnknownLength
-red stop-longest dispatcher/admit.go 's/events := d\.MaxAnswerTokens/events := d.Answer/' ./dispatcher TestLongestAnswerEndsBeforeEntryStops
+red stop-longest dispatcher/admit.go 's/events := d\.MaxAnswerTokens/events := d.AnswerTokens/' ./dispatcher TestLongestAnswerEndsBeforeEntryStops
 red stop-slow-engine dispatcher/admit.go 's/\* answering\.upstream\.health\.slowdown\(now\)\n\treturn/+ 0*answering.upstream.health.slowdown(now)\n\treturn/' ./dispatcher TestSlowEngineExtendsLatestEnd
 red end-while-sending forwarder/limits.go 's/stop := context\.AfterFunc\(x\.ctx, func\(\) \{[^}]*\}\)/stop := func() {}/' ./launcher TestExitingEntryRefusesIncompleteRequests
 red stop-unconfigured forwarder/forwarder.go 's/ \&\& !v\.Stopping//' $p TestStoppingEntryWithoutConfiguration
--- a/api/api.go
+++ b/api/api.go
@@ -6,10 +6,11 @@
 // run models, or other services. The keeper of an engine is the entry that grants the engine's KV
 // memory to requests. Memory that an engine has set aside for a request is a hold.
 //
-// Entries of the command gateway run on the users' platform: they read its settings, configuration
-// and instance registrations through package platform. Other entries have a settings file and a
-// configuration document of their own. The comment of a field that only one of these two kinds of
-// entry sets says so.
+// There are two kinds of entry. Those started with `sapphireramp gateway` run on the users' platform:
+// they read its settings, configuration and instance registrations through package platform. Those
+// started with `sapphireramp entry` have a settings file in this project's format, and fetch the
+// configuration document and the instance list over HTTP, at PathConfig and PathInstances, from what
+// the comments call just "the platform". The comment of a field that only one kind of entry sets says so.
 package api
 
 import (
--- a/dispatcher/search.go
+++ b/dispatcher/search.go
@@ -84,9 +84,10 @@
 // group is a set of engines for a prompt, the one that answers first.
 type group struct {
 	estimates []estimate
-	// cost is the predicted loss of all requests, the placed one included; displacementCost is that
-	// of the others alone. Both are in requests. prefillDelay is the time from now until the last
-	// shard is prefilled.
+	// displacementCost is the predicted loss that the prompt adds to other requests on the group's
+	// engines. cost adds the prompt's own predicted loss, helperRiskCost for each helper and, where
+	// they apply, the packing cost and the jitter. Both are in requests. prefillDelay is the time
+	// from now until the last shard is prefilled.
 	cost, displacementCost float64
 	prefillDelay           time.Duration
 }
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -387,8 +387,8 @@
 // with the same NewestRevision have the same configuration and registrations.
 func (f *Follower) NewestRevision() int64 { return f.newestRevision }
 
-// HasState reports whether a complete state was ever applied. It checks for a configuration, which
-// every complete state includes.
+// HasState reports whether a configuration was ever applied. Registrations alone do not count: a
+// complete state that was read from the store can lack the configuration if its value can't be decoded.
 func (f *Follower) HasState() bool { return f.configRevision > 0 }
 
 // ChangesSince returns the changes for another entry that has all changes up to a revision. If
