--- a/_scripts/red.sh
+++ b/_scripts/red.sh
@@ -55,7 +55,7 @@
 red leaving "server/keeper.go server/control.go server/peers.go keeper/keeper.go" 's/\b(k\.lastLoad|load|digest)\.Leaving\b/false/g' $s TestScenarios/leaving-engine
 red leaving-list drainer/drainer.go 's/u\.listLeaving = states\[name\] != api\.InstanceLive/u.listLeaving = false/' $s TestScenarios/leaving-list
 red drain server/server.go 's/for s\.inFlight\(\) > 0/for false/; s/connections\.WaitIdle\(time\.Time\{\}, drainPollInterval\)/_ = connections/; s/httpServer\.Shutdown\(context\.Background\(\)\)/httpServer.Close()/' $s TestScenarios/stop-entry
-red newcomers server/filters.go 's/if x\.view\.stopping && !own/if x.view.stopping \&\& !own \&\& false/' $s TestScenarios/stop-entry
+red newcomers server/filters.go 's/if x\.view\.stopping && !ownTicket/if x.view.stopping \&\& !ownTicket \&\& false/' $s TestScenarios/stop-entry
 red spread server/heartbeat.go 's/go s\.fetchFromPeer\(heartbeat\.PeerAddress, heartbeat\.From\)/_ = hasNewer/' $s TestScenarios/config-spread
 red order adopter/adopter.go 's/case old\.Less\(offered\.Version\):/case old != offered.Version:/' $s TestScenarios/config-spread
 red tie validator/document.go 's/return v\.Digest < o\.Digest/return false/' $s TestScenarios/config-operators
@@ -179,7 +179,7 @@
 red late-lines logger/queue.go 's/close\(q\.closing\)/close(q.closing); close(q.lines)/' ./logger TestLinesAfterCloseAreDropped
 red idle-connections connector/pool.go 's/c\.inFlight == 0 && now\.Sub\(c\.lastUsed\) >= idleTimeout/false/' ./connector TestIdleConnectionsAreClosed
 red used-connections connector/pool.go 's/c\.inFlight == 0 && now/now/' ./connector TestConnectionInUseStaysOpen
-red idle-queue connector/queue.go 's/wake: make\(chan struct\{\}, 1\)/wake: make(chan struct{}, 1), pending: make([][]byte, 0, maxQueued)/' ./connector TestIdleQueueUsesLittleMemory
+red idle-queue connector/queue.go 's/wake: make\(chan struct\{\}, 1\)/wake: make(chan struct{}, 1), pending: make([][]byte, 0, maxPendingWrites)/' ./connector TestIdleQueueUsesLittleMemory
 red stop-unspread prober/prober.go 's/p\.announce\(now, m, api\.NoticeLeaving\)/_ = now/' ./prober TestShutdownAndReturnSpread
 red return-unspread prober/prober.go 's/m\.State == Dead \|\| m\.State == Stopping \|\|/m.State == Dead ||/' ./prober TestShutdownAndReturnSpread
 red news-again prober/prober.go 's/isNewlyLive := !m\.Ready && /isNewlyLive := /' ./prober TestMemberIsAnnouncedOnce
