--- a/_scripts/red.sh
+++ b/_scripts/red.sh
@@ -100,7 +100,7 @@
 red lapse follower/follower.go 's/doubtful := .*/doubtful := false/' ./follower TestRemovalsAndLapsesInEveryOrder
 red run-replaced dispatcher/dispatcher.go 's/if ok && !u\.instance\.SameIncarnation\(i\)/if false/' ./dispatcher 'TestNewIncarnationStartsEmpty|TestOnRestartIsCalledOnce|TestLateReportsOfEarlierIncarnationAreIgnored'
 red run-told dispatcher/instance.go 's/if i\.Started\.IsZero\(\) \{\n\t\treturn CompactIDOf/if true {\n\t\treturn CompactIDOf/' ./dispatcher TestLoadUpdatesCountForTheirIncarnationOnly
-red one-address platform/headers.go 's/ \|\| status == http\.StatusMisdirectedRequest//' ./forwarder TestTwoIDsWithOneAddressAreTwoInstances
+red one-address platform/headers.go 's/ \|\| status == http\.StatusMisdirectedRequest//' ./forwarder TestTwoIDsWithOneAddress
 red run-lost forwarder/attempt.go 's/p\.OnRestart\(.*\)\n/\n/' $p 'TestStreamContinuesAfterEngineRestart|TestAtMostOnceRequestEndsOnUpstreamRestart|TestGroupStartsOverAfterHelperRestart'
 red group-again forwarder/stream.go 's/ && len\(p\.HelperMemoryTokens\) == 0/ /; s/ && !a\.isLostToRestart\(\)//' $p TestGroupStartsOverAfterHelperRestart
 red entry-fault platform/instance.go 's/ok = ok && string\(raw\) != "null".*/_ = json.Unmarshal(raw, \&value)\n\tok = true/' ./platform TestInvalidRegistrationIsUnusable
